--- a/coordination/replay/call.go
+++ b/coordination/replay/call.go
@@ -61,7 +61,7 @@
 	q := c.query(route.PartWhole)
 	c.work = snapshot.Work{
 		Requests:      1,
-		PrefillTokens: int64(max(1, c.request.PromptTokens-c.host.router.CachedTokens(&q))),
+		PrefillTokens: int64(max(1, c.request.PromptTokens-c.host.router.LongestCachedPrefix(&q))),
 		DecodeTokens:  int64(c.expected),
 	}
 	c.host.meter.Arrived(service, c.work, c.class.Deadline)
@@ -73,7 +73,7 @@
 		Service: service, Customer: c.request.Customer, Class: c.request.Class,
 		Urgent: c.class.Urgent && !f.setup.NoUrgent, Weight: 1, Cost: c.work,
 		Returning:  c.back && !f.setup.ForgetReturns,
-		LongOutput: int64(c.host.outputs.Long(c.request.Customer, c.request.Class, c.class.MaxTokens)),
+		LongOutput: int64(c.host.outputs.LongOutput(c.request.Customer, c.request.Class, c.class.MaxTokens)),
 	}
 	if !f.setup.NoRefusal {
 		ask.Deadline = c.deadline
@@ -147,7 +147,7 @@
 		if path.Split {
 			part = route.PartPrefill
 		}
-		if c.send(part, path.First, c.query(part)) {
+		if c.send(part, path.Prefill, c.query(part)) {
 			return
 		}
 	}
@@ -169,7 +169,7 @@
 	if ticket == nil {
 		return false
 	}
-	h.router.Sent(&q, &choice)
+	h.router.RecordSent(&q, &choice)
 	a := &attempt{
 		engine: h.fleet.engines[choice.Runner.Name], ticket: ticket, choice: choice, query: q, at: h.fleet.loop.Now(),
 	}
@@ -236,7 +236,7 @@
 
 func (c *call) learnFirst(a *attempt, now time.Time) {
 	if !c.host.fleet.setup.NoLearning {
-		c.host.router.FirstToken(a.choice.Runner.Name, a.choice.FirstToken, now.Sub(a.at))
+		c.host.router.RecordFirstToken(a.choice.Runner.Name, a.choice.FirstToken, now.Sub(a.at))
 	}
 }
 
@@ -259,7 +259,7 @@
 		return
 	}
 	if !c.host.fleet.setup.NoLearning {
-		c.host.router.Decoded(c.host.keeper.View(), a.choice.Runner.Name, c.request.OutputTokens, now.Sub(a.first))
+		c.host.router.RecordDecode(c.host.keeper.View(), a.choice.Runner.Name, c.request.OutputTokens, now.Sub(a.first))
 	}
 	c.host.outputs.Learn(c.request.Customer, c.request.Class, c.request.OutputTokens)
 	c.end(outcomeGood)
--- a/coordination/replay/chooser.go
+++ b/coordination/replay/chooser.go
@@ -14,13 +14,13 @@
 	}
 	first := h.naive(route.PartWhole)
 	if first != nil {
-		return route.Path{First: route.Choice{Runner: first}}, nil
+		return route.Path{Prefill: route.Choice{Runner: first}}, nil
 	}
 	first = h.naive(route.PartPrefill)
 	if first == nil {
 		return route.Path{}, &route.NoRunnerError{Service: service, Reason: route.ReasonNoRole}
 	}
-	return route.Path{Split: true, First: route.Choice{Runner: first}}, nil
+	return route.Path{Split: true, Prefill: route.Choice{Runner: first}}, nil
 }
 
 // decoder chooses the engine of the decode half.
--- a/coordination/replay/fleet.go
+++ b/coordination/replay/fleet.go
@@ -197,7 +197,7 @@
 		}
 		f.loop.after(f.model.CacheEventLag, func() {
 			for _, h := range f.hosts {
-				h.router.CacheEvents(name, gap, events)
+				h.router.ApplyCacheEvents(name, gap, events)
 			}
 		})
 	}
--- a/coordination/route/estimate.go
+++ b/coordination/route/estimate.go
@@ -49,7 +49,7 @@
 
 // predict returns the time to the first token and to the last, in seconds.
 func (c *Candidate) predict(q *Query) (first, finish float64) {
-	step := c.speeds.step(min(c.InFlight+1, c.speeds.Batch))
+	step := c.speeds.step(min(c.InFlight+1, c.speeds.MaxBatch))
 	if q.Part == PartDecode {
 		first = float64(q.PromptTokens)/c.speeds.TransferTokensPerSecond + step
 	} else {
@@ -72,7 +72,7 @@
 	todo := c.BacklogTokens + c.uncached(q)
 	t := todo / c.speeds.PrefillTokensPerSecond
 	if c.InFlight >= 1 && c.decodes() {
-		t += todo / c.speeds.ChunkTokens * c.speeds.step(min(c.InFlight, c.speeds.Batch))
+		t += todo / c.speeds.ChunkTokens * c.speeds.step(min(c.InFlight, c.speeds.MaxBatch))
 	}
 	return t
 }
@@ -87,11 +87,11 @@
 // batchWait is the time until a full batch has room, if answers like this one
 // leave it evenly.
 func (c *Candidate) batchWait(q *Query, step float64) float64 {
-	over := c.InFlight + 1 - c.speeds.Batch
+	over := c.InFlight + 1 - c.speeds.MaxBatch
 	if over <= 0 {
 		return 0
 	}
-	return over / c.speeds.Batch * float64(q.ExpectedOutput) * step
+	return over / c.speeds.MaxBatch * float64(q.ExpectedOutput) * step
 }
 
 // decodeTime is the time from the first token to the last. What waits to be
@@ -109,12 +109,12 @@
 // added up: its prompt is computed between their steps, and a larger batch has
 // longer steps.
 func (c *Candidate) delayToOthers(q *Query) float64 {
-	n := min(c.InFlight, c.speeds.Batch)
+	n := min(c.InFlight, c.speeds.MaxBatch)
 	var delay float64
 	if q.Part != PartDecode && c.decodes() {
 		delay += n * c.uncached(q) / c.speeds.PrefillTokensPerSecond
 	}
-	if q.Part != PartPrefill && n < c.speeds.Batch {
+	if q.Part != PartPrefill && n < c.speeds.MaxBatch {
 		delay += n * c.speeds.StepSecondsPerSequence * float64(q.ExpectedOutput)
 	}
 	return delay
--- a/coordination/route/feedback.go
+++ b/coordination/route/feedback.go
@@ -17,9 +17,9 @@
 	Evicted bool
 }
 
-// Sent notes that a request was given to the chosen runner: its prompt's
+// RecordSent notes that a request was given to the chosen runner: its prompt's
 // prefixes will be in that engine's cache. Call it once the request is counted in.
-func (r *Router) Sent(q *Query, c *Choice) {
+func (r *Router) RecordSent(q *Query, c *Choice) {
 	l := r.known(c.Runner.Name)
 	if l == nil {
 		return
@@ -32,17 +32,17 @@
 	r.cache.add(q.Prefixes, l)
 }
 
-// FirstToken learns how far a prediction was off, so that an engine that is
+// RecordFirstToken learns how far a prediction was off, so that an engine that is
 // slower than it says is found out.
-func (r *Router) FirstToken(runner string, predicted, actual time.Duration) {
+func (r *Router) RecordFirstToken(runner string, predicted, actual time.Duration) {
 	if l := r.known(runner); l != nil {
 		l.firstToken(predicted, actual)
 	}
 }
 
-// Decoded learns how long an engine took from the first token of an answer to
+// RecordDecode learns how long an engine took from the first token of an answer to
 // the last, in a view of about that time.
-func (r *Router) Decoded(v *snapshot.View, runner string, tokens int, took time.Duration) {
+func (r *Router) RecordDecode(v *snapshot.View, runner string, tokens int, took time.Duration) {
 	l, n := r.known(runner), v.Runner(runner)
 	if l == nil || n == nil || tokens < minPaceTokens || took <= 0 {
 		return
@@ -51,16 +51,16 @@
 	l.decoded(r.clock.Now(), took.Seconds()/float64(tokens-1), float64(max(1, inFlight)))
 }
 
-// Finished learns how long a call of a plain service took.
-func (r *Router) Finished(runner string, took time.Duration) {
+// RecordLatency learns how long a call of a plain service took.
+func (r *Router) RecordLatency(runner string, took time.Duration) {
 	if l := r.known(runner); l != nil {
 		l.answered(took)
 	}
 }
 
-// CacheEvents takes over an engine's cache events in their order. With gap set
+// ApplyCacheEvents takes over an engine's cache events in their order. With gap set
 // some were lost: what was known of the engine's cache is void before them.
-func (r *Router) CacheEvents(engine string, gap bool, events []CacheEvent) {
+func (r *Router) ApplyCacheEvents(engine string, gap bool, events []CacheEvent) {
 	l := r.known(engine)
 	if l == nil {
 		return
@@ -88,9 +88,9 @@
 	return x.learnt[runner]
 }
 
-// CachedTokens returns how many tokens of the prompt are thought to be cached
+// LongestCachedPrefix returns how many tokens of the prompt are thought to be cached
 // somewhere, at most.
-func (r *Router) CachedTokens(q *Query) int {
+func (r *Router) LongestCachedPrefix(q *Query) int {
 	s := r.scratch.Get().(*scratch)
 	defer r.scratch.Put(s)
 	most := 0
@@ -118,5 +118,5 @@
 		return seconds(r.defaults.step(float64(batch)))
 	}
 	s := l.speeds()
-	return seconds(s.step(min(float64(batch), s.Batch)) * l.paceAt(r.clock.Now().UnixNano()))
+	return seconds(s.step(min(float64(batch), s.MaxBatch)) * l.paceAt(r.clock.Now().UnixNano()))
 }
--- a/coordination/route/gather.go
+++ b/coordination/route/gather.go
@@ -18,7 +18,7 @@
 // one.
 func (r *Router) gather(v *snapshot.View, x *index, q *Query, all []*snapshot.Runner, holders []holding, cs []Candidate) []Candidate {
 	home := x.home(q)
-	if len(all) <= SmallFleet {
+	if len(all) <= SmallServiceRunners {
 		ordered := x.ordered[q.Service]
 		for i, n := range all {
 			if r.rejectedBy(q, n) != "" {
@@ -144,7 +144,7 @@
 			KnowledgeAgeMillis:        knowledgeAge(c.Runner, now),
 		})
 	}
-	if len(all) > SmallFleet {
+	if len(all) > SmallServiceRunners {
 		return out
 	}
 	for _, n := range all {
--- a/coordination/route/learnt.go
+++ b/coordination/route/learnt.go
@@ -172,14 +172,14 @@
 // raises it; the same size in several reports, with more requests there than
 // run, is a full one.
 func (l *learnt) learnBatch(s *Speeds, running, inFlight float64) {
-	s.Batch = max(s.Batch, running)
+	s.MaxBatch = max(s.MaxBatch, running)
 	if running != l.plateau || inFlight < running+plateauExcess {
 		l.plateau, l.plateaus = running, 0
 		return
 	}
 	l.plateaus++
 	if l.plateaus >= plateauReports {
-		s.Batch = running
+		s.MaxBatch = running
 	}
 }
 
--- a/coordination/route/learnt_test.go
+++ b/coordination/route/learnt_test.go
@@ -47,9 +47,9 @@
 	for range plateauReports + 1 {
 		l.learnBatch(&s, 12, 20)
 	}
-	is.Equal(s.Batch, 12.0)
+	is.Equal(s.MaxBatch, 12.0)
 	l.learnBatch(&s, 48, 48) // more was possible after all
-	is.Equal(s.Batch, 48.0)
+	is.Equal(s.MaxBatch, 48.0)
 }
 
 func TestSlowEngineIsFoundOutAndGetsAnotherChance(t *testing.T) {
@@ -66,8 +66,8 @@
 	}
 	pick()
 	for range 10 {
-		r.FirstToken("engine-0000", 100*time.Millisecond, 500*time.Millisecond)
-		r.Decoded(k.View(), "engine-0000", 50, 5*time.Second)
+		r.RecordFirstToken("engine-0000", 100*time.Millisecond, 500*time.Millisecond)
+		r.RecordDecode(k.View(), "engine-0000", 50, 5*time.Second)
 	}
 	for range 20 {
 		is.Equal(pick(), "engine-0001")
--- a/coordination/route/outputs.go
+++ b/coordination/route/outputs.go
@@ -70,9 +70,9 @@
 	return bounded(value, maxTokens)
 }
 
-// Long returns an output in tokens that most answers don't exceed, bounded in
+// LongOutput returns an output in tokens that most answers don't exceed, bounded in
 // the same way.
-func (e *Estimator) Long(customer, class string, maxTokens int) int {
+func (e *Estimator) LongOutput(customer, class string, maxTokens int) int {
 	value, spread := e.estimate(flowKey{customer, class})
 	return bounded(value+longSpreads*spread, maxTokens)
 }
--- a/coordination/route/outputs_test.go
+++ b/coordination/route/outputs_test.go
@@ -30,7 +30,7 @@
 	for i := range 2000 {
 		e.Learn("a", "c", 100+i*37%200) // even between 100 and 299
 	}
-	long := e.Long("a", "c", 1000)
+	long := e.LongOutput("a", "c", 1000)
 	is.True(long > 245 && long < 290)
 }
 
--- a/coordination/route/path.go
+++ b/coordination/route/path.go
@@ -11,8 +11,8 @@
 type Path struct {
 	// Split tells which of the two it is.
 	Split bool
-	// First is the engine of the whole request, or of the prefill.
-	First Choice
+	// Prefill is the engine of the whole request, or of the prefill.
+	Prefill Choice
 	// Decode is the engine of the decode; only for a split path.
 	Decode Choice
 }
@@ -22,14 +22,14 @@
 func (r *Router) PickPath(v *snapshot.View, q *Query) (Path, error) {
 	whole, err := r.pickPart(v, q, PartWhole)
 	if !r.splits(v, q.Service) {
-		return Path{First: whole}, err
+		return Path{Prefill: whole}, err
 	}
 	split, splitErr := r.pickSplit(v, q)
 	if splitErr != nil {
-		return Path{First: whole}, err
+		return Path{Prefill: whole}, err
 	}
-	if err == nil && whole.Score <= split.First.Score+split.Decode.Score {
-		return Path{First: whole}, nil
+	if err == nil && whole.Score <= split.Prefill.Score+split.Decode.Score {
+		return Path{Prefill: whole}, nil
 	}
 	return split, nil
 }
@@ -43,7 +43,7 @@
 	if err != nil {
 		return Path{}, err
 	}
-	return Path{Split: true, First: first, Decode: decode}, nil
+	return Path{Split: true, Prefill: first, Decode: decode}, nil
 }
 
 func (r *Router) pickPart(v *snapshot.View, q *Query, p Part) (Choice, error) {
@@ -60,8 +60,8 @@
 	return r.indexFor(v, r.clock.Now()).split[service]
 }
 
-// NoRunner reports whether err says that no runner could be chosen.
-func NoRunner(err error) (*NoRunnerError, bool) {
+// AsNoRunnerError reports whether err says that no runner could be chosen.
+func AsNoRunnerError(err error) (*NoRunnerError, bool) {
 	var none *NoRunnerError
 	ok := errors.As(err, &none)
 	return none, ok
--- a/coordination/route/plugins_test.go
+++ b/coordination/route/plugins_test.go
@@ -68,7 +68,7 @@
 
 // candidate is an engine of the given role with an estimated load.
 func candidate(role state.Role, backlog, inFlight float64) Candidate {
-	speeds := Speeds{PrefillTokensPerSecond: 1000, StepSeconds: 0.01, StepSecondsPerSequence: 0.001, Batch: 10, ChunkTokens: 100, TransferTokensPerSecond: 1e4}
+	speeds := Speeds{PrefillTokensPerSecond: 1000, StepSeconds: 0.01, StepSecondsPerSequence: 0.001, MaxBatch: 10, ChunkTokens: 100, TransferTokensPerSecond: 1e4}
 	return Candidate{
 		Runner:        &snapshot.Runner{Upstream: state.Upstream{FailureDomain: "here"}, Target: state.Target{Role: role}},
 		BacklogTokens: backlog, InFlight: inFlight, speeds: &speeds, pace: 1, learnt: newLearnt("e", speeds),
--- a/coordination/route/router.go
+++ b/coordination/route/router.go
@@ -12,14 +12,14 @@
 
 // Bounds of one choice.
 const (
-	// SmallFleet is the largest service whose runners are all compared.
-	SmallFleet = 16
+	// SmallServiceRunners is the largest service whose runners are all compared.
+	SmallServiceRunners = 16
 	// sampled is how many runners of a large service are drawn.
 	sampled = 2
 	// maxHolders is how many holders of the prompt's prefix are compared.
 	maxHolders = 8
 	// maxCandidates bounds the candidates of one choice.
-	maxCandidates = SmallFleet + maxHolders + sampled + 1
+	maxCandidates = SmallServiceRunners + maxHolders + sampled + 1
 )
 
 // Breakers tells which upstreams' circuit breakers let a request through.
@@ -41,18 +41,18 @@
 	RestsUntil func(r *snapshot.Runner) time.Time
 	// Scorers are added to the built-in ones, for example an operator's policy.
 	Scorers []Scorer
-	// CacheEntries bounds the index of prompt prefixes; default 32768.
-	CacheEntries int
-	// FarPenalty is added for a runner of another failure domain; default 3 ms.
-	FarPenalty time.Duration
+	// PrefixIndexEntries bounds the index of prompt prefixes; default 32768.
+	PrefixIndexEntries int
+	// CrossDomainPenalty is added for a runner of another failure domain; default 3 ms.
+	CrossDomainPenalty time.Duration
 	// LoadBound limits how far above the candidates' mean backlog an engine may
 	// be and still be preferred for its cached prefix; default 1.5.
 	LoadBound float64
-	// DelayShare is how much a second of delay to another request counts next
+	// DelayWeight is how much a second of delay to another request counts next
 	// to one of this request; default 0.3.
-	DelayShare float64
-	// Defaults are the speeds assumed of an engine that never reported.
-	Defaults Speeds
+	DelayWeight float64
+	// DefaultSpeeds are the speeds assumed of an engine that never reported.
+	DefaultSpeeds Speeds
 	// RetryAfter is told when no runner can be chosen; default 2 s.
 	RetryAfter time.Duration
 }
@@ -78,37 +78,37 @@
 	if o.Clock == nil {
 		return nil, fmt.Errorf("route: Options.Clock is nil; pass a state.Clock")
 	}
-	if o.CacheEntries < 0 || o.LoadBound < 0 || o.FarPenalty < 0 {
-		return nil, fmt.Errorf("route: a negative option; leave CacheEntries, LoadBound and FarPenalty zero for the defaults")
+	if o.PrefixIndexEntries < 0 || o.LoadBound < 0 || o.CrossDomainPenalty < 0 {
+		return nil, fmt.Errorf("route: a negative option; leave PrefixIndexEntries, LoadBound and CrossDomainPenalty zero for the defaults")
 	}
 	o.setDefaults()
 	r := &Router{
 		clock: o.Clock, seed: o.Seed, breaker: breakerReady{o.Breakers}, awake: awake{o.RestsUntil}, retry: o.RetryAfter,
-		defaults: o.Defaults, cache: newCacheIndex(o.CacheEntries),
+		defaults: o.DefaultSpeeds, cache: newCacheIndex(o.PrefixIndexEntries),
 	}
-	r.engine = append([]Scorer{cachedPrefix{o.LoadBound}, predictedTime{}, considerate{o.DelayShare}, nearDomain{o.FarPenalty}}, o.Scorers...)
-	r.service = append([]Scorer{leastInFlight{}, nearDomain{o.FarPenalty}}, o.Scorers...)
+	r.engine = append([]Scorer{cachedPrefix{o.LoadBound}, predictedTime{}, considerate{o.DelayWeight}, nearDomain{o.CrossDomainPenalty}}, o.Scorers...)
+	r.service = append([]Scorer{leastInFlight{}, nearDomain{o.CrossDomainPenalty}}, o.Scorers...)
 	r.scratch.New = func() any { return &scratch{} }
 	return r, nil
 }
 
 func (o *Options) setDefaults() {
-	if o.CacheEntries == 0 {
-		o.CacheEntries = 1 << 15
+	if o.PrefixIndexEntries == 0 {
+		o.PrefixIndexEntries = 1 << 15
 	}
-	if o.FarPenalty == 0 {
-		o.FarPenalty = 3 * time.Millisecond
+	if o.CrossDomainPenalty == 0 {
+		o.CrossDomainPenalty = 3 * time.Millisecond
 	}
 	if o.LoadBound == 0 {
 		o.LoadBound = 1.5
 	}
-	if o.DelayShare == 0 {
-		o.DelayShare = 0.3
+	if o.DelayWeight == 0 {
+		o.DelayWeight = 0.3
 	}
 	if o.RetryAfter == 0 {
 		o.RetryAfter = 2 * time.Second
 	}
-	o.Defaults = o.Defaults.orDefault()
+	o.DefaultSpeeds = o.DefaultSpeeds.orDefault()
 }
 
 // scratch is the working memory of one Pick.
--- a/coordination/route/router_test.go
+++ b/coordination/route/router_test.go
@@ -105,7 +105,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		r.Sent(q, &c)
+		r.RecordSent(q, &c)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -137,7 +137,7 @@
 		q := prompt(1, 60, 10, 1)
 		c, err := r.Pick(k.View(), q)
 		is.NoErr(err)
-		r.Sent(q, &c)
+		r.RecordSent(q, &c)
 		v := k.View()
 		is.Equal(testing.AllocsPerRun(100, func() { _, _ = r.Pick(v, q) }), 0.0)
 	}
@@ -182,7 +182,7 @@
 		for i, p := range q.Prefixes {
 			events = append(events, CacheEvent{Prefix: p, Blocks: i + 1})
 		}
-		r.CacheEvents("engine-0009", false, events)
+		r.ApplyCacheEvents("engine-0009", false, events)
 		c, err := r.Pick(k.View(), prompt(5, 100, 10, 2))
 		is.NoErr(err)
 		is.Equal(c.Runner.Name, "engine-0009")
@@ -226,13 +226,13 @@
 	path, err := r.PickPath(k.View(), q)
 	is.NoErr(err)
 	is.True(!path.Split)
-	is.Equal(path.First.Runner.Name, "engine-0000")
+	is.Equal(path.Prefill.Runner.Name, "engine-0000")
 
 	k.View().Runner("engine-0000").Track.Add(snapshot.Work{Requests: 30, PrefillTokens: 900000})
 	path, err = r.PickPath(k.View(), q)
 	is.NoErr(err)
 	is.True(path.Split)
-	is.Equal(path.First.Runner.Name, "engine-0001")
+	is.Equal(path.Prefill.Runner.Name, "engine-0001")
 	is.Equal(path.Decode.Runner.Name, "engine-0002")
 }
 
@@ -241,7 +241,7 @@
 	k := engines(2)
 	roles(k, state.RolePrefill, state.RolePrefill)
 	_, err := newRouter(t).PickPath(k.View(), &Query{Service: "llm", Model: "m", PromptTokens: 10})
-	none, ok := NoRunner(err)
+	none, ok := AsNoRunnerError(err)
 	is.True(ok)
 	is.Equal(none.Reason, ReasonNoRole)
 }
--- a/coordination/route/speeds.go
+++ b/coordination/route/speeds.go
@@ -16,8 +16,8 @@
 	// ChunkTokens is how much of a prompt a mixed engine computes between two
 	// decode steps.
 	ChunkTokens float64
-	// Batch is the most sequences that are decoded at a time.
-	Batch float64
+	// MaxBatch is the most sequences that are decoded at a time.
+	MaxBatch float64
 	// TransferTokensPerSecond is the speed at which the KV cache of a prompt
 	// moves between engines.
 	TransferTokensPerSecond float64
@@ -47,8 +47,8 @@
 	if s.ChunkTokens <= 0 {
 		s.ChunkTokens = defaultChunkTokens
 	}
-	if s.Batch <= 0 {
-		s.Batch = defaultBatch
+	if s.MaxBatch <= 0 {
+		s.MaxBatch = defaultBatch
 	}
 	if s.TransferTokensPerSecond <= 0 {
 		s.TransferTokensPerSecond = defaultTransferPerSecond
--- a/daemon/decide.go
+++ b/daemon/decide.go
@@ -78,7 +78,7 @@
 	if err != nil {
 		return nil, false
 	}
-	r.route.Sent(queryOf(q), &route.Choice{Runner: c.Runner, CachedTokens: c.CachedTokens})
+	r.route.RecordSent(queryOf(q), &route.Choice{Runner: c.Runner, CachedTokens: c.CachedTokens})
 	return &attempt{r: r, runner: c.Runner.Name, predicted: c.FirstToken, done: done}, true
 }
 
@@ -92,7 +92,7 @@
 
 // FirstToken implements dispatch.Attempt.
 func (a *attempt) FirstToken(after time.Duration) {
-	a.r.route.FirstToken(a.runner, a.predicted, after)
+	a.r.route.RecordFirstToken(a.runner, a.predicted, after)
 }
 
 // End implements dispatch.Attempt. A cancelled attempt says nothing against the
@@ -100,7 +100,7 @@
 func (a *attempt) End(o dispatch.AttemptOutcome, took time.Duration) {
 	a.done(o != dispatch.AttemptFailed)
 	if o == dispatch.AttemptWhole {
-		a.r.route.Finished(a.runner, took)
+		a.r.route.RecordLatency(a.runner, took)
 	}
 }
 
--- a/daemon/decisions.go
+++ b/daemon/decisions.go
@@ -56,7 +56,7 @@
 		admitter: &admitter{
 			admit: a, clock: d.clock,
 			arrived: func(service string, w snapshot.Work, left time.Duration) { d.roles.meter.Arrived(service, w, left) },
-			long:    outputs.Long,
+			long:    outputs.LongOutput,
 		},
 	}, nil
 }
