--- a/coordination/route/cache.go
+++ b/coordination/route/cache.go
@@ -5,104 +5,104 @@
 // The shape of the cache index: buckets of a few entries, each guarded by the
 // lock of its shard.
 const (
-	cacheWays   = 4
-	cacheShards = 64
+	bucketEntries = 4
+	shardCount    = 64
 	// Prompts are known by their first denseBlocks prefixes and from there on
 	// by every sparseBlocks-th only: a long prompt takes few entries, and at
 	// most sparseBlocks-1 blocks of a cached prefix aren't seen.
-	denseBlocks  = 8
-	sparseBlocks = 8
-	// maxShorter is how many shorter prefixes are looked at one by one for more
+	denseBlocks    = 8
+	sparseInterval = 8
+	// linearSteps is how many shorter prefixes are looked at one by one for more
 	// holders; from there on the steps double.
-	maxShorter = 4
+	linearSteps = 4
 )
 
-// tracked is the number of prefixes, of n, that the index keeps.
-func tracked(n int) int {
+// trackedCount is the number of prefixes, of n, that the index keeps.
+func trackedCount(n int) int {
 	if n <= denseBlocks {
 		return n
 	}
-	return denseBlocks + (n-denseBlocks)/sparseBlocks
+	return denseBlocks + (n-denseBlocks)/sparseInterval
 }
 
-// position is the place in the list of prefixes of the k-th tracked one.
-func position(k int) int {
+// trackedPosition is the place in the list of prefixes of the k-th tracked one.
+func trackedPosition(k int) int {
 	if k < denseBlocks {
 		return k
 	}
-	return denseBlocks + (k-denseBlocks+1)*sparseBlocks - 1
+	return denseBlocks + (k-denseBlocks+1)*sparseInterval - 1
 }
 
 // isTracked reports whether the index keeps the i-th prefix of a prompt.
 func isTracked(i int) bool {
-	return i < denseBlocks || (i-denseBlocks+1)%sparseBlocks == 0
+	return i < denseBlocks || (i-denseBlocks+1)%sparseInterval == 0
 }
 
-// holding says how many prompt tokens a runner is thought to have cached.
-type holding struct {
-	learnt *learnt
+// prefixMatch says how many prompt tokens a runner is thought to have cached.
+type prefixMatch struct {
+	stats  *runnerStats
 	tokens int
 }
 
 // holder is a runner that held a prefix in one generation of its cache.
 type holder struct {
-	learnt     *learnt
+	stats      *runnerStats
 	generation uint32
 }
 
 func (h holder) valid() bool {
-	return h.learnt != nil && h.learnt.generation.Load() == h.generation
+	return h.stats != nil && h.stats.cacheGeneration.Load() == h.generation
 }
 
-// cacheEntry is what is known of one prefix.
-type cacheEntry struct {
-	prefix  uint64
-	used    uint64
-	holders [maxHolders]holder
+// prefixEntry is what is known of one prefix.
+type prefixEntry struct {
+	prefix   uint64
+	lastUsed uint64
+	holders  [maxHolders]holder
 }
 
-type cacheBucket [cacheWays]cacheEntry
+type prefixBucket [bucketEntries]prefixEntry
 
-// cacheIndex is a bounded index from prompt prefixes to the engines that hold
+// prefixIndex is a bounded index from prompt prefixes to the engines that hold
 // them. It is set-associative: within a bucket the least recently used entry is
 // replaced. Its memory is allocated once.
-type cacheIndex struct {
-	shards [cacheShards]cacheShard
+type prefixIndex struct {
+	shards [shardCount]prefixShard
 }
 
-type cacheShard struct {
+type prefixShard struct {
 	mu      sync.Mutex
-	tick    uint64
-	buckets []cacheBucket
+	clock   uint64
+	buckets []prefixBucket
 }
 
-func newCacheIndex(entries int) *cacheIndex {
-	c := &cacheIndex{}
-	per := max(1, entries/(cacheShards*cacheWays))
+func newPrefixIndex(entries int) *prefixIndex {
+	c := &prefixIndex{}
+	per := max(1, entries/(shardCount*bucketEntries))
 	for i := range c.shards {
-		c.shards[i].buckets = make([]cacheBucket, per)
+		c.shards[i].buckets = make([]prefixBucket, per)
 	}
 	return c
 }
 
 // locate returns the shard and bucket of a prefix. The hash is mixed first,
 // since engines may number prefixes in any way.
-func (c *cacheIndex) locate(prefix uint64) (*cacheShard, *cacheBucket) {
+func (c *prefixIndex) locate(prefix uint64) (*prefixShard, *prefixBucket) {
 	h := prefix * 0x9e3779b97f4a7c15
 	h ^= h >> 32
-	s := &c.shards[h%cacheShards]
-	return s, &s.buckets[(h/cacheShards)%uint64(len(s.buckets))]
+	s := &c.shards[h%shardCount]
+	return s, &s.buckets[(h/shardCount)%uint64(len(s.buckets))]
 }
 
-// find appends the holders of the longest prefixes of q, each with the longest
+// findHolders appends the holders of the longest prefixes of q, each with the longest
 // prefix it holds. A holder of a prefix holds all shorter ones, so the longest
 // known one is found by bisection.
-func (c *cacheIndex) find(q *Query, out []holding) []holding {
-	low, high := 0, tracked(len(q.Prefixes)) // the longest known one is number low
+func (c *prefixIndex) findHolders(q *Query, out []prefixMatch) []prefixMatch {
+	low, high := 0, trackedCount(len(q.Prefixes)) // the longest known one is number low
 	for low < high {
 		middle := (low + high + 1) / 2
-		i := position(middle - 1)
-		found := c.collect(q, i, out)
+		i := trackedPosition(middle - 1)
+		found := c.appendHolders(q, i, out)
 		if len(found) > len(out) {
 			low = middle
 		} else {
@@ -111,24 +111,24 @@
 	}
 	step := 1
 	for k := low; k > 0 && len(out) < maxHolders; k -= step {
-		i := position(k - 1)
-		out = c.collect(q, i, out)
-		if k <= low-maxShorter {
+		i := trackedPosition(k - 1)
+		out = c.appendHolders(q, i, out)
+		if k <= low-linearSteps {
 			step *= 2
 		}
 	}
 	return out
 }
 
-// add notes that the runner is going to hold the prompt's prefixes.
-func (c *cacheIndex) add(prefixes []uint64, l *learnt) {
-	for k := range tracked(len(prefixes)) {
-		c.put(prefixes[position(k)], l)
+// addPrompt notes that the runner is going to hold the prompt's prefixes.
+func (c *prefixIndex) addPrompt(prefixes []uint64, st *runnerStats) {
+	for k := range trackedCount(len(prefixes)) {
+		c.addHolder(prefixes[trackedPosition(k)], st)
 	}
 }
 
-// collect appends the holders of the i-th prefix of q.
-func (c *cacheIndex) collect(q *Query, i int, out []holding) []holding {
+// appendHolders appends the holders of the i-th prefix of q.
+func (c *prefixIndex) appendHolders(q *Query, i int, out []prefixMatch) []prefixMatch {
 	prefix := q.Prefixes[i]
 	s, b := c.locate(prefix)
 	s.mu.Lock()
@@ -137,43 +137,43 @@
 	if e == nil {
 		return out
 	}
-	s.tick++
-	e.used = s.tick
+	s.clock++
+	e.lastUsed = s.clock
 	tokens := q.prefixTokens(i)
 	for _, h := range e.holders {
-		if len(out) < maxHolders && h.valid() && !contains(out, h.learnt) {
-			out = append(out, holding{h.learnt, tokens})
+		if len(out) < maxHolders && h.valid() && !contains(out, h.stats) {
+			out = append(out, prefixMatch{h.stats, tokens})
 		}
 	}
 	return out
 }
 
-func contains(hs []holding, l *learnt) bool {
+func contains(hs []prefixMatch, st *runnerStats) bool {
 	for _, h := range hs {
-		if h.learnt == l {
+		if h.stats == st {
 			return true
 		}
 	}
 	return false
 }
 
-// put notes that the runner holds the prefix; the newest holder comes first.
-func (c *cacheIndex) put(prefix uint64, l *learnt) {
+// addHolder notes that the runner holds the prefix; the newest holder comes first.
+func (c *prefixIndex) addHolder(prefix uint64, st *runnerStats) {
 	s, b := c.locate(prefix)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.tick++
+	s.clock++
 	e := b.entry(prefix)
 	if e == nil {
-		e = b.oldest()
-		*e = cacheEntry{prefix: prefix}
+		e = b.leastRecentlyUsed()
+		*e = prefixEntry{prefix: prefix}
 	}
-	e.used = s.tick
-	e.addHolder(holder{l, l.generation.Load()})
+	e.lastUsed = s.clock
+	e.addHolder(holder{st, st.cacheGeneration.Load()})
 }
 
-// drop notes that the runner no longer holds the prefix.
-func (c *cacheIndex) drop(prefix uint64, l *learnt) {
+// removeHolder notes that the runner no longer holds the prefix.
+func (c *prefixIndex) removeHolder(prefix uint64, st *runnerStats) {
 	s, b := c.locate(prefix)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,35 +182,35 @@
 		return
 	}
 	for i := range e.holders {
-		if e.holders[i].learnt == l {
+		if e.holders[i].stats == st {
 			e.holders[i] = holder{}
 		}
 	}
 }
 
-func (b *cacheBucket) entry(prefix uint64) *cacheEntry {
+func (b *prefixBucket) entry(prefix uint64) *prefixEntry {
 	for i := range b {
-		if b[i].used > 0 && b[i].prefix == prefix {
+		if b[i].lastUsed > 0 && b[i].prefix == prefix {
 			return &b[i]
 		}
 	}
 	return nil
 }
 
-func (b *cacheBucket) oldest() *cacheEntry {
+func (b *prefixBucket) leastRecentlyUsed() *prefixEntry {
 	e := &b[0]
 	for i := range b {
-		if b[i].used < e.used {
+		if b[i].lastUsed < e.lastUsed {
 			e = &b[i]
 		}
 	}
 	return e
 }
 
-func (e *cacheEntry) addHolder(h holder) {
+func (e *prefixEntry) addHolder(h holder) {
 	at := len(e.holders) - 1
 	for i := range e.holders {
-		if e.holders[i].learnt == h.learnt || !e.holders[i].valid() {
+		if e.holders[i].stats == h.stats || !e.holders[i].valid() {
 			at = i
 			break
 		}
--- a/coordination/route/cache_test.go
+++ b/coordination/route/cache_test.go
@@ -20,15 +20,15 @@
 	return q
 }
 
-func find(c *cacheIndex, q *Query) map[string]int {
+func heldTokens(c *prefixIndex, q *Query) map[string]int {
 	out := map[string]int{}
-	for _, h := range c.find(q, nil) {
-		out[h.learnt.name] = h.tokens
+	for _, h := range c.findHolders(q, nil) {
+		out[h.stats.name] = h.tokens
 	}
 	return out
 }
 
-func TestCacheIndexFindsTheLongestSharedPrefix(t *testing.T) {
+func TestPrefixIndexFindsTheLongestSharedPrefix(t *testing.T) {
 	tests := []struct {
 		name        string
 		blocks, own int
@@ -43,45 +43,45 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
-			c := newCacheIndex(4096)
-			e := newLearnt("e", Speeds{})
-			c.add(prompt(1, tt.blocks, tt.own, 1).Prefixes, e)
-			is.Equal(find(c, prompt(1, tt.blocks, tt.own, 2))["e"], tt.want*64)
+			c := newPrefixIndex(4096)
+			e := newRunnerStats("e", Speeds{})
+			c.addPrompt(prompt(1, tt.blocks, tt.own, 1).Prefixes, e)
+			is.Equal(heldTokens(c, prompt(1, tt.blocks, tt.own, 2))["e"], tt.want*64)
 		})
 	}
 }
 
-func TestCacheIndexFollowsEvictionsAndGaps(t *testing.T) {
+func TestPrefixIndexFollowsEvictionsAndEventGaps(t *testing.T) {
 	is := is.New(t)
-	c := newCacheIndex(4096)
-	a, b := newLearnt("a", Speeds{}), newLearnt("b", Speeds{})
+	c := newPrefixIndex(4096)
+	a, b := newRunnerStats("a", Speeds{}), newRunnerStats("b", Speeds{})
 	q := prompt(1, 8, 0, 0)
-	c.add(q.Prefixes, a)
-	c.add(q.Prefixes[:4], b)
-	is.Equal(find(c, q), map[string]int{"a": 512, "b": 256})
-	c.drop(q.Prefixes[7], a)
-	is.Equal(find(c, q)["a"], 448)
-	a.generation.Add(1) // a gap in its events, or another run
-	is.Equal(find(c, q), map[string]int{"b": 256})
+	c.addPrompt(q.Prefixes, a)
+	c.addPrompt(q.Prefixes[:4], b)
+	is.Equal(heldTokens(c, q), map[string]int{"a": 512, "b": 256})
+	c.removeHolder(q.Prefixes[7], a)
+	is.Equal(heldTokens(c, q)["a"], 448)
+	a.cacheGeneration.Add(1) // a gap in its events, or another run
+	is.Equal(heldTokens(c, q), map[string]int{"b": 256})
 }
 
-func TestCacheIndexIsBounded(t *testing.T) {
+func TestPrefixIndexIsBounded(t *testing.T) {
 	is := is.New(t)
-	c := newCacheIndex(512)
-	e := newLearnt("e", Speeds{})
+	c := newPrefixIndex(512)
+	e := newRunnerStats("e", Speeds{})
 	const prompts = 2000
 	kept := 0
 	for i := range uint64(prompts) {
-		c.add(prompt(i, 1, 0, 0).Prefixes, e)
+		c.addPrompt(prompt(i, 1, 0, 0).Prefixes, e)
 	}
 	for i := range uint64(prompts) {
-		kept += len(c.find(prompt(i, 1, 0, 0), nil))
+		kept += len(c.findHolders(prompt(i, 1, 0, 0), nil))
 	}
 	is.True(kept > 256 && kept <= 512)
-	is.Equal(len(c.find(prompt(prompts-1, 1, 0, 0), nil)), 1) // the newest stays
+	is.Equal(len(c.findHolders(prompt(prompts-1, 1, 0, 0), nil)), 1) // the newest stays
 }
 
-func TestPromptsWithOneDocumentHaveOneHomeAtEveryHost(t *testing.T) {
+func TestPromptsSharingAPrefixHaveTheSameAffinityEngineAtEveryHost(t *testing.T) {
 	is := is.New(t)
 	k := engines(12)
 	homes := map[string]bool{}
--- a/coordination/route/gather.go
+++ b/coordination/route/gather.go
@@ -13,68 +13,68 @@
 // runner that is excluded or taken already.
 const maxDraws = 32
 
-// gather collects the candidates that pass every filter into cs: all runners of
+// gatherCandidates collects the candidates that pass every filter into cs: all runners of
 // a small service; holders of the prompt's prefix and sampled runners of a large
 // one.
-func (r *Router) gather(v *snapshot.View, x *index, q *Query, all []*snapshot.Runner, holders []holding, cs []Candidate) []Candidate {
-	home := x.home(q)
+func (r *Router) gatherCandidates(v *snapshot.View, x *runnerIndex, q *Query, all []*snapshot.Runner, matches []prefixMatch, cs []Candidate) []Candidate {
+	preferred := x.affinityEngine(q)
 	if len(all) <= SmallServiceRunners {
-		ordered := x.ordered[q.Service]
+		ordered := x.statsByService[q.Service]
 		for i, n := range all {
 			if r.rejectedBy(q, n) != "" {
 				continue
 			}
-			var l *learnt
+			var st *runnerStats
 			if i < len(ordered) {
-				l = ordered[i]
+				st = ordered[i]
 			}
-			cs = append(cs, Candidate{Runner: n, learnt: r.learntOf(x, n, l)})
+			cs = append(cs, Candidate{Runner: n, stats: r.statsOf(x, n, st)})
 		}
-		credit(cs, holders)
-		return markHome(home, cs)
+		setCachedTokens(cs, matches)
+		return markAffinity(preferred, cs)
 	}
-	if home != nil {
-		if n := v.Runner(home.name); n != nil {
-			cs = r.consider(x, q, n, cs)
+	if preferred != nil {
+		if n := v.Runner(preferred.name); n != nil {
+			cs = r.appendCandidate(x, q, n, cs)
 		}
 	}
-	for _, h := range holders {
-		if n := v.Runner(h.learnt.name); n != nil && n.Service == q.Service {
-			cs = r.consider(x, q, n, cs)
+	for _, h := range matches {
+		if n := v.Runner(h.stats.name); n != nil && n.Service == q.Service {
+			cs = r.appendCandidate(x, q, n, cs)
 		}
 	}
 	cs = r.sample(v, x, q, cs)
-	credit(cs, holders)
-	return markHome(home, cs)
+	setCachedTokens(cs, matches)
+	return markAffinity(preferred, cs)
 }
 
 // sample draws up to sampled further runners from the group that serves q.
-func (r *Router) sample(v *snapshot.View, x *index, q *Query, cs []Candidate) []Candidate {
+func (r *Router) sample(v *snapshot.View, x *runnerIndex, q *Query, cs []Candidate) []Candidate {
 	model, _, _ := strings.Cut(q.Model, "@")
-	named := x.groups[groupKey{q.Service, q.Part, model}].members()
-	var unknown []string
+	withModel := x.groups[groupKey{q.Service, q.Part, model}].members()
+	var modelUnknown []string
 	if model != "" {
-		unknown = x.groups[groupKey{q.Service, q.Part, unknownModel}].members()
+		modelUnknown = x.groups[groupKey{q.Service, q.Part, unknownModel}].members()
 	}
-	total := uint64(len(named) + len(unknown))
-	want := len(cs) + sampled
+	total := uint64(len(withModel) + len(modelUnknown))
+	want := len(cs) + sampledRunners
 	for i := 0; total > 0 && i < maxDraws && len(cs) < want; i++ {
 		k := int(r.draw() % total)
 		var name string
-		if k < len(named) {
-			name = named[k]
+		if k < len(withModel) {
+			name = withModel[k]
 		} else {
-			name = unknown[k-len(named)]
+			name = modelUnknown[k-len(withModel)]
 		}
 		if n := v.Runner(name); n != nil {
-			cs = r.consider(x, q, n, cs)
+			cs = r.appendCandidate(x, q, n, cs)
 		}
 	}
 	return cs
 }
 
-// consider appends the runner if it passes every filter and isn't there yet.
-func (r *Router) consider(x *index, q *Query, n *snapshot.Runner, cs []Candidate) []Candidate {
+// appendCandidate appends the runner if it passes every filter and isn't there yet.
+func (r *Router) appendCandidate(x *runnerIndex, q *Query, n *snapshot.Runner, cs []Candidate) []Candidate {
 	for i := range cs {
 		if cs[i].Runner == n {
 			return cs
@@ -83,19 +83,19 @@
 	if r.rejectedBy(q, n) != "" {
 		return cs
 	}
-	return append(cs, Candidate{Runner: n, learnt: r.learntOf(x, n, nil)})
+	return append(cs, Candidate{Runner: n, stats: r.statsOf(x, n, nil)})
 }
 
-// learntOf returns what is learnt of a runner; guess saves looking it up. A
+// statsOf returns what is learnt of a runner; guess saves looking it up. A
 // runner newer than the index starts from the defaults.
-func (r *Router) learntOf(x *index, n *snapshot.Runner, guess *learnt) *learnt {
-	if guess != nil && guess.name == n.Name {
-		return guess
+func (r *Router) statsOf(x *runnerIndex, n *snapshot.Runner, hint *runnerStats) *runnerStats {
+	if hint != nil && hint.name == n.Name {
+		return hint
 	}
-	if l := x.learnt[n.Name]; l != nil {
-		return l
+	if st := x.stats[n.Name]; st != nil {
+		return st
 	}
-	return newLearnt(n.Name, r.defaults)
+	return newRunnerStats(n.Name, r.defaultSpeeds)
 }
 
 // rejectedBy returns the name of the first filter that removes the runner. The
@@ -111,20 +111,20 @@
 		return hasModel{}.Name()
 	case !notExcluded{}.Keep(n, q):
 		return notExcluded{}.Name()
-	case !r.breaker.Keep(n, q):
-		return r.breaker.Name()
-	case !r.awake.Keep(n, q):
-		return r.awake.Name()
+	case !r.breakerFilter.Keep(n, q):
+		return r.breakerFilter.Name()
+	case !r.backoffFilter.Keep(n, q):
+		return r.backoffFilter.Name()
 	default:
 		return ""
 	}
 }
 
-// credit notes the cached tokens of candidates that hold a prefix.
-func credit(cs []Candidate, holders []holding) {
-	for _, h := range holders {
+// setCachedTokens notes the cached tokens of candidates that hold a prefix.
+func setCachedTokens(cs []Candidate, matches []prefixMatch) {
+	for _, h := range matches {
 		for i := range cs {
-			if cs[i].learnt == h.learnt {
+			if cs[i].stats == h.stats {
 				cs[i].CachedTokens = h.tokens
 			}
 		}
@@ -141,7 +141,7 @@
 			Name:                      c.Runner.Name,
 			PredictedFirstTokenMillis: c.FirstToken.Seconds() * 1000,
 			CachedTokens:              c.CachedTokens,
-			KnowledgeAgeMillis:        knowledgeAge(c.Runner, now),
+			KnowledgeAgeMillis:        reportAgeMillis(c.Runner, now),
 		})
 	}
 	if len(all) > SmallServiceRunners {
@@ -149,37 +149,37 @@
 	}
 	for _, n := range all {
 		if name := r.rejectedBy(q, n); name != "" {
-			out = append(out, state.Candidate{Name: n.Name, KnowledgeAgeMillis: knowledgeAge(n, now), Rejected: name})
+			out = append(out, state.Candidate{Name: n.Name, KnowledgeAgeMillis: reportAgeMillis(n, now), Rejected: name})
 		}
 	}
 	return out
 }
 
-// knowledgeAge is the age of the report in milliseconds, -1 when there is none.
-func knowledgeAge(r *snapshot.Runner, now time.Time) int64 {
+// reportAgeMillis is the age of the report in milliseconds, -1 when there is none.
+func reportAgeMillis(r *snapshot.Runner, now time.Time) int64 {
 	if r.Load.TakenAt.IsZero() {
 		return -1
 	}
 	return now.Sub(r.Load.TakenAt).Milliseconds()
 }
 
-// firstAwake is the time until the first runner that wants nothing but rest takes work again; 0
+// shortestBackoff is the time until the first runner that wants nothing but rest takes work again; 0
 // if there is none.
-func (r *Router) firstAwake(q *Query, all []*snapshot.Runner) time.Duration {
+func (r *Router) shortestBackoff(q *Query, all []*snapshot.Runner) time.Duration {
 	wait := time.Duration(0)
 	for _, n := range all {
-		if r.rejectedBy(q, n) != r.awake.Name() {
+		if r.rejectedBy(q, n) != r.backoffFilter.Name() {
 			continue
 		}
-		if left := r.awake.until(n).Sub(r.clock.Now()); wait == 0 || left < wait {
+		if left := r.backoffFilter.backoffUntil(n).Sub(r.clock.Now()); wait == 0 || left < wait {
 			wait = left
 		}
 	}
 	return wait
 }
 
-// none returns the error that says which filter removed the last runner.
-func (r *Router) none(q *Query, all []*snapshot.Runner) (Choice, error) {
+// noRunner returns the error that says which filter removed the last runner.
+func (r *Router) noRunner(q *Query, all []*snapshot.Runner) (Choice, error) {
 	reasons := map[string]Reason{
 		takesWork{}.Name():    ReasonNoneTakesWork,
 		servesPart{}.Name():   ReasonNoRole,
@@ -187,8 +187,8 @@
 		notExcluded{}.Name():  ReasonAllTried,
 		breakerReady{}.Name(): ReasonBreakersOpen,
 	}
-	if wait := r.firstAwake(q, all); wait > 0 {
-		return Choice{}, &NoRunnerError{q.Service, ReasonResting, wait}
+	if wait := r.shortestBackoff(q, all); wait > 0 {
+		return Choice{}, &NoRunnerError{q.Service, ReasonBackingOff, wait}
 	}
 	order := []string{breakerReady{}.Name(), notExcluded{}.Name(), hasModel{}.Name(), servesPart{}.Name()}
 	seen := make([]string, 0, len(order))
@@ -197,8 +197,8 @@
 	}
 	for _, name := range order {
 		if slices.Contains(seen, name) {
-			return Choice{}, &NoRunnerError{q.Service, reasons[name], r.retry}
+			return Choice{}, &NoRunnerError{q.Service, reasons[name], r.retryAfter}
 		}
 	}
-	return Choice{}, &NoRunnerError{q.Service, ReasonNoneTakesWork, r.retry}
+	return Choice{}, &NoRunnerError{q.Service, ReasonNoneTakesWork, r.retryAfter}
 }
--- a/coordination/route/index.go
+++ b/coordination/route/index.go
@@ -29,33 +29,33 @@
 	unknownModel = "@"
 )
 
-// index lists the runners to sample from and what is learnt of them. It is a
+// runnerIndex lists the runners to sample from and what is learnt of them. It is a
 // hint: every candidate is filtered again against the present view.
-type index struct {
-	seq    uint64
-	at     time.Time
-	learnt map[string]*learnt
-	// ordered is what is learnt of each service's runners, in the view's order.
-	ordered map[string][]*learnt
-	groups  map[groupKey]*group
-	// split holds the services with engines that serve one part only.
-	split map[string]bool
+type runnerIndex struct {
+	viewSeq uint64
+	builtAt time.Time
+	stats   map[string]*runnerStats
+	// statsByService is what is learnt of each service's runners, in the view's order.
+	statsByService map[string][]*runnerStats
+	groups         map[groupKey]*group
+	// hasSplitRoles holds the services with engines that serve one part only.
+	hasSplitRoles map[string]bool
 }
 
-// indexHolder keeps the present index. Readers load it without waiting; a
+// sharedIndex keeps the present index. Readers load it without waiting; a
 // rebuild is done by one of them while the others go on with the old one.
-type indexHolder struct {
-	current atomic.Pointer[index]
+type sharedIndex struct {
+	current atomic.Pointer[runnerIndex]
 	mu      sync.Mutex
 }
 
 // indexFor returns an index that is at most indexMaxAge behind the view.
-func (r *Router) indexFor(v *snapshot.View, now time.Time) *index {
+func (r *Router) indexFor(v *snapshot.View, now time.Time) *runnerIndex {
 	x := r.index.current.Load()
 	if x == nil {
 		return r.rebuild(v, now)
 	}
-	if x.seq >= v.Seq || now.Sub(x.at) < indexMaxAge || !r.index.mu.TryLock() {
+	if x.viewSeq >= v.Seq || now.Sub(x.builtAt) < indexMaxAge || !r.index.mu.TryLock() {
 		return x
 	}
 	defer r.index.mu.Unlock()
@@ -64,51 +64,51 @@
 
 // rebuild returns an index no older than the view; it waits for a rebuild that
 // is under way.
-func (r *Router) rebuild(v *snapshot.View, now time.Time) *index {
+func (r *Router) rebuild(v *snapshot.View, now time.Time) *runnerIndex {
 	r.index.mu.Lock()
 	defer r.index.mu.Unlock()
-	if x := r.index.current.Load(); x != nil && x.seq >= v.Seq {
+	if x := r.index.current.Load(); x != nil && x.viewSeq >= v.Seq {
 		return x
 	}
 	return r.replaceIndex(v, now)
 }
 
 // replaceIndex builds the index of v; index.mu is held.
-func (r *Router) replaceIndex(v *snapshot.View, now time.Time) *index {
-	var known map[string]*learnt
+func (r *Router) replaceIndex(v *snapshot.View, now time.Time) *runnerIndex {
+	var previousStats map[string]*runnerStats
 	if previous := r.index.current.Load(); previous != nil {
-		known = previous.learnt
+		previousStats = previous.stats
 	}
-	x := &index{
-		seq: v.Seq, at: now,
-		learnt:  make(map[string]*learnt, len(v.Runners)),
-		ordered: map[string][]*learnt{},
-		groups:  map[groupKey]*group{},
-		split:   map[string]bool{},
+	x := &runnerIndex{
+		viewSeq: v.Seq, builtAt: now,
+		stats:          make(map[string]*runnerStats, len(v.Runners)),
+		statsByService: map[string][]*runnerStats{},
+		groups:         map[groupKey]*group{},
+		hasSplitRoles:  map[string]bool{},
 	}
 	for i := range v.Runners {
 		n := &v.Runners[i]
-		l := known[n.Name]
-		if l == nil {
-			l = newLearnt(n.Name, r.defaults)
+		st := previousStats[n.Name]
+		if st == nil {
+			st = newRunnerStats(n.Name, r.defaultSpeeds)
 		}
-		l.observe(n)
-		x.learnt[n.Name] = l
-		x.ordered[n.Service] = append(x.ordered[n.Service], l)
-		x.add(n)
+		st.observe(n)
+		x.stats[n.Name] = st
+		x.statsByService[n.Service] = append(x.statsByService[n.Service], st)
+		x.addRunner(n)
 	}
-	x.compareBiases()
+	x.updateSlowdowns()
 	x.buildRings(r.index.current.Load())
 	r.index.current.Store(x)
 	return x
 }
 
-func (x *index) add(r *snapshot.Runner) {
+func (x *runnerIndex) addRunner(r *snapshot.Runner) {
 	if !r.TakesWork() {
 		return
 	}
 	if r.Target.Role == state.RolePrefill || r.Target.Role == state.RoleDecode {
-		x.split[r.Service] = true
+		x.hasSplitRoles[r.Service] = true
 	}
 	model, _, _ := strings.Cut(r.Target.Model, "@")
 	if model == "" && r.Kind == state.KindEngine {
@@ -118,36 +118,36 @@
 		if !roleServes(r.Target.Role, p) {
 			continue
 		}
-		x.append(groupKey{r.Service, p, anyModel}, r.Name)
+		x.addToGroup(groupKey{r.Service, p, anyModel}, r.Name)
 		if model != anyModel {
-			x.append(groupKey{r.Service, p, model}, r.Name)
+			x.addToGroup(groupKey{r.Service, p, model}, r.Name)
 		}
 		for _, a := range r.Target.Adapters {
-			x.append(groupKey{r.Service, p, a}, r.Name)
+			x.addToGroup(groupKey{r.Service, p, a}, r.Name)
 		}
 	}
 }
 
-// compareBiases relates each runner's bias to the mean of the service's others: a
+// updateSlowdowns relates each runner's bias to the mean of the service's others: a
 // prediction that is off for all alike says nothing of any of them.
-func (x *index) compareBiases() {
-	for _, list := range x.ordered {
+func (x *runnerIndex) updateSlowdowns() {
+	for _, list := range x.statsByService {
 		if len(list) < 2 {
 			continue // there is nothing to compare it with
 		}
 		sum := 0.0
-		for _, l := range list {
-			sum += l.bias.Load()
+		for _, st := range list {
+			sum += st.firstTokenBias.Load()
 		}
 		others := float64(len(list) - 1)
-		for _, l := range list {
-			bias := l.bias.Load()
-			l.slow.Store(slowness(bias * others / (sum - bias)))
+		for _, st := range list {
+			bias := st.firstTokenBias.Load()
+			st.slowdown.Store(slowdownOf(bias * others / (sum - bias)))
 		}
 	}
 }
 
-func (x *index) append(k groupKey, name string) {
+func (x *runnerIndex) addToGroup(k groupKey, name string) {
 	g := x.groups[k]
 	if g == nil {
 		g = &group{}
@@ -158,14 +158,14 @@
 
 // buildRings orders each group's runners on its ring; the rings of groups that
 // stayed the same are taken over.
-func (x *index) buildRings(previous *index) {
+func (x *runnerIndex) buildRings(previous *runnerIndex) {
 	for k, g := range x.groups {
 		if previous != nil {
-			if was := previous.groups[k]; was != nil && slices.Equal(was.names, g.names) {
-				g.ring = was.ring
+			if old := previous.groups[k]; old != nil && slices.Equal(old.names, g.names) {
+				g.ring = old.ring
 				continue
 			}
 		}
-		g.ring = newRing(g.names, x.learnt)
+		g.ring = newRing(g.names, x.stats)
 	}
 }
--- a/coordination/route/learnt.go
+++ b/coordination/route/learnt.go
@@ -18,57 +18,57 @@
 	// minBias and maxBias bound that ratio, so that one outlier can't exclude
 	// an engine or attract everything to it.
 	minBias, maxBias = 0.25, 8
-	// paceHalfLife is the age at which half of a learnt pace is left.
-	paceHalfLife = 5 * time.Second
+	// intervalBiasHalfLife is the age at which half of a learnt pace is left.
+	intervalBiasHalfLife = 5 * time.Second
 	// plateauReports in a row with the same batch, and plateauExcess requests
 	// more than that there, mean that the batch is full.
 	plateauReports = 4
-	plateauExcess  = 4
-	// noticeable is the ratio to the others' bias from which an engine is slow.
-	noticeable = 2
+	plateauWaiting = 4
+	// slowThreshold is the ratio to the others' bias from which an engine is slow.
+	slowThreshold = 2
 	// latencyWeight is the weight of a new latency sample of a plain service.
 	latencyWeight = 0.1
-	// defaultLatency is assumed of a plain service before the first answer.
-	defaultLatency = 0.01
-	// sendSlot and sendSlots give the memory of what was sent lately.
-	sendSlot  = 100 * time.Millisecond
-	sendSlots = 32
+	// defaultLatencySeconds is assumed of a plain service before the first answer.
+	defaultLatencySeconds = 0.01
+	// sendSlotWidth and sendSlots give the memory of what was sent lately.
+	sendSlotWidth = 100 * time.Millisecond
+	sendSlotCount = 32
 )
 
-// learnt is what the router has learnt of one runner. The floats are read
+// runnerStats is what the router has runnerStats of one runner. The floats are read
 // without a lock; mu orders the writers.
-type learnt struct {
-	name     string
-	defaults Speeds
-	// generation grows when the engine starts anew or loses cache events: what
+type runnerStats struct {
+	name          string
+	defaultSpeeds Speeds
+	// cacheGeneration grows when the engine starts anew or loses cache events: what
 	// the cache index says of older generations is void.
-	generation atomic.Uint32
+	cacheGeneration atomic.Uint32
 
-	// current are the speeds; what it points to is never changed.
-	current atomic.Pointer[Speeds]
-	// bias is the ratio of actual to predicted time to the first token, pace
+	// currentSpeeds are the speeds; what it points to is never changed.
+	currentSpeeds atomic.Pointer[Speeds]
+	// firstTokenBias is the ratio of actual to predicted time to the first token, intervalBias
 	// that of the actual to the engine's own time between tokens.
-	bias, pace atomicFloat
-	// slow is by how much the engine is slower than it says, next to the others.
-	slow    atomicFloat
-	pacedAt atomic.Int64
-	seconds atomicFloat
+	firstTokenBias, intervalBias atomicFloat
+	// slowdown is by how much the engine is slower than it says, next to the others.
+	slowdown         atomicFloat
+	intervalBiasNano atomic.Int64
+	latencySeconds   atomicFloat
 
-	// sentRequests and sentPrefill count all that this host sent here, the bases
+	// sentRequests and sentPrefillTokens count all that this host sent here, the bases
 	// what of it was sent before the report taken at reportNano (Unix time).
-	sentRequests, sentPrefill atomic.Int64
-	baseRequests, basePrefill atomic.Int64
-	reportNano                atomic.Int64
+	sentRequests, sentPrefillTokens           atomic.Int64
+	requestsBeforeReport, prefillBeforeReport atomic.Int64
+	reportNano                                atomic.Int64
 
-	mu          sync.Mutex
-	incarnation string
-	role        state.Role
-	reportedAt  time.Time
-	fresh       bool // no speed was learnt in the present role
-	fit         stepFit
-	plateau     float64
-	plateaus    int
-	sends       [sendSlots]sendCount
+	mu                 sync.Mutex
+	incarnation        string
+	role               state.Role
+	reportedAt         time.Time
+	needsPrefillSample bool // no speed was learnt in the present role
+	fit                stepFit
+	plateauBatch       float64
+	plateauCount       int
+	sends              [sendSlotCount]sendCount
 }
 
 // sendCount is what this host sent to a runner within one slot of time.
@@ -78,184 +78,184 @@
 	prefill  int64
 }
 
-func newLearnt(name string, d Speeds) *learnt {
-	l := &learnt{name: name, defaults: d}
-	l.current.Store(&d)
-	l.bias.Store(1)
-	l.pace.Store(1)
-	l.slow.Store(1)
-	l.seconds.Store(defaultLatency)
-	return l
+func newRunnerStats(name string, d Speeds) *runnerStats {
+	st := &runnerStats{name: name, defaultSpeeds: d}
+	st.currentSpeeds.Store(&d)
+	st.firstTokenBias.Store(1)
+	st.intervalBias.Store(1)
+	st.slowdown.Store(1)
+	st.latencySeconds.Store(defaultLatencySeconds)
+	return st
 }
 
 // speeds are what the engine does; they must not be changed.
-func (l *learnt) speeds() *Speeds { return l.current.Load() }
+func (st *runnerStats) speeds() *Speeds { return st.currentSpeeds.Load() }
 
-// setSpeeds publishes changed speeds; l.mu is held.
-func (l *learnt) setSpeeds(change func(*Speeds)) {
-	s := *l.current.Load()
+// setSpeeds publishes changed speeds; st.mu is held.
+func (st *runnerStats) setSpeeds(change func(*Speeds)) {
+	s := *st.currentSpeeds.Load()
 	change(&s)
-	l.current.Store(&s)
+	st.currentSpeeds.Store(&s)
 }
 
 // latency is the mean time of a plain service's answer in seconds.
-func (l *learnt) latency() float64 { return l.seconds.Load() }
+func (st *runnerStats) latency() float64 { return st.latencySeconds.Load() }
 
 // observe takes over a runner's report; one that was seen before is ignored.
-func (l *learnt) observe(r *snapshot.Runner) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if r.Incarnation != l.incarnation {
-		l.restart(r.Incarnation)
+func (st *runnerStats) observe(r *snapshot.Runner) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	if r.Incarnation != st.incarnation {
+		st.startIncarnation(r.Incarnation)
 	}
-	if !r.Load.TakenAt.After(l.reportedAt) {
+	if !r.Load.TakenAt.After(st.reportedAt) {
 		return
 	}
-	l.reportedAt = r.Load.TakenAt
-	requests, prefill := l.recentSends(l.reportedAt.UnixNano())
-	l.baseRequests.Store(l.sentRequests.Load() - requests)
-	l.basePrefill.Store(l.sentPrefill.Load() - prefill)
-	l.reportNano.Store(l.reportedAt.UnixNano())
-	if r.Load.Shown.Role != l.role {
-		l.role = r.Load.Shown.Role
-		l.unlearn()
+	st.reportedAt = r.Load.TakenAt
+	requests, prefill := st.recentSends(st.reportedAt.UnixNano())
+	st.requestsBeforeReport.Store(st.sentRequests.Load() - requests)
+	st.prefillBeforeReport.Store(st.sentPrefillTokens.Load() - prefill)
+	st.reportNano.Store(st.reportedAt.UnixNano())
+	if r.Load.Shown.Role != st.role {
+		st.role = r.Load.Shown.Role
+		st.reset()
 	}
-	l.learnSpeeds(&r.Load, float64(r.Track.Load().Plus(r.Peers).Requests))
+	st.updateSpeeds(&r.Load, float64(r.Track.Load().Plus(r.Peers).Requests))
 }
 
-// unlearn forgets what was learnt in another role.
-func (l *learnt) unlearn() {
-	l.fit = stepFit{}
-	l.bias.Store(1)
-	l.pace.Store(1)
-	l.fresh = true
-	d := l.defaults
-	l.current.Store(&d)
+// reset forgets what was learnt in another role.
+func (st *runnerStats) reset() {
+	st.fit = stepFit{}
+	st.firstTokenBias.Store(1)
+	st.intervalBias.Store(1)
+	st.needsPrefillSample = true
+	d := st.defaultSpeeds
+	st.currentSpeeds.Store(&d)
 }
 
-func (l *learnt) restart(incarnation string) {
-	if l.incarnation != "" {
-		l.generation.Add(1)
-		l.unlearn()
+func (st *runnerStats) startIncarnation(incarnation string) {
+	if st.incarnation != "" {
+		st.cacheGeneration.Add(1)
+		st.reset()
 	}
-	l.incarnation = incarnation
+	st.incarnation = incarnation
 }
 
-func (l *learnt) learnSpeeds(p *state.LoadReport, inFlight float64) {
-	l.setSpeeds(func(s *Speeds) {
+func (st *runnerStats) updateSpeeds(p *state.LoadReport, inFlight float64) {
+	st.setSpeeds(func(s *Speeds) {
 		if p.PrefillTokensPerSecond > 0 {
-			l.learnPrefill(s, p.PrefillTokensPerSecond)
+			st.updatePrefillSpeed(s, p.PrefillTokensPerSecond)
 		}
 		if p.DecodeStepMillis > 0 && p.DecodeRunning > 0 {
-			l.learnBatch(s, float64(p.DecodeRunning), inFlight)
-			l.fit.add(float64(p.DecodeRunning), p.DecodeStepMillis/1000)
-			s.StepSeconds, s.StepSecondsPerSequence = l.fit.line(s.StepSecondsPerSequence)
+			st.updateMaxBatch(s, float64(p.DecodeRunning), inFlight)
+			st.fit.add(float64(p.DecodeRunning), p.DecodeStepMillis/1000)
+			s.StepSeconds, s.StepSecondsPerSequence = st.fit.line(s.StepSecondsPerSequence)
 		}
 	})
 }
 
-func (l *learnt) learnPrefill(s *Speeds, reported float64) {
-	if l.fresh {
+func (st *runnerStats) updatePrefillSpeed(s *Speeds, reported float64) {
+	if st.needsPrefillSample {
 		s.PrefillTokensPerSecond = reported
 	}
-	l.fresh = false
+	st.needsPrefillSample = false
 	s.PrefillTokensPerSecond += speedWeight * (reported - s.PrefillTokensPerSecond)
 }
 
-// slowness is how much slower than it says an engine is taken to be. Ratios near
+// slowdownOf is how much slower than it says an engine is taken to be. Ratios near
 // that of the others are noise.
-func slowness(relative float64) float64 {
-	return min(max(1, relative/noticeable), maxBias)
+func slowdownOf(relative float64) float64 {
+	return min(max(1, relative/slowThreshold), maxBias)
 }
 
-// learnBatch learns the size of a full batch: more than was thought possible
+// updateMaxBatch learns the size of a full batch: more than was thought possible
 // raises it; the same size in several reports, with more requests there than
 // run, is a full one.
-func (l *learnt) learnBatch(s *Speeds, running, inFlight float64) {
+func (st *runnerStats) updateMaxBatch(s *Speeds, running, inFlight float64) {
 	s.MaxBatch = max(s.MaxBatch, running)
-	if running != l.plateau || inFlight < running+plateauExcess {
-		l.plateau, l.plateaus = running, 0
+	if running != st.plateauBatch || inFlight < running+plateauWaiting {
+		st.plateauBatch, st.plateauCount = running, 0
 		return
 	}
-	l.plateaus++
-	if l.plateaus >= plateauReports {
+	st.plateauCount++
+	if st.plateauCount >= plateauReports {
 		s.MaxBatch = running
 	}
 }
 
-// firstToken learns from an actual time to the first token.
-func (l *learnt) firstToken(predicted, actual time.Duration) {
+// recordFirstToken learns from an actual time to the first token.
+func (st *runnerStats) recordFirstToken(predicted, actual time.Duration) {
 	if predicted <= 0 || actual <= 0 {
 		return
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	bias := l.bias.Load()
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	bias := st.firstTokenBias.Load()
 	// The prediction contained the slowness, so the ratio is taken against one
 	// without it.
-	ratio := float64(actual) / float64(predicted) * l.slow.Load()
+	ratio := float64(actual) / float64(predicted) * st.slowdown.Load()
 	bias += biasWeight * (ratio - bias)
-	l.bias.Store(min(max(bias, minBias), maxBias))
+	st.firstTokenBias.Store(min(max(bias, minBias), maxBias))
 }
 
-// decoded learns from the actual time between tokens, in seconds, next to a
+// recordInterval learns from the actual time between tokens, in seconds, next to a
 // number of other requests in flight.
-func (l *learnt) decoded(now time.Time, interval, inFlight float64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ratio := interval / l.speeds().step(inFlight)
-	pace := l.paceAt(now.UnixNano())
+func (st *runnerStats) recordInterval(now time.Time, interval, inFlight float64) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	ratio := interval / st.speeds().batchStepSeconds(inFlight)
+	pace := st.intervalBiasAt(now.UnixNano())
 	pace += biasWeight * (ratio - pace)
-	l.pace.Store(min(max(pace, minBias), maxBias))
-	l.pacedAt.Store(now.UnixNano())
+	st.intervalBias.Store(min(max(pace, minBias), maxBias))
+	st.intervalBiasNano.Store(now.UnixNano())
 }
 
-// paceAt is the pace as far as it still holds: without new answers it goes back
+// intervalBiasAt is the pace as far as it still holds: without new answers it goes back
 // to 1, or an engine once found slow would get nothing that shows otherwise.
-func (l *learnt) paceAt(now int64) float64 {
-	age := float64(now-l.pacedAt.Load()) / float64(paceHalfLife)
-	return 1 + (l.pace.Load()-1)/(1+max(0, age))
+func (st *runnerStats) intervalBiasAt(now int64) float64 {
+	age := float64(now-st.intervalBiasNano.Load()) / float64(intervalBiasHalfLife)
+	return 1 + (st.intervalBias.Load()-1)/(1+max(0, age))
 }
 
-// answered learns the latency of a plain service.
-func (l *learnt) answered(took time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	was := l.seconds.Load()
-	l.seconds.Store(was + latencyWeight*(took.Seconds()-was))
+// recordLatency learns the latency of a plain service.
+func (st *runnerStats) recordLatency(took time.Duration) {
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	old := st.latencySeconds.Load()
+	st.latencySeconds.Store(old + latencyWeight*(took.Seconds()-old))
 }
 
-// sent counts work given to the runner.
-func (l *learnt) sent(now time.Time, prefill int64) {
-	slot := now.UnixNano() / int64(sendSlot)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	s := &l.sends[slot%sendSlots]
+// recordSent counts work given to the runner.
+func (st *runnerStats) recordSent(now time.Time, prefill int64) {
+	slot := now.UnixNano() / int64(sendSlotWidth)
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	s := &st.sends[slot%sendSlotCount]
 	if s.slot != slot {
 		*s = sendCount{slot: slot}
 	}
 	s.requests++
 	s.prefill += prefill
-	l.sentRequests.Add(1)
-	l.sentPrefill.Add(prefill)
+	st.sentRequests.Add(1)
+	st.sentPrefillTokens.Add(prefill)
 }
 
 // sentSince returns what was sent from t (Unix time in ns) on, the time of a
 // report.
-func (l *learnt) sentSince(t int64) (requests, prefill int64) {
-	if l.reportNano.Load() == t {
-		return l.sentRequests.Load() - l.baseRequests.Load(), l.sentPrefill.Load() - l.basePrefill.Load()
+func (st *runnerStats) sentSince(t int64) (requests, prefill int64) {
+	if st.reportNano.Load() == t {
+		return st.sentRequests.Load() - st.requestsBeforeReport.Load(), st.sentPrefillTokens.Load() - st.prefillBeforeReport.Load()
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.recentSends(t)
+	st.mu.Lock()
+	defer st.mu.Unlock()
+	return st.recentSends(t)
 }
 
-// recentSends adds up the slots from t on; l.mu is held.
-func (l *learnt) recentSends(t int64) (requests, prefill int64) {
-	from := t / int64(sendSlot)
-	for i := range l.sends {
-		if s := &l.sends[i]; s.slot > from {
+// recentSends adds up the slots from t on; st.mu is held.
+func (st *runnerStats) recentSends(t int64) (requests, prefill int64) {
+	from := t / int64(sendSlotWidth)
+	for i := range st.sends {
+		if s := &st.sends[i]; s.slot > from {
 			requests += s.requests
 			prefill += s.prefill
 		}
--- a/coordination/route/learnt_test.go
+++ b/coordination/route/learnt_test.go
@@ -10,18 +10,18 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// movingClock is set by a test.
-type movingClock struct {
+// manualClock is set by a test.
+type manualClock struct {
 	state.Clock
 	now time.Time
 }
 
-func (c *movingClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
 func TestSpeedsAreLearntFromReports(t *testing.T) {
 	is := is.New(t)
 	k := engines(1)
-	clock := &movingClock{now: epoch}
+	clock := &manualClock{now: epoch}
 	r, err := New(Options{Clock: clock})
 	is.NoErr(err)
 	q := &Query{Service: "llm", PromptTokens: 10, ExpectedOutput: 10}
@@ -40,22 +40,22 @@
 	is.True(step > 19500*time.Microsecond && step < 20500*time.Microsecond)
 }
 
-func TestFullBatchIsLearntFromReports(t *testing.T) {
+func TestMaxBatchIsLearntFromReports(t *testing.T) {
 	is := is.New(t)
-	l := newLearnt("e", Speeds{}.orDefault())
-	s := *l.speeds()
+	st := newRunnerStats("e", Speeds{}.withDefaults())
+	s := *st.speeds()
 	for range plateauReports + 1 {
-		l.learnBatch(&s, 12, 20)
+		st.updateMaxBatch(&s, 12, 20)
 	}
 	is.Equal(s.MaxBatch, 12.0)
-	l.learnBatch(&s, 48, 48) // more was possible after all
+	st.updateMaxBatch(&s, 48, 48) // more was possible after all
 	is.Equal(s.MaxBatch, 48.0)
 }
 
-func TestSlowEngineIsFoundOutAndGetsAnotherChance(t *testing.T) {
+func TestSlowEngineIsAvoidedUntilItsSlowdownDecays(t *testing.T) {
 	is := is.New(t)
 	k := engines(2)
-	clock := &movingClock{now: epoch}
+	clock := &manualClock{now: epoch}
 	r, err := New(Options{Clock: clock, Seed: 3})
 	is.NoErr(err)
 	q := &Query{Service: "llm", PromptTokens: 1000, ExpectedOutput: 50}
@@ -77,15 +77,15 @@
 	is.True(r.TokenInterval("engine-0000", 1) < slow/2)
 }
 
-func TestEstimateBlendsAnAgingReportWithCounts(t *testing.T) {
+func TestEstimateLoadWeighsAnAgingReportAgainstCounts(t *testing.T) {
 	is := is.New(t)
 	k := engines(1)
 	n := &k.View().Runners[0]
-	l := newLearnt(n.Name, Speeds{}.orDefault())
-	l.setSpeeds(func(s *Speeds) { s.PrefillTokensPerSecond = 1000 })
+	st := newRunnerStats(n.Name, Speeds{}.withDefaults())
+	st.setSpeeds(func(s *Speeds) { s.PrefillTokensPerSecond = 1000 })
 	estimate := func(r snapshot.Runner, age time.Duration) float64 {
-		c := Candidate{Runner: &r, learnt: l}
-		c.estimate(r.Load.TakenAt.Add(age).UnixNano())
+		c := Candidate{Runner: &r, stats: st}
+		c.estimateLoad(r.Load.TakenAt.Add(age).UnixNano())
 		return c.BacklogTokens
 	}
 	r := *n
@@ -96,7 +96,7 @@
 	is.True(estimate(r, time.Hour) < 601)                           // an old one hardly counts
 	r.Load = state.LoadReport{}                                     // there is none
 	is.Equal(estimate(r, 0), 600.0)                                 // the counts do
-	l.sent(epoch, 250)                                              // sent after the report
+	st.recordSent(epoch, 250)                                       // sent after the report
 	r.Load = state.LoadReport{TakenAt: epoch.Add(-time.Second / 2)} // an empty engine then
 	is.Equal(estimate(r, 0), 250.0)
 }
@@ -104,14 +104,14 @@
 func TestReportOfAnotherRoleReplacesTheSpeeds(t *testing.T) {
 	is := is.New(t)
 	k := engines(1)
-	l := newLearnt("engine-0000", Speeds{}.orDefault())
-	l.observe(k.View().Runner("engine-0000"))
-	is.Equal(l.speeds().PrefillTokensPerSecond, 10000.0)
+	st := newRunnerStats("engine-0000", Speeds{}.withDefaults())
+	st.observe(k.View().Runner("engine-0000"))
+	is.Equal(st.speeds().PrefillTokensPerSecond, 10000.0)
 	changed := report("engine-0000", 0)
 	changed.TakenAt = epoch
 	changed.Shown.Role = state.RoleDecode
 	changed.PrefillTokensPerSecond = 2500
 	k.SetLoad(changed)
-	l.observe(k.View().Runner("engine-0000"))
-	is.Equal(l.speeds().PrefillTokensPerSecond, 2500.0)
+	st.observe(k.View().Runner("engine-0000"))
+	is.Equal(st.speeds().PrefillTokensPerSecond, 2500.0)
 }
--- a/coordination/route/outputs.go
+++ b/coordination/route/outputs.go
@@ -11,16 +11,16 @@
 	defaultMaxFlows = 8192
 	// maxClasses bounds the classes that are kept apart.
 	maxClasses = 256
-	// outputWeight is the least weight of a new sample.
-	outputWeight = 0.05
+	// minSampleWeight is the least weight of a new sample.
+	minSampleWeight = 0.05
 	// priorSamples is how many samples the class's mean stands for when a
 	// customer is new.
 	priorSamples = 4
-	// longSpreads is how many mean distances above the mean a long output is:
+	// longDeviations is how many mean distances above the mean a long output is:
 	// about 85% of a normal distribution, and of an even one, are below.
-	longSpreads = 1.3
-	// firstGuess is the expected output in tokens before any answer.
-	firstGuess = 128
+	longDeviations = 1.3
+	// initialOutputTokens is the expected output in tokens before any answer.
+	initialOutputTokens = 128
 )
 
 // Estimator predicts the length of an answer from earlier ones of the same
@@ -28,30 +28,30 @@
 // pairs beyond the bound share their class's figure. It is safe for concurrent
 // use.
 type Estimator struct {
-	max int
+	maxFlows int
 
 	mu      sync.RWMutex
-	flows   map[flowKey]*mean
-	classes map[string]*mean
-	all     mean
+	flows   map[flowKey]*runningMean
+	classes map[string]*runningMean
+	all     runningMean
 }
 
 type flowKey struct{ customer, class string }
 
-// mean is a fading mean and spread: plain over the first samples, exponential
+// runningMean is a fading runningMean and spread: plain over the first samples, exponential
 // later.
-type mean struct {
-	n     float64
-	value float64
-	// spread is the mean distance of the samples from it.
-	spread float64
+type runningMean struct {
+	count float64
+	mean  float64
+	// deviation is the mean distance of the samples from it.
+	deviation float64
 }
 
-func (m *mean) add(x float64) {
-	m.n++
-	weight := max(1/m.n, outputWeight)
-	m.value += weight * (x - m.value)
-	m.spread += weight * (math.Abs(x-m.value) - m.spread)
+func (m *runningMean) add(x float64) {
+	m.count++
+	weight := max(1/m.count, minSampleWeight)
+	m.mean += weight * (x - m.mean)
+	m.deviation += weight * (math.Abs(x-m.mean) - m.deviation)
 }
 
 // NewEstimator returns an estimator that keeps at most maxFlows pairs of customer
@@ -60,24 +60,24 @@
 	if maxFlows <= 0 {
 		maxFlows = defaultMaxFlows
 	}
-	return &Estimator{max: maxFlows, flows: map[flowKey]*mean{}, classes: map[string]*mean{}}
+	return &Estimator{maxFlows: maxFlows, flows: map[flowKey]*runningMean{}, classes: map[string]*runningMean{}}
 }
 
 // Expected returns the expected output in tokens, at least 1 and at most
 // maxTokens (when that is positive).
 func (e *Estimator) Expected(customer, class string, maxTokens int) int {
 	value, _ := e.estimate(flowKey{customer, class})
-	return bounded(value, maxTokens)
+	return clampTokens(value, maxTokens)
 }
 
 // LongOutput returns an output in tokens that most answers don't exceed, bounded in
 // the same way.
 func (e *Estimator) LongOutput(customer, class string, maxTokens int) int {
 	value, spread := e.estimate(flowKey{customer, class})
-	return bounded(value+longSpreads*spread, maxTokens)
+	return clampTokens(value+longDeviations*spread, maxTokens)
 }
 
-func bounded(v float64, maxTokens int) int {
+func clampTokens(v float64, maxTokens int) int {
 	n := max(1, int(v+0.5))
 	if maxTokens > 0 {
 		n = min(n, maxTokens)
@@ -88,18 +88,18 @@
 func (e *Estimator) estimate(k flowKey) (value, spread float64) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
-	value, spread = firstGuess, firstGuess
+	value, spread = initialOutputTokens, initialOutputTokens
 	if c := e.classes[k.class]; c != nil {
-		value, spread = c.value, c.spread
-	} else if e.all.n > 0 {
-		value, spread = e.all.value, e.all.spread
+		value, spread = c.mean, c.deviation
+	} else if e.all.count > 0 {
+		value, spread = e.all.mean, e.all.deviation
 	}
 	f := e.flows[k]
 	if f == nil {
 		return value, spread
 	}
-	own := f.n / (f.n + priorSamples)
-	return value + own*(f.value-value), spread + own*(f.spread-spread)
+	customerWeight := f.count / (f.count + priorSamples)
+	return value + customerWeight*(f.mean-value), spread + customerWeight*(f.deviation-spread)
 }
 
 // Learn takes in the actual output of an answer that ended by itself, in tokens.
@@ -113,7 +113,7 @@
 	e.all.add(x)
 	c := e.classes[class]
 	if c == nil && len(e.classes) < maxClasses {
-		c = &mean{}
+		c = &runningMean{}
 		e.classes[class] = c
 	}
 	if c != nil {
@@ -122,10 +122,10 @@
 	k := flowKey{customer, class}
 	f := e.flows[k]
 	if f == nil {
-		if len(e.flows) >= e.max {
+		if len(e.flows) >= e.maxFlows {
 			return
 		}
-		f = &mean{}
+		f = &runningMean{}
 		e.flows[k] = f
 	}
 	f.add(x)
--- a/coordination/route/path.go
+++ b/coordination/route/path.go
@@ -57,7 +57,7 @@
 
 // splits reports whether the service has engines that serve one part only.
 func (r *Router) splits(v *snapshot.View, service string) bool {
-	return r.indexFor(v, r.clock.Now()).split[service]
+	return r.indexFor(v, r.clock.Now()).hasSplitRoles[service]
 }
 
 // AsNoRunnerError reports whether err says that no runner could be chosen.
--- a/coordination/route/plugins.go
+++ b/coordination/route/plugins.go
@@ -22,13 +22,13 @@
 	// Score is the sum of the scorers, in seconds; the lowest wins.
 	Score float64
 
-	learnt *learnt
-	speeds *Speeds
-	pace   float64
-	// home is true for the engine that prompts like this one are gathered at.
-	home bool
-	// credit are the tokens that needn't be computed, as far as can be told.
-	credit float64
+	stats        *runnerStats
+	speeds       *Speeds
+	intervalBias float64
+	// hasAffinity is true for the engine that prompts like this one are gathered at.
+	hasAffinity bool
+	// creditedTokens are the tokens that needn't be computed, as far as can be told.
+	creditedTokens float64
 }
 
 // A filter removes runners that may not be used: Keep reports whether a runner
@@ -103,25 +103,27 @@
 	return f.breakers == nil || f.breakers.Ready(r.Name)
 }
 
-// awake removes runners that want rest.
-type awake struct {
-	until func(r *snapshot.Runner) time.Time
+// notBackingOff removes runners that want rest.
+type notBackingOff struct {
+	backoffUntil func(r *snapshot.Runner) time.Time
 }
 
-func (awake) Name() string { return "awake" }
+func (notBackingOff) Name() string { return "awake" }
 
-func (f awake) Keep(r *snapshot.Runner, _ *Query) bool { return f.until == nil || f.until(r).IsZero() }
+func (f notBackingOff) Keep(r *snapshot.Runner, _ *Query) bool {
+	return f.backoffUntil == nil || f.backoffUntil(r).IsZero()
+}
 
-// homeCredit is the share of the gathered part of a prompt that its home is
+// affinityCredit is the share of the gathered part of a prompt that its home is
 // expected to have, when nothing is known: another host may have sent the same
 // document there a moment ago. It also makes the first one go there.
-const homeCredit = 0.5
+const affinityCredit = 0.5
 
 // cachedPrefix credits engines with the part of the prompt that they have
 // cached. Engines whose backlog is above bound times the candidates' mean get no
 // credit, so that a popular prefix can't overload its holders. It must come
 // before predictedTime.
-type cachedPrefix struct{ bound float64 }
+type cachedPrefix struct{ loadBound float64 }
 
 func (cachedPrefix) Name() string { return "cached-prefix" }
 
@@ -130,15 +132,15 @@
 	for i := range cs {
 		sum += cs[i].BacklogTokens
 	}
-	limit := s.bound*sum/float64(len(cs)) + float64(q.PromptTokens)
+	limit := s.loadBound*sum/float64(len(cs)) + float64(q.PromptTokens)
 	for i := range cs {
 		c := &cs[i]
-		c.credit = float64(c.CachedTokens)
-		if c.home {
-			c.credit = max(c.credit, homeCredit*float64(q.homeTokens()))
+		c.creditedTokens = float64(c.CachedTokens)
+		if c.hasAffinity {
+			c.creditedTokens = max(c.creditedTokens, affinityCredit*float64(q.affinityTokens()))
 		}
 		if c.BacklogTokens > limit {
-			c.CachedTokens, c.credit = 0, 0
+			c.CachedTokens, c.creditedTokens = 0, 0
 		}
 	}
 }
@@ -151,22 +153,22 @@
 func (predictedTime) Score(q *Query, cs []Candidate) {
 	for i := range cs {
 		c := &cs[i]
-		first, finish := c.predict(q)
+		first, finish := c.predictSeconds(q)
 		c.FirstToken = seconds(first)
 		c.Finish = seconds(finish)
 		c.Score += finish
 	}
 }
 
-// considerate adds a share of the delay that the request means for those that
+// delayToOthers adds a share of the delay that the request means for those that
 // run beside it.
-type considerate struct{ share float64 }
+type delayToOthers struct{ weight float64 }
 
-func (considerate) Name() string { return "delay-to-others" }
+func (delayToOthers) Name() string { return "delay-to-others" }
 
-func (s considerate) Score(q *Query, cs []Candidate) {
+func (s delayToOthers) Score(q *Query, cs []Candidate) {
 	for i := range cs {
-		cs[i].Score += s.share * cs[i].delayToOthers(q)
+		cs[i].Score += s.weight * cs[i].othersDelaySeconds(q)
 	}
 }
 
@@ -192,7 +194,7 @@
 func (leastInFlight) Score(_ *Query, cs []Candidate) {
 	for i := range cs {
 		c := &cs[i]
-		latency := c.learnt.latency()
+		latency := c.stats.latency()
 		c.FirstToken = seconds(latency)
 		c.Finish = c.FirstToken
 		c.Score += latency * (1 + c.InFlight)
--- a/coordination/route/plugins_test.go
+++ b/coordination/route/plugins_test.go
@@ -25,7 +25,7 @@
 		change(r)
 		return r
 	}
-	same := func(*snapshot.Runner) {}
+	unchanged := func(*snapshot.Runner) {}
 	role := func(role state.Role) func(*snapshot.Runner) {
 		return func(r *snapshot.Runner) { r.Target.Role = role }
 	}
@@ -36,27 +36,27 @@
 		query  Query
 		keep   bool
 	}{
-		{"takes work", takesWork{}, engine(same), Query{}, true},
+		{"takes work", takesWork{}, engine(unchanged), Query{}, true},
 		{"leaves", takesWork{}, engine(func(r *snapshot.Runner) { r.Leaving = true }), Query{}, false},
 		{"unhealthy", takesWork{}, engine(func(r *snapshot.Runner) { r.Unhealthy = true }), Query{}, false},
 		{"drains", takesWork{}, engine(func(r *snapshot.Runner) { r.Order.State = state.OrderDraining }), Query{}, false},
-		{"mixed serves whole", servesPart{}, engine(same), Query{Part: PartWhole}, true},
-		{"mixed serves decode", servesPart{}, engine(same), Query{Part: PartDecode}, true},
+		{"mixed serves whole", servesPart{}, engine(unchanged), Query{Part: PartWhole}, true},
+		{"mixed serves decode", servesPart{}, engine(unchanged), Query{Part: PartDecode}, true},
 		{"prefill doesn't serve whole", servesPart{}, engine(role(state.RolePrefill)), Query{Part: PartWhole}, false},
 		{"prefill serves prefill", servesPart{}, engine(role(state.RolePrefill)), Query{Part: PartPrefill}, true},
 		{"decode doesn't serve prefill", servesPart{}, engine(role(state.RoleDecode)), Query{Part: PartPrefill}, false},
 		{"unknown role serves whole", servesPart{}, engine(role("")), Query{Part: PartWhole}, true},
-		{"no model asked for", hasModel{}, engine(same), Query{}, true},
-		{"any version", hasModel{}, engine(same), Query{Model: "m"}, true},
-		{"that version", hasModel{}, engine(same), Query{Model: "m@2"}, true},
-		{"another version", hasModel{}, engine(same), Query{Model: "m@1"}, false},
+		{"no model asked for", hasModel{}, engine(unchanged), Query{}, true},
+		{"any version", hasModel{}, engine(unchanged), Query{Model: "m"}, true},
+		{"that version", hasModel{}, engine(unchanged), Query{Model: "m@2"}, true},
+		{"another version", hasModel{}, engine(unchanged), Query{Model: "m@1"}, false},
 		{"longer name", hasModel{}, engine(func(r *snapshot.Runner) { r.Target.Model = "mx" }), Query{Model: "m"}, false},
-		{"adapter", hasModel{}, engine(same), Query{Model: "verdict"}, true},
+		{"adapter", hasModel{}, engine(unchanged), Query{Model: "verdict"}, true},
 		{"model not known yet", hasModel{}, engine(func(r *snapshot.Runner) { r.Target = state.Target{} }), Query{Model: "x"}, true},
-		{"excluded", notExcluded{}, engine(same), Query{Exclude: []string{"e0", "e1"}}, false},
-		{"others excluded", notExcluded{}, engine(same), Query{Exclude: []string{"e0"}}, true},
-		{"open breaker", breakerReady{openBreakers{"e1": true}}, engine(same), Query{}, false},
-		{"no breakers", breakerReady{}, engine(same), Query{}, true},
+		{"excluded", notExcluded{}, engine(unchanged), Query{Exclude: []string{"e0", "e1"}}, false},
+		{"others excluded", notExcluded{}, engine(unchanged), Query{Exclude: []string{"e0"}}, true},
+		{"open breaker", breakerReady{openBreakers{"e1": true}}, engine(unchanged), Query{}, false},
+		{"no breakers", breakerReady{}, engine(unchanged), Query{}, true},
 	}
 	for _, tt := range tests {
 		t.Run(tt.filter.Name()+"/"+tt.name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 	speeds := Speeds{PrefillTokensPerSecond: 1000, StepSeconds: 0.01, StepSecondsPerSequence: 0.001, MaxBatch: 10, ChunkTokens: 100, TransferTokensPerSecond: 1e4}
 	return Candidate{
 		Runner:        &snapshot.Runner{Upstream: state.Upstream{FailureDomain: "here"}, Target: state.Target{Role: role}},
-		BacklogTokens: backlog, InFlight: inFlight, speeds: &speeds, pace: 1, learnt: newLearnt("e", speeds),
+		BacklogTokens: backlog, InFlight: inFlight, speeds: &speeds, intervalBias: 1, stats: newRunnerStats("e", speeds),
 	}
 }
 
@@ -82,7 +82,7 @@
 }
 
 func TestPredictedTime(t *testing.T) {
-	near := func(t *testing.T, got, want float64) {
+	expectNear := func(t *testing.T, got, want float64) {
 		t.Helper()
 		if got < want-1e-6 || got > want+1e-6 {
 			t.Errorf("got %v, want %v", got, want)
@@ -102,7 +102,7 @@
 		{"a full batch is waited for", candidate(state.RoleDecode, 0, 10), Query{Part: PartDecode, ExpectedOutput: 11}, 0.019 + 0.1*11*0.019 + 10*0.019},
 	}
 	for _, tt := range tests {
-		t.Run(tt.name, func(t *testing.T) { near(t, scoreOf(predictedTime{}, tt.q, tt.c), tt.want) })
+		t.Run(tt.name, func(t *testing.T) { expectNear(t, scoreOf(predictedTime{}, tt.q, tt.c), tt.want) })
 	}
 }
 
@@ -111,22 +111,22 @@
 	q := Query{PromptTokens: 100, Prefixes: make([]uint64, 8), BlockTokens: 12}
 	cs := []Candidate{candidate(state.RoleMixed, 0, 0), candidate(state.RoleMixed, 0, 0), candidate(state.RoleMixed, 5000, 0)}
 	cs[0].CachedTokens = 80
-	cs[1].home = true
+	cs[1].hasAffinity = true
 	cs[2].CachedTokens = 90
 	cachedPrefix{1.5}.Score(&q, cs)
-	is.Equal(cs[0].credit, 80.0)
-	is.Equal(cs[1].credit, homeCredit*48) // half of the prompt's blocks decide its home
-	is.Equal(cs[2].credit, 0.0)           // above 1.5 times the mean backlog and a prompt
+	is.Equal(cs[0].creditedTokens, 80.0)
+	is.Equal(cs[1].creditedTokens, affinityCredit*48) // half of the prompt's blocks decide its home
+	is.Equal(cs[2].creditedTokens, 0.0)               // above 1.5 times the mean backlog and a prompt
 	is.Equal(cs[2].CachedTokens, 0)
 }
 
-func TestConsiderateCountsTheDelayToOthers(t *testing.T) {
+func TestDelayToOthersIsScored(t *testing.T) {
 	is := is.New(t)
 	whole := Query{PromptTokens: 1000, ExpectedOutput: 100}
-	is.Equal(scoreOf(considerate{1}, whole, candidate(state.RoleMixed, 0, 0)), 0.0)
-	is.Equal(scoreOf(considerate{0.5}, whole, candidate(state.RoleMixed, 0, 4)), 0.5*(4*1+4*0.001*100))
+	is.Equal(scoreOf(delayToOthers{1}, whole, candidate(state.RoleMixed, 0, 0)), 0.0)
+	is.Equal(scoreOf(delayToOthers{0.5}, whole, candidate(state.RoleMixed, 0, 4)), 0.5*(4*1+4*0.001*100))
 	prefill := Query{Part: PartPrefill, PromptTokens: 1000}
-	is.Equal(scoreOf(considerate{1}, prefill, candidate(state.RolePrefill, 0, 4)), 0.0)
+	is.Equal(scoreOf(delayToOthers{1}, prefill, candidate(state.RolePrefill, 0, 4)), 0.0)
 }
 
 func TestNearDomain(t *testing.T) {
--- a/coordination/route/priority.go
+++ b/coordination/route/priority.go
@@ -4,11 +4,11 @@
 
 // Priorities given to engines.
 const (
-	// prioritySlot is the time that one step of priority stands for.
-	prioritySlot = 100 * time.Millisecond
-	// urgentSlots is by how much urgent requests go before others: more than any
+	// priorityStep is the time that one step of priority stands for.
+	priorityStep = 100 * time.Millisecond
+	// urgentSteps is by how much urgent requests go before others: more than any
 	// two deadlines differ.
-	urgentSlots = int(20 * time.Minute / prioritySlot)
+	urgentSteps = int(20 * time.Minute / priorityStep)
 )
 
 // Priority is the priority to give an engine with a request: larger for one
@@ -19,9 +19,9 @@
 	if deadline.IsZero() {
 		return 0
 	}
-	p := -int(deadline.Add(-decode).UnixMilli() / prioritySlot.Milliseconds())
+	p := -int(deadline.Add(-decode).UnixMilli() / priorityStep.Milliseconds())
 	if urgent {
-		p += urgentSlots
+		p += urgentSteps
 	}
 	return p
 }
--- a/coordination/route/query.go
+++ b/coordination/route/query.go
@@ -81,7 +81,7 @@
 	ReasonNoRole         Reason = "no runner serves this part of a request"
 	ReasonNoModel        Reason = "no runner has the model loaded"
 	ReasonBreakersOpen   Reason = "every runner's breaker is open"
-	ReasonResting        Reason = "every runner wants rest"
+	ReasonBackingOff     Reason = "every runner wants rest"
 	ReasonAllTried       Reason = "every runner was tried"
 )
 
--- a/coordination/route/router.go
+++ b/coordination/route/router.go
@@ -14,12 +14,12 @@
 const (
 	// SmallServiceRunners is the largest service whose runners are all compared.
 	SmallServiceRunners = 16
-	// sampled is how many runners of a large service are drawn.
-	sampled = 2
+	// sampledRunners is how many runners of a large service are drawn.
+	sampledRunners = 2
 	// maxHolders is how many holders of the prompt's prefix are compared.
 	maxHolders = 8
 	// maxCandidates bounds the candidates of one choice.
-	maxCandidates = SmallServiceRunners + maxHolders + sampled + 1
+	maxCandidates = SmallServiceRunners + maxHolders + sampledRunners + 1
 )
 
 // Breakers tells which upstreams' circuit breakers let a request through.
@@ -36,9 +36,9 @@
 	Seed uint64
 	// Breakers is optional.
 	Breakers Breakers
-	// RestsUntil is the end of the rest that a runner asked for; zero if it wants none.
+	// BackoffUntil is the end of the rest that a runner asked for; zero if it wants none.
 	// Optional.
-	RestsUntil func(r *snapshot.Runner) time.Time
+	BackoffUntil func(r *snapshot.Runner) time.Time
 	// Scorers are added to the built-in ones, for example an operator's policy.
 	Scorers []Scorer
 	// PrefixIndexEntries bounds the index of prompt prefixes; default 32768.
@@ -59,18 +59,18 @@
 
 // Router chooses runners. It is safe for concurrent use.
 type Router struct {
-	clock    state.Clock
-	engine   []Scorer
-	service  []Scorer
-	breaker  breakerReady
-	awake    awake
-	retry    time.Duration
-	defaults Speeds
-	draws    atomic.Uint64
-	seed     uint64
-	cache    *cacheIndex
-	index    indexHolder
-	scratch  sync.Pool
+	clock          state.Clock
+	engineScorers  []Scorer
+	serviceScorers []Scorer
+	breakerFilter  breakerReady
+	backoffFilter  notBackingOff
+	retryAfter     time.Duration
+	defaultSpeeds  Speeds
+	draws          atomic.Uint64
+	seed           uint64
+	prefixes       *prefixIndex
+	index          sharedIndex
+	scratch        sync.Pool
 }
 
 // New returns a router, or an error that names the wrong option.
@@ -83,11 +83,11 @@
 	}
 	o.setDefaults()
 	r := &Router{
-		clock: o.Clock, seed: o.Seed, breaker: breakerReady{o.Breakers}, awake: awake{o.RestsUntil}, retry: o.RetryAfter,
-		defaults: o.DefaultSpeeds, cache: newCacheIndex(o.PrefixIndexEntries),
+		clock: o.Clock, seed: o.Seed, breakerFilter: breakerReady{o.Breakers}, backoffFilter: notBackingOff{o.BackoffUntil}, retryAfter: o.RetryAfter,
+		defaultSpeeds: o.DefaultSpeeds, prefixes: newPrefixIndex(o.PrefixIndexEntries),
 	}
-	r.engine = append([]Scorer{cachedPrefix{o.LoadBound}, predictedTime{}, considerate{o.DelayWeight}, nearDomain{o.CrossDomainPenalty}}, o.Scorers...)
-	r.service = append([]Scorer{leastInFlight{}, nearDomain{o.CrossDomainPenalty}}, o.Scorers...)
+	r.engineScorers = append([]Scorer{cachedPrefix{o.LoadBound}, predictedTime{}, delayToOthers{o.DelayWeight}, nearDomain{o.CrossDomainPenalty}}, o.Scorers...)
+	r.serviceScorers = append([]Scorer{leastInFlight{}, nearDomain{o.CrossDomainPenalty}}, o.Scorers...)
 	r.scratch.New = func() any { return &scratch{} }
 	return r, nil
 }
@@ -108,13 +108,13 @@
 	if o.RetryAfter == 0 {
 		o.RetryAfter = 2 * time.Second
 	}
-	o.DefaultSpeeds = o.DefaultSpeeds.orDefault()
+	o.DefaultSpeeds = o.DefaultSpeeds.withDefaults()
 }
 
 // scratch is the working memory of one Pick.
 type scratch struct {
 	candidates [maxCandidates]Candidate
-	holders    [maxHolders]holding
+	matches    [maxHolders]prefixMatch
 }
 
 // Pick chooses a runner, or returns a *NoRunnerError. It allocates nothing
@@ -123,23 +123,23 @@
 	now := r.clock.Now()
 	all := v.RunnersOf(q.Service)
 	if len(all) == 0 {
-		return Choice{}, &NoRunnerError{q.Service, ReasonUnknownService, r.retry}
+		return Choice{}, &NoRunnerError{q.Service, ReasonUnknownService, r.retryAfter}
 	}
 	s := r.scratch.Get().(*scratch)
 	defer r.scratch.Put(s)
 	x := r.indexFor(v, now)
-	holders := r.cache.find(q, s.holders[:0])
-	cs := r.gather(v, x, q, all, holders, s.candidates[:0])
+	matches := r.prefixes.findHolders(q, s.matches[:0])
+	cs := r.gatherCandidates(v, x, q, all, matches, s.candidates[:0])
 	if len(cs) == 0 {
 		x = r.rebuild(v, now)
-		cs = r.gather(v, x, q, all, holders, s.candidates[:0])
+		cs = r.gatherCandidates(v, x, q, all, matches, s.candidates[:0])
 	}
 	if len(cs) == 0 {
-		return r.none(q, all)
+		return r.noRunner(q, all)
 	}
-	r.predict(cs, q, now, all[0].Kind)
+	r.scoreCandidates(cs, q, now, all[0].Kind)
 	best := r.best(cs)
-	return r.choice(cs, best, q, all, now), nil
+	return r.newChoice(cs, best, q, all, now), nil
 }
 
 // best scores the candidates and returns the position of the lowest score. Ties
@@ -168,11 +168,11 @@
 	return x ^ (x >> 31)
 }
 
-func (r *Router) choice(cs []Candidate, best int, q *Query, all []*snapshot.Runner, now time.Time) Choice {
+func (r *Router) newChoice(cs []Candidate, best int, q *Query, all []*snapshot.Runner, now time.Time) Choice {
 	c := &cs[best]
 	out := Choice{
 		Runner: c.Runner, FirstToken: c.FirstToken, Finish: c.Finish,
-		CachedTokens: c.CachedTokens, Score: c.Score, Why: why(cs, c),
+		CachedTokens: c.CachedTokens, Score: c.Score, Why: whyChosen(cs, c),
 	}
 	if q.Explain {
 		out.Candidates = r.explain(cs, q, all, now)
@@ -180,7 +180,7 @@
 	return out
 }
 
-func why(cs []Candidate, c *Candidate) string {
+func whyChosen(cs []Candidate, c *Candidate) string {
 	switch {
 	case len(cs) == 1:
 		return "it is the only candidate"
--- a/coordination/route/router_test.go
+++ b/coordination/route/router_test.go
@@ -68,7 +68,7 @@
 	is.True(c.FirstToken > 0 && c.Finish > c.FirstToken)
 }
 
-func TestPickSaysWhyThereIsNoRunner(t *testing.T) {
+func TestPickReportsTheReasonForNoRunner(t *testing.T) {
 	is := is.New(t)
 	k := engines(2)
 	r := newRouter(t)
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestPickInALargeFleetSpreadsAndAvoidsTheLoaded(t *testing.T) {
+func TestPickInALargeServiceSpreadsAndAvoidsLoadedEngines(t *testing.T) {
 	is := is.New(t)
 	k := engines(200)
 	loaded := k.View().Runner("engine-0007")
@@ -159,7 +159,7 @@
 	is.Equal(picked["engine-0007"], 0)
 }
 
-func TestPickInALargeFleetFindsTheOnlyOne(t *testing.T) {
+func TestPickInALargeServiceFindsTheOnlyAvailableRunner(t *testing.T) {
 	is := is.New(t)
 	k := engines(100)
 	for i := range 99 {
@@ -170,7 +170,7 @@
 	is.Equal(c.Runner.Name, "engine-0099")
 }
 
-func TestPickGoesWhereThePromptIsCached(t *testing.T) {
+func TestPickPrefersTheEngineWithTheCachedPrompt(t *testing.T) {
 	for _, n := range []int{12, 200} {
 		is := is.New(t)
 		k := engines(n)
@@ -206,8 +206,8 @@
 	is.True(c.Why != "")
 }
 
-// roles gives the engines of a keeper their roles by new reports.
-func roles(k *snapshot.Keeper, roles ...state.Role) {
+// reportRoles gives the engines of a keeper their reportRoles by new reports.
+func reportRoles(k *snapshot.Keeper, roles ...state.Role) {
 	for i, role := range roles {
 		l := report(fmt.Sprintf("engine-%04d", i), 0)
 		l.TakenAt = epoch.Add(-50 * time.Millisecond)
@@ -219,7 +219,7 @@
 func TestPathIsSplitWhenTheMixedEngineIsBusy(t *testing.T) {
 	is := is.New(t)
 	k := engines(3)
-	roles(k, state.RoleMixed, state.RolePrefill, state.RoleDecode)
+	reportRoles(k, state.RoleMixed, state.RolePrefill, state.RoleDecode)
 	r := newRouter(t)
 	q := &Query{Service: "llm", Model: "m", PromptTokens: 4000, ExpectedOutput: 100}
 	k.View().Runner("engine-0001").Track.Add(snapshot.Work{Requests: 9, PrefillTokens: 90000})
@@ -239,14 +239,14 @@
 func TestPathWithoutDecodeEnginesHasNoRunner(t *testing.T) {
 	is := is.New(t)
 	k := engines(2)
-	roles(k, state.RolePrefill, state.RolePrefill)
+	reportRoles(k, state.RolePrefill, state.RolePrefill)
 	_, err := newRouter(t).PickPath(k.View(), &Query{Service: "llm", Model: "m", PromptTokens: 10})
 	none, ok := AsNoRunnerError(err)
 	is.True(ok)
 	is.Equal(none.Reason, ReasonNoRole)
 }
 
-func TestPriorityGoesByTheLatestStart(t *testing.T) {
+func TestPriorityOrdersByLatestStart(t *testing.T) {
 	is := is.New(t)
 	soon := Priority(false, epoch.Add(5*time.Second), 4*time.Second)
 	later := Priority(false, epoch.Add(5*time.Second), time.Second)
@@ -255,7 +255,7 @@
 	is.Equal(Priority(true, time.Time{}, 0), 0)
 }
 
-func TestPlainServiceGoesToTheLeastInFlightNearby(t *testing.T) {
+func TestPlainServicePrefersFewestInFlightThenSameDomain(t *testing.T) {
 	is := is.New(t)
 	k := snapshot.NewKeeper()
 	var list []state.Listed
@@ -278,10 +278,10 @@
 }
 
 // A runner that wants rest isn't chosen; when all do, the caller learns when the first is over.
-func TestRunnersAtRestAreNotChosen(t *testing.T) {
+func TestRunnersThatBackOffAreNotChosen(t *testing.T) {
 	is := is.New(t)
 	rest := map[string]time.Duration{"engine-0000": 3 * time.Second, "engine-0001": 2 * time.Second}
-	r, err := New(Options{Clock: fixedClock{}, Seed: 1, RestsUntil: func(n *snapshot.Runner) time.Time {
+	r, err := New(Options{Clock: fixedClock{}, Seed: 1, BackoffUntil: func(n *snapshot.Runner) time.Time {
 		if d := rest[n.Name]; d > 0 {
 			return epoch.Add(d)
 		}
@@ -299,6 +299,6 @@
 	_, err = r.Pick(k.View(), q)
 	var none *NoRunnerError
 	is.True(errors.As(err, &none))
-	is.Equal(none.Reason, ReasonResting)
+	is.Equal(none.Reason, ReasonBackingOff)
 	is.Equal(none.RetryAfter, 2*time.Second)
 }
--- a/coordination/route/speeds.go
+++ b/coordination/route/speeds.go
@@ -26,15 +26,15 @@
 // Speeds assumed of an engine that never reported; only their ratio to each
 // other matters until the first report.
 const (
-	defaultPrefillTokensPerSecond = 8000
-	defaultStepSeconds            = 0.02
-	defaultStepSecondsPerSequence = 0.0003
-	defaultChunkTokens            = 512
-	defaultTransferPerSecond      = 50000
-	defaultBatch                  = 32
+	defaultPrefillTokensPerSecond  = 8000
+	defaultStepSeconds             = 0.02
+	defaultStepSecondsPerSequence  = 0.0003
+	defaultChunkTokens             = 512
+	defaultTransferTokensPerSecond = 50000
+	defaultMaxBatch                = 32
 )
 
-func (s Speeds) orDefault() Speeds {
+func (s Speeds) withDefaults() Speeds {
 	if s.PrefillTokensPerSecond <= 0 {
 		s.PrefillTokensPerSecond = defaultPrefillTokensPerSecond
 	}
@@ -48,23 +48,23 @@
 		s.ChunkTokens = defaultChunkTokens
 	}
 	if s.MaxBatch <= 0 {
-		s.MaxBatch = defaultBatch
+		s.MaxBatch = defaultMaxBatch
 	}
 	if s.TransferTokensPerSecond <= 0 {
-		s.TransferTokensPerSecond = defaultTransferPerSecond
+		s.TransferTokensPerSecond = defaultTransferTokensPerSecond
 	}
 	return s
 }
 
-// step is the predicted time between tokens, in seconds, in a batch of n.
-func (s *Speeds) step(n float64) float64 {
+// batchStepSeconds is the predicted time between tokens, in seconds, in a batch of n.
+func (s *Speeds) batchStepSeconds(n float64) float64 {
 	return s.StepSeconds + s.StepSecondsPerSequence*max(0, n-1)
 }
 
 // stepFit fits the time between tokens as a line over the batch size, with old
 // samples fading.
 type stepFit struct {
-	n, b, s, bb, bs float64
+	sumWeights, sumBatch, sumSeconds, sumBatchSquared, sumBatchSeconds float64
 }
 
 const (
@@ -75,19 +75,19 @@
 )
 
 func (f *stepFit) add(batch, seconds float64) {
-	f.n = f.n*stepFitDecay + 1
-	f.b = f.b*stepFitDecay + batch
-	f.s = f.s*stepFitDecay + seconds
-	f.bb = f.bb*stepFitDecay + batch*batch
-	f.bs = f.bs*stepFitDecay + batch*seconds
+	f.sumWeights = f.sumWeights*stepFitDecay + 1
+	f.sumBatch = f.sumBatch*stepFitDecay + batch
+	f.sumSeconds = f.sumSeconds*stepFitDecay + seconds
+	f.sumBatchSquared = f.sumBatchSquared*stepFitDecay + batch*batch
+	f.sumBatchSeconds = f.sumBatchSeconds*stepFitDecay + batch*seconds
 }
 
 // line returns the time of a batch of one and the growth per further sequence.
 // The given slope is used while the batch sizes seen don't show one.
 func (f *stepFit) line(slope float64) (alone, perSequence float64) {
-	meanB, meanS := f.b/f.n, f.s/f.n
-	if variance := f.bb/f.n - meanB*meanB; variance >= minBatchVariance {
-		slope = max(0, (f.bs/f.n-meanB*meanS)/variance)
+	meanB, meanS := f.sumBatch/f.sumWeights, f.sumSeconds/f.sumWeights
+	if variance := f.sumBatchSquared/f.sumWeights - meanB*meanB; variance >= minBatchVariance {
+		slope = max(0, (f.sumBatchSeconds/f.sumWeights-meanB*meanS)/variance)
 	}
 	alone = meanS - slope*(meanB-1)
 	if alone <= 0 {
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -15,13 +15,13 @@
 	Version uint64
 	Config  *state.RoutingConfig
 
-	hosts     map[string]*prefixes
+	hosts     map[string]*hostRoutes
 	services  map[string]*state.ServiceSpec
 	customers *state.CustomerIndex
 }
 
-// prefixes are the routes of one host by prefix, and the lengths that occur.
-type prefixes struct {
+// hostRoutes are the routes of one host by prefix, and the lengths that occur.
+type hostRoutes struct {
 	byPrefix map[string]*state.Route
 	// lengths are sorted, longest first.
 	lengths []int
@@ -32,7 +32,7 @@
 // number of routes.
 func NewTable(c *state.RoutingConfig) *Table {
 	t := &Table{
-		Version: c.Version, Config: c, hosts: map[string]*prefixes{}, services: map[string]*state.ServiceSpec{},
+		Version: c.Version, Config: c, hosts: map[string]*hostRoutes{}, services: map[string]*state.ServiceSpec{},
 		customers: state.NewCustomerIndex(c.Customers),
 	}
 	for i := range c.Routes {
@@ -51,7 +51,7 @@
 	host := strings.ToLower(r.Host)
 	p := t.hosts[host]
 	if p == nil {
-		p = &prefixes{byPrefix: map[string]*state.Route{}}
+		p = &hostRoutes{byPrefix: map[string]*state.Route{}}
 		t.hosts[host] = p
 	}
 	p.byPrefix[r.Prefix] = r
@@ -109,9 +109,9 @@
 	}
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(requestID)) // a hash never fails
-	at := int(h.Sum64() % uint64(total))
+	offset := int(h.Sum64() % uint64(total))
 	for _, b := range r.Backends {
-		if at -= b.Weight; at < 0 {
+		if offset -= b.Weight; offset < 0 {
 			return b.Service
 		}
 	}
--- a/coordination/routing/table_test.go
+++ b/coordination/routing/table_test.go
@@ -17,7 +17,7 @@
 	return NewTable(c)
 }
 
-func TestLongestPrefixIsSelected(t *testing.T) {
+func TestRouteSelectsTheLongestPrefix(t *testing.T) {
 	tb := table("/a/", "/a/b/", "/a/b/c/", "/x/")
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/a/z", "/a/"},
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestBackendsShareARouteByWeight(t *testing.T) {
+func TestBackendSplitsARouteByWeight(t *testing.T) {
 	is := is.New(t)
 	r := &state.Route{Backends: []state.Backend{{Service: "a", Weight: 900}, {Service: "b", Weight: 100}, {Service: "c", Weight: 0}}}
 	got := map[string]int{}
