--- a/coordination/route/cache.go
+++ b/coordination/route/cache.go
@@ -2,22 +2,22 @@
 
 import "sync"
 
-// The shape of the cache index: buckets of a few entries, each guarded by the
-// lock of its shard.
+// Layout of the prefix index: shards with a lock each, which hold buckets of a few
+// entries.
 const (
 	bucketEntries = 4
 	shardCount    = 64
-	// Prompts are known by their first denseBlocks prefixes and from there on
-	// by every sparseBlocks-th only: a long prompt takes few entries, and at
-	// most sparseBlocks-1 blocks of a cached prefix aren't seen.
+	// The index keeps the first denseBlocks prefixes of a prompt and from there on
+	// every sparseInterval-th one. So a long prompt takes few entries, and the length
+	// of a cached prefix is underestimated by at most sparseInterval-1 blocks.
 	denseBlocks    = 8
 	sparseInterval = 8
-	// linearSteps is how many shorter prefixes are looked at one by one for more
-	// holders; from there on the steps double.
+	// linearSteps is the number of shorter prefixes that are searched one by one
+	// for more holders; after them the step doubles each time.
 	linearSteps = 4
 )
 
-// trackedCount is the number of prefixes, of n, that the index keeps.
+// trackedCount returns how many of n prefixes the index keeps.
 func trackedCount(n int) int {
 	if n <= denseBlocks {
 		return n
@@ -25,7 +25,8 @@
 	return denseBlocks + (n-denseBlocks)/sparseInterval
 }
 
-// trackedPosition is the place in the list of prefixes of the k-th tracked one.
+// trackedPosition returns the position of the k-th tracked prefix among all
+// prefixes of a prompt.
 func trackedPosition(k int) int {
 	if k < denseBlocks {
 		return k
@@ -33,49 +34,51 @@
 	return denseBlocks + (k-denseBlocks+1)*sparseInterval - 1
 }
 
-// isTracked reports whether the index keeps the i-th prefix of a prompt.
+// isTracked reports whether the index keeps the prefix at position i of a prompt.
 func isTracked(i int) bool {
 	return i < denseBlocks || (i-denseBlocks+1)%sparseInterval == 0
 }
 
-// prefixMatch says how many prompt tokens a runner is thought to have cached.
+// prefixMatch is the longest prefix of a prompt that a runner holds.
 type prefixMatch struct {
 	stats  *runnerStats
-	tokens int
+	tokens int // length of the prefix
 }
 
-// holder is a runner that held a prefix in one generation of its cache.
+// holder is a runner that holds a prefix, valid for one generation of its cache.
 type holder struct {
 	stats      *runnerStats
 	generation uint32
 }
 
+// valid reports whether the runner's cache is still of the same generation.
 func (h holder) valid() bool {
 	return h.stats != nil && h.stats.cacheGeneration.Load() == h.generation
 }
 
-// prefixEntry is what is known of one prefix.
+// prefixEntry lists the holders of one prefix, most recent first.
 type prefixEntry struct {
 	prefix   uint64
-	lastUsed uint64
+	lastUsed uint64 // clock of the shard at the last access; 0 for an empty entry
 	holders  [maxHolders]holder
 }
 
 type prefixBucket [bucketEntries]prefixEntry
 
-// prefixIndex is a bounded index from prompt prefixes to the engines that hold
-// them. It is set-associative: within a bucket the least recently used entry is
-// replaced. Its memory is allocated once.
+// prefixIndex is a bounded, set-associative index from prompt prefixes to the engines
+// that hold them in their KV cache. A new entry replaces the least recently used one
+// of its bucket. All memory is allocated at the start.
 type prefixIndex struct {
 	shards [shardCount]prefixShard
 }
 
 type prefixShard struct {
 	mu      sync.Mutex
-	clock   uint64
+	clock   uint64 // number of accesses so far
 	buckets []prefixBucket
 }
 
+// newPrefixIndex returns an index for about the given number of prefixes.
 func newPrefixIndex(entries int) *prefixIndex {
 	c := &prefixIndex{}
 	per := max(1, entries/(shardCount*bucketEntries))
@@ -85,8 +88,8 @@
 	return c
 }
 
-// locate returns the shard and bucket of a prefix. The hash is mixed first,
-// since engines may number prefixes in any way.
+// locate returns the shard and bucket of a prefix. The hash is mixed first, since
+// engines may number prefixes in any way.
 func (c *prefixIndex) locate(prefix uint64) (*prefixShard, *prefixBucket) {
 	h := prefix * 0x9e3779b97f4a7c15
 	h ^= h >> 32
@@ -94,11 +97,11 @@
 	return s, &s.buckets[(h/shardCount)%uint64(len(s.buckets))]
 }
 
-// findHolders appends the holders of the longest prefixes of q, each with the longest
-// prefix it holds. A holder of a prefix holds all shorter ones, so the longest
-// known one is found by bisection.
+// findHolders appends the holders of q's prefixes, longest prefix first, each with the
+// longest prefix it holds. The longest tracked one is found by bisection, since a
+// holder of a prefix also holds all shorter ones.
 func (c *prefixIndex) findHolders(q *Query, out []prefixMatch) []prefixMatch {
-	low, high := 0, trackedCount(len(q.Prefixes)) // the longest known one is number low
+	low, high := 0, trackedCount(len(q.Prefixes)) // low is the number of the longest prefix found so far, counted from 1
 	for low < high {
 		middle := (low + high + 1) / 2
 		i := trackedPosition(middle - 1)
@@ -120,14 +123,15 @@
 	return out
 }
 
-// addPrompt notes that the runner is going to hold the prompt's prefixes.
+// addPrompt records that the runner will hold the tracked prefixes of a prompt.
 func (c *prefixIndex) addPrompt(prefixes []uint64, st *runnerStats) {
 	for k := range trackedCount(len(prefixes)) {
 		c.addHolder(prefixes[trackedPosition(k)], st)
 	}
 }
 
-// appendHolders appends the holders of the i-th prefix of q.
+// appendHolders appends the holders of the prefix at position i of q that aren't in
+// out yet.
 func (c *prefixIndex) appendHolders(q *Query, i int, out []prefixMatch) []prefixMatch {
 	prefix := q.Prefixes[i]
 	s, b := c.locate(prefix)
@@ -148,16 +152,16 @@
 	return out
 }
 
-func contains(hs []prefixMatch, st *runnerStats) bool {
-	for _, h := range hs {
-		if h.stats == st {
+func contains(matches []prefixMatch, st *runnerStats) bool {
+	for _, m := range matches {
+		if m.stats == st {
 			return true
 		}
 	}
 	return false
 }
 
-// addHolder notes that the runner holds the prefix; the newest holder comes first.
+// addHolder records that the runner holds the prefix.
 func (c *prefixIndex) addHolder(prefix uint64, st *runnerStats) {
 	s, b := c.locate(prefix)
 	s.mu.Lock()
@@ -172,7 +176,7 @@
 	e.addHolder(holder{st, st.cacheGeneration.Load()})
 }
 
-// removeHolder notes that the runner no longer holds the prefix.
+// removeHolder records that the runner no longer holds the prefix.
 func (c *prefixIndex) removeHolder(prefix uint64, st *runnerStats) {
 	s, b := c.locate(prefix)
 	s.mu.Lock()
@@ -188,6 +192,7 @@
 	}
 }
 
+// entry returns the entry of a prefix, or nil.
 func (b *prefixBucket) entry(prefix uint64) *prefixEntry {
 	for i := range b {
 		if b[i].lastUsed > 0 && b[i].prefix == prefix {
@@ -207,6 +212,8 @@
 	return e
 }
 
+// addHolder puts the holder first. It replaces the runner's earlier holder, the first
+// invalid one, or else the oldest one.
 func (e *prefixEntry) addHolder(h holder) {
 	at := len(e.holders) - 1
 	for i := range e.holders {
--- a/coordination/route/cache_test.go
+++ b/coordination/route/cache_test.go
@@ -6,8 +6,8 @@
 	"github.com/matryer/is"
 )
 
-// prompt returns a query whose blocks are numbered from the given document, with
-// its last own blocks belonging to no other.
+// prompt returns a query of the given number of 64-token blocks. The hashes of its
+// last own blocks depend on serial, those of the others on document.
 func prompt(document uint64, blocks, own int, serial uint64) *Query {
 	q := &Query{Service: "llm", PromptTokens: blocks * 64, BlockTokens: 64}
 	for i := range blocks {
@@ -20,6 +20,7 @@
 	return q
 }
 
+// heldTokens returns the length of the longest prefix that each runner holds, in tokens.
 func heldTokens(c *prefixIndex, q *Query) map[string]int {
 	out := map[string]int{}
 	for _, h := range c.findHolders(q, nil) {
@@ -32,12 +33,12 @@
 	tests := []struct {
 		name        string
 		blocks, own int
-		want        int // blocks, at most a sparse step below the shared ones
+		want        int // shared blocks found; at most sparseInterval-1 less than there are
 	}{
 		{"short prompt", 8, 2, 6},
 		{"dense part", 20, 13, 7},
 		{"sparse part", 120, 40, 80},
-		{"between two kept prefixes", 120, 35, 80},
+		{"between two tracked prefixes", 120, 35, 80},
 		{"nothing shared", 10, 10, 0},
 	}
 	for _, tt := range tests {
@@ -61,7 +62,7 @@
 	is.Equal(heldTokens(c, q), map[string]int{"a": 512, "b": 256})
 	c.removeHolder(q.Prefixes[7], a)
 	is.Equal(heldTokens(c, q)["a"], 448)
-	a.cacheGeneration.Add(1) // a gap in its events, or another run
+	a.cacheGeneration.Add(1) // lost cache events or a restart
 	is.Equal(heldTokens(c, q), map[string]int{"b": 256})
 }
 
@@ -78,7 +79,7 @@
 		kept += len(c.findHolders(prompt(i, 1, 0, 0), nil))
 	}
 	is.True(kept > 256 && kept <= 512)
-	is.Equal(len(c.findHolders(prompt(prompts-1, 1, 0, 0), nil)), 1) // the newest stays
+	is.Equal(len(c.findHolders(prompt(prompts-1, 1, 0, 0), nil)), 1) // the newest entry is kept
 }
 
 func TestPromptsSharingAPrefixHaveTheSameAffinityEngineAtEveryHost(t *testing.T) {
--- a/coordination/route/estimate.go
+++ b/coordination/route/estimate.go
@@ -6,11 +6,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// reportHalfLife is the age at which a report counts as much as the counts of
-// this host and its peers.
+// reportHalfLife is the age at which a load report weighs as much as the in-flight
+// counts of this host and its peers.
 const reportHalfLife = 500 * time.Millisecond
 
-// scoreCandidates fills in the candidates' backlogs; the scorers do the rest.
+// scoreCandidates estimates the load of each candidate and runs the scorers.
 func (r *Router) scoreCandidates(cs []Candidate, q *Query, now time.Time, kind state.UpstreamKind) {
 	nano := now.UnixNano()
 	for i := range cs {
@@ -25,9 +25,9 @@
 	}
 }
 
-// estimateLoad works out the backlog from two lagging sources: the report, brought
-// forward to now, and what this host and its peers count in flight. The older
-// the report, the less it counts.
+// estimateLoad sets BacklogTokens and InFlight from two lagging sources: the last
+// load report, extrapolated to now (Unix time in ns), and the work that this host
+// and its peers count in flight. The weight of the report falls with its age.
 func (c *Candidate) estimateLoad(now int64) {
 	r := c.Runner
 	c.speeds = c.stats.speeds()
@@ -47,7 +47,7 @@
 	c.InFlight += weight * (float64(r.Load.DecodeRunning+requests) - c.InFlight)
 }
 
-// predictSeconds returns the time to the first token and to the last, in seconds.
+// predictSeconds returns the time from now to the first and to the last token.
 func (c *Candidate) predictSeconds(q *Query) (first, finish float64) {
 	step := c.speeds.batchStepSeconds(min(c.InFlight+1, c.speeds.MaxBatch))
 	if q.Part == PartDecode {
@@ -66,8 +66,8 @@
 	return first, finish
 }
 
-// prefillSeconds is how long the backlog and the prompt take. A mixed engine with
-// a batch goes on decoding between the chunks of a prompt.
+// prefillSeconds returns the time to compute the backlog and the prompt. A mixed
+// engine with running sequences runs a decode step after each chunk of a prompt.
 func (c *Candidate) prefillSeconds(q *Query) float64 {
 	todo := c.BacklogTokens + c.uncachedTokens(q)
 	t := todo / c.speeds.PrefillTokensPerSecond
@@ -77,15 +77,16 @@
 	return t
 }
 
+// uncachedTokens returns the number of prompt tokens that must be computed.
 func (c *Candidate) uncachedTokens(q *Query) float64 {
 	return max(1, float64(q.PromptTokens)-c.creditedTokens)
 }
 
-// decodes reports whether the engine may have a batch.
+// decodes reports whether the engine may have sequences to decode.
 func (c *Candidate) decodes() bool { return c.Runner.Target.Role != state.RolePrefill }
 
-// batchWaitSeconds is the time until a full batch has room, if answers like this one
-// leave it evenly.
+// batchWaitSeconds returns the time until a full batch has room, on the assumption
+// that its sequences have the length of this one and end evenly spread.
 func (c *Candidate) batchWaitSeconds(q *Query, step float64) float64 {
 	over := c.InFlight + 1 - c.speeds.MaxBatch
 	if over <= 0 {
@@ -94,8 +95,9 @@
 	return over / c.speeds.MaxBatch * float64(q.ExpectedOutput) * step
 }
 
-// decodeSeconds is the time from the first token to the last. What waits to be
-// prefilled is computed between the steps, a chunk in each.
+// decodeSeconds returns the time from the first token to the last. For PartDecode it
+// includes the prefill backlog that is computed between the steps, at most a chunk
+// in each.
 func (c *Candidate) decodeSeconds(q *Query, step float64) float64 {
 	n := float64(max(0, q.ExpectedOutput-1))
 	t := n * step * c.intervalBias
@@ -105,9 +107,9 @@
 	return t
 }
 
-// othersDelaySeconds is by how many seconds the request delays those in the batch,
-// added up: its prompt is computed between their steps, and a larger batch has
-// longer steps.
+// othersDelaySeconds returns the delay that the request causes to the running
+// sequences, summed over them: its prompt is computed between their steps, and each
+// further sequence makes the steps longer.
 func (c *Candidate) othersDelaySeconds(q *Query) float64 {
 	n := min(c.InFlight, c.speeds.MaxBatch)
 	var delay float64
--- a/coordination/route/feedback.go
+++ b/coordination/route/feedback.go
@@ -6,19 +6,22 @@
 	"github.com/thymerack/thymerack/coordination/snapshot"
 )
 
-// minIntervalTokens is the shortest answer whose time between tokens is learnt.
+// minIntervalTokens is the length of the shortest answer whose time between tokens
+// is sampled.
 const minIntervalTokens = 8
 
-// CacheEvent is an engine's own word that a prefix entered or left its cache.
+// CacheEvent is an engine's notice that a prefix was added to or evicted from its
+// KV cache.
 type CacheEvent struct {
 	Prefix uint64
-	// Blocks is the number of blocks that the prefix is long; zero when unknown.
+	// Blocks is the length of the prefix in blocks; zero if unknown.
 	Blocks  int
 	Evicted bool
 }
 
-// RecordSent notes that a request was given to the chosen runner: its prompt's
-// prefixes will be in that engine's cache. Call it once the request is counted in.
+// RecordSent records that a request was sent to the chosen runner, whose cache will
+// hold the prompt's prefixes. It must be called after the request has been added to
+// the runner's Track.
 func (r *Router) RecordSent(q *Query, c *Choice) {
 	st := r.currentStats(c.Runner.Name)
 	if st == nil {
@@ -32,16 +35,16 @@
 	r.prefixes.addPrompt(q.Prefixes, st)
 }
 
-// RecordFirstToken learns how far a prediction was off, so that an engine that is
-// slower than it says is found out.
+// RecordFirstToken records a predicted and the actual time to the first token, so
+// that an engine that is slower than it reports is detected.
 func (r *Router) RecordFirstToken(runner string, predicted, actual time.Duration) {
 	if st := r.currentStats(runner); st != nil {
 		st.recordFirstToken(predicted, actual)
 	}
 }
 
-// RecordDecode learns how long an engine took from the first token of an answer to
-// the last, in a view of about that time.
+// RecordDecode records how long an engine took from the first token of an answer to
+// the last. The view must be of about that time: it gives the engine's load.
 func (r *Router) RecordDecode(v *snapshot.View, runner string, tokens int, took time.Duration) {
 	st, n := r.currentStats(runner), v.Runner(runner)
 	if st == nil || n == nil || tokens < minIntervalTokens || took <= 0 {
@@ -51,15 +54,16 @@
 	st.recordInterval(r.clock.Now(), took.Seconds()/float64(tokens-1), float64(max(1, inFlight)))
 }
 
-// RecordLatency learns how long a call of a plain service took.
+// RecordLatency records how long a call of a plain service took.
 func (r *Router) RecordLatency(runner string, took time.Duration) {
 	if st := r.currentStats(runner); st != nil {
 		st.recordLatency(took)
 	}
 }
 
-// ApplyCacheEvents takes over an engine's cache events in their order. With gap set
-// some were lost: what was known of the engine's cache is void before them.
+// ApplyCacheEvents applies an engine's cache events in their order. With gap set,
+// events before these were lost, and all earlier index entries of the engine are
+// invalidated.
 func (r *Router) ApplyCacheEvents(engine string, gap bool, events []CacheEvent) {
 	st := r.currentStats(engine)
 	if st == nil {
@@ -71,6 +75,7 @@
 	for _, e := range events {
 		switch {
 		case e.Blocks > 0 && !isTracked(e.Blocks-1):
+			// The index doesn't keep this prefix.
 		case e.Evicted:
 			r.prefixes.removeHolder(e.Prefix, st)
 		default:
@@ -79,7 +84,7 @@
 	}
 }
 
-// currentStats returns what is learnt of a runner, or nil before its first view.
+// currentStats returns the statistics of a runner, or nil if no index contains it yet.
 func (r *Router) currentStats(runner string) *runnerStats {
 	x := r.index.current.Load()
 	if x == nil {
@@ -88,20 +93,20 @@
 	return x.stats[runner]
 }
 
-// LongestCachedPrefix returns how many tokens of the prompt are thought to be cached
-// somewhere, at most.
+// LongestCachedPrefix returns the largest number of prompt tokens that any one engine
+// is estimated to have cached.
 func (r *Router) LongestCachedPrefix(q *Query) int {
 	s := r.scratch.Get().(*scratch)
 	defer r.scratch.Put(s)
 	most := 0
-	for _, h := range r.prefixes.findHolders(q, s.matches[:0]) {
-		most = max(most, h.tokens)
+	for _, m := range r.prefixes.findHolders(q, s.matches[:0]) {
+		most = max(most, m.tokens)
 	}
 	return most
 }
 
-// SpeedsAt returns what an engine does in its present role: prompt tokens a
-// second, and the time between tokens in a batch.
+// SpeedsAt returns the speeds of an engine in its present role, as it reports them:
+// prompt tokens per second, and the time between tokens in a batch of that size.
 func (r *Router) SpeedsAt(runner string, batch int) (prefillPerSecond float64, step time.Duration) {
 	s := &r.defaultSpeeds
 	if st := r.currentStats(runner); st != nil {
@@ -110,8 +115,8 @@
 	return s.PrefillTokensPerSecond, seconds(s.batchStepSeconds(float64(batch)))
 }
 
-// TokenInterval returns the time between tokens that callers see in a batch,
-// with the prompts that are computed in between.
+// TokenInterval returns the time between tokens as callers see it in a batch of that
+// size, which includes the time for prompts that are computed between the steps.
 func (r *Router) TokenInterval(runner string, batch int) time.Duration {
 	st := r.currentStats(runner)
 	if st == nil {
--- a/coordination/route/gather.go
+++ b/coordination/route/gather.go
@@ -9,13 +9,13 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// maxDraws bounds how often a runner is drawn for one choice; a draw can hit a
-// runner that is excluded or taken already.
+// maxDraws bounds the random draws of one choice; a draw may hit a runner that is
+// excluded or already a candidate.
 const maxDraws = 32
 
-// gatherCandidates collects the candidates that pass every filter into cs: all runners of
-// a small service; holders of the prompt's prefix and sampled runners of a large
-// one.
+// gatherCandidates appends the candidates that pass every filter to cs: all runners
+// of a small service; the affinity engine, holders of the prompt's prefixes and
+// sampled runners of a large one.
 func (r *Router) gatherCandidates(v *snapshot.View, x *runnerIndex, q *Query, all []*snapshot.Runner, matches []prefixMatch, cs []Candidate) []Candidate {
 	preferred := x.affinityEngine(q)
 	if len(all) <= SmallServiceRunners {
@@ -38,8 +38,8 @@
 			cs = r.appendCandidate(x, q, n, cs)
 		}
 	}
-	for _, h := range matches {
-		if n := v.Runner(h.stats.name); n != nil && n.Service == q.Service {
+	for _, m := range matches {
+		if n := v.Runner(m.stats.name); n != nil && n.Service == q.Service {
 			cs = r.appendCandidate(x, q, n, cs)
 		}
 	}
@@ -48,7 +48,8 @@
 	return markAffinity(preferred, cs)
 }
 
-// sample draws up to sampled further runners from the group that serves q.
+// sample appends up to sampledRunners further runners, drawn at random from those
+// that serve the part and model of q, or whose model isn't known yet.
 func (r *Router) sample(v *snapshot.View, x *runnerIndex, q *Query, cs []Candidate) []Candidate {
 	model, _, _ := strings.Cut(q.Model, "@")
 	withModel := x.groups[groupKey{q.Service, q.Part, model}].members()
@@ -73,7 +74,7 @@
 	return cs
 }
 
-// appendCandidate appends the runner if it passes every filter and isn't there yet.
+// appendCandidate appends the runner if it passes every filter and isn't in cs yet.
 func (r *Router) appendCandidate(x *runnerIndex, q *Query, n *snapshot.Runner, cs []Candidate) []Candidate {
 	for i := range cs {
 		if cs[i].Runner == n {
@@ -86,8 +87,8 @@
 	return append(cs, Candidate{Runner: n, stats: r.statsOf(x, n, nil)})
 }
 
-// statsOf returns what is learnt of a runner; guess saves looking it up. A
-// runner newer than the index starts from the defaults.
+// statsOf returns the statistics of a runner. The hint, if it matches, saves the map
+// lookup. A runner newer than the index gets default statistics that aren't kept.
 func (r *Router) statsOf(x *runnerIndex, n *snapshot.Runner, hint *runnerStats) *runnerStats {
 	if hint != nil && hint.name == n.Name {
 		return hint
@@ -98,9 +99,9 @@
 	return newRunnerStats(n.Name, r.defaultSpeeds)
 }
 
-// rejectedBy returns the name of the first filter that removes the runner. The
-// filters are called one by one, not through a list of interfaces: this runs for
-// every candidate of every request.
+// rejectedBy returns the name of the first filter that removes the runner, empty if
+// it passes all. The filters are called one by one, not through a slice of
+// interfaces, since this runs for every candidate of every request.
 func (r *Router) rejectedBy(q *Query, n *snapshot.Runner) string {
 	switch {
 	case !takesWork{}.Keep(n, q):
@@ -120,19 +121,19 @@
 	}
 }
 
-// setCachedTokens notes the cached tokens of candidates that hold a prefix.
+// setCachedTokens sets CachedTokens of the candidates that hold a prefix.
 func setCachedTokens(cs []Candidate, matches []prefixMatch) {
-	for _, h := range matches {
+	for _, m := range matches {
 		for i := range cs {
-			if cs[i].stats == h.stats {
-				cs[i].CachedTokens = h.tokens
+			if cs[i].stats == m.stats {
+				cs[i].CachedTokens = m.tokens
 			}
 		}
 	}
 }
 
-// explain returns the candidates with their figures, and for a small service
-// the removed runners with the filter that removed them.
+// explain describes the candidates for operators and, for a small service, also the
+// removed runners with the filter that removed each.
 func (r *Router) explain(cs []Candidate, q *Query, all []*snapshot.Runner, now time.Time) []state.Candidate {
 	out := make([]state.Candidate, 0, len(cs))
 	for i := range cs {
@@ -155,7 +156,7 @@
 	return out
 }
 
-// reportAgeMillis is the age of the report in milliseconds, -1 when there is none.
+// reportAgeMillis returns the age of the runner's load report, -1 if there is none.
 func reportAgeMillis(r *snapshot.Runner, now time.Time) int64 {
 	if r.Load.TakenAt.IsZero() {
 		return -1
@@ -163,8 +164,8 @@
 	return now.Sub(r.Load.TakenAt).Milliseconds()
 }
 
-// shortestBackoff is the time until the first runner that wants nothing but rest takes work again; 0
-// if there is none.
+// shortestBackoff returns the time until the first backoff ends, among the runners
+// that no other filter removes; 0 if there are none.
 func (r *Router) shortestBackoff(q *Query, all []*snapshot.Runner) time.Duration {
 	wait := time.Duration(0)
 	for _, n := range all {
@@ -178,7 +179,8 @@
 	return wait
 }
 
-// noRunner returns the error that says which filter removed the last runner.
+// noRunner returns the NoRunnerError of a query for which no runner passes the
+// filters. Of several filters it names the one that is applied last.
 func (r *Router) noRunner(q *Query, all []*snapshot.Runner) (Choice, error) {
 	reasons := map[string]Reason{
 		takesWork{}.Name():    ReasonNoneTakesWork,
--- a/coordination/route/index.go
+++ b/coordination/route/index.go
@@ -11,11 +11,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// indexMaxAge is how long an index is used though newer views exist. A view
-// changes with every load report; the groups of runners change seldom.
+// indexMaxAge is how long an index is used although newer views exist. A view changes
+// with every load report, but the groups of runners change rarely.
 const indexMaxAge = 50 * time.Millisecond
 
-// groupKey names runners that serve the same part with the same model.
+// groupKey identifies a group of runners.
 type groupKey struct {
 	service string
 	part    Part
@@ -23,33 +23,36 @@
 }
 
 const (
-	// anyModel names all runners, whatever they have loaded.
+	// anyModel selects all runners, whatever model they have loaded.
 	anyModel = ""
-	// unknownModel names those whose model isn't known yet.
+	// unknownModel selects the engines whose model isn't known yet.
 	unknownModel = "@"
 )
 
-// runnerIndex lists the runners to sample from and what is learnt of them. It is a
-// hint: every candidate is filtered again against the present view.
+// runnerIndex holds the groups of runners to sample from and the runners' statistics.
+// It may be older than the view, so every candidate is filtered again against the
+// current view.
 type runnerIndex struct {
 	viewSeq uint64
 	builtAt time.Time
 	stats   map[string]*runnerStats
-	// statsByService is what is learnt of each service's runners, in the view's order.
+	// statsByService holds the statistics of each service's runners, in the order of
+	// View.RunnersOf.
 	statsByService map[string][]*runnerStats
 	groups         map[groupKey]*group
-	// hasSplitRoles holds the services with engines that serve one part only.
+	// hasSplitRoles holds the services with engines that serve only one part.
 	hasSplitRoles map[string]bool
 }
 
-// sharedIndex keeps the present index. Readers load it without waiting; a
-// rebuild is done by one of them while the others go on with the old one.
+// sharedIndex publishes the current index. Readers load it without locking; one of
+// them rebuilds it under mu while the others use the previous one.
 type sharedIndex struct {
 	current atomic.Pointer[runnerIndex]
 	mu      sync.Mutex
 }
 
-// indexFor returns an index that is at most indexMaxAge behind the view.
+// indexFor returns an index for the view. It may be older than the view if it is
+// younger than indexMaxAge or another goroutine is rebuilding it.
 func (r *Router) indexFor(v *snapshot.View, now time.Time) *runnerIndex {
 	x := r.index.current.Load()
 	if x == nil {
@@ -62,8 +65,8 @@
 	return r.replaceIndex(v, now)
 }
 
-// rebuild returns an index no older than the view; it waits for a rebuild that
-// is under way.
+// rebuild returns an index at least as recent as the view; it waits for a concurrent
+// rebuild.
 func (r *Router) rebuild(v *snapshot.View, now time.Time) *runnerIndex {
 	r.index.mu.Lock()
 	defer r.index.mu.Unlock()
@@ -73,7 +76,7 @@
 	return r.replaceIndex(v, now)
 }
 
-// replaceIndex builds the index of v; index.mu is held.
+// replaceIndex builds and publishes the index of v; index.mu must be held.
 func (r *Router) replaceIndex(v *snapshot.View, now time.Time) *runnerIndex {
 	var previousStats map[string]*runnerStats
 	if previous := r.index.current.Load(); previous != nil {
@@ -103,6 +106,8 @@
 	return x
 }
 
+// addRunner adds the runner to the groups of all parts, models and adapters that it
+// serves, if it takes new work.
 func (x *runnerIndex) addRunner(r *snapshot.Runner) {
 	if !r.TakesWork() {
 		return
@@ -128,12 +133,13 @@
 	}
 }
 
-// updateSlowdowns relates each runner's bias to the mean of the service's others: a
-// prediction that is off for all alike says nothing of any of them.
+// updateSlowdowns relates each runner's first-token bias to the mean of the other
+// runners of its service: an error that all predictions share says nothing about a
+// single runner.
 func (x *runnerIndex) updateSlowdowns() {
 	for _, list := range x.statsByService {
 		if len(list) < 2 {
-			continue // there is nothing to compare it with
+			continue // a single runner can't be compared
 		}
 		sum := 0.0
 		for _, st := range list {
@@ -156,8 +162,8 @@
 	g.names = append(g.names, name)
 }
 
-// buildRings orders each group's runners on its ring; the rings of groups that
-// stayed the same are taken over.
+// buildRings builds the ring of each group; the ring of a group with the same runners
+// as in the previous index is reused.
 func (x *runnerIndex) buildRings(previous *runnerIndex) {
 	for k, g := range x.groups {
 		if previous != nil {
--- a/coordination/route/learnt_test.go
+++ b/coordination/route/learnt_test.go
@@ -10,7 +10,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// manualClock is set by a test.
+// manualClock returns the time that the test sets.
 type manualClock struct {
 	state.Clock
 	now time.Time
@@ -48,7 +48,7 @@
 		st.updateMaxBatch(&s, 12, 20)
 	}
 	is.Equal(s.MaxBatch, 12.0)
-	st.updateMaxBatch(&s, 48, 48) // more was possible after all
+	st.updateMaxBatch(&s, 48, 48) // a larger batch was observed
 	is.Equal(s.MaxBatch, 48.0)
 }
 
@@ -91,13 +91,13 @@
 	r := *n
 	r.Peers = snapshot.Work{PrefillTokens: 600}
 	r.Load.PrefillBacklogTokens = 3000
-	is.Equal(estimate(r, 0), 3000.0)                                // a fresh report counts alone
-	is.Equal(estimate(r, reportHalfLife), (2500+600)/2.0)           // its backlog shrinks meanwhile
-	is.True(estimate(r, time.Hour) < 601)                           // an old one hardly counts
-	r.Load = state.LoadReport{}                                     // there is none
-	is.Equal(estimate(r, 0), 600.0)                                 // the counts do
+	is.Equal(estimate(r, 0), 3000.0)                                // only a fresh report counts
+	is.Equal(estimate(r, reportHalfLife), (2500+600)/2.0)           // 500 tokens were computed since; both have the same weight
+	is.True(estimate(r, time.Hour) < 601)                           // an old report has almost no weight
+	r.Load = state.LoadReport{}                                     // no report
+	is.Equal(estimate(r, 0), 600.0)                                 // only the counts
 	st.recordSent(epoch, 250)                                       // sent after the report
-	r.Load = state.LoadReport{TakenAt: epoch.Add(-time.Second / 2)} // an empty engine then
+	r.Load = state.LoadReport{TakenAt: epoch.Add(-time.Second / 2)} // a report of an empty engine
 	is.Equal(estimate(r, 0), 250.0)
 }
 
--- a/coordination/route/outputs.go
+++ b/coordination/route/outputs.go
@@ -5,28 +5,30 @@
 	"sync"
 )
 
-// Bounds of the output estimator.
+// Parameters of the output estimator.
 const (
-	// defaultMaxFlows bounds the pairs of customer and class that are kept apart.
+	// defaultMaxFlows bounds the flows (pairs of customer and class) with a mean of
+	// their own.
 	defaultMaxFlows = 8192
-	// maxClasses bounds the classes that are kept apart.
+	// maxClasses bounds the classes with a mean of their own.
 	maxClasses = 256
-	// minSampleWeight is the least weight of a new sample.
+	// minSampleWeight is the weight of a new sample from the 20th on; earlier ones
+	// weigh more.
 	minSampleWeight = 0.05
-	// priorSamples is how many samples the class's mean stands for when a
-	// customer is new.
+	// priorSamples is the number of samples that the class's mean counts for,
+	// against the flow's own samples.
 	priorSamples = 4
-	// longDeviations is how many mean distances above the mean a long output is:
-	// about 85% of a normal distribution, and of an even one, are below.
+	// longDeviations is how many mean deviations above the mean a long output is.
+	// About 85% of a normal distribution, and of a uniform one, are below.
 	longDeviations = 1.3
-	// initialOutputTokens is the expected output in tokens before any answer.
+	// initialOutputTokens is the expected output before the first sample.
 	initialOutputTokens = 128
 )
 
-// Estimator predicts the length of an answer from earlier ones of the same
-// customer and class; a new customer starts from its class. Its memory is bounded:
-// pairs beyond the bound share their class's figure. It is safe for concurrent
-// use.
+// Estimator predicts the output length of a request from earlier answers of the same
+// flow (customer and class). A new flow starts from the mean of its class, a new
+// class from the mean of all answers. Memory is bounded: flows beyond the bound use
+// the mean of their class. It is safe for concurrent use.
 type Estimator struct {
 	maxFlows int
 
@@ -38,12 +40,12 @@
 
 type flowKey struct{ customer, class string }
 
-// runningMean is a fading runningMean and spread: plain over the first samples, exponential
-// later.
+// runningMean is a mean with its mean deviation: arithmetic over the first samples,
+// exponentially weighted later.
 type runningMean struct {
 	count float64
 	mean  float64
-	// deviation is the mean distance of the samples from it.
+	// deviation is the mean absolute distance of the samples from the mean.
 	deviation float64
 }
 
@@ -54,8 +56,7 @@
 	m.deviation += weight * (math.Abs(x-m.mean) - m.deviation)
 }
 
-// NewEstimator returns an estimator that keeps at most maxFlows pairs of customer
-// and class apart; zero stands for 8192.
+// NewEstimator returns an estimator with at most maxFlows flows; zero selects 8192.
 func NewEstimator(maxFlows int) *Estimator {
 	if maxFlows <= 0 {
 		maxFlows = defaultMaxFlows
@@ -63,20 +64,21 @@
 	return &Estimator{maxFlows: maxFlows, flows: map[flowKey]*runningMean{}, classes: map[string]*runningMean{}}
 }
 
-// Expected returns the expected output in tokens, at least 1 and at most
-// maxTokens (when that is positive).
+// Expected returns the expected output in tokens, at least 1 and, if maxTokens is
+// positive, at most maxTokens.
 func (e *Estimator) Expected(customer, class string, maxTokens int) int {
 	value, _ := e.estimate(flowKey{customer, class})
 	return clampTokens(value, maxTokens)
 }
 
-// LongOutput returns an output in tokens that most answers don't exceed, bounded in
-// the same way.
+// LongOutput returns an output in tokens that most answers don't exceed, with the
+// same bounds as Expected.
 func (e *Estimator) LongOutput(customer, class string, maxTokens int) int {
-	value, spread := e.estimate(flowKey{customer, class})
-	return clampTokens(value+longDeviations*spread, maxTokens)
+	value, deviation := e.estimate(flowKey{customer, class})
+	return clampTokens(value+longDeviations*deviation, maxTokens)
 }
 
+// clampTokens rounds v and limits it to 1 and, if positive, maxTokens.
 func clampTokens(v float64, maxTokens int) int {
 	n := max(1, int(v+0.5))
 	if maxTokens > 0 {
@@ -85,24 +87,24 @@
 	return n
 }
 
-func (e *Estimator) estimate(k flowKey) (value, spread float64) {
+func (e *Estimator) estimate(k flowKey) (value, deviation float64) {
 	e.mu.RLock()
 	defer e.mu.RUnlock()
-	value, spread = initialOutputTokens, initialOutputTokens
+	value, deviation = initialOutputTokens, initialOutputTokens
 	if c := e.classes[k.class]; c != nil {
-		value, spread = c.mean, c.deviation
+		value, deviation = c.mean, c.deviation
 	} else if e.all.count > 0 {
-		value, spread = e.all.mean, e.all.deviation
+		value, deviation = e.all.mean, e.all.deviation
 	}
 	f := e.flows[k]
 	if f == nil {
-		return value, spread
+		return value, deviation
 	}
 	customerWeight := f.count / (f.count + priorSamples)
-	return value + customerWeight*(f.mean-value), spread + customerWeight*(f.deviation-spread)
+	return value + customerWeight*(f.mean-value), deviation + customerWeight*(f.deviation-deviation)
 }
 
-// Learn takes in the actual output of an answer that ended by itself, in tokens.
+// Learn adds the output, in tokens, of an answer that ended by itself.
 func (e *Estimator) Learn(customer, class string, tokens int) {
 	if tokens <= 0 {
 		return
--- a/coordination/route/path.go
+++ b/coordination/route/path.go
@@ -6,19 +6,19 @@
 	"github.com/thymerack/thymerack/coordination/snapshot"
 )
 
-// Path is the way of a model request: one engine for all of it, or one for its
-// prefill and another for its decode.
+// Path is the choice of engines for a model request: one for all of it, or one for
+// the prefill and another one for the decode.
 type Path struct {
-	// Split tells which of the two it is.
+	// Split reports whether prefill and decode run on different engines.
 	Split bool
-	// Prefill is the engine of the whole request, or of the prefill.
+	// Prefill is the choice for the whole request, or for the prefill of a split one.
 	Prefill Choice
-	// Decode is the engine of the decode; only for a split path.
+	// Decode is the choice for the decode; set only if Split is.
 	Decode Choice
 }
 
-// PickPath chooses the way with the earliest predicted finish; q.Part is
-// ignored. It returns a *NoRunnerError if there is neither.
+// PickPath returns the path with the lowest score, whole or split; q.Part is
+// ignored. It returns a *NoRunnerError if neither is possible.
 func (r *Router) PickPath(v *snapshot.View, q *Query) (Path, error) {
 	whole, err := r.pickPart(v, q, PartWhole)
 	if !r.splits(v, q.Service) {
@@ -35,7 +35,7 @@
 }
 
 func (r *Router) pickSplit(v *snapshot.View, q *Query) (Path, error) {
-	first, err := r.pickPart(v, q, PartPrefill)
+	prefill, err := r.pickPart(v, q, PartPrefill)
 	if err != nil {
 		return Path{}, err
 	}
@@ -43,7 +43,7 @@
 	if err != nil {
 		return Path{}, err
 	}
-	return Path{Split: true, Prefill: first, Decode: decode}, nil
+	return Path{Split: true, Prefill: prefill, Decode: decode}, nil
 }
 
 func (r *Router) pickPart(v *snapshot.View, q *Query, p Part) (Choice, error) {
@@ -55,12 +55,12 @@
 	return r.Pick(v, &part)
 }
 
-// splits reports whether the service has engines that serve one part only.
+// splits reports whether the service has engines that serve only one part.
 func (r *Router) splits(v *snapshot.View, service string) bool {
 	return r.indexFor(v, r.clock.Now()).hasSplitRoles[service]
 }
 
-// AsNoRunnerError reports whether err says that no runner could be chosen.
+// AsNoRunnerError returns the *NoRunnerError in err's chain, if there is one.
 func AsNoRunnerError(err error) (*NoRunnerError, bool) {
 	var none *NoRunnerError
 	ok := errors.As(err, &none)
--- a/coordination/route/plugins.go
+++ b/coordination/route/plugins.go
@@ -8,16 +8,17 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Candidate is one runner under consideration.
+// Candidate is a runner that is compared with others for one request.
 type Candidate struct {
 	Runner *snapshot.Runner
-	// CachedTokens are prompt tokens thought to be in the engine's cache.
+	// CachedTokens is the estimated number of prompt tokens in the engine's cache.
 	CachedTokens int
-	// BacklogTokens is the estimated prefill work waiting there.
+	// BacklogTokens is the estimated number of prompt tokens that wait for prefill.
 	BacklogTokens float64
-	// InFlight is the estimated number of requests there.
+	// InFlight is the estimated number of requests at the runner.
 	InFlight float64
-	// FirstToken and Finish are predicted durations from now.
+	// FirstToken and Finish are the predicted durations from now to the first and
+	// the last token.
 	FirstToken, Finish time.Duration
 	// Score is the sum of the scorers, in seconds; the lowest wins.
 	Score float64
@@ -25,30 +26,31 @@
 	stats        *runnerStats
 	speeds       *Speeds
 	intervalBias float64
-	// hasAffinity is true for the engine that prompts like this one are gathered at.
+	// hasAffinity is true for the affinity engine of the prompt.
 	hasAffinity bool
-	// creditedTokens are the tokens that needn't be computed, as far as can be told.
+	// creditedTokens is the part of the prompt that is assumed to need no prefill.
 	creditedTokens float64
 }
 
-// A filter removes runners that may not be used: Keep reports whether a runner
-// may be, and Name is told to operators.
+// Filters remove runners that must not be used for a query. Each has a method Keep,
+// which reports whether a runner may be used, and a Name, which operators see in
+// explanations.
 
-// Scorer adds seconds to the candidates' Score, all at once.
+// Scorer adds seconds to the Score of the candidates, all in one call.
 type Scorer interface {
 	Name() string
 	Score(q *Query, cs []Candidate)
 }
 
-// takesWork removes runners that leave, drain or fail their checks.
+// takesWork removes runners that leave, drain or fail their health checks.
 type takesWork struct{}
 
 func (takesWork) Name() string { return "takes-work" }
 
 func (takesWork) Keep(r *snapshot.Runner, _ *Query) bool { return r.TakesWork() }
 
-// servesPart removes engines whose role doesn't serve the part. An engine of
-// unknown role is taken for a mixed one.
+// servesPart removes engines whose role doesn't serve the part. An engine of unknown
+// role is treated as a mixed one.
 type servesPart struct{}
 
 func (servesPart) Name() string { return "serves-part" }
@@ -57,6 +59,7 @@
 	return roleServes(r.Target.Role, q.Part)
 }
 
+// roleServes reports whether engines of the role serve the part.
 func roleServes(role state.Role, p Part) bool {
 	switch role {
 	case state.RolePrefill:
@@ -68,8 +71,8 @@
 	}
 }
 
-// hasModel removes engines that are known to have neither the model nor an
-// adapter of that name loaded.
+// hasModel removes engines that are known to have neither the model nor an adapter
+// of that name loaded. A model without a version matches any version of it.
 type hasModel struct{}
 
 func (hasModel) Name() string { return "has-model" }
@@ -94,7 +97,7 @@
 	return !slices.Contains(q.Exclude, r.Name)
 }
 
-// breakerReady removes runners whose breaker is open.
+// breakerReady removes runners whose circuit breaker is open.
 type breakerReady struct{ breakers Breakers }
 
 func (breakerReady) Name() string { return "breaker" }
@@ -103,7 +106,7 @@
 	return f.breakers == nil || f.breakers.Ready(r.Name)
 }
 
-// notBackingOff removes runners that want rest.
+// notBackingOff removes runners that have asked to get no new requests for a while.
 type notBackingOff struct {
 	backoffUntil func(r *snapshot.Runner) time.Time
 }
@@ -114,15 +117,16 @@
 	return f.backoffUntil == nil || f.backoffUntil(r).IsZero()
 }
 
-// affinityCredit is the share of the gathered part of a prompt that its home is
-// expected to have, when nothing is known: another host may have sent the same
-// document there a moment ago. It also makes the first one go there.
+// affinityCredit is the share of the affinity prefix that the affinity engine is
+// assumed to have cached if no more is known: another host may just have sent the
+// same prefix there. The credit also directs the first prompt with a prefix to that
+// engine.
 const affinityCredit = 0.5
 
-// cachedPrefix credits engines with the part of the prompt that they have
-// cached. Engines whose backlog is above bound times the candidates' mean get no
-// credit, so that a popular prefix can't overload its holders. It must come
-// before predictedTime.
+// cachedPrefix credits engines with the cached part of the prompt. An engine whose
+// backlog exceeds loadBound times the candidates' mean by more than the prompt gets
+// no credit, so that a popular prefix can't overload its holders. It must precede
+// predictedTime, which uses the credit.
 type cachedPrefix struct{ loadBound float64 }
 
 func (cachedPrefix) Name() string { return "cached-prefix" }
@@ -145,7 +149,7 @@
 	}
 }
 
-// predictedTime predicts first token and finish and scores the latter.
+// predictedTime predicts the times to the first and last token and scores the latter.
 type predictedTime struct{}
 
 func (predictedTime) Name() string { return "predicted-time" }
@@ -160,8 +164,8 @@
 	}
 }
 
-// delayToOthers adds a share of the delay that the request means for those that
-// run beside it.
+// delayToOthers adds a share of the delay that the request causes to the sequences
+// running on the same engine.
 type delayToOthers struct{ weight float64 }
 
 func (delayToOthers) Name() string { return "delay-to-others" }
@@ -172,7 +176,7 @@
 	}
 }
 
-// nearDomain adds a penalty to runners of another failure domain.
+// nearDomain adds a penalty to runners in another failure domain than the query's.
 type nearDomain struct{ penalty time.Duration }
 
 func (nearDomain) Name() string { return "near-domain" }
@@ -185,8 +189,8 @@
 	}
 }
 
-// leastInFlight scores plain services by the time that the requests in flight
-// take, this one included.
+// leastInFlight scores the runners of a plain service by the time that the requests
+// in flight take, including this one.
 type leastInFlight struct{}
 
 func (leastInFlight) Name() string { return "least-in-flight" }
--- a/coordination/route/plugins_test.go
+++ b/coordination/route/plugins_test.go
@@ -10,7 +10,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// openBreakers names the upstreams whose breakers are open.
+// openBreakers contains the upstreams whose breakers are open.
 type openBreakers map[string]bool
 
 func (b openBreakers) Ready(upstream string) bool { return !b[upstream] }
@@ -37,9 +37,9 @@
 		keep   bool
 	}{
 		{"takes work", takesWork{}, engine(unchanged), Query{}, true},
-		{"leaves", takesWork{}, engine(func(r *snapshot.Runner) { r.Leaving = true }), Query{}, false},
+		{"leaving", takesWork{}, engine(func(r *snapshot.Runner) { r.Leaving = true }), Query{}, false},
 		{"unhealthy", takesWork{}, engine(func(r *snapshot.Runner) { r.Unhealthy = true }), Query{}, false},
-		{"drains", takesWork{}, engine(func(r *snapshot.Runner) { r.Order.State = state.OrderDraining }), Query{}, false},
+		{"draining", takesWork{}, engine(func(r *snapshot.Runner) { r.Order.State = state.OrderDraining }), Query{}, false},
 		{"mixed serves whole", servesPart{}, engine(unchanged), Query{Part: PartWhole}, true},
 		{"mixed serves decode", servesPart{}, engine(unchanged), Query{Part: PartDecode}, true},
 		{"prefill doesn't serve whole", servesPart{}, engine(role(state.RolePrefill)), Query{Part: PartWhole}, false},
@@ -47,14 +47,14 @@
 		{"decode doesn't serve prefill", servesPart{}, engine(role(state.RoleDecode)), Query{Part: PartPrefill}, false},
 		{"unknown role serves whole", servesPart{}, engine(role("")), Query{Part: PartWhole}, true},
 		{"no model asked for", hasModel{}, engine(unchanged), Query{}, true},
-		{"any version", hasModel{}, engine(unchanged), Query{Model: "m"}, true},
-		{"that version", hasModel{}, engine(unchanged), Query{Model: "m@2"}, true},
+		{"no version asked for", hasModel{}, engine(unchanged), Query{Model: "m"}, true},
+		{"loaded version", hasModel{}, engine(unchanged), Query{Model: "m@2"}, true},
 		{"another version", hasModel{}, engine(unchanged), Query{Model: "m@1"}, false},
-		{"longer name", hasModel{}, engine(func(r *snapshot.Runner) { r.Target.Model = "mx" }), Query{Model: "m"}, false},
+		{"loaded model with a longer name", hasModel{}, engine(func(r *snapshot.Runner) { r.Target.Model = "mx" }), Query{Model: "m"}, false},
 		{"adapter", hasModel{}, engine(unchanged), Query{Model: "verdict"}, true},
-		{"model not known yet", hasModel{}, engine(func(r *snapshot.Runner) { r.Target = state.Target{} }), Query{Model: "x"}, true},
+		{"loaded model unknown", hasModel{}, engine(func(r *snapshot.Runner) { r.Target = state.Target{} }), Query{Model: "x"}, true},
 		{"excluded", notExcluded{}, engine(unchanged), Query{Exclude: []string{"e0", "e1"}}, false},
-		{"others excluded", notExcluded{}, engine(unchanged), Query{Exclude: []string{"e0"}}, true},
+		{"another runner excluded", notExcluded{}, engine(unchanged), Query{Exclude: []string{"e0"}}, true},
 		{"open breaker", breakerReady{openBreakers{"e1": true}}, engine(unchanged), Query{}, false},
 		{"no breakers", breakerReady{}, engine(unchanged), Query{}, true},
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-// candidate is an engine of the given role with an estimated load.
+// candidate returns an engine of the given role with the given estimated load.
 func candidate(role state.Role, backlog, inFlight float64) Candidate {
 	speeds := Speeds{PrefillTokensPerSecond: 1000, StepSeconds: 0.01, StepSecondsPerSequence: 0.001, MaxBatch: 10, ChunkTokens: 100, TransferTokensPerSecond: 1e4}
 	return Candidate{
@@ -75,6 +75,7 @@
 	}
 }
 
+// scoreOf returns the score of a single candidate.
 func scoreOf(s Scorer, q Query, c Candidate) float64 {
 	cs := []Candidate{c}
 	s.Score(&q, cs)
@@ -94,12 +95,12 @@
 		q    Query
 		want float64
 	}{
-		{"an idle engine computes the prompt and the tokens", candidate(state.RoleMixed, 0, 0), Query{PromptTokens: 500, ExpectedOutput: 11}, 0.5 + 0.01 + 10*0.01},
-		{"the backlog comes first", candidate(state.RolePrefill, 1000, 0), Query{Part: PartPrefill, PromptTokens: 500}, 1.5 + 0.01},
+		{"an idle engine prefills and decodes", candidate(state.RoleMixed, 0, 0), Query{PromptTokens: 500, ExpectedOutput: 11}, 0.5 + 0.01 + 10*0.01},
+		{"the backlog precedes the prompt", candidate(state.RolePrefill, 1000, 0), Query{Part: PartPrefill, PromptTokens: 500}, 1.5 + 0.01},
 		{"a mixed engine decodes between the chunks", candidate(state.RoleMixed, 0, 1), Query{Part: PartPrefill, PromptTokens: 500}, 0.5 + 5*0.01 + 0.011},
-		{"decode starts with the transfer", candidate(state.RoleDecode, 0, 0), Query{Part: PartDecode, PromptTokens: 500, ExpectedOutput: 11}, 0.05 + 0.01 + 10*0.01},
-		{"prompts that wait are computed between the tokens", candidate(state.RoleMixed, 300, 0), Query{Part: PartDecode, PromptTokens: 500, ExpectedOutput: 11}, 0.05 + 0.01 + 10*0.01 + 0.3},
-		{"a full batch is waited for", candidate(state.RoleDecode, 0, 10), Query{Part: PartDecode, ExpectedOutput: 11}, 0.019 + 0.1*11*0.019 + 10*0.019},
+		{"decode starts after the KV cache transfer", candidate(state.RoleDecode, 0, 0), Query{Part: PartDecode, PromptTokens: 500, ExpectedOutput: 11}, 0.05 + 0.01 + 10*0.01},
+		{"waiting prompts are computed between decode steps", candidate(state.RoleMixed, 300, 0), Query{Part: PartDecode, PromptTokens: 500, ExpectedOutput: 11}, 0.05 + 0.01 + 10*0.01 + 0.3},
+		{"a request waits for room in a full batch", candidate(state.RoleDecode, 0, 10), Query{Part: PartDecode, ExpectedOutput: 11}, 0.019 + 0.1*11*0.019 + 10*0.019},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) { expectNear(t, scoreOf(predictedTime{}, tt.q, tt.c), tt.want) })
@@ -115,8 +116,8 @@
 	cs[2].CachedTokens = 90
 	cachedPrefix{1.5}.Score(&q, cs)
 	is.Equal(cs[0].creditedTokens, 80.0)
-	is.Equal(cs[1].creditedTokens, affinityCredit*48) // half of the prompt's blocks decide its home
-	is.Equal(cs[2].creditedTokens, 0.0)               // above 1.5 times the mean backlog and a prompt
+	is.Equal(cs[1].creditedTokens, affinityCredit*48) // the affinity prefix is 4 of the 8 blocks of 12 tokens
+	is.Equal(cs[2].creditedTokens, 0.0)               // its backlog exceeds 1.5 times the mean plus the prompt
 	is.Equal(cs[2].CachedTokens, 0)
 }
 
--- a/coordination/route/priority.go
+++ b/coordination/route/priority.go
@@ -2,19 +2,21 @@
 
 import "time"
 
-// Priorities given to engines.
+// Scale of the priorities passed to engines.
 const (
-	// priorityStep is the time that one step of priority stands for.
+	// priorityStep is the time by which two adjacent priorities differ.
 	priorityStep = 100 * time.Millisecond
-	// urgentSteps is by how much urgent requests go before others: more than any
-	// two deadlines differ.
+	// urgentSteps is added to the priority of urgent requests. It is larger than
+	// the difference of any two deadlines, so that they precede all others.
 	urgentSteps = int(20 * time.Minute / priorityStep)
 )
 
-// Priority is the priority to give an engine with a request: larger for one
-// that must be started sooner if its last token, decode after the first, is to
-// be there at its deadline. Since a deadline comes nearer for every request, none
-// is passed over for ever. Hosts' clocks needn't agree beyond a second or so.
+// Priority returns the priority to pass to an engine with a request; larger ones are
+// started first. It falls with the latest time at which the first token can be there
+// if the last one, decode later, is to meet the deadline. That time is fixed, so
+// requests that arrive later, with later deadlines, can't starve a waiting one. The
+// hosts' clocks need to agree only within about a second. Without a deadline the
+// priority is 0.
 func Priority(urgent bool, deadline time.Time, decode time.Duration) int {
 	if deadline.IsZero() {
 		return 0
--- a/coordination/route/query.go
+++ b/coordination/route/query.go
@@ -11,43 +11,44 @@
 // Part is the part of a request that a runner is chosen for.
 type Part uint8
 
-// The parts of a request.
+// Parts of a request.
 const (
 	// PartWhole is prefill and decode on one engine, or a call of a plain service.
 	PartWhole Part = iota
 	// PartPrefill computes the prompt's KV cache for another engine.
 	PartPrefill
-	// PartDecode produces the output from an imported KV cache.
+	// PartDecode generates the output from an imported KV cache.
 	PartDecode
 )
 
-// Query is what a choice is made for. It isn't changed by Pick.
+// Query describes the request that a runner is chosen for. Pick doesn't modify it.
 type Query struct {
 	Service string
-	// Model is the model or adapter asked for; empty for plain services.
+	// Model is the requested model or adapter; empty for plain services.
 	Model string
 	Part  Part
 	// PromptTokens is the length of the prompt.
 	PromptTokens int
-	// ExpectedOutput is the predicted length of the answer in tokens.
+	// ExpectedOutput is the predicted length of the output in tokens.
 	ExpectedOutput int
-	// Prefixes are hashes of growing prefixes of the prompt, shortest first, as
-	// the engines' cache events name them.
+	// Prefixes are the hashes of growing prefixes of the prompt, shortest first,
+	// with the hash values that the engines' cache events use.
 	Prefixes []uint64
-	// BlockTokens is by how many tokens each prefix is longer than the one
-	// before; zero when they divide the prompt evenly.
+	// BlockTokens is the number of tokens by which each prefix is longer than the
+	// previous one; zero if the prefixes divide the prompt evenly.
 	BlockTokens int
-	// FailureDomain is the failure domain that is near.
+	// FailureDomain is preferred when candidates are otherwise close; empty for
+	// no preference.
 	FailureDomain string
-	// Deadline is when the whole answer is due; zero when it isn't.
+	// Deadline is when the last token is due; zero for none.
 	Deadline time.Time
-	// Exclude names runners that must not be chosen (they were tried).
+	// Exclude names runners that must not be chosen, since they were tried already.
 	Exclude []string
-	// Explain asks for the candidates with their figures.
+	// Explain requests Choice.Candidates.
 	Explain bool
 }
 
-// prefixTokens is the number of prompt tokens that Prefixes[i] covers.
+// prefixTokens returns the number of prompt tokens that Prefixes[i] covers.
 func (q *Query) prefixTokens(i int) int {
 	n := (i + 1) * q.BlockTokens
 	if q.BlockTokens == 0 {
@@ -56,25 +57,26 @@
 	return min(n, q.PromptTokens)
 }
 
-// Choice is the outcome of a Pick.
+// Choice is the result of a Pick.
 type Choice struct {
 	Runner *snapshot.Runner
-	// FirstToken and Finish are predicted durations from now.
+	// FirstToken and Finish are the predicted durations from now to the first and
+	// the last token.
 	FirstToken, Finish time.Duration
-	// CachedTokens are prompt tokens thought to be in the engine's cache.
+	// CachedTokens is the estimated number of prompt tokens in the engine's cache.
 	CachedTokens int
-	// Score is what the choice was made by, in seconds; the lowest wins.
+	// Score is the sum of the scorers in seconds; the lowest of all candidates.
 	Score float64
-	// Candidates are the options with their figures, if asked for.
+	// Candidates describes all candidates, if Query.Explain is set.
 	Candidates []state.Candidate
-	// Why is a plain sentence.
+	// Why is a sentence for operators that gives the reason of the choice.
 	Why string
 }
 
 // Reason is why no runner could be chosen.
 type Reason string
 
-// The reasons.
+// Reasons of a NoRunnerError.
 const (
 	ReasonUnknownService Reason = "unknown service"
 	ReasonNoneTakesWork  Reason = "no runner takes new work"
@@ -85,7 +87,7 @@
 	ReasonAllTried       Reason = "every runner was tried"
 )
 
-// NoRunnerError says why no runner could be chosen and when to try again.
+// NoRunnerError reports why no runner could be chosen and when to retry.
 type NoRunnerError struct {
 	Service    string
 	Reason     Reason
--- a/coordination/route/ring.go
+++ b/coordination/route/ring.go
@@ -8,18 +8,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// group is a set of runners that serve the same part with the same model.
+// group is the set of runners that serve the same part with the same model.
 type group struct {
 	names []string
 	ring  []ringPoint
 }
 
-// ringPoint is a runner's place on a ring of hashes.
+// ringPoint is the position of a runner on a consistent-hashing ring.
 type ringPoint struct {
 	hash  uint64
 	stats *runnerStats
 }
 
+// members returns the names of the runners. A nil group is empty.
 func (g *group) members() []string {
 	if g == nil {
 		return nil
@@ -27,6 +28,7 @@
 	return g.names
 }
 
+// newRing returns the runners' points in the order of their hashes.
 func newRing(names []string, stats map[string]*runnerStats) []ringPoint {
 	ring := make([]ringPoint, len(names))
 	for i, n := range names {
@@ -41,7 +43,8 @@
 	return ring
 }
 
-// successor returns the runner that follows the hash on the ring, or nil.
+// successor returns the first runner at or after the hash on the ring; nil if the
+// group is empty.
 func (g *group) successor(hash uint64) *runnerStats {
 	if g == nil || len(g.ring) == 0 {
 		return nil
@@ -50,12 +53,14 @@
 	return g.ring[i%len(g.ring)].stats
 }
 
-// minAffinityBlocks is the shortest beginning that prompts are gathered by.
+// minAffinityBlocks is the length of the shortest prefix that determines an
+// affinity engine.
 const minAffinityBlocks = 4
 
-// affinityBlocks is how many blocks of the prompt decide where it is gathered: the
-// largest power of two that is at most half of it. So prompts with the same
-// document and a question of their own agree.
+// affinityBlocks returns the length in blocks of the prefix that determines the
+// prompt's affinity engine: the largest power of two that is at most half of the
+// prompt, so that prompts with the same document and different questions agree.
+// It is 0 for prompts shorter than twice minAffinityBlocks.
 func (q *Query) affinityBlocks() int {
 	n := minAffinityBlocks
 	if len(q.Prefixes) < 2*n {
@@ -67,7 +72,7 @@
 	return n
 }
 
-// affinityTokens is the length of the beginning that prompts are gathered by.
+// affinityTokens returns the length of that prefix in tokens.
 func (q *Query) affinityTokens() int {
 	if n := q.affinityBlocks(); n > 0 {
 		return q.prefixTokens(n - 1)
@@ -75,8 +80,9 @@
 	return 0
 }
 
-// affinityEngine returns the engine at which prompts with the same beginning are gathered,
-// the same at every host that knows the same runners; nil for short prompts.
+// affinityEngine returns the engine that prompts with the same prefix are sent to
+// by preference, chosen by consistent hashing: hosts that see the same runners
+// choose the same one. It is nil for short prompts and for decode.
 func (x *runnerIndex) affinityEngine(q *Query) *runnerStats {
 	n := q.affinityBlocks()
 	if n == 0 || q.Part == PartDecode {
@@ -87,7 +93,7 @@
 	return x.groups[groupKey{q.Service, q.Part, model}].successor(hash ^ hash>>32)
 }
 
-// markAffinity marks the candidate that is the prompt's home.
+// markAffinity marks the candidate that is the prompt's affinity engine, if any.
 func markAffinity(preferred *runnerStats, cs []Candidate) []Candidate {
 	if preferred == nil {
 		return cs
--- a/coordination/route/router.go
+++ b/coordination/route/router.go
@@ -12,48 +12,55 @@
 
 // Bounds of one choice.
 const (
-	// SmallServiceRunners is the largest service whose runners are all compared.
+	// SmallServiceRunners is the largest number of runners of a service that are
+	// all compared.
 	SmallServiceRunners = 16
-	// sampledRunners is how many runners of a large service are drawn.
+	// sampledRunners is how many runners of a larger service are sampled.
 	sampledRunners = 2
-	// maxHolders is how many holders of the prompt's prefix are compared.
+	// maxHolders is how many holders are kept per prefix, and how many holders of
+	// the prompt's prefixes are compared.
 	maxHolders = 8
-	// maxCandidates bounds the candidates of one choice.
+	// maxCandidates bounds the candidates of one choice: the runners of a small
+	// service, or the holders, the sampled runners and the affinity engine of
+	// a larger one.
 	maxCandidates = SmallServiceRunners + maxHolders + sampledRunners + 1
 )
 
-// Breakers tells which upstreams' circuit breakers let a request through.
+// Breakers holds the circuit breakers of the upstreams.
 type Breakers interface {
 	// Ready reports whether a request may be sent to the upstream now.
 	Ready(upstream string) bool
 }
 
-// Options configure a Router. Zero values stand for the defaults.
+// Options configures a Router. Zero values select the defaults.
 type Options struct {
 	// Clock is required.
 	Clock state.Clock
-	// Seed makes sampling repeatable.
+	// Seed makes the sampling of runners repeatable.
 	Seed uint64
-	// Breakers is optional.
+	// Breakers is optional; without it no runner is removed by a breaker.
 	Breakers Breakers
-	// BackoffUntil is the end of the rest that a runner asked for; zero if it wants none.
+	// BackoffUntil returns when the backoff ends that a runner has asked for,
+	// during which it must get no new requests; zero if it isn't backing off.
 	// Optional.
 	BackoffUntil func(r *snapshot.Runner) time.Time
-	// Scorers are added to the built-in ones, for example an operator's policy.
+	// Scorers run after the built-in ones, for example an operator's policies.
 	Scorers []Scorer
 	// PrefixIndexEntries bounds the index of prompt prefixes; default 32768.
 	PrefixIndexEntries int
-	// CrossDomainPenalty is added for a runner of another failure domain; default 3 ms.
+	// CrossDomainPenalty is added to the score of runners in another failure
+	// domain than the query's; default 3 ms.
 	CrossDomainPenalty time.Duration
-	// LoadBound limits how far above the candidates' mean backlog an engine may
-	// be and still be preferred for its cached prefix; default 1.5.
+	// LoadBound is the multiple of the candidates' mean backlog above which an
+	// engine is no longer preferred for its cached prefix; default 1.5.
 	LoadBound float64
-	// DelayWeight is how much a second of delay to another request counts next
-	// to one of this request; default 0.3.
+	// DelayWeight is the weight of a second by which other requests are delayed,
+	// relative to a second of this request; default 0.3.
 	DelayWeight float64
-	// DefaultSpeeds are the speeds assumed of an engine that never reported.
+	// DefaultSpeeds are assumed for an engine that hasn't reported any.
 	DefaultSpeeds Speeds
-	// RetryAfter is told when no runner can be chosen; default 2 s.
+	// RetryAfter is set in a NoRunnerError unless the end of a runner's backoff
+	// is known; default 2 s.
 	RetryAfter time.Duration
 }
 
@@ -66,14 +73,14 @@
 	backoffFilter  notBackingOff
 	retryAfter     time.Duration
 	defaultSpeeds  Speeds
-	draws          atomic.Uint64
+	draws          atomic.Uint64 // how many random numbers were drawn
 	seed           uint64
 	prefixes       *prefixIndex
 	index          sharedIndex
 	scratch        sync.Pool
 }
 
-// New returns a router, or an error that names the wrong option.
+// New returns a router, or an error that names the invalid option.
 func New(o Options) (*Router, error) {
 	if o.Clock == nil {
 		return nil, fmt.Errorf("route: Options.Clock is nil; pass a state.Clock")
@@ -111,14 +118,14 @@
 	o.DefaultSpeeds = o.DefaultSpeeds.withDefaults()
 }
 
-// scratch is the working memory of one Pick.
+// scratch is the pooled working memory of one Pick.
 type scratch struct {
 	candidates [maxCandidates]Candidate
 	matches    [maxHolders]prefixMatch
 }
 
-// Pick chooses a runner, or returns a *NoRunnerError. It allocates nothing
-// unless q.Explain is set.
+// Pick chooses a runner for q from the view. It returns a *NoRunnerError if no
+// runner passes the filters. It allocates nothing unless q.Explain is set.
 func (r *Router) Pick(v *snapshot.View, q *Query) (Choice, error) {
 	now := r.clock.Now()
 	all := v.RunnersOf(q.Service)
@@ -142,8 +149,8 @@
 	return r.newChoice(cs, best, q, all, now), nil
 }
 
-// best scores the candidates and returns the position of the lowest score. Ties
-// go to a random candidate.
+// best returns the position of the candidate with the lowest score. The scan starts
+// at a random position, so that ties are spread over the candidates.
 func (r *Router) best(cs []Candidate) int {
 	offset := int(r.draw() % uint64(len(cs)))
 	best := offset
@@ -160,7 +167,7 @@
 	return best
 }
 
-// draw returns the next number of the sampling sequence (splitmix64).
+// draw returns the next number of the pseudorandom sequence (splitmix64).
 func (r *Router) draw() uint64 {
 	x := r.seed + r.draws.Add(1)*0x9e3779b97f4a7c15
 	x = (x ^ (x >> 30)) * 0xbf58476d1ce4e5b9
@@ -180,6 +187,7 @@
 	return out
 }
 
+// whyChosen returns the reason of a choice for operators.
 func whyChosen(cs []Candidate, c *Candidate) string {
 	switch {
 	case len(cs) == 1:
--- a/coordination/route/router_test.go
+++ b/coordination/route/router_test.go
@@ -15,8 +15,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// engines returns a keeper with n engines of one service over three failure domains that
-// all reported 100 ms before the epoch.
+// engines returns the snapshot of a service with n engines in three failure domains.
+// Each engine reported its load 100 ms before epoch.
 func engines(n int) *snapshot.Keeper {
 	k := snapshot.NewKeeper()
 	var list []state.Listed
@@ -42,7 +42,7 @@
 	}
 }
 
-// fixedClock stands still.
+// fixedClock always returns epoch.
 type fixedClock struct{ state.Clock }
 
 func (fixedClock) Now() time.Time { return epoch }
@@ -118,8 +118,8 @@
 	b.ReportMetric(float64(processTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
-// processTime is the processor time used so far: on a shared machine the wall
-// clock counts what others do as well.
+// processTime returns the CPU time used by the process so far. Unlike the wall clock
+// it doesn't include the load of other processes on a shared machine.
 func processTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
@@ -175,7 +175,7 @@
 		is := is.New(t)
 		k := engines(n)
 		r := newRouter(t)
-		_, err := r.Pick(k.View(), prompt(1, 4, 0, 0)) // the first view is seen
+		_, err := r.Pick(k.View(), prompt(1, 4, 0, 0)) // builds the index
 		is.NoErr(err)
 		q := prompt(5, 100, 10, 1)
 		var events []CacheEvent
@@ -206,7 +206,7 @@
 	is.True(c.Why != "")
 }
 
-// reportRoles gives the engines of a keeper their reportRoles by new reports.
+// reportRoles gives the first engines the roles, by a later report of each.
 func reportRoles(k *snapshot.Keeper, roles ...state.Role) {
 	for i, role := range roles {
 		l := report(fmt.Sprintf("engine-%04d", i), 0)
@@ -270,14 +270,15 @@
 		return c.Runner.Name
 	}
 	k.View().Runner("s0").Track.Add(snapshot.Work{Requests: 1})
-	is.Equal(pick(), "s2") // as idle as s1, and near
+	is.Equal(pick(), "s2") // as idle as s1, and in the query's domain
 	k.View().Runner("s2").Track.Add(snapshot.Work{Requests: 3})
-	is.Equal(pick(), "s1") // idle, though not near
+	is.Equal(pick(), "s1") // idle, although in another domain
 	k.SetPeerWork(epoch, map[string]snapshot.Work{"s1": {Requests: 9}})
-	is.Equal(pick(), "s0") // the peers' calls count as well
+	is.Equal(pick(), "s0") // requests in flight from peers count too
 }
 
-// A runner that wants rest isn't chosen; when all do, the caller learns when the first is over.
+// A runner that backs off isn't chosen. If all runners do, RetryAfter is the time until
+// the first backoff ends.
 func TestRunnersThatBackOffAreNotChosen(t *testing.T) {
 	is := is.New(t)
 	rest := map[string]time.Duration{"engine-0000": 3 * time.Second, "engine-0001": 2 * time.Second}
--- a/coordination/route/speeds.go
+++ b/coordination/route/speeds.go
@@ -5,26 +5,26 @@
 	"sync/atomic"
 )
 
-// Speeds are what an engine does when left alone.
+// Speeds describes how fast an engine runs.
 type Speeds struct {
-	// PrefillTokensPerSecond is the speed at which prompts are computed.
+	// PrefillTokensPerSecond is the prefill speed without other load.
 	PrefillTokensPerSecond float64
-	// StepSeconds is the time between tokens of a sequence that runs alone.
+	// StepSeconds is the time between tokens of a sequence in a batch of one.
 	StepSeconds float64
-	// StepSecondsPerSequence is added to it for each further sequence.
+	// StepSecondsPerSequence is added to StepSeconds for each further sequence.
 	StepSecondsPerSequence float64
-	// ChunkTokens is how much of a prompt a mixed engine computes between two
-	// decode steps.
+	// ChunkTokens is the number of prompt tokens that a mixed engine computes
+	// between two decode steps (chunked prefill).
 	ChunkTokens float64
-	// MaxBatch is the most sequences that are decoded at a time.
+	// MaxBatch is the largest number of sequences decoded at a time.
 	MaxBatch float64
-	// TransferTokensPerSecond is the speed at which the KV cache of a prompt
-	// moves between engines.
+	// TransferTokensPerSecond is the speed at which the KV cache of a prompt is
+	// transferred between engines, in prompt tokens.
 	TransferTokensPerSecond float64
 }
 
-// Speeds assumed of an engine that never reported; only their ratio to each
-// other matters until the first report.
+// Speeds assumed for an engine that hasn't reported any. Until the first report only
+// their ratio to each other matters.
 const (
 	defaultPrefillTokensPerSecond  = 8000
 	defaultStepSeconds             = 0.02
@@ -34,6 +34,7 @@
 	defaultMaxBatch                = 32
 )
 
+// withDefaults returns the speeds with the default for each one that isn't set.
 func (s Speeds) withDefaults() Speeds {
 	if s.PrefillTokensPerSecond <= 0 {
 		s.PrefillTokensPerSecond = defaultPrefillTokensPerSecond
@@ -56,21 +57,22 @@
 	return s
 }
 
-// batchStepSeconds is the predicted time between tokens, in seconds, in a batch of n.
+// batchStepSeconds returns the predicted time between tokens in a batch of n.
 func (s *Speeds) batchStepSeconds(n float64) float64 {
 	return s.StepSeconds + s.StepSecondsPerSequence*max(0, n-1)
 }
 
-// stepFit fits the time between tokens as a line over the batch size, with old
-// samples fading.
+// stepFit is a linear regression of the time between tokens over the batch size. It
+// holds sums over the samples, whose weights decay exponentially.
 type stepFit struct {
 	sumWeights, sumBatch, sumSeconds, sumBatchSquared, sumBatchSeconds float64
 }
 
 const (
-	// stepFitDecay is the weight left of a sample after the next one.
+	// stepFitDecay is the factor on a sample's weight with each later sample.
 	stepFitDecay = 0.98
-	// minBatchVariance is the spread of batch sizes below which a slope is noise.
+	// minBatchVariance is the variance of the batch sizes below which a fitted
+	// slope would be noise.
 	minBatchVariance = 1
 )
 
@@ -82,8 +84,9 @@
 	f.sumBatchSeconds = f.sumBatchSeconds*stepFitDecay + batch*seconds
 }
 
-// line returns the time of a batch of one and the growth per further sequence.
-// The given slope is used while the batch sizes seen don't show one.
+// line returns the fitted time of a batch of one and the time added by each further
+// sequence, in seconds. The given slope is used while the batch sizes vary too
+// little to fit one.
 func (f *stepFit) line(slope float64) (alone, perSequence float64) {
 	meanB, meanS := f.sumBatch/f.sumWeights, f.sumSeconds/f.sumWeights
 	if variance := f.sumBatchSquared/f.sumWeights - meanB*meanB; variance >= minBatchVariance {
@@ -96,7 +99,7 @@
 	return alone, slope
 }
 
-// atomicFloat is a float64 that is read without a lock.
+// atomicFloat is a float64 with atomic access.
 type atomicFloat struct{ bits atomic.Uint64 }
 
 func (a *atomicFloat) Load() float64   { return math.Float64frombits(a.bits.Load()) }
--- a/coordination/routing/table.go
+++ b/coordination/routing/table.go
@@ -1,5 +1,5 @@
 // Package routing selects the route of a request by its host and the longest
-// path prefix.
+// matching path prefix.
 package routing
 
 import (
@@ -10,9 +10,10 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Table is one version of the routes, built once and read by all requests.
+// Table is an index over one version of the routing configuration. It is immutable
+// and safe for concurrent use.
 type Table struct {
-	Version uint64
+	Version uint64 // version of Config
 	Config  *state.RoutingConfig
 
 	hosts     map[string]*hostRoutes
@@ -20,16 +21,16 @@
 	customers *state.CustomerIndex
 }
 
-// hostRoutes are the routes of one host by prefix, and the lengths that occur.
+// hostRoutes holds the routes of one host.
 type hostRoutes struct {
 	byPrefix map[string]*state.Route
-	// lengths are sorted, longest first.
+	// lengths are the distinct lengths of the prefixes, longest first.
 	lengths []int
 }
 
-// NewTable builds the table of a configuration, which must not change any more.
-// A lookup costs a map access for each different length of prefix, whatever the
-// number of routes.
+// NewTable builds the table of a configuration, which must not be modified
+// afterwards. A lookup costs one map access for each distinct prefix length,
+// independent of the number of routes.
 func NewTable(c *state.RoutingConfig) *Table {
 	t := &Table{
 		Version: c.Version, Config: c, hosts: map[string]*hostRoutes{}, services: map[string]*state.ServiceSpec{},
@@ -60,8 +61,8 @@
 	}
 }
 
-// Route returns the route of a request, or nil. The host may carry a port; a
-// query behind the path is not looked at.
+// Route returns the route of a request, or nil if none matches. The host may include
+// a port; a query string in the path is ignored.
 func (t *Table) Route(host, path string) *state.Route {
 	p := t.hosts[canonicalHost(host)]
 	if p == nil {
@@ -81,6 +82,7 @@
 	return nil
 }
 
+// canonicalHost returns the host in lower case and without its port.
 func canonicalHost(host string) string {
 	if i := strings.LastIndexByte(host, ':'); i >= 0 {
 		host = host[:i]
@@ -88,17 +90,17 @@
 	return strings.ToLower(host)
 }
 
-// Service returns a service's description, or nil.
+// Service returns the specification of a service, or nil.
 func (t *Table) Service(name string) *state.ServiceSpec { return t.services[name] }
 
-// NeedsKey reports whether requests on the route must show the key of a customer.
+// NeedsKey reports whether requests on the route must present a customer's key.
 func (t *Table) NeedsKey(r *state.Route) bool { return t.Config.Keyed && !r.Public }
 
-// CustomerOfKey returns the customer whose key has that digest, or nil.
+// CustomerOfKey returns the customer that has a key with that digest, or nil.
 func (t *Table) CustomerOfKey(d state.KeyDigest) *state.Customer { return t.customers.ByDigest(d) }
 
-// Backend returns the service that a request of the route goes to. Requests of
-// one id always go to the same one.
+// Backend returns the service that receives a request of the route, chosen by the
+// weights of the backends. The same request ID always gets the same service.
 func Backend(r *state.Route, requestID string) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -108,7 +110,7 @@
 		return r.Backends[0].Service
 	}
 	h := fnv.New64a()
-	_, _ = h.Write([]byte(requestID)) // a hash never fails
+	_, _ = h.Write([]byte(requestID)) // it never returns an error
 	offset := int(h.Sum64() % uint64(total))
 	for _, b := range r.Backends {
 		if offset -= b.Weight; offset < 0 {
--- a/coordination/routing/table_test.go
+++ b/coordination/routing/table_test.go
@@ -9,6 +9,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
+// table returns the table of one host with a route for each prefix.
 func table(prefixes ...string) *Table {
 	c := &state.RoutingConfig{Version: 3}
 	for _, p := range prefixes {
