--- a/coordination/route/feedback.go
+++ b/coordination/route/feedback.go
@@ -46,11 +46,11 @@
 // RecordDecode records how long an engine took from the first token of an answer to
 // the last. The view must be of about that time: it gives the engine's load.
 func (r *Router) RecordDecode(v *snapshot.View, runner string, tokens int, took time.Duration) {
-	st, n := r.currentStats(runner), v.Runner(runner)
-	if st == nil || n == nil || tokens < minIntervalTokens || took <= 0 {
+	st, viewed := r.currentStats(runner), v.Runner(runner)
+	if st == nil || viewed == nil || tokens < minIntervalTokens || took <= 0 {
 		return
 	}
-	inFlight := n.Track.Load().Plus(n.Peers).Requests
+	inFlight := viewed.Track.Load().Plus(viewed.Peers).Requests
 	st.recordInterval(r.clock.Now(), took.Seconds()/float64(tokens-1), float64(max(1, inFlight)))
 }
 
--- a/coordination/route/gather.go
+++ b/coordination/route/gather.go
@@ -20,27 +20,27 @@
 	preferred := x.affinityEngine(q)
 	if len(all) <= SmallServiceRunners {
 		ordered := x.statsByService[q.Service]
-		for i, n := range all {
-			if r.rejectedBy(q, n) != "" {
+		for i, runner := range all {
+			if r.rejectedBy(q, runner) != "" {
 				continue
 			}
 			var st *runnerStats
 			if i < len(ordered) {
 				st = ordered[i]
 			}
-			cs = append(cs, Candidate{Runner: n, stats: r.statsOf(x, n, st)})
+			cs = append(cs, Candidate{Runner: runner, stats: r.statsOf(x, runner, st)})
 		}
 		setCachedTokens(cs, matches)
 		return markAffinity(preferred, cs)
 	}
 	if preferred != nil {
-		if n := v.Runner(preferred.name); n != nil {
-			cs = r.appendCandidate(x, q, n, cs)
+		if runner := v.Runner(preferred.name); runner != nil {
+			cs = r.appendCandidate(x, q, runner, cs)
 		}
 	}
 	for _, m := range matches {
-		if n := v.Runner(m.stats.name); n != nil && n.Service == q.Service {
-			cs = r.appendCandidate(x, q, n, cs)
+		if runner := v.Runner(m.stats.name); runner != nil && runner.Service == q.Service {
+			cs = r.appendCandidate(x, q, runner, cs)
 		}
 	}
 	cs = r.sample(v, x, q, cs)
@@ -67,54 +67,54 @@
 		} else {
 			name = modelUnknown[k-len(withModel)]
 		}
-		if n := v.Runner(name); n != nil {
-			cs = r.appendCandidate(x, q, n, cs)
+		if runner := v.Runner(name); runner != nil {
+			cs = r.appendCandidate(x, q, runner, cs)
 		}
 	}
 	return cs
 }
 
 // appendCandidate appends the runner if it passes every filter and isn't in cs yet.
-func (r *Router) appendCandidate(x *runnerIndex, q *Query, n *snapshot.Runner, cs []Candidate) []Candidate {
+func (r *Router) appendCandidate(x *runnerIndex, q *Query, runner *snapshot.Runner, cs []Candidate) []Candidate {
 	for i := range cs {
-		if cs[i].Runner == n {
+		if cs[i].Runner == runner {
 			return cs
 		}
 	}
-	if r.rejectedBy(q, n) != "" {
+	if r.rejectedBy(q, runner) != "" {
 		return cs
 	}
-	return append(cs, Candidate{Runner: n, stats: r.statsOf(x, n, nil)})
+	return append(cs, Candidate{Runner: runner, stats: r.statsOf(x, runner, nil)})
 }
 
 // statsOf returns the statistics of a runner. The hint, if it matches, saves the map
 // lookup. A runner newer than the index gets default statistics that aren't kept.
-func (r *Router) statsOf(x *runnerIndex, n *snapshot.Runner, hint *runnerStats) *runnerStats {
-	if hint != nil && hint.name == n.Name {
+func (r *Router) statsOf(x *runnerIndex, runner *snapshot.Runner, hint *runnerStats) *runnerStats {
+	if hint != nil && hint.name == runner.Name {
 		return hint
 	}
-	if st := x.stats[n.Name]; st != nil {
+	if st := x.stats[runner.Name]; st != nil {
 		return st
 	}
-	return newRunnerStats(n.Name, r.defaultSpeeds)
+	return newRunnerStats(runner.Name, r.defaultSpeeds)
 }
 
 // rejectedBy returns the name of the first filter that removes the runner, empty if
 // it passes all. The filters are called one by one, not through a slice of
 // interfaces, since this runs for every candidate of every request.
-func (r *Router) rejectedBy(q *Query, n *snapshot.Runner) string {
+func (r *Router) rejectedBy(q *Query, runner *snapshot.Runner) string {
 	switch {
-	case !takesWork{}.Keep(n, q):
+	case !takesWork{}.Keep(runner, q):
 		return takesWork{}.Name()
-	case !servesPart{}.Keep(n, q):
+	case !servesPart{}.Keep(runner, q):
 		return servesPart{}.Name()
-	case !hasModel{}.Keep(n, q):
+	case !hasModel{}.Keep(runner, q):
 		return hasModel{}.Name()
-	case !notExcluded{}.Keep(n, q):
+	case !notExcluded{}.Keep(runner, q):
 		return notExcluded{}.Name()
-	case !r.breakerFilter.Keep(n, q):
+	case !r.breakerFilter.Keep(runner, q):
 		return r.breakerFilter.Name()
-	case !r.backoffFilter.Keep(n, q):
+	case !r.backoffFilter.Keep(runner, q):
 		return r.backoffFilter.Name()
 	default:
 		return ""
@@ -148,9 +148,9 @@
 	if len(all) > SmallServiceRunners {
 		return out
 	}
-	for _, n := range all {
-		if name := r.rejectedBy(q, n); name != "" {
-			out = append(out, state.Candidate{Name: n.Name, KnowledgeAgeMillis: reportAgeMillis(n, now), Rejected: name})
+	for _, runner := range all {
+		if name := r.rejectedBy(q, runner); name != "" {
+			out = append(out, state.Candidate{Name: runner.Name, KnowledgeAgeMillis: reportAgeMillis(runner, now), Rejected: name})
 		}
 	}
 	return out
@@ -168,11 +168,11 @@
 // that no other filter removes; 0 if there are none.
 func (r *Router) shortestBackoff(q *Query, all []*snapshot.Runner) time.Duration {
 	wait := time.Duration(0)
-	for _, n := range all {
-		if r.rejectedBy(q, n) != r.backoffFilter.Name() {
+	for _, runner := range all {
+		if r.rejectedBy(q, runner) != r.backoffFilter.Name() {
 			continue
 		}
-		if left := r.backoffFilter.backoffUntil(n).Sub(r.clock.Now()); wait == 0 || left < wait {
+		if left := r.backoffFilter.backoffUntil(runner).Sub(r.clock.Now()); wait == 0 || left < wait {
 			wait = left
 		}
 	}
@@ -194,8 +194,8 @@
 	}
 	order := []string{breakerReady{}.Name(), notExcluded{}.Name(), hasModel{}.Name(), servesPart{}.Name()}
 	seen := make([]string, 0, len(order))
-	for _, n := range all[:min(len(all), maxDraws)] {
-		seen = append(seen, r.rejectedBy(q, n))
+	for _, runner := range all[:min(len(all), maxDraws)] {
+		seen = append(seen, r.rejectedBy(q, runner))
 	}
 	for _, name := range order {
 		if slices.Contains(seen, name) {
--- a/coordination/route/index.go
+++ b/coordination/route/index.go
@@ -90,15 +90,15 @@
 		hasSplitRoles:  map[string]bool{},
 	}
 	for i := range v.Runners {
-		n := &v.Runners[i]
-		st := previousStats[n.Name]
+		runner := &v.Runners[i]
+		st := previousStats[runner.Name]
 		if st == nil {
-			st = newRunnerStats(n.Name, r.defaultSpeeds)
+			st = newRunnerStats(runner.Name, r.defaultSpeeds)
 		}
-		st.observe(n)
-		x.stats[n.Name] = st
-		x.statsByService[n.Service] = append(x.statsByService[n.Service], st)
-		x.addRunner(n)
+		st.observe(runner)
+		x.stats[runner.Name] = st
+		x.statsByService[runner.Service] = append(x.statsByService[runner.Service], st)
+		x.addRunner(runner)
 	}
 	x.updateSlowdowns()
 	x.buildRings(r.index.current.Load())
--- a/coordination/route/learnt_test.go
+++ b/coordination/route/learnt_test.go
@@ -80,15 +80,15 @@
 func TestEstimateLoadWeighsAnAgingReportAgainstCounts(t *testing.T) {
 	is := is.New(t)
 	k := engines(1)
-	n := &k.View().Runners[0]
-	st := newRunnerStats(n.Name, Speeds{}.withDefaults())
+	runner := &k.View().Runners[0]
+	st := newRunnerStats(runner.Name, Speeds{}.withDefaults())
 	st.setSpeeds(func(s *Speeds) { s.PrefillTokensPerSecond = 1000 })
 	estimate := func(r snapshot.Runner, age time.Duration) float64 {
 		c := Candidate{Runner: &r, stats: st}
 		c.estimateLoad(r.Load.TakenAt.Add(age).UnixNano())
 		return c.BacklogTokens
 	}
-	r := *n
+	r := *runner
 	r.Peers = snapshot.Work{PrefillTokens: 600}
 	r.Load.PrefillBacklogTokens = 3000
 	is.Equal(estimate(r, 0), 3000.0)                                // only a fresh report counts
--- a/coordination/route/router_test.go
+++ b/coordination/route/router_test.go
@@ -33,6 +33,7 @@
 	return k
 }
 
+// report returns a load report of a mixed engine, taken 100 ms before epoch.
 func report(name string, backlog int64) state.LoadReport {
 	return state.LoadReport{
 		Engine: name, Incarnation: "one", TakenAt: epoch.Add(-100 * time.Millisecond),
@@ -47,6 +48,7 @@
 
 func (fixedClock) Now() time.Time { return epoch }
 
+// newRouter returns a router with a fixed clock and seed.
 func newRouter(t testing.TB) *Router {
 	t.Helper()
 	r, err := New(Options{Clock: fixedClock{}, Seed: 1})
@@ -281,9 +283,9 @@
 // the first backoff ends.
 func TestRunnersThatBackOffAreNotChosen(t *testing.T) {
 	is := is.New(t)
-	rest := map[string]time.Duration{"engine-0000": 3 * time.Second, "engine-0001": 2 * time.Second}
-	r, err := New(Options{Clock: fixedClock{}, Seed: 1, BackoffUntil: func(n *snapshot.Runner) time.Time {
-		if d := rest[n.Name]; d > 0 {
+	backoffs := map[string]time.Duration{"engine-0000": 3 * time.Second, "engine-0001": 2 * time.Second}
+	r, err := New(Options{Clock: fixedClock{}, Seed: 1, BackoffUntil: func(runner *snapshot.Runner) time.Time {
+		if d := backoffs[runner.Name]; d > 0 {
 			return epoch.Add(d)
 		}
 		return time.Time{}
@@ -296,7 +298,7 @@
 		is.NoErr(err)
 		is.Equal(c.Runner.Name, "engine-0002")
 	}
-	rest["engine-0002"] = time.Minute
+	backoffs["engine-0002"] = time.Minute
 	_, err = r.Pick(k.View(), q)
 	var none *NoRunnerError
 	is.True(errors.As(err, &none))
