--- a/coordination/route/gather.go
+++ b/coordination/route/gather.go
@@ -9,130 +9,131 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// maxDraws bounds how often a runner is drawn for one choice; a draw can hit a
-// runner that is excluded or taken already.
+// maxDraws bounds the random draws of one choice; a draw may hit a runner that is
+// excluded or already a candidate.
 const maxDraws = 32
 
-// gather collects the candidates that pass every filter into cs: all runners of
-// a small service; holders of the prompt's prefix and sampled runners of a large
-// one.
-func (r *Router) gather(v *snapshot.View, x *index, q *Query, all []*snapshot.Runner, holders []holding, cs []Candidate) []Candidate {
-	home := x.home(q)
-	if len(all) <= SmallFleet {
-		ordered := x.ordered[q.Service]
-		for i, n := range all {
-			if r.rejectedBy(q, n) != "" {
+// gatherCandidates appends the candidates that pass every filter to cs: all runners
+// of a small service; the affinity engine, holders of the prompt's prefixes and
+// sampled runners of a large one.
+func (r *Router) gatherCandidates(v *snapshot.View, x *runnerIndex, q *Query, all []*snapshot.Runner, matches []prefixMatch, cs []Candidate) []Candidate {
+	preferred := x.affinityEngine(q)
+	if len(all) <= SmallServiceRunners {
+		ordered := x.statsByService[q.Service]
+		for i, runner := range all {
+			if r.rejectedBy(q, runner) != "" {
 				continue
 			}
-			var l *learnt
+			var st *runnerStats
 			if i < len(ordered) {
-				l = ordered[i]
+				st = ordered[i]
 			}
-			cs = append(cs, Candidate{Runner: n, learnt: r.learntOf(x, n, l)})
+			cs = append(cs, Candidate{Runner: runner, stats: r.statsOf(x, runner, st)})
 		}
-		credit(cs, holders)
-		return markHome(home, cs)
+		setCachedTokens(cs, matches)
+		return markAffinity(preferred, cs)
 	}
-	if home != nil {
-		if n := v.Runner(home.name); n != nil {
-			cs = r.consider(x, q, n, cs)
+	if preferred != nil {
+		if runner := v.Runner(preferred.name); runner != nil {
+			cs = r.appendCandidate(x, q, runner, cs)
 		}
 	}
-	for _, h := range holders {
-		if n := v.Runner(h.learnt.name); n != nil && n.Service == q.Service {
-			cs = r.consider(x, q, n, cs)
+	for _, m := range matches {
+		if runner := v.Runner(m.stats.name); runner != nil && runner.Service == q.Service {
+			cs = r.appendCandidate(x, q, runner, cs)
 		}
 	}
 	cs = r.sample(v, x, q, cs)
-	credit(cs, holders)
-	return markHome(home, cs)
+	setCachedTokens(cs, matches)
+	return markAffinity(preferred, cs)
 }
 
-// sample draws up to sampled further runners from the group that serves q.
-func (r *Router) sample(v *snapshot.View, x *index, q *Query, cs []Candidate) []Candidate {
+// sample appends up to sampledRunners further runners, drawn at random from those
+// that serve the part and model of q, or whose model isn't known yet.
+func (r *Router) sample(v *snapshot.View, x *runnerIndex, q *Query, cs []Candidate) []Candidate {
 	model, _, _ := strings.Cut(q.Model, "@")
-	named := x.groups[groupKey{q.Service, q.Part, model}].members()
-	var unknown []string
+	withModel := x.groups[groupKey{q.Service, q.Part, model}].members()
+	var modelUnknown []string
 	if model != "" {
-		unknown = x.groups[groupKey{q.Service, q.Part, unknownModel}].members()
+		modelUnknown = x.groups[groupKey{q.Service, q.Part, unknownModel}].members()
 	}
-	total := uint64(len(named) + len(unknown))
-	want := len(cs) + sampled
+	total := uint64(len(withModel) + len(modelUnknown))
+	want := len(cs) + sampledRunners
 	for i := 0; total > 0 && i < maxDraws && len(cs) < want; i++ {
 		k := int(r.draw() % total)
 		var name string
-		if k < len(named) {
-			name = named[k]
+		if k < len(withModel) {
+			name = withModel[k]
 		} else {
-			name = unknown[k-len(named)]
+			name = modelUnknown[k-len(withModel)]
 		}
-		if n := v.Runner(name); n != nil {
-			cs = r.consider(x, q, n, cs)
+		if runner := v.Runner(name); runner != nil {
+			cs = r.appendCandidate(x, q, runner, cs)
 		}
 	}
 	return cs
 }
 
-// consider appends the runner if it passes every filter and isn't there yet.
-func (r *Router) consider(x *index, q *Query, n *snapshot.Runner, cs []Candidate) []Candidate {
+// appendCandidate appends the runner if it passes every filter and isn't in cs yet.
+func (r *Router) appendCandidate(x *runnerIndex, q *Query, runner *snapshot.Runner, cs []Candidate) []Candidate {
 	for i := range cs {
-		if cs[i].Runner == n {
+		if cs[i].Runner == runner {
 			return cs
 		}
 	}
-	if r.rejectedBy(q, n) != "" {
+	if r.rejectedBy(q, runner) != "" {
 		return cs
 	}
-	return append(cs, Candidate{Runner: n, learnt: r.learntOf(x, n, nil)})
+	return append(cs, Candidate{Runner: runner, stats: r.statsOf(x, runner, nil)})
 }
 
-// learntOf returns what is learnt of a runner; guess saves looking it up. A
-// runner newer than the index starts from the defaults.
-func (r *Router) learntOf(x *index, n *snapshot.Runner, guess *learnt) *learnt {
-	if guess != nil && guess.name == n.Name {
-		return guess
+// statsOf returns the statistics of a runner. The hint, if it matches, saves the map
+// lookup. A runner newer than the index gets default statistics that aren't kept.
+func (r *Router) statsOf(x *runnerIndex, runner *snapshot.Runner, hint *runnerStats) *runnerStats {
+	if hint != nil && hint.name == runner.Name {
+		return hint
 	}
-	if l := x.learnt[n.Name]; l != nil {
-		return l
+	if st := x.stats[runner.Name]; st != nil {
+		return st
 	}
-	return newLearnt(n.Name, r.defaults)
+	return newRunnerStats(runner.Name, r.defaultSpeeds)
 }
 
-// rejectedBy returns the name of the first filter that removes the runner. The
-// filters are called one by one, not through a list of interfaces: this runs for
-// every candidate of every request.
-func (r *Router) rejectedBy(q *Query, n *snapshot.Runner) string {
+// rejectedBy returns the name of the first filter that removes the runner, empty if
+// it passes all. The filters are called one by one, not through a slice of
+// interfaces, since this runs for every candidate of every request.
+func (r *Router) rejectedBy(q *Query, runner *snapshot.Runner) string {
 	switch {
-	case !takesWork{}.Keep(n, q):
+	case !takesWork{}.Keep(runner, q):
 		return takesWork{}.Name()
-	case !servesPart{}.Keep(n, q):
+	case !servesPart{}.Keep(runner, q):
 		return servesPart{}.Name()
-	case !hasModel{}.Keep(n, q):
+	case !hasModel{}.Keep(runner, q):
 		return hasModel{}.Name()
-	case !notExcluded{}.Keep(n, q):
+	case !notExcluded{}.Keep(runner, q):
 		return notExcluded{}.Name()
-	case !r.breaker.Keep(n, q):
-		return r.breaker.Name()
-	case !r.awake.Keep(n, q):
-		return r.awake.Name()
+	case !r.breakerFilter.Keep(runner, q):
+		return r.breakerFilter.Name()
+	case !r.backoffFilter.Keep(runner, q):
+		return r.backoffFilter.Name()
 	default:
 		return ""
 	}
 }
 
-// credit notes the cached tokens of candidates that hold a prefix.
-func credit(cs []Candidate, holders []holding) {
-	for _, h := range holders {
+// setCachedTokens sets CachedTokens of the candidates that hold a prefix.
+func setCachedTokens(cs []Candidate, matches []prefixMatch) {
+	for _, m := range matches {
 		for i := range cs {
-			if cs[i].learnt == h.learnt {
-				cs[i].CachedTokens = h.tokens
+			if cs[i].stats == m.stats {
+				cs[i].CachedTokens = m.tokens
 			}
 		}
 	}
 }
 
-// explain returns the candidates with their figures, and for a small service
-// the removed runners with the filter that removed them.
+// explain describes the candidates for operators and, for a small service, also the
+// removed runners with the filter that removed each.
 func (r *Router) explain(cs []Candidate, q *Query, all []*snapshot.Runner, now time.Time) []state.Candidate {
 	out := make([]state.Candidate, 0, len(cs))
 	for i := range cs {
@@ -141,45 +142,46 @@
 			Name:                      c.Runner.Name,
 			PredictedFirstTokenMillis: c.FirstToken.Seconds() * 1000,
 			CachedTokens:              c.CachedTokens,
-			KnowledgeAgeMillis:        knowledgeAge(c.Runner, now),
+			KnowledgeAgeMillis:        reportAgeMillis(c.Runner, now),
 		})
 	}
-	if len(all) > SmallFleet {
+	if len(all) > SmallServiceRunners {
 		return out
 	}
-	for _, n := range all {
-		if name := r.rejectedBy(q, n); name != "" {
-			out = append(out, state.Candidate{Name: n.Name, KnowledgeAgeMillis: knowledgeAge(n, now), Rejected: name})
+	for _, runner := range all {
+		if name := r.rejectedBy(q, runner); name != "" {
+			out = append(out, state.Candidate{Name: runner.Name, KnowledgeAgeMillis: reportAgeMillis(runner, now), Rejected: name})
 		}
 	}
 	return out
 }
 
-// knowledgeAge is the age of the report in milliseconds, -1 when there is none.
-func knowledgeAge(r *snapshot.Runner, now time.Time) int64 {
+// reportAgeMillis returns the age of the runner's load report, -1 if there is none.
+func reportAgeMillis(r *snapshot.Runner, now time.Time) int64 {
 	if r.Load.TakenAt.IsZero() {
 		return -1
 	}
 	return now.Sub(r.Load.TakenAt).Milliseconds()
 }
 
-// firstAwake is the time until the first runner that wants nothing but rest takes work again; 0
-// if there is none.
-func (r *Router) firstAwake(q *Query, all []*snapshot.Runner) time.Duration {
+// shortestBackoff returns the time until the first backoff ends, among the runners
+// that no other filter removes; 0 if there are none.
+func (r *Router) shortestBackoff(q *Query, all []*snapshot.Runner) time.Duration {
 	wait := time.Duration(0)
-	for _, n := range all {
-		if r.rejectedBy(q, n) != r.awake.Name() {
+	for _, runner := range all {
+		if r.rejectedBy(q, runner) != r.backoffFilter.Name() {
 			continue
 		}
-		if left := r.awake.until(n).Sub(r.clock.Now()); wait == 0 || left < wait {
+		if left := r.backoffFilter.backoffUntil(runner).Sub(r.clock.Now()); wait == 0 || left < wait {
 			wait = left
 		}
 	}
 	return wait
 }
 
-// none returns the error that says which filter removed the last runner.
-func (r *Router) none(q *Query, all []*snapshot.Runner) (Choice, error) {
+// noRunner returns the NoRunnerError of a query for which no runner passes the
+// filters. Of several filters it names the one that is applied last.
+func (r *Router) noRunner(q *Query, all []*snapshot.Runner) (Choice, error) {
 	reasons := map[string]Reason{
 		takesWork{}.Name():    ReasonNoneTakesWork,
 		servesPart{}.Name():   ReasonNoRole,
@@ -187,18 +189,18 @@
 		notExcluded{}.Name():  ReasonAllTried,
 		breakerReady{}.Name(): ReasonBreakersOpen,
 	}
-	if wait := r.firstAwake(q, all); wait > 0 {
-		return Choice{}, &NoRunnerError{q.Service, ReasonResting, wait}
+	if wait := r.shortestBackoff(q, all); wait > 0 {
+		return Choice{}, &NoRunnerError{q.Service, ReasonBackingOff, wait}
 	}
 	order := []string{breakerReady{}.Name(), notExcluded{}.Name(), hasModel{}.Name(), servesPart{}.Name()}
 	seen := make([]string, 0, len(order))
-	for _, n := range all[:min(len(all), maxDraws)] {
-		seen = append(seen, r.rejectedBy(q, n))
+	for _, runner := range all[:min(len(all), maxDraws)] {
+		seen = append(seen, r.rejectedBy(q, runner))
 	}
 	for _, name := range order {
 		if slices.Contains(seen, name) {
-			return Choice{}, &NoRunnerError{q.Service, reasons[name], r.retry}
+			return Choice{}, &NoRunnerError{q.Service, reasons[name], r.retryAfter}
 		}
 	}
-	return Choice{}, &NoRunnerError{q.Service, ReasonNoneTakesWork, r.retry}
+	return Choice{}, &NoRunnerError{q.Service, ReasonNoneTakesWork, r.retryAfter}
 }
--- a/coordination/route/index.go
+++ b/coordination/route/index.go
@@ -11,11 +11,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// indexMaxAge is how long an index is used though newer views exist. A view
-// changes with every load report; the groups of runners change seldom.
+// indexMaxAge is how long an index is used although newer views exist. A view changes
+// with every load report, but the groups of runners change rarely.
 const indexMaxAge = 50 * time.Millisecond
 
-// groupKey names runners that serve the same part with the same model.
+// groupKey identifies a group of runners.
 type groupKey struct {
 	service string
 	part    Part
@@ -23,92 +23,97 @@
 }
 
 const (
-	// anyModel names all runners, whatever they have loaded.
+	// anyModel selects all runners, whatever model they have loaded.
 	anyModel = ""
-	// unknownModel names those whose model isn't known yet.
+	// unknownModel selects the engines whose model isn't known yet.
 	unknownModel = "@"
 )
 
-// index lists the runners to sample from and what is learnt of them. It is a
-// hint: every candidate is filtered again against the present view.
-type index struct {
-	seq    uint64
-	at     time.Time
-	learnt map[string]*learnt
-	// ordered is what is learnt of each service's runners, in the view's order.
-	ordered map[string][]*learnt
-	groups  map[groupKey]*group
-	// split holds the services with engines that serve one part only.
-	split map[string]bool
+// runnerIndex holds the groups of runners to sample from and the runners' statistics.
+// It may be older than the view, so every candidate is filtered again against the
+// current view.
+type runnerIndex struct {
+	viewSeq uint64
+	builtAt time.Time
+	stats   map[string]*runnerStats
+	// statsByService holds the statistics of each service's runners, in the order of
+	// View.RunnersOf.
+	statsByService map[string][]*runnerStats
+	groups         map[groupKey]*group
+	// hasSplitRoles holds the services with engines that serve only one part.
+	hasSplitRoles map[string]bool
 }
 
-// indexHolder keeps the present index. Readers load it without waiting; a
-// rebuild is done by one of them while the others go on with the old one.
-type indexHolder struct {
-	current atomic.Pointer[index]
+// sharedIndex publishes the current index. Readers load it without locking; one of
+// them rebuilds it under mu while the others use the previous one.
+type sharedIndex struct {
+	current atomic.Pointer[runnerIndex]
 	mu      sync.Mutex
 }
 
-// indexFor returns an index that is at most indexMaxAge behind the view.
-func (r *Router) indexFor(v *snapshot.View, now time.Time) *index {
+// indexFor returns an index for the view. It may be older than the view if it is
+// younger than indexMaxAge or another goroutine is rebuilding it.
+func (r *Router) indexFor(v *snapshot.View, now time.Time) *runnerIndex {
 	x := r.index.current.Load()
 	if x == nil {
 		return r.rebuild(v, now)
 	}
-	if x.seq >= v.Seq || now.Sub(x.at) < indexMaxAge || !r.index.mu.TryLock() {
+	if x.viewSeq >= v.Seq || now.Sub(x.builtAt) < indexMaxAge || !r.index.mu.TryLock() {
 		return x
 	}
 	defer r.index.mu.Unlock()
 	return r.replaceIndex(v, now)
 }
 
-// rebuild returns an index no older than the view; it waits for a rebuild that
-// is under way.
-func (r *Router) rebuild(v *snapshot.View, now time.Time) *index {
+// rebuild returns an index at least as recent as the view; it waits for a concurrent
+// rebuild.
+func (r *Router) rebuild(v *snapshot.View, now time.Time) *runnerIndex {
 	r.index.mu.Lock()
 	defer r.index.mu.Unlock()
-	if x := r.index.current.Load(); x != nil && x.seq >= v.Seq {
+	if x := r.index.current.Load(); x != nil && x.viewSeq >= v.Seq {
 		return x
 	}
 	return r.replaceIndex(v, now)
 }
 
-// replaceIndex builds the index of v; index.mu is held.
-func (r *Router) replaceIndex(v *snapshot.View, now time.Time) *index {
-	var known map[string]*learnt
+// replaceIndex builds and publishes the index of v; index.mu must be held.
+func (r *Router) replaceIndex(v *snapshot.View, now time.Time) *runnerIndex {
+	var previousStats map[string]*runnerStats
 	if previous := r.index.current.Load(); previous != nil {
-		known = previous.learnt
+		previousStats = previous.stats
 	}
-	x := &index{
-		seq: v.Seq, at: now,
-		learnt:  make(map[string]*learnt, len(v.Runners)),
-		ordered: map[string][]*learnt{},
-		groups:  map[groupKey]*group{},
-		split:   map[string]bool{},
+	x := &runnerIndex{
+		viewSeq: v.Seq, builtAt: now,
+		stats:          make(map[string]*runnerStats, len(v.Runners)),
+		statsByService: map[string][]*runnerStats{},
+		groups:         map[groupKey]*group{},
+		hasSplitRoles:  map[string]bool{},
 	}
 	for i := range v.Runners {
-		n := &v.Runners[i]
-		l := known[n.Name]
-		if l == nil {
-			l = newLearnt(n.Name, r.defaults)
+		runner := &v.Runners[i]
+		st := previousStats[runner.Name]
+		if st == nil {
+			st = newRunnerStats(runner.Name, r.defaultSpeeds)
 		}
-		l.observe(n)
-		x.learnt[n.Name] = l
-		x.ordered[n.Service] = append(x.ordered[n.Service], l)
-		x.add(n)
+		st.observe(runner)
+		x.stats[runner.Name] = st
+		x.statsByService[runner.Service] = append(x.statsByService[runner.Service], st)
+		x.addRunner(runner)
 	}
-	x.compareBiases()
+	x.updateSlowdowns()
 	x.buildRings(r.index.current.Load())
 	r.index.current.Store(x)
 	return x
 }
 
-func (x *index) add(r *snapshot.Runner) {
+// addRunner adds the runner to the groups of all parts, models and adapters that it
+// serves, if it takes new work.
+func (x *runnerIndex) addRunner(r *snapshot.Runner) {
 	if !r.TakesWork() {
 		return
 	}
 	if r.Target.Role == state.RolePrefill || r.Target.Role == state.RoleDecode {
-		x.split[r.Service] = true
+		x.hasSplitRoles[r.Service] = true
 	}
 	model, _, _ := strings.Cut(r.Target.Model, "@")
 	if model == "" && r.Kind == state.KindEngine {
@@ -118,36 +123,37 @@
 		if !roleServes(r.Target.Role, p) {
 			continue
 		}
-		x.append(groupKey{r.Service, p, anyModel}, r.Name)
+		x.addToGroup(groupKey{r.Service, p, anyModel}, r.Name)
 		if model != anyModel {
-			x.append(groupKey{r.Service, p, model}, r.Name)
+			x.addToGroup(groupKey{r.Service, p, model}, r.Name)
 		}
 		for _, a := range r.Target.Adapters {
-			x.append(groupKey{r.Service, p, a}, r.Name)
+			x.addToGroup(groupKey{r.Service, p, a}, r.Name)
 		}
 	}
 }
 
-// compareBiases relates each runner's bias to the mean of the service's others: a
-// prediction that is off for all alike says nothing of any of them.
-func (x *index) compareBiases() {
-	for _, list := range x.ordered {
+// updateSlowdowns relates each runner's first-token bias to the mean of the other
+// runners of its service: an error that all predictions share says nothing about a
+// single runner.
+func (x *runnerIndex) updateSlowdowns() {
+	for _, list := range x.statsByService {
 		if len(list) < 2 {
-			continue // there is nothing to compare it with
+			continue // a single runner can't be compared
 		}
 		sum := 0.0
-		for _, l := range list {
-			sum += l.bias.Load()
+		for _, st := range list {
+			sum += st.firstTokenBias.Load()
 		}
 		others := float64(len(list) - 1)
-		for _, l := range list {
-			bias := l.bias.Load()
-			l.slow.Store(slowness(bias * others / (sum - bias)))
+		for _, st := range list {
+			bias := st.firstTokenBias.Load()
+			st.slowdown.Store(slowdownOf(bias * others / (sum - bias)))
 		}
 	}
 }
 
-func (x *index) append(k groupKey, name string) {
+func (x *runnerIndex) addToGroup(k groupKey, name string) {
 	g := x.groups[k]
 	if g == nil {
 		g = &group{}
@@ -156,16 +162,16 @@
 	g.names = append(g.names, name)
 }
 
-// buildRings orders each group's runners on its ring; the rings of groups that
-// stayed the same are taken over.
-func (x *index) buildRings(previous *index) {
+// buildRings builds the ring of each group; the ring of a group with the same runners
+// as in the previous index is reused.
+func (x *runnerIndex) buildRings(previous *runnerIndex) {
 	for k, g := range x.groups {
 		if previous != nil {
-			if was := previous.groups[k]; was != nil && slices.Equal(was.names, g.names) {
-				g.ring = was.ring
+			if old := previous.groups[k]; old != nil && slices.Equal(old.names, g.names) {
+				g.ring = old.ring
 				continue
 			}
 		}
-		g.ring = newRing(g.names, x.learnt)
+		g.ring = newRing(g.names, x.stats)
 	}
 }
--- a/coordination/route/router_test.go
+++ b/coordination/route/router_test.go
@@ -15,8 +15,8 @@
 
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// engines returns a keeper with n engines of one service over three failure domains that
-// all reported 100 ms before the epoch.
+// engines returns the snapshot of a service with n engines in three failure domains.
+// Each engine reported its load 100 ms before epoch.
 func engines(n int) *snapshot.Keeper {
 	k := snapshot.NewKeeper()
 	var list []state.Listed
@@ -33,6 +33,7 @@
 	return k
 }
 
+// report returns a load report of a mixed engine, taken 100 ms before epoch.
 func report(name string, backlog int64) state.LoadReport {
 	return state.LoadReport{
 		Engine: name, Incarnation: "one", TakenAt: epoch.Add(-100 * time.Millisecond),
@@ -42,11 +43,12 @@
 	}
 }
 
-// fixedClock stands still.
+// fixedClock always returns epoch.
 type fixedClock struct{ state.Clock }
 
 func (fixedClock) Now() time.Time { return epoch }
 
+// newRouter returns a router with a fixed clock and seed.
 func newRouter(t testing.TB) *Router {
 	t.Helper()
 	r, err := New(Options{Clock: fixedClock{}, Seed: 1})
@@ -68,7 +70,7 @@
 	is.True(c.FirstToken > 0 && c.Finish > c.FirstToken)
 }
 
-func TestPickSaysWhyThereIsNoRunner(t *testing.T) {
+func TestPickReportsTheReasonForNoRunner(t *testing.T) {
 	is := is.New(t)
 	k := engines(2)
 	r := newRouter(t)
@@ -105,7 +107,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		r.Sent(q, &c)
+		r.RecordSent(q, &c)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -118,8 +120,8 @@
 	b.ReportMetric(float64(processTime(b)-before)/float64(b.N), "cpu-ns/op")
 }
 
-// processTime is the processor time used so far: on a shared machine the wall
-// clock counts what others do as well.
+// processTime returns the CPU time used by the process so far. Unlike the wall clock
+// it doesn't include the load of other processes on a shared machine.
 func processTime(b *testing.B) time.Duration {
 	b.Helper()
 	var u syscall.Rusage
@@ -137,13 +139,13 @@
 		q := prompt(1, 60, 10, 1)
 		c, err := r.Pick(k.View(), q)
 		is.NoErr(err)
-		r.Sent(q, &c)
+		r.RecordSent(q, &c)
 		v := k.View()
 		is.Equal(testing.AllocsPerRun(100, func() { _, _ = r.Pick(v, q) }), 0.0)
 	}
 }
 
-func TestPickInALargeFleetSpreadsAndAvoidsTheLoaded(t *testing.T) {
+func TestPickInALargeServiceSpreadsAndAvoidsLoadedEngines(t *testing.T) {
 	is := is.New(t)
 	k := engines(200)
 	loaded := k.View().Runner("engine-0007")
@@ -159,7 +161,7 @@
 	is.Equal(picked["engine-0007"], 0)
 }
 
-func TestPickInALargeFleetFindsTheOnlyOne(t *testing.T) {
+func TestPickInALargeServiceFindsTheOnlyAvailableRunner(t *testing.T) {
 	is := is.New(t)
 	k := engines(100)
 	for i := range 99 {
@@ -170,19 +172,19 @@
 	is.Equal(c.Runner.Name, "engine-0099")
 }
 
-func TestPickGoesWhereThePromptIsCached(t *testing.T) {
+func TestPickPrefersTheEngineWithTheCachedPrompt(t *testing.T) {
 	for _, n := range []int{12, 200} {
 		is := is.New(t)
 		k := engines(n)
 		r := newRouter(t)
-		_, err := r.Pick(k.View(), prompt(1, 4, 0, 0)) // the first view is seen
+		_, err := r.Pick(k.View(), prompt(1, 4, 0, 0)) // builds the index
 		is.NoErr(err)
 		q := prompt(5, 100, 10, 1)
 		var events []CacheEvent
 		for i, p := range q.Prefixes {
 			events = append(events, CacheEvent{Prefix: p, Blocks: i + 1})
 		}
-		r.CacheEvents("engine-0009", false, events)
+		r.ApplyCacheEvents("engine-0009", false, events)
 		c, err := r.Pick(k.View(), prompt(5, 100, 10, 2))
 		is.NoErr(err)
 		is.Equal(c.Runner.Name, "engine-0009")
@@ -206,8 +208,8 @@
 	is.True(c.Why != "")
 }
 
-// roles gives the engines of a keeper their roles by new reports.
-func roles(k *snapshot.Keeper, roles ...state.Role) {
+// reportRoles gives the first engines the roles, by a later report of each.
+func reportRoles(k *snapshot.Keeper, roles ...state.Role) {
 	for i, role := range roles {
 		l := report(fmt.Sprintf("engine-%04d", i), 0)
 		l.TakenAt = epoch.Add(-50 * time.Millisecond)
@@ -219,34 +221,34 @@
 func TestPathIsSplitWhenTheMixedEngineIsBusy(t *testing.T) {
 	is := is.New(t)
 	k := engines(3)
-	roles(k, state.RoleMixed, state.RolePrefill, state.RoleDecode)
+	reportRoles(k, state.RoleMixed, state.RolePrefill, state.RoleDecode)
 	r := newRouter(t)
 	q := &Query{Service: "llm", Model: "m", PromptTokens: 4000, ExpectedOutput: 100}
 	k.View().Runner("engine-0001").Track.Add(snapshot.Work{Requests: 9, PrefillTokens: 90000})
 	path, err := r.PickPath(k.View(), q)
 	is.NoErr(err)
 	is.True(!path.Split)
-	is.Equal(path.First.Runner.Name, "engine-0000")
+	is.Equal(path.Prefill.Runner.Name, "engine-0000")
 
 	k.View().Runner("engine-0000").Track.Add(snapshot.Work{Requests: 30, PrefillTokens: 900000})
 	path, err = r.PickPath(k.View(), q)
 	is.NoErr(err)
 	is.True(path.Split)
-	is.Equal(path.First.Runner.Name, "engine-0001")
+	is.Equal(path.Prefill.Runner.Name, "engine-0001")
 	is.Equal(path.Decode.Runner.Name, "engine-0002")
 }
 
 func TestPathWithoutDecodeEnginesHasNoRunner(t *testing.T) {
 	is := is.New(t)
 	k := engines(2)
-	roles(k, state.RolePrefill, state.RolePrefill)
+	reportRoles(k, state.RolePrefill, state.RolePrefill)
 	_, err := newRouter(t).PickPath(k.View(), &Query{Service: "llm", Model: "m", PromptTokens: 10})
-	none, ok := NoRunner(err)
+	none, ok := AsNoRunnerError(err)
 	is.True(ok)
 	is.Equal(none.Reason, ReasonNoRole)
 }
 
-func TestPriorityGoesByTheLatestStart(t *testing.T) {
+func TestPriorityOrdersByLatestStart(t *testing.T) {
 	is := is.New(t)
 	soon := Priority(false, epoch.Add(5*time.Second), 4*time.Second)
 	later := Priority(false, epoch.Add(5*time.Second), time.Second)
@@ -255,7 +257,7 @@
 	is.Equal(Priority(true, time.Time{}, 0), 0)
 }
 
-func TestPlainServiceGoesToTheLeastInFlightNearby(t *testing.T) {
+func TestPlainServicePrefersFewestInFlightThenSameDomain(t *testing.T) {
 	is := is.New(t)
 	k := snapshot.NewKeeper()
 	var list []state.Listed
@@ -270,19 +272,20 @@
 		return c.Runner.Name
 	}
 	k.View().Runner("s0").Track.Add(snapshot.Work{Requests: 1})
-	is.Equal(pick(), "s2") // as idle as s1, and near
+	is.Equal(pick(), "s2") // as idle as s1, and in the query's domain
 	k.View().Runner("s2").Track.Add(snapshot.Work{Requests: 3})
-	is.Equal(pick(), "s1") // idle, though not near
+	is.Equal(pick(), "s1") // idle, although in another domain
 	k.SetPeerWork(epoch, map[string]snapshot.Work{"s1": {Requests: 9}})
-	is.Equal(pick(), "s0") // the peers' calls count as well
+	is.Equal(pick(), "s0") // requests in flight from peers count too
 }
 
-// A runner that wants rest isn't chosen; when all do, the caller learns when the first is over.
-func TestRunnersAtRestAreNotChosen(t *testing.T) {
+// A runner that backs off isn't chosen. If all runners do, RetryAfter is the time until
+// the first backoff ends.
+func TestRunnersThatBackOffAreNotChosen(t *testing.T) {
 	is := is.New(t)
-	rest := map[string]time.Duration{"engine-0000": 3 * time.Second, "engine-0001": 2 * time.Second}
-	r, err := New(Options{Clock: fixedClock{}, Seed: 1, RestsUntil: func(n *snapshot.Runner) time.Time {
-		if d := rest[n.Name]; d > 0 {
+	backoffs := map[string]time.Duration{"engine-0000": 3 * time.Second, "engine-0001": 2 * time.Second}
+	r, err := New(Options{Clock: fixedClock{}, Seed: 1, BackoffUntil: func(runner *snapshot.Runner) time.Time {
+		if d := backoffs[runner.Name]; d > 0 {
 			return epoch.Add(d)
 		}
 		return time.Time{}
@@ -295,10 +298,10 @@
 		is.NoErr(err)
 		is.Equal(c.Runner.Name, "engine-0002")
 	}
-	rest["engine-0002"] = time.Minute
+	backoffs["engine-0002"] = time.Minute
 	_, err = r.Pick(k.View(), q)
 	var none *NoRunnerError
 	is.True(errors.As(err, &none))
-	is.Equal(none.Reason, ReasonResting)
+	is.Equal(none.Reason, ReasonBackingOff)
 	is.Equal(none.RetryAfter, 2*time.Second)
 }
--- a/coordination/route/learnt_test.go
+++ b/coordination/route/runnerstats_test.go
@@ -10,18 +10,18 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// movingClock is set by a test.
-type movingClock struct {
+// manualClock returns the time that the test sets.
+type manualClock struct {
 	state.Clock
 	now time.Time
 }
 
-func (c *movingClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
 func TestSpeedsAreLearntFromReports(t *testing.T) {
 	is := is.New(t)
 	k := engines(1)
-	clock := &movingClock{now: epoch}
+	clock := &manualClock{now: epoch}
 	r, err := New(Options{Clock: clock})
 	is.NoErr(err)
 	q := &Query{Service: "llm", PromptTokens: 10, ExpectedOutput: 10}
@@ -40,22 +40,22 @@
 	is.True(step > 19500*time.Microsecond && step < 20500*time.Microsecond)
 }
 
-func TestFullBatchIsLearntFromReports(t *testing.T) {
+func TestMaxBatchIsLearntFromReports(t *testing.T) {
 	is := is.New(t)
-	l := newLearnt("e", Speeds{}.orDefault())
-	s := *l.speeds()
+	st := newRunnerStats("e", Speeds{}.withDefaults())
+	s := *st.speeds()
 	for range plateauReports + 1 {
-		l.learnBatch(&s, 12, 20)
+		st.updateMaxBatch(&s, 12, 20)
 	}
-	is.Equal(s.Batch, 12.0)
-	l.learnBatch(&s, 48, 48) // more was possible after all
-	is.Equal(s.Batch, 48.0)
+	is.Equal(s.MaxBatch, 12.0)
+	st.updateMaxBatch(&s, 48, 48) // a larger batch was observed
+	is.Equal(s.MaxBatch, 48.0)
 }
 
-func TestSlowEngineIsFoundOutAndGetsAnotherChance(t *testing.T) {
+func TestSlowEngineIsAvoidedUntilItsSlowdownDecays(t *testing.T) {
 	is := is.New(t)
 	k := engines(2)
-	clock := &movingClock{now: epoch}
+	clock := &manualClock{now: epoch}
 	r, err := New(Options{Clock: clock, Seed: 3})
 	is.NoErr(err)
 	q := &Query{Service: "llm", PromptTokens: 1000, ExpectedOutput: 50}
@@ -66,8 +66,8 @@
 	}
 	pick()
 	for range 10 {
-		r.FirstToken("engine-0000", 100*time.Millisecond, 500*time.Millisecond)
-		r.Decoded(k.View(), "engine-0000", 50, 5*time.Second)
+		r.RecordFirstToken("engine-0000", 100*time.Millisecond, 500*time.Millisecond)
+		r.RecordDecode(k.View(), "engine-0000", 50, 5*time.Second)
 	}
 	for range 20 {
 		is.Equal(pick(), "engine-0001")
@@ -77,41 +77,41 @@
 	is.True(r.TokenInterval("engine-0000", 1) < slow/2)
 }
 
-func TestEstimateBlendsAnAgingReportWithCounts(t *testing.T) {
+func TestEstimateLoadWeighsAnAgingReportAgainstCounts(t *testing.T) {
 	is := is.New(t)
 	k := engines(1)
-	n := &k.View().Runners[0]
-	l := newLearnt(n.Name, Speeds{}.orDefault())
-	l.setSpeeds(func(s *Speeds) { s.PrefillTokensPerSecond = 1000 })
+	runner := &k.View().Runners[0]
+	st := newRunnerStats(runner.Name, Speeds{}.withDefaults())
+	st.setSpeeds(func(s *Speeds) { s.PrefillTokensPerSecond = 1000 })
 	estimate := func(r snapshot.Runner, age time.Duration) float64 {
-		c := Candidate{Runner: &r, learnt: l}
-		c.estimate(r.Load.TakenAt.Add(age).UnixNano())
+		c := Candidate{Runner: &r, stats: st}
+		c.estimateLoad(r.Load.TakenAt.Add(age).UnixNano())
 		return c.BacklogTokens
 	}
-	r := *n
+	r := *runner
 	r.Peers = snapshot.Work{PrefillTokens: 600}
 	r.Load.PrefillBacklogTokens = 3000
-	is.Equal(estimate(r, 0), 3000.0)                                // a fresh report counts alone
-	is.Equal(estimate(r, reportHalfLife), (2500+600)/2.0)           // its backlog shrinks meanwhile
-	is.True(estimate(r, time.Hour) < 601)                           // an old one hardly counts
-	r.Load = state.LoadReport{}                                     // there is none
-	is.Equal(estimate(r, 0), 600.0)                                 // the counts do
-	l.sent(epoch, 250)                                              // sent after the report
-	r.Load = state.LoadReport{TakenAt: epoch.Add(-time.Second / 2)} // an empty engine then
+	is.Equal(estimate(r, 0), 3000.0)                                // only a fresh report counts
+	is.Equal(estimate(r, reportHalfLife), (2500+600)/2.0)           // 500 tokens were computed since; both have the same weight
+	is.True(estimate(r, time.Hour) < 601)                           // an old report has almost no weight
+	r.Load = state.LoadReport{}                                     // no report
+	is.Equal(estimate(r, 0), 600.0)                                 // only the counts
+	st.recordSent(epoch, 250)                                       // sent after the report
+	r.Load = state.LoadReport{TakenAt: epoch.Add(-time.Second / 2)} // a report of an empty engine
 	is.Equal(estimate(r, 0), 250.0)
 }
 
 func TestReportOfAnotherRoleReplacesTheSpeeds(t *testing.T) {
 	is := is.New(t)
 	k := engines(1)
-	l := newLearnt("engine-0000", Speeds{}.orDefault())
-	l.observe(k.View().Runner("engine-0000"))
-	is.Equal(l.speeds().PrefillTokensPerSecond, 10000.0)
+	st := newRunnerStats("engine-0000", Speeds{}.withDefaults())
+	st.observe(k.View().Runner("engine-0000"))
+	is.Equal(st.speeds().PrefillTokensPerSecond, 10000.0)
 	changed := report("engine-0000", 0)
 	changed.TakenAt = epoch
 	changed.Shown.Role = state.RoleDecode
 	changed.PrefillTokensPerSecond = 2500
 	k.SetLoad(changed)
-	l.observe(k.View().Runner("engine-0000"))
-	is.Equal(l.speeds().PrefillTokensPerSecond, 2500.0)
+	st.observe(k.View().Runner("engine-0000"))
+	is.Equal(st.speeds().PrefillTokensPerSecond, 2500.0)
 }
