--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -262,9 +262,9 @@
 	case a.PrefillOnly:
 		return &crashResponse{head: &Head{Status: 200}, ctx: ctx, ended: never, events: []string{"handle"}, pause: 10 * time.Millisecond}, nil
 	case r.role == "":
-		return &crashResponse{head: &Head{Status: 200, Sealed: true}, ctx: ctx, ended: never, events: []string{"answer"}, pause: 15 * time.Millisecond}, nil
+		return &crashResponse{head: &Head{Status: 200, Signed: true}, ctx: ctx, ended: never, events: []string{"answer"}, pause: 15 * time.Millisecond}, nil
 	}
-	return &crashResponse{head: &Head{Status: 200, Events: true, Sealed: true}, ctx: ctx, ended: never, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 20 * time.Millisecond}, nil
+	return &crashResponse{head: &Head{Status: 200, EventStream: true, Signed: true}, ctx: ctx, ended: never, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 20 * time.Millisecond}, nil
 }
 
 // arrive notes a request at a runner and returns what the answer asks; f.mu is held.
--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -28,7 +28,7 @@
 		return nil, outcomeUnsent
 	}
 	a.Backup = d.backupFor(a.Request, a.Instance, rec.tried)
-	a.Left = d.left(a.Request)
+	a.TimeLeft = d.left(a.Request)
 	started := d.o.Clock.Now()
 	running, first := d.awaitFirst(ctx, a, rec)
 	resp, err := d.send(running, a)
@@ -40,7 +40,7 @@
 	}
 	rec.noteRun()
 	head := resp.Head()
-	if head.Events && head.Status < statusFailed && !head.NotRun {
+	if head.EventStream && head.Status < statusFailed && !head.NotRun {
 		rec.mayHaveRun = true
 		return d.openStream(ctx, a, runner, rec, resp, sent, started, first)
 	}
@@ -58,11 +58,11 @@
 	defer sent.end()
 	body, err := readWhole(resp)
 	took = d.o.Clock.Now().Sub(started)
-	if err == nil && head.Status < statusFailed && !head.Sealed {
+	if err == nil && head.Status < statusFailed && !head.Signed {
 		err = errUnsealed
 	}
 	if err != nil {
-		resp.Cut()
+		resp.Abort()
 		d.noteBroken(ctx, runner)
 		d.noteWork(ctx, a.Request, runner, rec, took, true)
 		rec.add(a.Instance, "run", outcomeUnknown, took, err)
@@ -164,7 +164,7 @@
 // drain ends a response whose body nobody wants.
 func drain(resp Response) {
 	if _, err := io.Copy(io.Discard, readerOf{resp}); err != nil {
-		resp.Cut()
+		resp.Abort()
 		return
 	}
 	resp.Finish()
--- a/coordination/forward/backup.go
+++ b/coordination/forward/backup.go
@@ -137,7 +137,7 @@
 		}
 		if !runner.HeardWithin(askTimeout) && !d.alive(ctx, a.Instance) && ctx.Err() == nil {
 			w.dark.Store(true)
-			resp.Cut()
+			resp.Abort()
 			return
 		}
 		if d.o.Clock.Sleep(ctx, patience) != nil {
--- a/coordination/forward/backup_test.go
+++ b/coordination/forward/backup_test.go
@@ -83,7 +83,7 @@
 				}
 			}, reply{status: 200, events: true, body: begun, readErr: errSent}, reply{status: 200, events: true, body: rest})
 			if !c.goesOn {
-				is.Equal(err, ErrStreamCut)
+				is.Equal(err, ErrStreamInterrupted)
 				is.Equal(len(w.up.attempts), 1)
 				return
 			}
@@ -110,7 +110,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w, _, err := inBackedWorld(t, func(*world, state.InstanceID) {}, reply{status: 200, events: true, body: begun, readErr: errSent}, second)
-			is.Equal(err, ErrStreamCut)
+			is.Equal(err, ErrStreamInterrupted)
 			is.Equal(len(w.up.attempts), 2)
 		})
 	}
--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -248,11 +248,11 @@
 		return &crashResponse{head: &Head{Status: 200}, ctx: ctx, ended: ended, events: []string{"handle"}, pause: 10 * time.Millisecond}, nil
 	case bad:
 		time.AfterFunc(crashAfter, func() { f.end(e) })
-		return &crashResponse{head: &Head{Status: 200, Events: e.role != "", Sealed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: f.firstEvent, then: time.Hour}, nil
+		return &crashResponse{head: &Head{Status: 200, EventStream: e.role != "", Signed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: f.firstEvent, then: time.Hour}, nil
 	case e.role == "":
-		return &crashResponse{head: &Head{Status: 200, Sealed: true}, ctx: ctx, ended: ended, events: []string{"answer"}, pause: 15 * time.Millisecond}, nil
+		return &crashResponse{head: &Head{Status: 200, Signed: true}, ctx: ctx, ended: ended, events: []string{"answer"}, pause: 15 * time.Millisecond}, nil
 	}
-	return &crashResponse{head: &Head{Status: 200, Events: true, Sealed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 20 * time.Millisecond}, nil
+	return &crashResponse{head: &Head{Status: 200, EventStream: true, Signed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 20 * time.Millisecond}, nil
 }
 
 func (u *crashUpstream) probe(_ context.Context, i *state.Instance) crash.Fate {
@@ -309,7 +309,7 @@
 }
 
 func (r *crashResponse) Finish() {}
-func (r *crashResponse) Cut()    {}
+func (r *crashResponse) Abort()  {}
 
 // ask sends a request of that content and id through a host, and reports whether it was
 // served whole.
--- a/coordination/forward/evacuate.go
+++ b/coordination/forward/evacuate.go
@@ -51,7 +51,7 @@
 		return
 	}
 	e.to, e.source = runner.Instance, &KVSource{Instance: a.Instance, Handle: handle}
-	resp.Cut()
+	resp.Abort()
 }
 
 func errText(err error) string {
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -42,16 +42,16 @@
 
 // Observer takes the dispatcher's measures.
 type Observer interface {
-	// Turn notes how a part of a model request got its place among the others.
-	Turn(w Work, t Turn)
-	// Read notes how long the reading of a prompt took, waiting included, against what
+	// Admitted notes how a part of a model request got its place among the others.
+	Admitted(w Work, t Turn)
+	// PrefillDone notes how long the reading of a prompt took, waiting included, against what
 	// was predicted of it.
-	Read(service string, predicted, took time.Duration)
-	// Held notes a sending that the quarantine kept from the runners.
-	Held(service string)
-	// Began notes that a request of a customer began to run, by the dispatcher's clock. It is
+	PrefillDone(service string, predicted, took time.Duration)
+	// RequestHeld notes a sending that the quarantine kept from the runners.
+	RequestHeld(service string)
+	// RequestStarted notes that a request of a customer began to run, by the dispatcher's clock. It is
 	// told once a request.
-	Began(customer string, at time.Time)
+	RequestStarted(customer string, at time.Time)
 }
 
 // Gate gives places at engines, counted over all hosts.
@@ -253,7 +253,7 @@
 	if hold == nil {
 		return nil
 	}
-	d.o.Observer.Held(r.Service)
+	d.o.Observer.RequestHeld(r.Service)
 	return &Refusal{Reason: ReasonCrashes, NotRun: !rec.mayHaveRun, Cause: &quarantine.HeldError{Digest: rec.digest, Crashes: len(hold.Evidence)}}
 }
 
--- a/coordination/forward/forward_test.go
+++ b/coordination/forward/forward_test.go
@@ -104,7 +104,7 @@
 	_, err := w.Forward(t.Context(), r)
 	is.NoErr(err)
 	for _, a := range w.up.attempts {
-		is.True(a.Left > 0 && a.Left <= 500*time.Millisecond)
+		is.True(a.TimeLeft > 0 && a.TimeLeft <= 500*time.Millisecond)
 	}
 }
 
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -82,7 +82,7 @@
 		return nil, r.err
 	}
 	time.Sleep(r.after)
-	return &fakeResponse{u: u, r: r, cut: make(chan struct{}), head: &Head{Status: r.status, Sealed: !r.unseal, NotRun: r.notRun, Events: r.events}}, nil
+	return &fakeResponse{u: u, r: r, cut: make(chan struct{}), head: &Head{Status: r.status, Signed: !r.unseal, NotRun: r.notRun, EventStream: r.events}}, nil
 }
 
 func (u *fakeUpstream) PrefillHandle(body []byte) (string, error) {
@@ -164,7 +164,7 @@
 }
 
 func (f *fakeResponse) Finish() {}
-func (f *fakeResponse) Cut() {
+func (f *fakeResponse) Abort() {
 	f.once.Do(func() {
 		f.u.cuts++
 		close(f.cut)
@@ -195,9 +195,9 @@
 
 type noObserver struct{}
 
-func (noObserver) Turn(Work, Turn) {}
+func (noObserver) Admitted(Work, Turn) {}
 
-func (noObserver) Read(string, time.Duration, time.Duration) {}
+func (noObserver) PrefillDone(string, time.Duration, time.Duration) {}
 
 // scriptedGate refuses places with the forecasts in order, and then asks the host's own
 // book. A forecast that is given is used in place of the book's.
@@ -257,8 +257,8 @@
 	s.ids = append(s.ids, id)
 }
 
-func (noObserver) Held(string)             {}
-func (noObserver) Began(string, time.Time) {}
+func (noObserver) RequestHeld(string)               {}
+func (noObserver) RequestStarted(string, time.Time) {}
 
 // quarantineOf holds every request after it was asked for one so often; 0 for never.
 type quarantineOf struct {
--- a/coordination/forward/held_test.go
+++ b/coordination/forward/held_test.go
@@ -57,7 +57,7 @@
 		is.NoErr(err)
 		got, err := readAll(answer.Stream)
 		is.Equal(got, event)
-		is.Equal(err, ErrStreamCut)
+		is.Equal(err, ErrStreamInterrupted)
 		is.Equal(len(w.up.attempts), 1)
 	})
 }
--- a/coordination/forward/record.go
+++ b/coordination/forward/record.go
@@ -104,7 +104,7 @@
 		return
 	}
 	rec.began = true
-	d.o.Observer.Began(r.Customer.Name, at)
+	d.o.Observer.RequestStarted(r.Customer.Name, at)
 }
 
 // notePrefill counts a sending of the prompt that may have reached an engine.
--- a/coordination/forward/request.go
+++ b/coordination/forward/request.go
@@ -121,8 +121,8 @@
 type Attempt struct {
 	Request  *Request
 	Instance *state.Instance
-	// Left is what the runner is told of the time that is left.
-	Left time.Duration
+	// TimeLeft is what the runner is told of the time that is left.
+	TimeLeft time.Duration
 	// PrefillOnly asks to read the prompt and to keep its KV cache.
 	PrefillOnly bool
 	// FetchFrom is the address of a runner that may keep parts of the prompt; "".
@@ -145,12 +145,12 @@
 	Status int
 	// Headers go back to the caller unchanged.
 	Headers []Header
-	// Sealed says that the response carries the runner's signature.
-	Sealed bool
+	// Signed says that the response carries the runner's signature.
+	Signed bool
 	// NotRun is the runner's word that it did not run the request.
 	NotRun bool
-	// Events says that the body is a stream of events.
-	Events bool
+	// EventStream says that the body is a stream of events.
+	EventStream bool
 }
 
 // Response is a runner's response whose body is read as it comes. It must be
@@ -161,8 +161,8 @@
 	Read(p []byte) (int, error)
 	// Finish ends a response whose body has been read; its connection is kept.
 	Finish()
-	// Cut closes the connection, which cancels the work.
-	Cut()
+	// Abort closes the connection, which cancels the work.
+	Abort()
 }
 
 // Upstream sends attempts to runners. Errors are *SendError.
--- a/coordination/forward/split.go
+++ b/coordination/forward/split.go
@@ -95,7 +95,7 @@
 	if !d.o.Placer.Has(runner.Instance.ID) {
 		return nil
 	}
-	a := &Attempt{Request: r, Instance: runner.Instance, Left: d.left(r), PrefillOnly: true, Rank: t.forecast.Rank, FetchFrom: d.keepsParts(r, t)}
+	a := &Attempt{Request: r, Instance: runner.Instance, TimeLeft: d.left(r), PrefillOnly: true, Rank: t.forecast.Rank, FetchFrom: d.keepsParts(r, t)}
 	outer := ctx
 	ctx, p := d.patience(ctx, r, t)
 	defer p.end()
@@ -106,7 +106,7 @@
 	var body []byte
 	if err == nil {
 		if body, err = readWhole(resp); err != nil {
-			resp.Cut()
+			resp.Abort()
 		}
 	}
 	took := d.o.Clock.Now().Sub(started)
@@ -144,7 +144,7 @@
 	}
 	runner.Answered(took)
 	if t.forecast.Known {
-		d.o.Observer.Read(r.Service, t.forecast.Finish, took)
+		d.o.Observer.PrefillDone(r.Service, t.forecast.Finish, took)
 	}
 	rec.add(a.Instance, part, outcomePrefill, took, nil)
 	rec.cached = &KVSource{a.Instance, handle}
--- a/coordination/forward/stream.go
+++ b/coordination/forward/stream.go
@@ -44,8 +44,8 @@
 // eventID begins the line with an event's id.
 var eventID = []byte("id:")
 
-// ErrStreamCut says that a stream ended before its last event.
-var ErrStreamCut = errors.New("the stream was cut and can't be resumed; ask again")
+// ErrStreamInterrupted says that a stream ended before its last event.
+var ErrStreamInterrupted = errors.New("the stream was cut and can't be resumed; ask again")
 
 // errLate says that an engine didn't begin in its time.
 var errLate = errors.New("the first event was overdue and the engine silent; another one was asked")
@@ -61,7 +61,7 @@
 func (d *Dispatcher) openStream(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, resp Response, sent *sending, started time.Time, first *firstEvent) (*Answer, outcome) {
 	s := &Stream{d: d, ctx: ctx, first: first, a: a, rec: rec, runner: runner, resp: resp, sent: sent, started: started, lastID: a.LastEventID}
 	var err error
-	if !resp.Head().Sealed {
+	if !resp.Head().Signed {
 		err = errUnsealed
 	}
 	for err == nil && s.whole == 0 && !s.eof {
@@ -112,7 +112,7 @@
 	if errors.Is(s.ctx.Err(), context.Canceled) {
 		return ErrCallerLeft
 	}
-	return ErrStreamCut
+	return ErrStreamInterrupted
 }
 
 // rest returns what stands behind the last whole event at the end.
@@ -217,7 +217,7 @@
 		return false
 	}
 	s.rec.exclude(a.Instance)
-	a.Left = s.d.left(a.Request)
+	a.TimeLeft = s.d.left(a.Request)
 	started := s.d.o.Clock.Now()
 	resp, err := s.d.send(s.ctx, a)
 	took := s.d.o.Clock.Now().Sub(started)
@@ -228,8 +228,8 @@
 	}
 	s.rec.noteRun()
 	head := resp.Head()
-	if head.NotRun || !head.Events || !head.Sealed || head.Status != statusOK {
-		resp.Cut()
+	if head.NotRun || !head.EventStream || !head.Signed || head.Status != statusOK {
+		resp.Abort()
 		sent.end()
 		s.d.noteRefused(runner, head)
 		s.rec.add(a.Instance, "resume", outcomeNotRun, took, &statusError{head.Status})
@@ -249,7 +249,7 @@
 	}
 	s.closed = true
 	s.stopWatch()
-	s.resp.Cut()
+	s.resp.Abort()
 	s.first.cancel()
 	s.sent.end()
 }
@@ -266,7 +266,7 @@
 			s.d.o.Quarantine.Answered(s.rec.digest)
 			s.rec.add(s.a.Instance, "run", outcomeAnswered, took, nil)
 		} else {
-			s.resp.Cut()
+			s.resp.Abort()
 			s.rec.add(s.a.Instance, "run", outcomeCut, took, err)
 		}
 		s.first.cancel()
--- a/coordination/forward/stream_test.go
+++ b/coordination/forward/stream_test.go
@@ -28,7 +28,7 @@
 	answer, err := w.Forward(t.Context(), modelRequest(500, false))
 	is.NoErr(err)
 	got, err := readAll(answer.Stream)
-	is.True(errors.Is(err, ErrStreamCut))
+	is.True(errors.Is(err, ErrStreamInterrupted))
 	is.Equal(got, "id: 1\ndata: a\n\n")
 	is.Equal(len(w.up.attempts), 1)
 }
@@ -40,6 +40,6 @@
 	answer, err := w.Forward(t.Context(), modelRequest(500, true))
 	is.NoErr(err)
 	_, err = readAll(answer.Stream)
-	is.True(errors.Is(err, ErrStreamCut))
+	is.True(errors.Is(err, ErrStreamInterrupted))
 	is.Equal(len(w.up.attempts), 2)
 }
--- a/coordination/forward/turn.go
+++ b/coordination/forward/turn.go
@@ -215,5 +215,5 @@
 
 func (d *Dispatcher) noteTurn(rec *record, w Work, t Turn) {
 	rec.turn = t
-	d.o.Observer.Turn(w, t)
+	d.o.Observer.Admitted(w, t)
 }
--- a/daemon/routed/measures.go
+++ b/daemon/routed/measures.go
@@ -96,25 +96,25 @@
 // Checked implements auth.Observer.
 func (m *measures) Checked(o auth.Outcome, _ time.Duration) { m.checked[o].Inc() }
 
-// Turn implements forward.Observer.
-func (m *measures) Turn(w forward.Work, t forward.Turn) {
+// Admitted implements forward.Observer.
+func (m *measures) Admitted(w forward.Work, t forward.Turn) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_turns_total{work=%q,turn=%q}`, w, t)).Inc()
 }
 
-// Read implements forward.Observer.
-func (m *measures) Read(service string, predicted, took time.Duration) {
+// PrefillDone implements forward.Observer.
+func (m *measures) PrefillDone(service string, predicted, took time.Duration) {
 	if predicted > 0 {
 		m.set.GetOrCreateHistogram(fmt.Sprintf(`thymerack_reading_ratio{service=%q}`, service)).Update(took.Seconds() / predicted.Seconds())
 	}
 }
 
-// Held implements forward.Observer.
-func (m *measures) Held(service string) {
+// RequestHeld implements forward.Observer.
+func (m *measures) RequestHeld(service string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_held_total{service=%q}`, service)).Inc()
 }
 
-// Began implements forward.Observer.
-func (m *measures) Began(customer string, at time.Time) {
+// RequestStarted implements forward.Observer.
+func (m *measures) RequestStarted(customer string, at time.Time) {
 	if m.usage != nil {
 		m.usage.Began(customer, at)
 	}
--- a/daemon/routed/measures_test.go
+++ b/daemon/routed/measures_test.go
@@ -26,8 +26,8 @@
 	m.Answered(urgent, 200, 60*time.Millisecond)
 	m.Answered(urgent, 503, time.Millisecond)
 	m.Answered(question, 200, 3*time.Second)
-	m.Read("llm", 500*time.Millisecond, time.Second)
-	m.Read("llm", 0, time.Second) // nothing was predicted
+	m.PrefillDone("llm", 500*time.Millisecond, time.Second)
+	m.PrefillDone("llm", 0, time.Second) // nothing was predicted
 	var out strings.Builder
 	m.set.WritePrometheus(&out)
 	for _, line := range []string{
--- a/transport/runners/pool.go
+++ b/transport/runners/pool.go
@@ -140,7 +140,7 @@
 	req := &fasthttp.Request{}
 	p.o.Codec.EncodeAttempt(a, req)
 	limits := httpclient.Limits{
-		Timeout:      a.Left + responseSlack,
+		Timeout:      a.TimeLeft + responseSlack,
 		MaxBodyBytes: 1,
 		Permit:       a.Permit,
 		Stray:        func(resp *fasthttp.Response) bool { return !p.o.Codec.OfRequest(resp, a.Request.ID) },
@@ -268,8 +268,8 @@
 	r.end()
 }
 
-// Cut implements forward.Response.
-func (r *response) Cut() {
+// Abort implements forward.Response.
+func (r *response) Abort() {
 	r.stream.Cut()
 	r.end()
 }
--- a/transport/runners/pool_test.go
+++ b/transport/runners/pool_test.go
@@ -50,7 +50,7 @@
 }
 
 func (testCodec) DecodeHead(resp *fasthttp.Response) *forward.Head {
-	return &forward.Head{Status: resp.StatusCode(), Sealed: true}
+	return &forward.Head{Status: resp.StatusCode(), Signed: true}
 }
 
 func (testCodec) OfRequest(resp *fasthttp.Response, id string) bool {
@@ -123,7 +123,7 @@
 func attemptAt(r *runner, id string, body int) *forward.Attempt {
 	return &forward.Attempt{
 		Request:  &forward.Request{ID: id, URI: "/x", Body: make([]byte, body)},
-		Instance: &state.Instance{ID: state.InstanceID{Name: "i-1"}, Service: "s", Addr: r.addr}, Left: 2 * time.Second,
+		Instance: &state.Instance{ID: state.InstanceID{Name: "i-1"}, Service: "s", Addr: r.addr}, TimeLeft: 2 * time.Second,
 	}
 }
 
@@ -140,7 +140,7 @@
 	}
 	body, err := io.ReadAll(struct{ io.Reader }{resp})
 	if err != nil {
-		resp.Cut()
+		resp.Abort()
 		return "", err
 	}
 	resp.Finish()
