--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -47,7 +47,7 @@
 // limit that it names. It waits for the latter so long at most.
 func (d *Dispatcher) permitted(ctx context.Context, i *state.Instance, part string, rec *record, wait time.Duration) bool {
 	if !d.o.Advice.Try(i.ID) {
-		rec.add(i, part, outcomeLimited, 0, nil)
+		rec.addStep(i, part, outcomeLimited, 0, nil)
 		return false
 	}
 	rate, limited := d.o.Advice.Limit(i.ID)
@@ -58,7 +58,7 @@
 	p := d.o.Gate.Permit(ctx, occupancy.PermitAsk{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
 	if !p.Granted {
 		d.o.Advice.Closed(i.ID, d.o.Clock.Now().Add(max(p.Wait, leastClosed)))
-		rec.add(i, part, outcomeLimited, 0, nil)
+		rec.addStep(i, part, outcomeLimited, 0, nil)
 		return false
 	}
 	if p.Wait > 0 && d.o.Clock.Sleep(ctx, p.Wait) != nil {
@@ -91,7 +91,7 @@
 	switch {
 	case r.Generation == nil:
 		return placement.PartCall
-	case d.long(r) && !rec.apart:
+	case d.hasLongPrompt(r) && !rec.separatePrefill:
 		return placement.PartRead
 	default:
 		return placement.PartGenerate
@@ -106,7 +106,7 @@
 		if err != nil {
 			return c, err
 		}
-		if c.Runner == nil && !rec.reconsider() {
+		if c.Runner == nil && !rec.restoreSkipped() {
 			break
 		}
 		if c.Runner != nil && !d.passOver(c.Runner.Instance, rec) {
@@ -121,11 +121,11 @@
 // passOver keeps a request that a runner has turned away from one whose rest has only just
 // ended, while there are others: it would use up its attempts on trials.
 func (d *Dispatcher) passOver(i *state.Instance, rec *record) bool {
-	if !rec.turnedAway || !d.o.Advice.Unproven(i.ID) {
+	if !rec.refused || !d.o.Advice.Unproven(i.ID) {
 		return false
 	}
 	rec.exclude(i)
-	rec.passedOver = append(rec.passedOver, i.ID)
+	rec.skipped = append(rec.skipped, i.ID)
 	return true
 }
 
@@ -140,14 +140,14 @@
 		if at.After(by) {
 			return nil, d.refuseUntil(rec, runner.Instance, at)
 		}
-		if err := d.over(ctx, r, rec); err != nil {
+		if err := d.checkDeadline(ctx, r, rec); err != nil {
 			return nil, err
 		}
 		if pause := d.o.Advice.PausedUntil(runner.Instance.ID); !pause.IsZero() {
 			wait := pause.Sub(d.o.Clock.Now())
-			rec.add(runner.Instance, "wait", outcomeClosed, wait, nil)
+			rec.addStep(runner.Instance, "wait", outcomeClosed, wait, nil)
 			if d.o.Clock.Sleep(ctx, wait) != nil {
-				return nil, d.over(ctx, r, rec)
+				return nil, d.checkDeadline(ctx, r, rec)
 			}
 			continue
 		}
@@ -161,8 +161,8 @@
 // then.
 func (d *Dispatcher) refuseUntil(rec *record, first *state.Instance, at time.Time) error {
 	wait := at.Sub(d.o.Clock.Now())
-	rec.add(first, "wait", outcomeClosed, wait, nil)
-	return &Refusal{Reason: ReasonBackpressure, NotRun: !rec.mayHaveRun, RetryAfter: d.spread(wait)}
+	rec.addStep(first, "wait", outcomeClosed, wait, nil)
+	return &Refusal{Reason: ReasonBackpressure, NotRun: !rec.mayHaveRun, RetryAfter: d.addJitter(wait)}
 }
 
 // usefulBy is the last moment at which a request that waits for a runner is answered in time.
--- a/coordination/forward/alive.go
+++ b/coordination/forward/alive.go
@@ -41,8 +41,8 @@
 		return true
 	}
 	if ctx.Err() == nil {
-		d.noteBroken(ctx, runner)
+		d.noteBrokenConnection(ctx, runner)
 	}
-	rec.add(a.Instance, "ask", outcomeUnsent, d.o.Clock.Now().Sub(started), nil)
+	rec.addStep(a.Instance, "ask", outcomeUnsent, d.o.Clock.Now().Sub(started), nil)
 	return false
 }
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -99,14 +99,14 @@
 // its time.
 func TestWaitForTheFirstEventFollowsTheService(t *testing.T) {
 	is := is.New(t)
-	var l leads
+	var l firstEventDelays
 	for range 100 {
-		l.note("slow", 400*time.Millisecond)
-		l.note("fast", 20*time.Millisecond)
+		l.observe("slow", 400*time.Millisecond)
+		l.observe("fast", 20*time.Millisecond)
 	}
-	is.True(l.most("slow") > 400*time.Millisecond+leadSlack)
-	is.True(l.most("fast") < 100*time.Millisecond)
-	is.True(l.most("unknown") >= firstLead+leadSlack)
+	is.True(l.timeout("slow") > 400*time.Millisecond+delaySlack)
+	is.True(l.timeout("fast") < 100*time.Millisecond)
+	is.True(l.timeout("unknown") >= initialDelay+delaySlack)
 }
 
 // A request that may not be sent again is waited for.
--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -28,89 +28,89 @@
 		return nil, outcomeUnsent
 	}
 	a.Backup = d.backupFor(a.Request, a.Instance, rec.tried)
-	a.TimeLeft = d.left(a.Request)
+	a.TimeLeft = d.timeLeft(a.Request)
 	started := d.o.Clock.Now()
-	running, first := d.awaitFirst(ctx, a, rec)
+	running, first := d.watchFirstEvent(ctx, a, rec)
 	resp, err := d.send(running, a)
 	took := d.o.Clock.Now().Sub(started)
 	if err != nil {
 		first.cancel()
 		sent.end()
-		return nil, d.sendFailed(ctx, a, runner, rec, "run", took, err)
+		return nil, d.noteSendError(ctx, a, runner, rec, "run", took, err)
 	}
-	rec.noteRun()
+	rec.countAttempt()
 	head := resp.Head()
-	if head.EventStream && head.Status < statusFailed && !head.NotRun {
+	if head.EventStream && head.Status < firstErrorStatus && !head.NotRun {
 		rec.mayHaveRun = true
 		return d.openStream(ctx, a, runner, rec, resp, sent, started, first)
 	}
 	defer first.cancel()
 	if head.NotRun {
-		drain(resp)
+		discardBody(resp)
 		sent.end()
-		rec.turnedAway = true
-		d.noteRefused(runner, head)
-		rec.add(a.Instance, "run", outcomeNotRun, took, &statusError{head.Status})
+		rec.refused = true
+		d.noteRefusal(runner, head)
+		rec.addStep(a.Instance, "run", outcomeNotRun, took, &statusError{head.Status})
 		return nil, outcomeNotRun
 	}
 	rec.mayHaveRun = true
-	d.noteBegan(a.Request, rec, started)
+	d.noteStarted(a.Request, rec, started)
 	defer sent.end()
-	body, err := readWhole(resp)
+	body, err := readBody(resp)
 	took = d.o.Clock.Now().Sub(started)
-	if err == nil && head.Status < statusFailed && !head.Signed {
-		err = errUnsealed
+	if err == nil && head.Status < firstErrorStatus && !head.Signed {
+		err = errUnsigned
 	}
 	if err != nil {
 		resp.Abort()
-		d.noteBroken(ctx, runner)
-		d.noteWork(ctx, a.Request, runner, rec, took, true)
-		rec.add(a.Instance, "run", outcomeUnknown, took, err)
+		d.noteBrokenConnection(ctx, runner)
+		d.reportSuspect(ctx, a.Request, runner, rec, took, true)
+		rec.addStep(a.Instance, "run", outcomeUnknown, took, err)
 		return nil, outcomeUnknown
 	}
 	resp.Finish()
 	sent.answered()
 	if head.Status >= 500 {
 		runner.Failed()
-		rec.add(a.Instance, "run", outcomeFailed, took, nil)
+		rec.addStep(a.Instance, "run", outcomeFailed, took, nil)
 	} else {
 		runner.Answered(took)
 		d.o.Quarantine.Answered(rec.digest)
-		rec.add(a.Instance, "run", outcomeAnswered, took, nil)
+		rec.addStep(a.Instance, "run", outcomeAnswered, took, nil)
 	}
 	return &Answer{Head: head, Body: body}, outcomeAnswered
 }
 
-// statusFailed is the first status that is no success.
-const statusFailed = 300
+// firstErrorStatus is the first status that is no success.
+const firstErrorStatus = 300
 
-var errUnsealed = errors.New("the response has no signature of its runner; it was dropped")
+var errUnsigned = errors.New("the response has no signature of its runner; it was dropped")
 
-// sendFailed notes an attempt without a response.
-func (d *Dispatcher) sendFailed(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, part string, took time.Duration, err error) outcome {
-	failed := sendError(err)
+// noteSendError notes an attempt without a response.
+func (d *Dispatcher) noteSendError(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, operation string, took time.Duration, err error) outcome {
+	failed := asSendError(err)
 	if !failed.Withheld {
-		d.noteBroken(ctx, runner)
+		d.noteBrokenConnection(ctx, runner)
 	}
 	if !failed.Sent {
-		rec.add(a.Instance, part, outcomeUnsent, took, err)
+		rec.addStep(a.Instance, operation, outcomeUnsent, took, err)
 		return outcomeUnsent
 	}
-	rec.noteRun()
+	rec.countAttempt()
 	rec.mayHaveRun = true
 	if a.Request.Generation == nil {
 		// A plain service begins at once, so that its answer is what was lost; an engine may
 		// have held the request for long without a token.
-		d.noteBegan(a.Request, rec, d.o.Clock.Now().Add(-took))
+		d.noteStarted(a.Request, rec, d.o.Clock.Now().Add(-took))
 	}
-	d.noteWork(ctx, a.Request, runner, rec, took, false)
-	rec.add(a.Instance, part, outcomeUnknown, took, err)
+	d.reportSuspect(ctx, a.Request, runner, rec, took, false)
+	rec.addStep(a.Instance, operation, outcomeUnknown, took, err)
 	return outcomeUnknown
 }
 
-// noteBroken counts a broken connection against the runner, unless the caller
+// noteBrokenConnection counts a broken connection against the runner, unless the caller
 // broke it off.
-func (d *Dispatcher) noteBroken(ctx context.Context, runner *placement.Runner) {
+func (d *Dispatcher) noteBrokenConnection(ctx context.Context, runner *placement.Runner) {
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		runner.Broken()
 		d.o.Outliers.Silent(runner.Instance.ID)
@@ -118,17 +118,17 @@
 }
 
 const (
-	// movedWithin is the time in which the news that a runner has ended may still be on its
+	// crashNoticeDelay is the time in which the news that a runner has ended may still be on its
 	// way: three round trips between failure domains.
-	movedWithin = 10 * time.Millisecond
+	crashNoticeDelay = 10 * time.Millisecond
 )
 
-// noteWork notes that the request broke off at the runner, which may have crashed under
+// reportSuspect notes that the request broke off at the runner, which may have crashed under
 // it, so long after it was sent; answering says that a part of the answer had arrived. That
 // this host or the caller broke it off says nothing, nor that one of two runners which ended
 // together was asked after the other, before its end was known.
-func (d *Dispatcher) noteWork(ctx context.Context, r *Request, runner *placement.Runner, rec *record, took time.Duration, answering bool) {
-	if ctx.Err() != nil || (took < movedWithin && rec.broke()) {
+func (d *Dispatcher) reportSuspect(ctx context.Context, r *Request, runner *placement.Runner, rec *record, took time.Duration, answering bool) {
+	if ctx.Err() != nil || (took < crashNoticeDelay && rec.brokeOff()) {
 		return
 	}
 	d.o.Crashes.Broke(runner.Instance, quarantine.Suspect{
@@ -136,10 +136,10 @@
 	})
 }
 
-// noteRefused counts a refusal against the runner, unless it asked for rest: it is passed over
+// noteRefusal counts a refusal against the runner, unless it asked for rest: it is passed over
 // until then, and has not failed. One that is not the run that was meant is asked for: it may be
 // gone, with another at its address.
-func (d *Dispatcher) noteRefused(runner *placement.Runner, head *Head) {
+func (d *Dispatcher) noteRefusal(runner *placement.Runner, head *Head) {
 	if d.rests(runner.Instance) {
 		return
 	}
@@ -153,17 +153,17 @@
 // another role.
 const statusMisdirected = 421
 
-// readWhole reads a body to its end.
-func readWhole(resp Response) ([]byte, error) {
-	return io.ReadAll(readerOf{resp})
+// readBody reads a body to its end.
+func readBody(resp Response) ([]byte, error) {
+	return io.ReadAll(responseReader{resp})
 }
 
-// readerOf is a Response as an io.Reader.
-type readerOf struct{ Response }
+// responseReader is a Response as an io.Reader.
+type responseReader struct{ Response }
 
-// drain ends a response whose body nobody wants.
-func drain(resp Response) {
-	if _, err := io.Copy(io.Discard, readerOf{resp}); err != nil {
+// discardBody ends a response whose body nobody wants.
+func discardBody(resp Response) {
+	if _, err := io.Copy(io.Discard, responseReader{resp}); err != nil {
 		resp.Abort()
 		return
 	}
--- a/coordination/forward/backup.go
+++ b/coordination/forward/backup.go
@@ -95,7 +95,7 @@
 func (s *Stream) startWatch() {
 	s.stopWatch()
 	r := s.a.Request
-	mayRepeat := r.Generation != nil && r.Route.Repeatable() && s.rec.sends < r.Route.MaxAttempts
+	mayRepeat := r.Generation != nil && r.Route.Repeatable() && s.rec.attempts < r.Route.MaxAttempts
 	if s.a.Backup == nil && !mayRepeat {
 		return
 	}
@@ -152,19 +152,19 @@
 func (s *Stream) goOn(cause error) bool {
 	r, from, backup := s.a.Request, s.a, s.a.Backup
 	moved, dark := s.moved(), s.watch != nil && s.watch.dark.Load()
-	s.drop()
+	s.closeRun()
 	if moved != nil {
 		return s.goOnAt(moved)
 	}
-	s.broken()
-	s.rec.add(from.Instance, "run", outcomeUnknown, s.d.o.Clock.Now().Sub(s.started), cause)
-	if backup == nil || s.lastID == "" || s.moves >= mostMoves || !s.d.o.Placer.Has(backup.ID) {
+	s.noteBrokenRun()
+	s.rec.addStep(from.Instance, "run", outcomeUnknown, s.d.o.Clock.Now().Sub(s.started), cause)
+	if backup == nil || s.lastID == "" || s.failovers >= mostMoves || !s.d.o.Placer.Has(backup.ID) {
 		return false
 	}
 	if !s.mayGoOn() {
 		return false
 	}
-	s.moves++
+	s.failovers++
 	source := &KVSource{Instance: backup, Handle: r.ID}
 	if !dark {
 		var ended bool
@@ -178,13 +178,13 @@
 // mayGoOn reports whether the request may be sent to one more engine.
 func (s *Stream) mayGoOn() bool {
 	r := s.a.Request
-	return s.d.held(r, s.rec) == nil && s.d.over(s.ctx, r, s.rec) == nil && payFrom(s.d.o.Budget.AllowMove, r, s.rec)
+	return s.d.checkQuarantine(r, s.rec) == nil && s.d.checkDeadline(s.ctx, r, s.rec) == nil && chargeRetriesTo(s.d.o.Budget.AllowMove, r, s.rec)
 }
 
 // goOnAt goes on where the run was moved to.
 func (s *Stream) goOnAt(e *evacuation) bool {
-	s.rec.add(s.a.Instance, "run", outcomeMoved, s.d.o.Clock.Now().Sub(s.started), nil)
-	s.rec.paid++ // before the move
+	s.rec.addStep(s.a.Instance, "run", outcomeMoved, s.d.o.Clock.Now().Sub(s.started), nil)
+	s.rec.charged++ // before the move
 	return s.lastID != "" && s.mayGoOn() && s.resumeFrom(e.to, e.source)
 }
 
@@ -200,10 +200,10 @@
 		return &KVSource{Instance: from, Handle: handle}, true
 	case err == nil:
 		return backup, true
-	case unreached(err) && !s.d.alive(s.ctx, from):
+	case runnerUnresponsive(err) && !s.d.alive(s.ctx, from):
 		return backup, true
 	default:
-		s.rec.add(from, "move", outcomeUnknown, s.d.o.Clock.Now().Sub(started), err)
+		s.rec.addStep(from, "move", outcomeUnknown, s.d.o.Clock.Now().Sub(started), err)
 		return nil, false
 	}
 }
--- a/coordination/forward/broken_test.go
+++ b/coordination/forward/broken_test.go
@@ -25,7 +25,7 @@
 	}{
 		"a call, before its answer":        {request(state.RouteUnsafe, 1, false), []reply{{err: errSent}}, []string{fresh}},
 		"a call, in its answer":            {request(state.RouteUnsafe, 1, false), []reply{{status: 200, body: "do", readErr: io.ErrUnexpectedEOF}}, []string{fresh}},
-		"a call at two runners":            {request(state.RouteSafe, 2, false), []reply{{err: errSent}, {status: 200, after: 2 * movedWithin, readErr: io.ErrUnexpectedEOF}}, []string{fresh, fresh}},
+		"a call at two runners":            {request(state.RouteSafe, 2, false), []reply{{err: errSent}, {status: 200, after: 2 * crashNoticeDelay, readErr: io.ErrUnexpectedEOF}}, []string{fresh, fresh}},
 		"a stream, before its first event": {modelRequest(200, false), []reply{{status: 200, events: true, readErr: errors.New("reset")}}, []string{fresh}},
 		"a stream, after its first event":  {onceStream(), []reply{{status: 200, events: true, body: "id: 1\ndata: x\n\n", readErr: errors.New("reset")}}, []string{fresh}},
 		"a stream, after a while":          {onceStream(), []reply{{status: 200, events: true, body: "id: 1\n\n", stall: quarantine.SettledAfter, readErr: errors.New("reset")}}, []string{settled}},
@@ -62,7 +62,7 @@
 		want  int
 	}{
 		"ended before it arrived": {2 * time.Millisecond, 1},
-		"ended under it":          {movedWithin, 2},
+		"ended under it":          {crashNoticeDelay, 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -102,9 +102,9 @@
 
 // Dispatcher carries requests to runners. It is safe for concurrent use.
 type Dispatcher struct {
-	o     Options
-	leads leads
-	sizes sizes
+	o           Options
+	firstEvents firstEventDelays
+	sizes       sizes
 }
 
 // New validates the options.
@@ -116,23 +116,23 @@
 }
 
 const (
-	// maxUnsent bounds the runners that are tried and not reached in one request:
+	// maxUnsentAttempts bounds the runners that are tried and not reached in one request:
 	// with one in five out of reach, four in a row are one in six hundred.
-	maxUnsent = 4
-	// retryCalls and retryModel are when a request that runners refused may come back. A
+	maxUnsentAttempts = 4
+	// retryAfterCall and retryModel are when a request that runners refused may come back. A
 	// full runner of a plain service has a free place after one run, 15 to 30 ms on
 	// today's sheets; an engine that refused is passed over for 100 ms at first, and who
 	// comes back earlier is as likely to meet another that does.
-	retryCalls = 40 * time.Millisecond
-	retryModel = 100 * time.Millisecond
+	retryAfterCall       = 40 * time.Millisecond
+	retryAfterGeneration = 100 * time.Millisecond
 )
 
 // Forward sends the request and returns its answer. The error is a *Refusal. ctx
 // ends at the request's deadline or when the caller leaves.
 func (d *Dispatcher) Forward(ctx context.Context, r *Request) (*Answer, error) {
 	rec := &record{digest: quarantine.DigestOf(r.content())}
-	if err := d.held(r, rec); err != nil {
-		d.log(ctx, r, rec, 0, err)
+	if err := d.checkQuarantine(r, rec); err != nil {
+		d.logRequest(ctx, r, rec, 0, err)
 		return nil, err
 	}
 	d.o.Budget.Seen(r.Service)
@@ -140,10 +140,10 @@
 		d.sizes.note(r.Service, r.Generation.PromptTokens)
 	}
 	answer, err := d.serve(ctx, r, rec)
-	if err != nil && rec.failed != nil {
-		answer, err = rec.failed, nil
+	if err != nil && rec.failure != nil {
+		answer, err = rec.failure, nil
 	}
-	d.discard(r, rec)
+	d.discardKV(r, rec)
 	if answer != nil && answer.Stream != nil {
 		return answer, nil // logged at its end
 	}
@@ -151,25 +151,25 @@
 	if answer != nil {
 		status = answer.Head.Status
 	}
-	d.log(ctx, r, rec, status, err)
+	d.logRequest(ctx, r, rec, status, err)
 	return answer, err
 }
 
-// discard frees a KV cache that no engine was asked to take. One that can't be freed
+// discardKV frees a KV cache that no engine was asked to take. One that can't be freed
 // lapses at its engine by itself.
-func (d *Dispatcher) discard(r *Request, rec *record) {
-	if rec.cached == nil || rec.mayHaveRun {
+func (d *Dispatcher) discardKV(r *Request, rec *record) {
+	if rec.promptKV == nil || rec.mayHaveRun {
 		return
 	}
 	go func() {
-		if err := d.o.Upstream.Discard(rec.cached); err != nil {
-			d.o.Log.Info("KV cache not freed", "request_id", r.ID, "instance", rec.cached.Instance.ID, "cause", err.Error())
+		if err := d.o.Upstream.Discard(rec.promptKV); err != nil {
+			d.o.Log.Info("KV cache not freed", "request_id", r.ID, "instance", rec.promptKV.Instance.ID, "cause", err.Error())
 		}
 	}()
 }
 
-// log writes the one line of a request.
-func (d *Dispatcher) log(ctx context.Context, r *Request, rec *record, status int, err error) {
+// logRequest writes the one line of a request.
+func (d *Dispatcher) logRequest(ctx context.Context, r *Request, rec *record, status int, err error) {
 	attrs := []slog.Attr{
 		slog.String("request_id", r.ID), slog.String("route", r.Route.Name), slog.String("service", r.Service),
 		slog.Uint64("config_version", r.ConfigVersion), slog.Int64("took_ms", d.o.Clock.Now().Sub(r.ArrivedAt).Milliseconds()), slog.String("turn", string(rec.turn)),
@@ -189,43 +189,43 @@
 // serve tries runners until one answers or nothing more may be tried.
 func (d *Dispatcher) serve(ctx context.Context, r *Request, rec *record) (*Answer, error) {
 	var source *KVSource
-	rec.apart = d.long(r) && d.o.Placer.ReadsApart(r.Service)
-	if rec.apart {
+	rec.separatePrefill = d.hasLongPrompt(r) && d.o.Placer.ReadsApart(r.Service)
+	if rec.separatePrefill {
 		var err error
-		if source, err = d.readPrompt(ctx, r, rec); err != nil {
+		if source, err = d.prefill(ctx, r, rec); err != nil {
 			return nil, err
 		}
 	}
-	if !d.pay(r, rec) {
+	if !d.chargeRetries(r, rec) {
 		return nil, d.refuse(r, rec, ReasonBudget)
 	}
 	unsent := 0
 	for {
-		if err := d.over(ctx, r, rec); err != nil {
+		if err := d.checkDeadline(ctx, r, rec); err != nil {
 			return nil, err
 		}
 		c, err := d.pick(ctx, r, rec, d.usefulBy(r))
 		if err != nil {
 			return nil, err
 		}
-		if err := d.barred(ctx, r, rec); err != nil {
+		if err := d.checkBeforeSend(ctx, r, rec); err != nil {
 			c.giveBack()
 			return nil, err
 		}
 		a := &Attempt{Request: r, Instance: c.Instance, Source: source, LastEventID: r.LastEventID, Rank: c.rank(r), FetchFrom: c.fetchFrom()}
 		answer, end := d.attempt(ctx, a, c, rec)
-		if answer != nil && !d.repeatFailure(r, rec, answer) {
+		if answer != nil && !d.isRetryableFailure(r, rec, answer) {
 			return answer, nil
 		}
 		if answer != nil {
-			rec.failed = answer
+			rec.failure = answer
 		}
 		switch {
 		case end == outcomeLimited:
-		case end == outcomeUnsent && unsent < maxUnsent:
+		case end == outcomeUnsent && unsent < maxUnsentAttempts:
 			unsent++
-		case !d.mayRepeat(r, rec):
-			if err := d.over(ctx, r, rec); err != nil {
+		case !d.takeRetry(r, rec):
+			if err := d.checkDeadline(ctx, r, rec); err != nil {
 				return nil, err
 			}
 			return nil, d.refuse(r, rec, reasonOf(end))
@@ -233,22 +233,22 @@
 	}
 }
 
-// barred returns the refusal of a request that may not be sent after a wait: it is held now, or
+// checkBeforeSend returns the refusal of a request that may not be sent after a wait: it is held now, or
 // its time is up. The context doesn't tell that on a host that was suspended meanwhile, whose
 // timers stood still.
-func (d *Dispatcher) barred(ctx context.Context, r *Request, rec *record) error {
-	if err := d.held(r, rec); err != nil {
+func (d *Dispatcher) checkBeforeSend(ctx context.Context, r *Request, rec *record) error {
+	if err := d.checkQuarantine(r, rec); err != nil {
 		return err
 	}
-	if d.left(r) > 0 {
+	if d.timeLeft(r) > 0 {
 		return nil
 	}
-	return d.over(ctx, r, rec)
+	return d.checkDeadline(ctx, r, rec)
 }
 
-// held returns the refusal of a request that crashes what runs it. It is asked before each
+// checkQuarantine returns the refusal of a request that crashes what runs it. It is asked before each
 // sending: a request may have waited for its place when that became known.
-func (d *Dispatcher) held(r *Request, rec *record) error {
+func (d *Dispatcher) checkQuarantine(r *Request, rec *record) error {
 	hold := d.o.Quarantine.Held(rec.digest)
 	if hold == nil {
 		return nil
@@ -268,14 +268,14 @@
 	}
 }
 
-// over returns the refusal of a request whose caller has left or whose time is up.
+// checkDeadline returns the refusal of a request whose caller has left or whose time is up.
 // One that has been worked on isn't sent again for the last moment.
-func (d *Dispatcher) over(ctx context.Context, r *Request, rec *record) error {
+func (d *Dispatcher) checkDeadline(ctx context.Context, r *Request, rec *record) error {
 	least := time.Duration(1)
 	if len(rec.steps) > 0 {
-		least = minLeft
+		least = minRetryTime
 	}
-	if ctx.Err() == nil && d.left(r) >= least {
+	if ctx.Err() == nil && d.timeLeft(r) >= least {
 		return nil
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -284,12 +284,12 @@
 	return &Refusal{Reason: ReasonDeadline, NotRun: !rec.mayHaveRun, Cause: context.DeadlineExceeded}
 }
 
-func (d *Dispatcher) refuse(r *Request, rec *record, why Reason) error {
-	after := retryCalls
+func (d *Dispatcher) refuse(r *Request, rec *record, reason Reason) error {
+	after := retryAfterCall
 	if r.Generation != nil {
-		after = retryModel
+		after = retryAfterGeneration
 	}
-	return &Refusal{Reason: why, NotRun: !rec.mayHaveRun, RetryAfter: after}
+	return &Refusal{Reason: reason, NotRun: !rec.mayHaveRun, RetryAfter: after}
 }
 
 // choose picks a runner that generates or serves the call.
@@ -297,50 +297,52 @@
 	switch {
 	case r.Generation == nil:
 		return choice{Runner: d.o.Placer.Call(r.Service, rec.tried)}, nil
-	case rec.apart:
+	case rec.separatePrefill:
 		return d.takeSlot(ctx, r, rec), nil
-	case d.long(r):
+	case d.hasLongPrompt(r):
 		return d.takeReadingPlace(ctx, r, rec)
 	default:
 		return d.takePlace(ctx, r, rec), nil
 	}
 }
 
-// mayRepeat reports whether the request may be sent once more, and takes it from
+// takeRetry reports whether the request may be sent once more, and takes it from
 // the budget if so.
-func (d *Dispatcher) mayRepeat(r *Request, rec *record) bool {
+func (d *Dispatcher) takeRetry(r *Request, rec *record) bool {
 	if rec.mayHaveRun && !r.Route.Repeatable() {
 		return false
 	}
-	if rec.sends >= r.Route.MaxAttempts {
+	if rec.attempts >= r.Route.MaxAttempts {
 		return false
 	}
-	return d.pay(r, rec)
+	return d.chargeRetries(r, rec)
 }
 
-// pay takes from the budget for what arrived before, so that one more sending of the
+// chargeRetries takes from the budget for what arrived before, so that one more sending of the
 // request may arrive. It takes nothing twice.
-func (d *Dispatcher) pay(r *Request, rec *record) bool { return payFrom(d.o.Budget.Allow, r, rec) }
+func (d *Dispatcher) chargeRetries(r *Request, rec *record) bool {
+	return chargeRetriesTo(d.o.Budget.Allow, r, rec)
+}
 
-// payFrom is pay from one of the budgets.
-func payFrom(allow func(service string) bool, r *Request, rec *record) bool {
-	for rec.paid < rec.arrivals {
+// chargeRetriesTo is pay from one of the budgets.
+func chargeRetriesTo(allow func(service string) bool, r *Request, rec *record) bool {
+	for rec.charged < rec.deliveries {
 		if !allow(r.Service) {
 			return false
 		}
-		rec.paid++
+		rec.charged++
 	}
 	return true
 }
 
-// minLeft is the least time with which a request is sent once more: the shortest
+// minRetryTime is the least time with which a request is sent once more: the shortest
 // service time on the sites' sheets is 15 ms.
-const minLeft = 15 * time.Millisecond
+const minRetryTime = 15 * time.Millisecond
 
-// repeatFailure reports whether a runner's own failure is to be tried elsewhere:
+// isRetryableFailure reports whether a runner's own failure is to be tried elsewhere:
 // a repeatable call whose runner answered that it failed.
-func (d *Dispatcher) repeatFailure(r *Request, rec *record, a *Answer) bool {
-	return r.Route.Kind == state.RouteSafe && a.Head.Status >= 500 && rec.sends < r.Route.MaxAttempts
+func (d *Dispatcher) isRetryableFailure(r *Request, rec *record, a *Answer) bool {
+	return r.Route.Kind == state.RouteSafe && a.Head.Status >= 500 && rec.attempts < r.Route.MaxAttempts
 }
 
-func (d *Dispatcher) left(r *Request) time.Duration { return r.Deadline.Sub(d.o.Clock.Now()) }
+func (d *Dispatcher) timeLeft(r *Request) time.Duration { return r.Deadline.Sub(d.o.Clock.Now()) }
--- a/coordination/forward/offer.go
+++ b/coordination/forward/offer.go
@@ -66,7 +66,7 @@
 		if o.Place != nil {
 			return turnAt(o, nil), nil
 		}
-		rec.add(runner.Instance, "place", outcomeFull, o.Forecast.Finish, nil)
+		rec.addStep(runner.Instance, "place", outcomeFull, o.Forecast.Finish, nil)
 		offers = append(offers, o)
 		asked = append(asked, runner.Instance.ID)
 	}
@@ -94,19 +94,19 @@
 // hopeless refuses a prompt that would be read after its caller has left, and tells the
 // caller when it would be read in time.
 func (d *Dispatcher) hopeless(r *Request, rec *record, best offer) error {
-	left := d.readLeft(r)
+	left := d.prefillTimeLeft(r)
 	if best.Own || !best.Forecast.Known || best.Forecast.Finish < left {
 		return nil
 	}
 	d.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "request is hopeless", slog.String("request_id", r.ID),
 		slog.Any("instance", best.runner.Instance.ID), slog.Duration("predicted", best.Forecast.Finish),
 		slog.Duration("left", left))
-	return d.giveUp(r, rec, max(best.Forecast.Finish-r.Route.Objective, shortWait))
+	return d.refuseOverloaded(r, rec, max(best.Forecast.Finish-r.Route.Objective, shortWait))
 }
 
 // readBy is when a prompt should be read so that the first event is in time.
 func (d *Dispatcher) readBy(r *Request) time.Time {
-	return r.ArrivedAt.Add(r.Route.Objective - d.leads.of(r.Service))
+	return r.ArrivedAt.Add(r.Route.Objective - d.firstEvents.mean(r.Service))
 }
 
 // answerBy is when the first event is of no use any more: its caller has left.
@@ -167,5 +167,5 @@
 	if r.Engine != nil {
 		reading.Memory = r.Engine.KVTokens
 	}
-	return occupancy.Ask{Engine: at.Instance.ID, Reading: reading, Keep: d.left(r)}
+	return occupancy.Ask{Engine: at.Instance.ID, Reading: reading, Keep: d.timeLeft(r)}
 }
--- a/coordination/forward/patience.go
+++ b/coordination/forward/patience.go
@@ -47,7 +47,7 @@
 
 // run looks after the reading until the wait is over.
 func (p *patience) run() {
-	next := p.d.readLeft(p.r)
+	next := p.d.prefillTimeLeft(p.r)
 	if f := p.t.forecast; f.Known {
 		next = min(next, expected(f))
 	}
@@ -65,7 +65,7 @@
 		if next > 0 {
 			continue
 		}
-		left := p.d.readLeft(p.r)
+		left := p.d.prefillTimeLeft(p.r)
 		if left <= 0 || !p.progresses() {
 			p.cancel()
 			return
--- a/coordination/forward/record.go
+++ b/coordination/forward/record.go
@@ -22,7 +22,7 @@
 	outcomeAnswered outcome = "answered"
 	outcomeFailed   outcome = "failed"
 	outcomePrefill  outcome = "prefilled"
-	outcomeCut      outcome = "cut"
+	outcomeAborted  outcome = "cut"
 	// outcomeMoved is a run that was moved to another engine, as its own one leaves.
 	outcomeMoved outcome = "moved"
 	// outcomeLimited is a runner whose limit left nothing for the request.
@@ -36,10 +36,10 @@
 
 // step is one sending of a request.
 type step struct {
-	instance state.InstanceID
-	part     string
-	outcome  outcome
-	took     time.Duration
+	instance  state.InstanceID
+	operation string
+	outcome   outcome
+	took      time.Duration
 	// predicted is what took was predicted to be; 0 if nothing was.
 	predicted time.Duration
 	cause     string
@@ -53,85 +53,85 @@
 
 // record is what became of one request. One goroutine uses it at a time.
 type record struct {
-	// began is set once the request is known to have begun to run.
-	began bool
+	// started is set once the request is known to have begun to run.
+	started bool
 	// digest is that of the request, the same for each of its copies.
 	digest quarantine.Digest
 	steps  []step
-	// sends counts what draws on the route's attempts.
-	sends int
-	// arrivals counts what runners got of the request, refused sendings among them;
-	// all but the first are repeats, of which paid have been taken from the budget.
+	// attempts counts what draws on the route's attempts.
+	attempts int
+	// deliveries counts what runners got of the request, refused sendings among them;
+	// all but the first are repeats, of which charged have been taken from the budget.
 	// The first reading of the prompt that an engine takes doesn't count.
-	arrivals, paid int
-	promptTaken    bool
-	// turnedAway is set once a runner has refused the request, and passedOver are the tried
+	deliveries, charged int
+	prefillAccepted     bool
+	// refused is set once a runner has refused the request, and passedOver are the tried
 	// runners that were left out for that alone.
-	turnedAway bool
-	passedOver []state.InstanceID
+	refused bool
+	skipped []state.InstanceID
 	// mayHaveRun is set once a runner may have begun.
 	mayHaveRun bool
 	tried      []state.InstanceID
-	// failed is a runner's own failure that another runner was asked after; it is
+	// failure is a runner's own failure that another runner was asked after; it is
 	// the answer if nobody has a better one.
-	failed *Answer
+	failure *Answer
 	// predicted is what the present sending is predicted to take; 0 if nothing is.
 	predicted time.Duration
-	// apart is set for a prompt that is read at an engine of its own.
-	apart bool
+	// separatePrefill is set for a prompt that is read at an engine of its own.
+	separatePrefill bool
 	// turn is how a model request got its place among the others; "" for calls.
 	turn Turn
-	// cached is where the prompt's KV cache waits to be taken, or nil.
-	cached *KVSource
+	// promptKV is where the prompt's KV cache waits to be taken, or nil.
+	promptKV *KVSource
 }
 
-func (r *record) add(i *state.Instance, part string, o outcome, took time.Duration, err error) {
-	s := step{instance: i.ID, part: part, outcome: o, took: took, predicted: r.predicted}
+func (r *record) addStep(i *state.Instance, operation string, o outcome, took time.Duration, err error) {
+	s := step{instance: i.ID, operation: operation, outcome: o, took: took, predicted: r.predicted}
 	if err != nil {
 		s.cause = err.Error()
 	}
 	r.steps = append(r.steps, s)
 }
 
-// broke reports whether the request has broken off at a runner before.
-func (r *record) broke() bool {
+// brokeOff reports whether the request has broken off at a runner before.
+func (r *record) brokeOff() bool {
 	return slices.ContainsFunc(r.steps, func(s step) bool { return s.outcome == outcomeUnknown })
 }
 
-// noteBegan notes that the request began to run then, if that isn't known yet.
-func (d *Dispatcher) noteBegan(r *Request, rec *record, at time.Time) {
-	if rec.began || r.Customer == nil {
+// noteStarted notes that the request began to run then, if that isn't known yet.
+func (d *Dispatcher) noteStarted(r *Request, rec *record, at time.Time) {
+	if rec.started || r.Customer == nil {
 		return
 	}
-	rec.began = true
+	rec.started = true
 	d.o.Observer.RequestStarted(r.Customer.Name, at)
 }
 
-// notePrefill counts a sending of the prompt that may have reached an engine.
-func (r *record) notePrefill(refused bool) {
-	if !refused && !r.promptTaken {
-		r.promptTaken = true
+// countPrefill counts a sending of the prompt that may have reached an engine.
+func (r *record) countPrefill(refused bool) {
+	if !refused && !r.prefillAccepted {
+		r.prefillAccepted = true
 		return
 	}
-	r.arrivals++
+	r.deliveries++
 }
 
-// noteRun counts a sending of the request that may have reached a runner.
-func (r *record) noteRun() {
-	r.sends++
-	r.arrivals++
+// countAttempt counts a sending of the request that may have reached a runner.
+func (r *record) countAttempt() {
+	r.attempts++
+	r.deliveries++
 }
 
 // exclude keeps later choices from the instance.
 func (r *record) exclude(i *state.Instance) { r.tried = append(r.tried, i.ID) }
 
-// reconsider lets runners be chosen that were passed over, and reports whether there are any.
-func (r *record) reconsider() bool {
-	if len(r.passedOver) == 0 {
+// restoreSkipped lets runners be chosen that were passed over, and reports whether there are any.
+func (r *record) restoreSkipped() bool {
+	if len(r.skipped) == 0 {
 		return false
 	}
-	r.tried = slices.DeleteFunc(r.tried, func(id state.InstanceID) bool { return slices.Contains(r.passedOver, id) })
-	r.turnedAway, r.passedOver = false, nil
+	r.tried = slices.DeleteFunc(r.tried, func(id state.InstanceID) bool { return slices.Contains(r.skipped, id) })
+	r.refused, r.skipped = false, nil
 	return true
 }
 
@@ -143,7 +143,7 @@
 		if n > 0 {
 			b.WriteByte(' ')
 		}
-		b.WriteString(s.part + ":" + s.instance.String() + ":" + string(s.outcome) + ":" + strconv.FormatInt(s.took.Milliseconds(), 10) + "ms")
+		b.WriteString(s.operation + ":" + s.instance.String() + ":" + string(s.outcome) + ":" + strconv.FormatInt(s.took.Milliseconds(), 10) + "ms")
 		if s.predicted > 0 {
 			b.WriteString("/" + strconv.FormatInt(s.predicted.Milliseconds(), 10) + "ms")
 		}
--- a/coordination/forward/request.go
+++ b/coordination/forward/request.go
@@ -79,8 +79,8 @@
 	Engine *state.EngineSpec
 }
 
-// caller names who asks, the same whichever of a customer's keys is shown.
-func (r *Request) caller() string {
+// callerID names who asks, the same whichever of a customer's keys is shown.
+func (r *Request) callerID() string {
 	if r.Customer != nil {
 		return r.Customer.Name
 	}
@@ -97,7 +97,7 @@
 
 // content is what makes the request the same as another.
 func (r *Request) content() quarantine.Content {
-	return quarantine.Content{Caller: r.caller(), Method: r.Method, Host: r.Host, URI: r.URI, Body: r.Body}
+	return quarantine.Content{Caller: r.callerID(), Method: r.Method, Host: r.Host, URI: r.URI, Body: r.Body}
 }
 
 // Class is a kind of request, as measures tell them apart. A configuration has few.
@@ -201,14 +201,14 @@
 // Unwrap returns the cause.
 func (e *SendError) Unwrap() error { return e.Cause }
 
-// unreached reports whether err says that nothing was heard of the runner.
-func unreached(err error) bool {
+// runnerUnresponsive reports whether err says that nothing was heard of the runner.
+func runnerUnresponsive(err error) bool {
 	var failed *SendError
 	return errors.As(err, &failed) && !failed.Withheld
 }
 
-// sendError is the SendError in err; of any other error it isn't known what was sent.
-func sendError(err error) *SendError {
+// asSendError is the SendError in err; of any other error it isn't known what was sent.
+func asSendError(err error) *SendError {
 	var failed *SendError
 	if errors.As(err, &failed) {
 		return failed
--- a/coordination/forward/resting_test.go
+++ b/coordination/forward/resting_test.go
@@ -119,7 +119,7 @@
 		w := newWorld(t, plenty)
 		for range 5 {
 			w.ask(backpressure.Advice{Rest: 100 * time.Millisecond}, "s1")
-			w.noteRefused(w.fleet.Runner(state.InstanceID{Name: "s1"}), &Head{Status: 503, NotRun: true})
+			w.noteRefusal(w.fleet.Runner(state.InstanceID{Name: "s1"}), &Head{Status: 503, NotRun: true})
 			time.Sleep(time.Second)
 		}
 		s := w.fleet.Runner(state.InstanceID{Name: "s1"})
--- a/coordination/forward/split_test.go
+++ b/coordination/forward/split_test.go
@@ -111,12 +111,12 @@
 	is := is.New(t)
 	r := modelRequest(17000, false)
 	source := &KVSource{Instance: &state.Instance{FailureDomain: "d2"}}
-	is.Equal(generateNear(r, source), "") // links are not known
+	is.Equal(decodeDomain(r, source), "") // links are not known
 	r.Engine = &state.EngineSpec{KVTokenBytes: 163_840, LinkBits: 1.6e12}
-	is.Equal(generateNear(r, source), "d2") // 14 ms more
+	is.Equal(decodeDomain(r, source), "d2") // 14 ms more
 	r.Engine.LinkBits = 8.8e12
-	is.Equal(generateNear(r, source), "") // 2.5 ms more
-	is.Equal(generateNear(r, nil), "")
+	is.Equal(decodeDomain(r, source), "") // 2.5 ms more
+	is.Equal(decodeDomain(r, nil), "")
 }
 
 // The engine leaves the list while its owner is asked: nothing is sent to it, and the
--- a/coordination/forward/stream.go
+++ b/coordination/forward/stream.go
@@ -20,17 +20,17 @@
 	runner *placement.Runner
 	resp   Response
 	sent   *sending
-	// first has ended its watch; its context is that of the attempt.
-	first *firstEvent
+	// firstWatch has ended its watch; its context is that of the attempt.
+	firstWatch *firstEventWatch
 	// watch looks after a run with a backup, or nil; moves is how often it went on from one.
-	watch *watch
-	moves int
+	watch     *watch
+	failovers int
 
 	started time.Time
 	// buf holds what was read; the first whole bytes of it are whole events that
 	// Next has not returned yet.
 	buf   []byte
-	whole int
+	ready int
 	// lastID is the id of the last whole event read.
 	lastID string
 	events int
@@ -38,52 +38,52 @@
 	closed bool
 }
 
-// eventEnd ends an event.
-var eventEnd = []byte("\n\n")
+// eventTerminator ends an event.
+var eventTerminator = []byte("\n\n")
 
-// eventID begins the line with an event's id.
-var eventID = []byte("id:")
+// eventIDField begins the line with an event's id.
+var eventIDField = []byte("id:")
 
 // ErrStreamInterrupted says that a stream ended before its last event.
 var ErrStreamInterrupted = errors.New("the stream was cut and can't be resumed; ask again")
 
-// errLate says that an engine didn't begin in its time.
-var errLate = errors.New("the first event was overdue and the engine silent; another one was asked")
+// errFirstEventTimeout says that an engine didn't begin in its time.
+var errFirstEventTimeout = errors.New("the first event was overdue and the engine silent; another one was asked")
 
 // ErrCallerLeft says that a stream's caller closed its connection.
 var ErrCallerLeft = errors.New("the caller left before the stream's end; nothing is to be done")
 
-// streamBuffer is how much of a stream is read at once; events of the platform's
+// streamReadSize is how much of a stream is read at once; events of the platform's
 // runners have some hundred bytes.
-const streamBuffer = 4 << 10
+const streamReadSize = 4 << 10
 
 // openStream waits for the first event.
-func (d *Dispatcher) openStream(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, resp Response, sent *sending, started time.Time, first *firstEvent) (*Answer, outcome) {
-	s := &Stream{d: d, ctx: ctx, first: first, a: a, rec: rec, runner: runner, resp: resp, sent: sent, started: started, lastID: a.LastEventID}
+func (d *Dispatcher) openStream(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, resp Response, sent *sending, started time.Time, first *firstEventWatch) (*Answer, outcome) {
+	s := &Stream{d: d, ctx: ctx, firstWatch: first, a: a, rec: rec, runner: runner, resp: resp, sent: sent, started: started, lastID: a.LastEventID}
 	var err error
 	if !resp.Head().Signed {
-		err = errUnsealed
+		err = errUnsigned
 	}
-	for err == nil && s.whole == 0 && !s.eof {
+	for err == nil && s.ready == 0 && !s.eof {
 		err = s.fill()
 	}
-	first.arrived()
-	if err == nil && first.late.Load() {
-		err = errLate // the connection has been cut
+	first.stop()
+	if err == nil && first.timedOut.Load() {
+		err = errFirstEventTimeout // the connection has been cut
 	}
 	took := d.o.Clock.Now().Sub(started)
 	if err != nil {
-		s.drop()
-		d.noteBroken(ctx, runner)
-		d.noteWork(ctx, a.Request, runner, rec, took, false)
-		rec.add(a.Instance, "run", outcomeUnknown, took, err)
+		s.closeRun()
+		d.noteBrokenConnection(ctx, runner)
+		d.reportSuspect(ctx, a.Request, runner, rec, took, false)
+		rec.addStep(a.Instance, "run", outcomeUnknown, took, err)
 		return nil, outcomeUnknown
 	}
-	d.noteBegan(a.Request, rec, d.o.Clock.Now())
+	d.noteStarted(a.Request, rec, d.o.Clock.Now())
 	runner.Answered(took)
 	sent.answered()
 	if a.Source != nil {
-		d.leads.note(a.Request.Service, took)
+		d.firstEvents.observe(a.Request.Service, took)
 	}
 	s.startWatch()
 	return &Answer{Head: resp.Head(), Stream: s}, outcomeAnswered
@@ -93,30 +93,30 @@
 // is the end of a whole stream.
 func (s *Stream) Next() ([]byte, error) {
 	for {
-		if s.whole > 0 {
-			out := s.buf[:s.whole]
-			s.buf, s.whole = s.buf[s.whole:], 0
+		if s.ready > 0 {
+			out := s.buf[:s.ready]
+			s.buf, s.ready = s.buf[s.ready:], 0
 			return out, nil
 		}
 		if s.eof {
-			return s.rest()
+			return s.remainder()
 		}
-		if err := s.fill(); err != nil && !s.again(err) {
-			return nil, s.ended()
+		if err := s.fill(); err != nil && !s.resume(err) {
+			return nil, s.endError()
 		}
 	}
 }
 
-// ended is why a stream ends before its last event.
-func (s *Stream) ended() error {
+// endError is why a stream ends before its last event.
+func (s *Stream) endError() error {
 	if errors.Is(s.ctx.Err(), context.Canceled) {
 		return ErrCallerLeft
 	}
 	return ErrStreamInterrupted
 }
 
-// rest returns what stands behind the last whole event at the end.
-func (s *Stream) rest() ([]byte, error) {
+// remainder returns what stands behind the last whole event at the end.
+func (s *Stream) remainder() ([]byte, error) {
 	if len(s.buf) == 0 {
 		return nil, io.EOF
 	}
@@ -127,8 +127,8 @@
 
 // fill reads some of the body and finds the events in it.
 func (s *Stream) fill() error {
-	if cap(s.buf)-len(s.buf) < streamBuffer/2 {
-		s.buf = append(make([]byte, 0, len(s.buf)+streamBuffer), s.buf...)
+	if cap(s.buf)-len(s.buf) < streamReadSize/2 {
+		s.buf = append(make([]byte, 0, len(s.buf)+streamReadSize), s.buf...)
 	}
 	n, err := s.resp.Read(s.buf[len(s.buf):cap(s.buf)])
 	if n > 0 {
@@ -136,7 +136,7 @@
 	}
 	before := len(s.buf)
 	s.buf = s.buf[:before+n]
-	s.scan(max(0, before-len(eventEnd)))
+	s.scanEvents(max(0, before-len(eventTerminator)))
 	if err == io.EOF {
 		s.eof = true
 		return nil
@@ -144,51 +144,51 @@
 	return err
 }
 
-// scan moves the mark of whole events behind the last event end from from on.
-func (s *Stream) scan(from int) {
-	from = max(from, s.whole)
+// scanEvents moves the mark of whole events behind the last event end from from on.
+func (s *Stream) scanEvents(from int) {
+	from = max(from, s.ready)
 	for {
-		i := bytes.Index(s.buf[from:], eventEnd)
+		i := bytes.Index(s.buf[from:], eventTerminator)
 		if i < 0 {
 			return
 		}
-		end := from + i + len(eventEnd)
-		s.note(s.buf[s.whole:end])
-		s.whole, from = end, end
+		end := from + i + len(eventTerminator)
+		s.noteEvent(s.buf[s.ready:end])
+		s.ready, from = end, end
 	}
 }
 
-// note takes the id of a whole event.
-func (s *Stream) note(event []byte) {
+// noteEvent takes the id of a whole event.
+func (s *Stream) noteEvent(event []byte) {
 	s.events++
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
-		if id, ok := bytes.CutPrefix(line, eventID); ok {
+		if id, ok := bytes.CutPrefix(line, eventIDField); ok {
 			s.lastID = string(bytes.TrimSpace(id))
 		}
 	}
 }
 
-// again goes on with a stream that broke off, if there is a way.
-func (s *Stream) again(cause error) bool {
+// resume goes on with a stream that broke off, if there is a way.
+func (s *Stream) resume(cause error) bool {
 	if s.a.Request.runsOnce() {
 		return s.goOn(cause)
 	}
-	return s.resume(cause)
+	return s.resumeElsewhere(cause)
 }
 
-// resume goes on at another runner after the last whole event, if the route
+// resumeElsewhere goes on at another runner after the last whole event, if the route
 // allows it. What was read of a later event is dropped.
-func (s *Stream) resume(cause error) bool {
+func (s *Stream) resumeElsewhere(cause error) bool {
 	r := s.a.Request
-	s.drop()
-	s.broken()
-	s.rec.add(s.a.Instance, "run", outcomeUnknown, s.d.o.Clock.Now().Sub(s.started), cause)
-	for s.d.over(s.ctx, r, s.rec) == nil && s.d.mayRepeat(r, s.rec) {
+	s.closeRun()
+	s.noteBrokenRun()
+	s.rec.addStep(s.a.Instance, "run", outcomeUnknown, s.d.o.Clock.Now().Sub(s.started), cause)
+	for s.d.checkDeadline(s.ctx, r, s.rec) == nil && s.d.takeRetry(r, s.rec) {
 		c, err := s.d.pick(s.ctx, r, s.rec, s.d.o.Clock.Now().Add(resumeWait))
 		if err != nil {
 			return false
 		}
-		if s.d.barred(s.ctx, r, s.rec) != nil {
+		if s.d.checkBeforeSend(s.ctx, r, s.rec) != nil {
 			c.giveBack()
 			return false
 		}
@@ -199,10 +199,10 @@
 	return false
 }
 
-// broken notes that the present run broke off.
-func (s *Stream) broken() {
-	s.d.noteBroken(s.ctx, s.runner)
-	s.d.noteWork(s.ctx, s.a.Request, s.runner, s.rec, s.d.o.Clock.Now().Sub(s.started), true)
+// noteBrokenRun notes that the present run broke off.
+func (s *Stream) noteBrokenRun() {
+	s.d.noteBrokenConnection(s.ctx, s.runner)
+	s.d.reportSuspect(s.ctx, s.a.Request, s.runner, s.rec, s.d.o.Clock.Now().Sub(s.started), true)
 }
 
 func (s *Stream) resumeAt(c choice) bool {
@@ -217,40 +217,40 @@
 		return false
 	}
 	s.rec.exclude(a.Instance)
-	a.TimeLeft = s.d.left(a.Request)
+	a.TimeLeft = s.d.timeLeft(a.Request)
 	started := s.d.o.Clock.Now()
 	resp, err := s.d.send(s.ctx, a)
 	took := s.d.o.Clock.Now().Sub(started)
 	if err != nil {
 		sent.end()
-		s.d.sendFailed(s.ctx, a, runner, s.rec, "resume", took, err)
+		s.d.noteSendError(s.ctx, a, runner, s.rec, "resume", took, err)
 		return false
 	}
-	s.rec.noteRun()
+	s.rec.countAttempt()
 	head := resp.Head()
 	if head.NotRun || !head.EventStream || !head.Signed || head.Status != statusOK {
 		resp.Abort()
 		sent.end()
-		s.d.noteRefused(runner, head)
-		s.rec.add(a.Instance, "resume", outcomeNotRun, took, &statusError{head.Status})
+		s.d.noteRefusal(runner, head)
+		s.rec.addStep(a.Instance, "resume", outcomeNotRun, took, &statusError{head.Status})
 		return false
 	}
 	sent.answered()
 	s.a, s.runner, s.resp, s.sent, s.started = a, runner, resp, sent, started
-	s.buf, s.whole, s.eof, s.closed = nil, 0, false, false
+	s.buf, s.ready, s.eof, s.closed = nil, 0, false, false
 	s.startWatch()
 	return true
 }
 
-// drop ends the present run.
-func (s *Stream) drop() {
+// closeRun ends the present run.
+func (s *Stream) closeRun() {
 	if s.closed {
 		return
 	}
 	s.closed = true
 	s.stopWatch()
 	s.resp.Abort()
-	s.first.cancel()
+	s.firstWatch.cancel()
 	s.sent.end()
 }
 
@@ -264,13 +264,13 @@
 		if s.eof {
 			s.resp.Finish()
 			s.d.o.Quarantine.Answered(s.rec.digest)
-			s.rec.add(s.a.Instance, "run", outcomeAnswered, took, nil)
+			s.rec.addStep(s.a.Instance, "run", outcomeAnswered, took, nil)
 		} else {
 			s.resp.Abort()
-			s.rec.add(s.a.Instance, "run", outcomeCut, took, err)
+			s.rec.addStep(s.a.Instance, "run", outcomeAborted, took, err)
 		}
-		s.first.cancel()
+		s.firstWatch.cancel()
 		s.sent.end()
 	}
-	s.d.log(s.ctx, s.a.Request, s.rec, s.resp.Head().Status, err)
+	s.d.logRequest(s.ctx, s.a.Request, s.rec, s.resp.Head().Status, err)
 }
--- a/coordination/forward/turn.go
+++ b/coordination/forward/turn.go
@@ -155,7 +155,7 @@
 // urgent route in the middle to make room, which then pauses for some hundred milliseconds.
 // When all that are asked are full the session's own gets it all the same.
 func (d *Dispatcher) takeSlot(ctx context.Context, r *Request, rec *record) choice {
-	free, full := d.findSlot(ctx, r, rec, r.Generation.Session(), generateNear(r, rec.cached))
+	free, full := d.findSlot(ctx, r, rec, r.Generation.Session(), decodeDomain(r, rec.promptKV))
 	switch {
 	case free.Place != nil:
 		return choice{Runner: free.runner, turn: turn{kind: TurnCounted, runner: free.runner, place: free.Place}}
@@ -172,7 +172,7 @@
 func (d *Dispatcher) takePlace(ctx context.Context, r *Request, rec *record) choice {
 	free, full := d.findSlot(ctx, r, rec, "", "")
 	for _, runner := range full {
-		rec.add(runner.Instance, "place", outcomeFull, 0, nil)
+		rec.addStep(runner.Instance, "place", outcomeFull, 0, nil)
 	}
 	switch {
 	case free.Place != nil:
@@ -194,7 +194,7 @@
 		if runner == nil {
 			break
 		}
-		v := d.o.Gate.Enter(ctx, occupancy.Ask{Engine: runner.Instance.ID, Most: max(1, runner.Instance.Slots), Keep: d.left(r)})
+		v := d.o.Gate.Enter(ctx, occupancy.Ask{Engine: runner.Instance.ID, Most: max(1, runner.Instance.Slots), Keep: d.timeLeft(r)})
 		if v.Place != nil {
 			return offer{runner, v}, full
 		}
