--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -149,8 +149,8 @@
 		f.t.Fatal(err)
 	}
 	h.Dispatcher, err = New(Options{
-		Upstream: &advisedUpstream{h}, Placer: h.fleet, Gate: h.gate, Budget: anyBudget{}, Observer: noObserver{}, Advice: h.advice,
-		Outliers: &silentRunners{}, Crashes: &brokenWork{}, Quarantine: noQuarantine{}, Clock: clock, Log: slog.New(slog.DiscardHandler), SplitTokens: 600,
+		Upstream: &advisedUpstream{h}, Placer: h.fleet, Gate: h.gate, Budget: unlimitedBudget{}, Observer: noObserver{}, Advice: h.advice,
+		Outliers: &fakeOutliers{}, Crashes: &fakeCrashes{}, Quarantine: noQuarantine{}, Clock: clock, Log: slog.New(slog.DiscardHandler), SplitTokens: 600,
 	})
 	if err != nil {
 		f.t.Fatal(err)
--- a/coordination/forward/advised_peers_test.go
+++ b/coordination/forward/advised_peers_test.go
@@ -15,7 +15,7 @@
 func (h *advisedHost) tell(n backpressure.Notice) {
 	f := h.f
 	f.notices.Add(1)
-	time.AfterFunc(noticeTime, func() {
+	time.AfterFunc(noticeDelay, func() {
 		f.mu.Lock()
 		var reached []*advisedHost
 		for _, to := range f.hosts {
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -31,7 +31,7 @@
 			replies = append(replies, generated)
 		}
 		w := newWorld(t, plenty, replies...)
-		w.up.setDark(state.InstanceID{Name: "d2"})
+		w.up.setUnresponsive(state.InstanceID{Name: "d2"})
 		for range questions {
 			r := onceRequest()
 			answer, err := w.Forward(t.Context(), r)
@@ -42,7 +42,7 @@
 		}
 		is.Equal(len(w.up.attempts), questions)
 		for _, a := range w.up.attempts {
-			is.True(!w.up.isDark(a.Instance.ID))
+			is.True(!w.up.isUnresponsive(a.Instance.ID))
 		}
 	})
 }
@@ -60,17 +60,17 @@
 		}
 		w.fleet.Update([]state.Instance{*w.fleet.Runner(state.InstanceID{Name: "d1"}).Instance})
 		serve(onceRequest())
-		is.Equal(len(w.up.asked), 1)
+		is.Equal(len(w.up.probed), 1)
 		serve(onceRequest())
-		is.Equal(len(w.up.asked), 1)
+		is.Equal(len(w.up.probed), 1)
 		time.Sleep(2 * heardWithin)
 		repeatable := onceRequest()
 		repeatable.Route.Resumable = true
 		serve(repeatable)
-		is.Equal(len(w.up.asked), 1)
+		is.Equal(len(w.up.probed), 1)
 		time.Sleep(2 * heardWithin)
 		serve(onceRequest())
-		is.Equal(len(w.up.asked), 2)
+		is.Equal(len(w.up.probed), 2)
 	})
 }
 
@@ -79,9 +79,9 @@
 func TestSilentEngineIsLeftBeforeItsCallerDoes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, plenty, promptRead, reply{hang: true}, generated)
+		w := newWorld(t, plenty, prefilled, reply{hang: true}, generated)
 		for _, name := range []string{"d1", "d2", "d3", "d4", "d5"} {
-			w.up.setDark(state.InstanceID{Name: name})
+			w.up.setUnresponsive(state.InstanceID{Name: name})
 		}
 		r := modelRequest(9000, true)
 		answer, err := w.Forward(t.Context(), r)
@@ -113,7 +113,7 @@
 func TestLastAttemptIsNotEndedBySilence(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, plenty, promptRead, reply{status: 200, events: true, body: "id: 1\n\n", after: time.Second})
+		w := newWorld(t, plenty, prefilled, reply{status: 200, events: true, body: "id: 1\n\n", delay: time.Second})
 		r := modelRequest(9000, true)
 		r.Route.MaxAttempts = 1
 		answer, err := w.Forward(t.Context(), r)
@@ -127,7 +127,7 @@
 func TestBusyEngineIsWaitedFor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, plenty, promptRead, reply{status: 200, events: true, body: "id: 1\n\n", after: time.Second})
+		w := newWorld(t, plenty, prefilled, reply{status: 200, events: true, body: "id: 1\n\n", delay: time.Second})
 		answer, err := w.Forward(t.Context(), modelRequest(9000, true))
 		is.NoErr(err)
 		_, err = readAll(answer.Stream)
@@ -141,7 +141,7 @@
 func TestPromptLeavesAnEngineThatIsToldToBeSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, plenty, reply{hang: true}, promptRead, generated)
+		w := newWorld(t, plenty, reply{hang: true}, prefilled, generated)
 		w.gate.given = &backlog.Forecast{Wait: 20 * time.Millisecond, Finish: 900 * time.Millisecond, Known: true}
 		go func() {
 			time.Sleep(50 * time.Millisecond)
@@ -158,6 +158,6 @@
 		is.NoErr(err)
 		is.True(w.up.attempts[0].PrefillOnly && w.up.attempts[1].PrefillOnly)
 		is.True(time.Since(r.ArrivedAt) <= lookEvery+askTimeout)
-		is.Equal(w.silent.ids[0], w.up.attempts[0].Instance.ID) // the host tells of it, too
+		is.Equal(w.outliers.silent[0], w.up.attempts[0].Instance.ID) // the host tells of it, too
 	})
 }
--- a/coordination/forward/backup_test.go
+++ b/coordination/forward/backup_test.go
@@ -47,8 +47,8 @@
 	var fell time.Time
 	w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
 		fell = time.Now()
-		w.up.setDark(first)
-		w.up.noted = func() { is.True(time.Since(fell) <= 250*time.Millisecond+askTimeout) }
+		w.up.setUnresponsive(first)
+		w.up.onSend = func() { is.True(time.Since(fell) <= 250*time.Millisecond+askTimeout) }
 	}, reply{status: 200, events: true, body: begun, stall: time.Minute}, reply{status: 200, events: true, body: rest})
 	is.NoErr(err)
 	is.Equal(got, begun+rest)
@@ -79,7 +79,7 @@
 			w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
 				w.up.moveHandle, w.up.moveErr = c.handle, c.err
 				if c.dark {
-					w.up.setDark(first)
+					w.up.setUnresponsive(first)
 				}
 			}, reply{status: 200, events: true, body: begun, readErr: errSent}, reply{status: 200, events: true, body: rest})
 			if !c.goesOn {
@@ -123,7 +123,7 @@
 	is.NoErr(err)
 	is.Equal(got, begun)
 	is.Equal(len(w.up.attempts), 1)
-	is.Equal(len(w.up.moved), 0)
+	is.Equal(len(w.up.moveRequests), 0)
 }
 
 // Before the first event nobody knows whether the run has begun, and it isn't sent again.
@@ -171,18 +171,18 @@
 func TestRepeatableStreamLeavesADarkEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, plenty, promptRead, reply{status: 200, events: true, body: begun, stall: time.Minute}, reply{status: 200, events: true, body: rest})
+		w := newWorld(t, plenty, prefilled, reply{status: 200, events: true, body: begun, stall: time.Minute}, reply{status: 200, events: true, body: rest})
 		r := modelRequest(9000, true)
 		r.Route.EventGap = 250 * time.Millisecond
 		answer, err := w.Forward(t.Context(), r)
 		is.NoErr(err)
-		w.up.setDark(w.up.attempts[1].Instance.ID)
+		w.up.setUnresponsive(w.up.attempts[1].Instance.ID)
 		fell := time.Now()
 		got, err := readAll(answer.Stream)
 		is.NoErr(err)
 		is.Equal(got, begun+rest)
 		is.True(time.Since(fell) <= r.Route.EventGap)
-		is.Equal(w.silent.ids[0], w.up.attempts[1].Instance.ID)
+		is.Equal(w.outliers.silent[0], w.up.attempts[1].Instance.ID)
 	})
 }
 
@@ -192,5 +192,5 @@
 	w := newWorld(t, plenty, reply{status: statusMisdirected, notRun: true})
 	_, err := w.Forward(t.Context(), onceRequest())
 	is.True(err != nil)
-	is.Equal(w.silent.ids, []state.InstanceID{w.up.attempts[0].Instance.ID})
+	is.Equal(w.outliers.silent, []state.InstanceID{w.up.attempts[0].Instance.ID})
 }
--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -40,13 +40,13 @@
 // whatever else ran there, and the hosts treated the last copy like the first.
 
 const (
-	// crashAfter is how long an engine lives under the request, and downFor until it is back.
-	crashAfter = 80 * time.Millisecond
-	downFor    = 3 * time.Second
-	// contact is the time after the third crash in which all hosts must know.
-	contact = 3 * time.Second
-	// mostLate bounds the copies that reach an engine after that.
-	mostLate = 3
+	// crashDelay is how long an engine lives under the request, and downFor until it is back.
+	crashDelay   = 80 * time.Millisecond
+	restartDelay = 3 * time.Second
+	// quarantineDelay is the time after the third crash in which all hosts must know.
+	quarantineDelay = 3 * time.Second
+	// maxLateArrivals bounds the copies that reach an engine after that.
+	maxLateArrivals = 3
 )
 
 const poison = "poison"
@@ -68,8 +68,8 @@
 	served, unserved int
 	// firstEvent is when an engine that runs the request gives its first event.
 	firstEvent time.Duration
-	// sameName lets a later run of an engine take what was meant for the one before.
-	sameName bool
+	// acceptAnyRun lets a later run of an engine take what was meant for the one before.
+	acceptAnyRun bool
 }
 
 type crashHost struct {
@@ -115,7 +115,7 @@
 	for n := range hosts {
 		f.hosts = append(f.hosts, f.newHost(fmt.Sprint("h", n)))
 	}
-	f.list()
+	f.updateLists()
 	return f
 }
 
@@ -123,7 +123,7 @@
 	f.t.Helper()
 	h := &crashHost{f: f, name: name, fleet: placement.NewFleet(placement.Options{Clock: clocktest.Bubble{}, FailureDomain: "d1"})}
 	up := &crashUpstream{h}
-	h.keep()
+	h.startQuarantine()
 	crashes, err := crash.New(f.t.Context(), crash.Options{
 		Probe:    up.probe,
 		Listed:   func(i *state.Instance) bool { return h.fleet.Has(i.ID) },
@@ -135,8 +135,8 @@
 		f.t.Fatal(err)
 	}
 	h.Dispatcher, err = New(Options{
-		Upstream: up, Placer: h.fleet, Gate: newScriptedGate(f.t).Gate, Budget: anyBudget{}, Observer: noObserver{},
-		Outliers: &silentRunners{}, Crashes: crashes, Quarantine: h.Registry, Advice: newAdvice(f.t, clocktest.Bubble{}, func(backpressure.Notice) {}, func() {}), Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), SplitTokens: 600,
+		Upstream: up, Placer: h.fleet, Gate: newScriptedGate(f.t).Gate, Budget: unlimitedBudget{}, Observer: noObserver{},
+		Outliers: &fakeOutliers{}, Crashes: crashes, Quarantine: h.Registry, Advice: newAdvice(f.t, clocktest.Bubble{}, func(backpressure.Notice) {}, func() {}), Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), SplitTokens: 600,
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -144,20 +144,20 @@
 	return h
 }
 
-// anyBudget allows every repeat.
-type anyBudget struct{}
+// unlimitedBudget allows every repeat.
+type unlimitedBudget struct{}
 
-func (anyBudget) Seen(string) {}
+func (unlimitedBudget) Seen(string) {}
 
-func (anyBudget) Allow(string) bool     { return true }
-func (anyBudget) AllowMove(string) bool { return true }
+func (unlimitedBudget) Allow(string) bool     { return true }
+func (unlimitedBudget) AllowMove(string) bool { return true }
 
-// noticeTime is the way of a notice to the other hosts.
-const noticeTime = 5 * time.Millisecond
+// noticeDelay is the way of a notice to the other hosts.
+const noticeDelay = 5 * time.Millisecond
 
-// keep gives the host its part of the quarantine: notices reach all hosts, and the store's
+// startQuarantine gives the host its part of the quarantine: notices reach all hosts, and the store's
 // entries come by a copy of its own.
-func (h *crashHost) keep() {
+func (h *crashHost) startQuarantine() {
 	h.f.t.Helper()
 	client := h.f.store.Client(h.name)
 	var err error
@@ -165,7 +165,7 @@
 		Host: h.name, Table: quarantine.NewTable(clocktest.Bubble{}), Store: client, FollowsStore: func() bool { return true },
 		Publish: func(n quarantine.Notice) {
 			for _, to := range h.f.hosts {
-				time.AfterFunc(noticeTime, func() { to.Take(n) })
+				time.AfterFunc(noticeDelay, func() { to.Take(n) })
 			}
 		},
 		Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
@@ -183,8 +183,8 @@
 	go mirror.Run(h.f.t.Context())
 }
 
-// list puts the present engines in the hosts' lists.
-func (f *crashFleet) list() {
+// updateLists puts the present engines in the hosts' lists.
+func (f *crashFleet) updateLists() {
 	f.mu.Lock()
 	var list []state.Instance
 	for _, e := range f.engines {
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// end ends the present run of an engine, which is back after a while.
-func (f *crashFleet) end(e *crashEngine) {
+// endRun ends the present run of an engine, which is back after a while.
+func (f *crashFleet) endRun(e *crashEngine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !e.up {
@@ -216,12 +216,12 @@
 	e.up = false
 	f.crashes = append(f.crashes, time.Now())
 	close(e.ended)
-	time.AfterFunc(downFor, func() {
+	time.AfterFunc(restartDelay, func() {
 		f.mu.Lock()
 		e.up, e.ended = true, make(chan struct{})
 		e.born++
 		f.mu.Unlock()
-		time.AfterFunc(time.Second, f.list) // the list lags behind
+		time.AfterFunc(time.Second, f.updateLists) // the list lags behind
 	})
 }
 
@@ -234,21 +234,21 @@
 	f, e := u.h.f, u.h.f.engine(a.Instance.ID.Name)
 	f.mu.Lock()
 	up, ended, born := e.up, e.ended, e.born
-	bad := string(a.Request.Body) == poison
-	if up && bad {
+	crashing := string(a.Request.Body) == poison
+	if up && crashing {
 		f.arrivals = append(f.arrivals, time.Now())
 	}
 	f.mu.Unlock()
 	switch {
 	case !up:
 		return nil, &SendError{Cause: errors.New("refused")}
-	case born != a.Instance.ID.Born && !f.sameName:
+	case born != a.Instance.ID.Born && !f.acceptAnyRun:
 		return &crashResponse{head: &Head{Status: statusMisdirected, NotRun: true}}, nil
 	case a.PrefillOnly:
 		return &crashResponse{head: &Head{Status: 200}, ctx: ctx, ended: ended, events: []string{"handle"}, pause: 10 * time.Millisecond}, nil
-	case bad:
-		time.AfterFunc(crashAfter, func() { f.end(e) })
-		return &crashResponse{head: &Head{Status: 200, EventStream: e.role != "", Signed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: f.firstEvent, then: time.Hour}, nil
+	case crashing:
+		time.AfterFunc(crashDelay, func() { f.endRun(e) })
+		return &crashResponse{head: &Head{Status: 200, EventStream: e.role != "", Signed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: f.firstEvent, laterPause: time.Hour}, nil
 	case e.role == "":
 		return &crashResponse{head: &Head{Status: 200, Signed: true}, ctx: ctx, ended: ended, events: []string{"answer"}, pause: 15 * time.Millisecond}, nil
 	}
@@ -283,8 +283,8 @@
 	ctx    context.Context
 	ended  chan struct{}
 	events []string
-	// pause is that before the first event, and then, if set, before the others.
-	pause, then time.Duration
+	// pause is that before the first event, and laterPause, if set, before the others.
+	pause, laterPause time.Duration
 }
 
 func (r *crashResponse) Head() *Head { return r.head }
@@ -302,8 +302,8 @@
 	}
 	n := copy(p, r.events[0])
 	r.events = r.events[1:]
-	if r.then > 0 {
-		r.pause = r.then
+	if r.laterPause > 0 {
+		r.pause = r.laterPause
 	}
 	return n, nil
 }
@@ -311,9 +311,9 @@
 func (r *crashResponse) Finish() {}
 func (r *crashResponse) Abort()  {}
 
-// ask sends a request of that content and id through a host, and reports whether it was
+// forwardRequest sends a request of that content and id through a host, and reports whether it was
 // served whole.
-func (h *crashHost) ask(id, body string, r *Request) bool {
+func (h *crashHost) forwardRequest(id, body string, r *Request) bool {
 	r.ID, r.URI, r.Method, r.Host, r.Body = id, "/verdicts/1", "POST", "fleet", []byte(body)
 	ctx, cancel := context.WithDeadline(h.f.t.Context(), r.Deadline)
 	defer cancel()
@@ -328,8 +328,8 @@
 	return err == nil
 }
 
-// ordinary are the requests beside the one that crashes runners.
-func ordinary(n int) *Request {
+// harmlessRequest are the requests beside the one that crashes runners.
+func harmlessRequest(n int) *Request {
 	switch n % 3 {
 	case 0:
 		return modelRequest(200, false)
@@ -340,15 +340,15 @@
 	}
 }
 
-// play lets callers ask for so long: all sorts of requests at each host, and every some
+// runTraffic lets callers ask for so long: all sorts of requests at each host, and every some
 // hundred milliseconds a copy of the one that crashes engines, at any host.
-func (f *crashFleet) play(long time.Duration, copies func()) {
+func (f *crashFleet) runTraffic(duration time.Duration, copies func()) {
 	var callers sync.WaitGroup
-	end := time.Now().Add(long)
+	end := time.Now().Add(duration)
 	for _, h := range f.hosts {
 		callers.Go(func() {
 			for n := 0; time.Now().Before(end); n++ {
-				callers.Go(func() { f.note(f.askTwice(h, fmt.Sprint(h.name, "-", n), n)) })
+				callers.Go(func() { f.countServed(f.forwardTwice(h, fmt.Sprint(h.name, "-", n), n)) })
 				time.Sleep(40 * time.Millisecond)
 			}
 		})
@@ -360,16 +360,16 @@
 	callers.Wait()
 }
 
-// askTwice asks once more after a failure, as callers do.
-func (f *crashFleet) askTwice(h *crashHost, body string, n int) bool {
-	if h.ask(body+"-1", body, ordinary(n)) {
+// forwardTwice asks once more after a failure, as callers do.
+func (f *crashFleet) forwardTwice(h *crashHost, body string, n int) bool {
+	if h.forwardRequest(body+"-1", body, harmlessRequest(n)) {
 		return true
 	}
 	time.Sleep(100 * time.Millisecond)
-	return h.ask(body+"-2", body, ordinary(n))
+	return h.forwardRequest(body+"-2", body, harmlessRequest(n))
 }
 
-func (f *crashFleet) note(served bool) {
+func (f *crashFleet) countServed(served bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if served {
@@ -379,55 +379,55 @@
 	f.unserved++
 }
 
-// late counts the copies that reached an engine after the fleet had its time to learn of the
+// lateArrivals counts the copies that reached an engine after the fleet had its time to learn of the
 // third crash. A copy that is read at one engine and generated at another arrives twice.
-func (f *crashFleet) late() int {
+func (f *crashFleet) lateArrivals() int {
 	if len(f.crashes) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range f.arrivals {
-		if at.After(f.crashes[2].Add(contact)) {
+		if at.After(f.crashes[2].Add(quarantineDelay)) {
 			n++
 		}
 	}
 	return n
 }
 
-func TestRequestThatCrashesEnginesIsKeptFromThem(t *testing.T) {
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newCrashFleet(t, seed, 7)
 				copies := 0
-				f.play(30*time.Second, func() {
+				f.runTraffic(30*time.Second, func() {
 					copies++
 					h := f.hosts[f.rng.IntN(len(f.hosts))]
-					go h.ask(fmt.Sprint("copy-", copies), poison, modelRequest(2000, false))
+					go h.forwardRequest(fmt.Sprint("copy-", copies), poison, modelRequest(2000, false))
 				})
-				time.Sleep(downFor)
-				t.Logf("%d copies, %d engines ended, %d arrivals too late; others: %d served, %d not", copies, len(f.crashes), f.late(), f.served, f.unserved)
+				time.Sleep(restartDelay)
+				t.Logf("%d copies, %d engines ended, %d arrivals too late; others: %d served, %d not", copies, len(f.crashes), f.lateArrivals(), f.served, f.unserved)
 				is.True(len(f.crashes) >= 2) // the request does what it is here for
-				is.True(f.late() <= mostLate)
+				is.True(f.lateArrivals() <= maxLateArrivals)
 			})
 		})
 	}
 }
 
 // All sorts of requests that crash what runs them cost few runners, and the others are served.
-func TestFewRunnersEndUnderOneRequest(t *testing.T) {
+func TestCrashingRequestEndsFewRunners(t *testing.T) {
 	for name, c := range map[string]struct {
 		request func() *Request
 		// together is how many copies come in the same moment.
 		together   int
 		firstEvent time.Duration
-		most       int
+		maxCrashes int
 	}{
 		"a prompt that is read apart":             {func() *Request { return modelRequest(2000, false) }, 1, time.Hour, 2},
 		"a short prompt":                          {func() *Request { return modelRequest(200, false) }, 1, time.Hour, 2},
 		"one that is tried at a second engine":    {func() *Request { return modelRequest(200, true) }, 1, time.Hour, 2},
-		"one whose answer has just begun":         {func() *Request { return modelRequest(200, true) }, 1, crashAfter / 2, 2},
+		"one whose answer has just begun":         {func() *Request { return modelRequest(200, true) }, 1, crashDelay / 2, 2},
 		"a call that runs once":                   {func() *Request { return request(state.RouteUnsafe, 1, false) }, 1, time.Hour, 2},
 		"a call that is tried at a second runner": {func() *Request { return request(state.RouteSafe, 2, false) }, 1, time.Hour, 2},
 		"three copies in the same moment":         {func() *Request { return modelRequest(200, false) }, 3, time.Hour, 3},
@@ -438,18 +438,18 @@
 				f := newCrashFleet(t, 1, 7)
 				f.firstEvent = c.firstEvent
 				copies := 0
-				f.play(20*time.Second, func() {
+				f.runTraffic(20*time.Second, func() {
 					for range c.together {
 						copies++
 						h := f.hosts[f.rng.IntN(len(f.hosts))]
-						go h.ask(fmt.Sprint("copy-", copies), poison, c.request())
+						go h.forwardRequest(fmt.Sprint("copy-", copies), poison, c.request())
 					}
 				})
-				time.Sleep(downFor)
-				t.Logf("%d copies, %d runners ended, %d arrivals too late; others: %d served, %d not", copies, len(f.crashes), f.late(), f.served, f.unserved)
+				time.Sleep(restartDelay)
+				t.Logf("%d copies, %d runners ended, %d arrivals too late; others: %d served, %d not", copies, len(f.crashes), f.lateArrivals(), f.served, f.unserved)
 				is.True(len(f.crashes) >= 2)
-				is.True(len(f.crashes) <= c.most)
-				is.True(f.late() <= mostLate)
+				is.True(len(f.crashes) <= c.maxCrashes)
+				is.True(f.lateArrivals() <= maxLateArrivals)
 				is.Equal(f.unserved, 0) // each comes twice at most
 			})
 		})
@@ -458,18 +458,18 @@
 
 // Engines that are back under their names take work before the list tells the new run from the
 // old one: a copy that ends such a run counts as well.
-func TestRunsUnderOneNameCountEach(t *testing.T) {
+func TestCrashesOfRestartedEngineCountSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newCrashFleet(t, 1, 3)
-		f.sameName = true
+		f.acceptAnyRun = true
 		f.engines = slices.DeleteFunc(f.engines, func(e *crashEngine) bool {
 			return e.role == state.RoleDecode && e.name != "d0"
 		})
-		f.list()
+		f.updateLists()
 		for n := range 20 {
-			go f.hosts[n%3].ask(fmt.Sprint("copy-", n), poison, modelRequest(200, true))
-			time.Sleep(downFor/2 + 50*time.Millisecond) // every second one finds the engine back
+			go f.hosts[n%3].forwardRequest(fmt.Sprint("copy-", n), poison, modelRequest(200, true))
+			time.Sleep(restartDelay/2 + 50*time.Millisecond) // every second one finds the engine back
 		}
 		t.Logf("%d runs of one engine ended", len(f.crashes))
 		is.Equal(len(f.crashes), 2)
--- a/coordination/forward/evacuate_test.go
+++ b/coordination/forward/evacuate_test.go
@@ -30,7 +30,7 @@
 	w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
 		noticed = time.Now()
 		w.up.moveHandle = "h9"
-		w.up.noted = func() { is.True(time.Since(noticed) <= 250*time.Millisecond) } // the pause that its caller was promised
+		w.up.onSend = func() { is.True(time.Since(noticed) <= 250*time.Millisecond) } // the pause that its caller was promised
 		w.drain(first)
 	}, reply{status: 200, events: true, body: begun, stall: time.Minute}, reply{status: 200, events: true, body: rest})
 	is.NoErr(err)
@@ -39,7 +39,7 @@
 	is.Equal(*a[1].Source, KVSource{Instance: a[0].Instance, Handle: "h9"})
 	is.Equal(a[1].LastEventID, "1")
 	is.True(w.fleet.Has(a[1].Instance.ID))
-	is.Equal(len(w.broken.work), 0) // it left; nobody broke it
+	is.Equal(len(w.crashes.suspects), 0) // it left; nobody broke it
 }
 
 // A run that can't be moved stays at its engine for as long as that is there.
@@ -56,7 +56,7 @@
 			}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
 			is.NoErr(err)
 			is.Equal(got, begun)
-			is.Equal(len(w.up.moved), 1) // tried once
+			is.Equal(len(w.up.moveRequests), 1) // tried once
 		})
 	}
 }
@@ -73,7 +73,7 @@
 		}
 	}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
 	is.NoErr(err)
-	is.Equal(len(w.up.moved), 0)
+	is.Equal(len(w.up.moveRequests), 0)
 	repeatable := &Attempt{Request: modelRequest(9000, true), Instance: w.up.attempts[0].Instance}
 	w.drain(repeatable.Instance.ID)
 	is.True(!w.leaves(repeatable))
@@ -90,5 +90,5 @@
 	}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
 	is.NoErr(err)
 	is.Equal(got, begun)
-	is.Equal(len(w.up.moved), 0)
+	is.Equal(len(w.up.moveRequests), 0)
 }
--- a/coordination/forward/forward_test.go
+++ b/coordination/forward/forward_test.go
@@ -25,7 +25,7 @@
 		"lost after sending":                {[]reply{{err: errSent}}, 1, false, false},
 		"nothing sent, then lost":           {[]reply{{err: errUnsent}, {err: errSent}}, 2, false, false},
 		"cut in the answer":                 {[]reply{{status: 200, body: "do", readErr: io.ErrUnexpectedEOF}}, 1, false, false},
-		"without the runner's signature":    {[]reply{{status: 200, body: "done", unseal: true}}, 1, false, false},
+		"without the runner's signature":    {[]reply{{status: 200, body: "done", unsigned: true}}, 1, false, false},
 		"refused as not run, one attempt":   {[]reply{{status: 503, notRun: true}}, 1, false, true},
 		"the runner's own failure is given": {[]reply{{status: 500, body: "failed"}}, 1, true, false},
 		"nobody reached":                    {[]reply{{err: errUnsent}, {err: errUnsent}, {err: errUnsent}, {err: errUnsent}, {err: errUnsent}}, 5, false, true},
@@ -45,7 +45,7 @@
 	}
 }
 
-func TestRepeatableCallIsSentAgain(t *testing.T) {
+func TestRepeatableCallIsRetried(t *testing.T) {
 	ok := reply{status: 200, body: "done"}
 	for name, c := range map[string]struct {
 		budget  int
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestDeadlineEndsTheWaitAtOnce(t *testing.T) {
+func TestDeadlineEndsAttempt(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{hang: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
@@ -95,7 +95,7 @@
 	is.Equal(refusal.NotRun, false)
 }
 
-func TestRunnerIsToldWhatIsLeft(t *testing.T) {
+func TestAttemptCarriesTimeLeft(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{err: errUnsent}, reply{status: 200})
 	r := request(state.RouteUnsafe, 1, false)
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestCallerWhoLeftIsNotSentAgain(t *testing.T) {
+func TestNoRetryAfterCallerLeft(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{hang: true})
 	ctx, leave := context.WithCancel(t.Context())
@@ -120,7 +120,7 @@
 	is.Equal(len(w.up.attempts), 1)
 }
 
-func TestLeavingInstanceIsNotSentTo(t *testing.T) {
+func TestDrainingInstanceGetsNoRequest(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty)
 	w.fleet.Update([]state.Instance{{ID: state.InstanceID{Name: "s1"}, Service: "plain", Draining: true}})
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -20,19 +20,19 @@
 
 // reply is what the fake upstream does with one sending.
 type reply struct {
-	err     error
-	status  int
-	notRun  bool
-	unseal  bool
-	events  bool
-	body    string
-	readErr error
+	err      error
+	status   int
+	notRun   bool
+	unsigned bool
+	events   bool
+	body     string
+	readErr  error
 	// hang waits for the end of the context.
 	hang bool
 	// stall sends nothing more after the body for so long, or until it is cut.
 	stall time.Duration
-	// after is how long the response takes.
-	after time.Duration
+	// delay is how long the response takes.
+	delay time.Duration
 }
 
 // fakeUpstream answers sendings in order and notes them.
@@ -40,34 +40,34 @@
 	t        *testing.T
 	replies  []reply
 	attempts []Attempt
-	cuts     int
-	// noted, if set, is called at each sending, connected before the request leaves.
-	noted     func()
-	connected func(a *Attempt)
+	aborts   int
+	// onSend, if set, is called at each sending, connected before the request leaves.
+	onSend    func()
+	onConnect func(a *Attempt)
 	// discarded gets the handles that are freed.
 	discarded chan string
 	// asked are the engines that were asked whether they are there; those that are dark
 	// don't answer.
-	mu    sync.Mutex
-	asked []state.InstanceID
-	dark  map[state.InstanceID]bool
-	// moved are the engines that were asked to stop a run; they answer moveHandle and
+	mu           sync.Mutex
+	probed       []state.InstanceID
+	unresponsive map[state.InstanceID]bool
+	// moveRequests are the engines that were asked to stop a run; they answer moveHandle and
 	// moveErr.
-	moved      []state.InstanceID
-	moveHandle string
-	moveErr    error
+	moveRequests []state.InstanceID
+	moveHandle   string
+	moveErr      error
 }
 
 func (u *fakeUpstream) Send(ctx context.Context, a *Attempt) (Response, error) {
-	if u.connected != nil {
-		u.connected(a)
+	if u.onConnect != nil {
+		u.onConnect(a)
 	}
 	if err := a.Permit(); err != nil {
 		return nil, &SendError{Withheld: true, Cause: err}
 	}
 	u.attempts = append(u.attempts, *a)
-	if u.noted != nil {
-		u.noted()
+	if u.onSend != nil {
+		u.onSend()
 	}
 	if len(u.replies) == 0 {
 		u.t.Fatalf("sending %d was not expected", len(u.attempts))
@@ -81,8 +81,8 @@
 	if r.err != nil {
 		return nil, r.err
 	}
-	time.Sleep(r.after)
-	return &fakeResponse{u: u, r: r, cut: make(chan struct{}), head: &Head{Status: r.status, Signed: !r.unseal, NotRun: r.notRun, EventStream: r.events}}, nil
+	time.Sleep(r.delay)
+	return &fakeResponse{u: u, r: r, aborted: make(chan struct{}), head: &Head{Status: r.status, Signed: !r.unsigned, NotRun: r.notRun, EventStream: r.events}}, nil
 }
 
 func (u *fakeUpstream) PrefillHandle(body []byte) (string, error) {
@@ -92,25 +92,25 @@
 	return string(body), nil
 }
 
-func (u *fakeUpstream) setDark(id state.InstanceID) {
+func (u *fakeUpstream) setUnresponsive(id state.InstanceID) {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	if u.dark == nil {
-		u.dark = map[state.InstanceID]bool{}
+	if u.unresponsive == nil {
+		u.unresponsive = map[state.InstanceID]bool{}
 	}
-	u.dark[id] = true
+	u.unresponsive[id] = true
 }
 
-func (u *fakeUpstream) isDark(id state.InstanceID) bool {
+func (u *fakeUpstream) isUnresponsive(id state.InstanceID) bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
-	return u.dark[id]
+	return u.unresponsive[id]
 }
 
 // Move implements Upstream.
 func (u *fakeUpstream) Move(ctx context.Context, from *state.Instance, _ string, _ *state.Instance) (string, error) {
-	u.moved = append(u.moved, from.ID)
-	if u.isDark(from.ID) {
+	u.moveRequests = append(u.moveRequests, from.ID)
+	if u.isUnresponsive(from.ID) {
 		<-ctx.Done()
 		return "", &SendError{Sent: true, Cause: ctx.Err()}
 	}
@@ -120,9 +120,9 @@
 // Alive implements Upstream.
 func (u *fakeUpstream) Alive(ctx context.Context, i *state.Instance) bool {
 	u.mu.Lock()
-	u.asked = append(u.asked, i.ID)
+	u.probed = append(u.probed, i.ID)
 	u.mu.Unlock()
-	if u.isDark(i.ID) {
+	if u.isUnresponsive(i.ID) {
 		<-ctx.Done()
 		return false
 	}
@@ -135,11 +135,11 @@
 }
 
 type fakeResponse struct {
-	u    *fakeUpstream
-	r    reply
-	head *Head
-	cut  chan struct{}
-	once sync.Once
+	u       *fakeUpstream
+	r       reply
+	head    *Head
+	aborted chan struct{}
+	once    sync.Once
 }
 
 func (f *fakeResponse) Head() *Head { return f.head }
@@ -148,7 +148,7 @@
 	if f.r.body == "" {
 		if f.r.stall > 0 {
 			select {
-			case <-f.cut:
+			case <-f.aborted:
 				return 0, errSent
 			case <-time.After(f.r.stall):
 			}
@@ -166,8 +166,8 @@
 func (f *fakeResponse) Finish() {}
 func (f *fakeResponse) Abort() {
 	f.once.Do(func() {
-		f.u.cuts++
-		close(f.cut)
+		f.u.aborts++
+		close(f.aborted)
 	})
 }
 
@@ -207,8 +207,8 @@
 	refusal []backlog.Forecast
 	given   *backlog.Forecast
 	asks    []occupancy.Ask
-	// asked is called with each ask, before the answer.
-	asked func(a occupancy.Ask)
+	// onEnter is called with each ask, before the answer.
+	onEnter func(a occupancy.Ask)
 }
 
 func newScriptedGate(t *testing.T) *scriptedGate {
@@ -226,8 +226,8 @@
 
 func (g *scriptedGate) Enter(ctx context.Context, a occupancy.Ask) occupancy.Verdict {
 	g.asks = append(g.asks, a)
-	if g.asked != nil {
-		g.asked(a)
+	if g.onEnter != nil {
+		g.onEnter(a)
 	}
 	if len(g.refusal) > 0 {
 		f := g.refusal[0]
@@ -244,49 +244,49 @@
 // noPeers are the peers of a host that is alone.
 type noPeers struct{ occupancy.Peers }
 
-// silentRunners notes the runners that are told to be silent.
-type silentRunners struct {
-	mu  sync.Mutex
-	ids []state.InstanceID
+// fakeOutliers notes the runners that are told to be silent.
+type fakeOutliers struct {
+	mu     sync.Mutex
+	silent []state.InstanceID
 }
 
 // Silent implements Outliers.
-func (s *silentRunners) Silent(id state.InstanceID) {
+func (s *fakeOutliers) Silent(id state.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ids = append(s.ids, id)
+	s.silent = append(s.silent, id)
 }
 
 func (noObserver) RequestHeld(string)               {}
 func (noObserver) RequestStarted(string, time.Time) {}
 
-// quarantineOf holds every request after it was asked for one so often; 0 for never.
-type quarantineOf struct {
-	after, asked int
-	answered     []quarantine.Digest
+// fakeQuarantine holds every request after it was asked for one so often; 0 for never.
+type fakeQuarantine struct {
+	holdAfter, lookups int
+	answered           []quarantine.Digest
 }
 
-func (q *quarantineOf) Held(quarantine.Digest) *quarantine.Hold {
-	q.asked++
-	if q.after == 0 || q.asked <= q.after {
+func (q *fakeQuarantine) Held(quarantine.Digest) *quarantine.Hold {
+	q.lookups++
+	if q.holdAfter == 0 || q.lookups <= q.holdAfter {
 		return nil
 	}
 	return &quarantine.Hold{Evidence: make([]quarantine.Evidence, 2)}
 }
 
-func (q *quarantineOf) Answered(d quarantine.Digest) { q.answered = append(q.answered, d) }
+func (q *fakeQuarantine) Answered(d quarantine.Digest) { q.answered = append(q.answered, d) }
 
-// brokenWork notes the work that broke off.
-type brokenWork struct {
-	mu   sync.Mutex
-	work []quarantine.Suspect
+// fakeCrashes notes the work that broke off.
+type fakeCrashes struct {
+	mu       sync.Mutex
+	suspects []quarantine.Suspect
 }
 
 // Broke implements Crashes.
-func (b *brokenWork) Broke(_ *state.Instance, w quarantine.Suspect) {
+func (b *fakeCrashes) Broke(_ *state.Instance, w quarantine.Suspect) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.work = append(b.work, w)
+	b.suspects = append(b.suspects, w)
 }
 
 // world is a dispatcher with its fakes and five runners of each kind.
@@ -295,11 +295,11 @@
 	up    *fakeUpstream
 	fleet *placement.Fleet
 	gate  *scriptedGate
-	// silent are the runners that were told to be.
-	silent *silentRunners
-	broken *brokenWork
-	held   *quarantineOf
-	advice *backpressure.Registry
+	// outliers are the runners that were told to be.
+	outliers   *fakeOutliers
+	crashes    *fakeCrashes
+	quarantine *fakeQuarantine
+	advice     *backpressure.Registry
 }
 
 func newWorld(t *testing.T, budget int, replies ...reply) *world {
@@ -322,7 +322,7 @@
 	}
 	fleet.Update(list)
 	gate := newScriptedGate(t)
-	silent, broken, held := &silentRunners{}, &brokenWork{}, &quarantineOf{}
+	silent, broken, held := &fakeOutliers{}, &fakeCrashes{}, &fakeQuarantine{}
 	d, err := New(Options{
 		Upstream: up, Placer: fleet, Gate: gate, Budget: &countingBudget{budget}, Observer: noObserver{}, Outliers: silent, Crashes: broken, Quarantine: held, Advice: advice, Clock: clock,
 		Log: slog.New(slog.DiscardHandler), SplitTokens: 600,
@@ -342,8 +342,8 @@
 	return advice
 }
 
-// readingAsks counts the questions for a place to read.
-func (w *world) readingAsks() int {
+// prefillAsks counts the questions for a place to read.
+func (w *world) prefillAsks() int {
 	n := 0
 	for _, a := range w.gate.asks {
 		if a.Reading != nil {
--- a/coordination/forward/held_test.go
+++ b/coordination/forward/held_test.go
@@ -35,9 +35,9 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(t, plenty, c.replies...)
-			w.held.after = max(c.after, 0)
+			w.quarantine.holdAfter = max(c.after, 0)
 			if c.after < 0 {
-				w.held.after, w.held.asked = 1, 1
+				w.quarantine.holdAfter, w.quarantine.lookups = 1, 1
 			}
 			_, err := w.Forward(t.Context(), c.request)
 			var refusal *Refusal
@@ -52,7 +52,7 @@
 	t.Run("in the midst of its answer", func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{status: 200, events: true, body: event, readErr: errors.New("reset")})
-		w.held.after = 2
+		w.quarantine.holdAfter = 2
 		answer, err := w.Forward(t.Context(), modelRequest(200, true))
 		is.NoErr(err)
 		got, err := readAll(answer.Stream)
@@ -63,7 +63,7 @@
 }
 
 // Whole answers speak for a request; those that break off or fail at the runner don't.
-func TestWholeAnswersAreNoted(t *testing.T) {
+func TestCompleteAnswersAreRecorded(t *testing.T) {
 	event := "id: 1\ndata: x\n\n"
 	for name, c := range map[string]struct {
 		request *Request
@@ -74,8 +74,8 @@
 		"a caller's own fault":  {request(state.RouteUnsafe, 1, false), reply{status: 404}, true},
 		"a runner's failure":    {request(state.RouteUnsafe, 1, false), reply{status: 500}, false},
 		"a call that broke off": {request(state.RouteUnsafe, 1, false), reply{status: 200, readErr: io.ErrUnexpectedEOF}, false},
-		"a stream":              {onceStream(), reply{status: 200, events: true, body: event}, true},
-		"a stream that was cut": {onceStream(), reply{status: 200, events: true, body: event, readErr: errors.New("reset")}, false},
+		"a stream":              {singleAttemptStream(), reply{status: 200, events: true, body: event}, true},
+		"a stream that was cut": {singleAttemptStream(), reply{status: 200, events: true, body: event, readErr: errors.New("reset")}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -83,8 +83,8 @@
 			if answer, err := w.Forward(t.Context(), c.request); err == nil && answer.Stream != nil {
 				_, _ = readAll(answer.Stream)
 			}
-			is.Equal(len(w.held.answered) > 0, c.noted)
-			for _, d := range w.held.answered {
+			is.Equal(len(w.quarantine.answered) > 0, c.noted)
+			for _, d := range w.quarantine.answered {
 				is.Equal(d, quarantine.DigestOf(c.request.content()))
 			}
 		})
--- a/coordination/forward/leaving_test.go
+++ b/coordination/forward/leaving_test.go
@@ -71,7 +71,7 @@
 				w := newWorld(t, plenty, c.replies...)
 				connections := 0
 				var left state.InstanceID
-				w.up.connected = func(a *Attempt) {
+				w.up.onConnect = func(a *Attempt) {
 					if connections++; connections == c.leaves {
 						left = a.Instance.ID
 						w.drain(left)
@@ -85,7 +85,7 @@
 				}
 				is.True(!slices.ContainsFunc(w.up.attempts, func(a Attempt) bool { return a.Instance.ID == left }))
 				is.Equal(len(w.up.attempts), len(c.replies))
-				is.True(!slices.Contains(w.silent.ids, left))
+				is.True(!slices.Contains(w.outliers.silent, left))
 			})
 		})
 	}
--- a/coordination/forward/limits_test.go
+++ b/coordination/forward/limits_test.go
@@ -35,7 +35,7 @@
 		f.play(rng, l, 12*time.Second)
 		for _, name := range []string{"d1", "d2"} {
 			limit := limits[name]
-			got := f.runner(name).mostIn(limitWindow, named.Add(contact), time.Now(), nil)
+			got := f.runner(name).mostIn(limitWindow, named.Add(quarantineDelay), time.Now(), nil)
 			t.Logf("%s names %.1f a second: at most %d in %s", name, limit, got, limitWindow)
 			is.True(float64(got) <= limitFactor*limit*limitWindow.Seconds()+limitSlack)
 		}
--- a/coordination/forward/mixed_test.go
+++ b/coordination/forward/mixed_test.go
@@ -9,11 +9,11 @@
 	"github.com/thymerack/thymerack/coordination/backlog"
 )
 
-func TestLongPromptGoesWholeToAnEngineThatDoesBoth(t *testing.T) {
+func TestLongPromptStaysAtOneMixedEngine(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, plenty, generated)
 	w.gate.refusal = []backlog.Forecast{{Wait: 300 * time.Millisecond, Finish: 320 * time.Millisecond, Kept: 400, Coming: 400}}
-	w.served(t)
+	w.mustServe(t)
 	is.Equal(len(w.up.attempts), 1)
 	a := w.up.attempts[0]
 	is.True(!a.PrefillOnly)
@@ -27,18 +27,18 @@
 	is.True(w.gate.asks[0].Reading.Work.Own > 0)
 }
 
-func TestLatePromptWaitsBehindTheOthersAtAnEngineThatDoesBoth(t *testing.T) {
+func TestLatePromptIsQueuedLastAtMixedEngine(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, plenty, generated)
 	w.gate.refusal = busyFor(time.Second, true)
 	w.gate.given = &backlog.Forecast{Rank: backlog.Classes + 2}
-	w.served(t)
+	w.mustServe(t)
 	is.Equal(len(w.up.attempts), 1)
 	is.Equal(w.up.attempts[0].Rank, backlog.Classes+2)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[0].Engine) // the session's own
 }
 
-func TestShortPromptTakesASlotOfAnEngineThatDoesBoth(t *testing.T) {
+func TestShortPromptTakesSlotOfMixedEngine(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, plenty, generated)
 	answer, err := w.Forward(t.Context(), modelRequest(500, false))
@@ -48,10 +48,10 @@
 	is.Equal(w.gate.asks[0].Most, engineSlots)
 }
 
-func TestRefusedPromptIsTakenToAnotherEngineThatDoesBoth(t *testing.T) {
+func TestRefusedPromptIsRetriedAtAnotherMixedEngine(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, 1, reply{status: 503, notRun: true}, generated)
-	w.served(t)
+	w.mustServe(t)
 	is.Equal(len(w.up.attempts), 2)
 	is.True(w.up.attempts[0].Instance.ID != w.up.attempts[1].Instance.ID)
 	for _, r := range w.fleet.Runners("model") {
@@ -61,11 +61,11 @@
 }
 
 // A session's prompts meet at one engine, whichever host asks.
-func TestSessionKeepsToOneEngineThatDoesBoth(t *testing.T) {
+func TestSessionStaysAtOneMixedEngine(t *testing.T) {
 	is := is.New(t)
 	first := newMixedWorld(t, plenty, generated)
-	first.served(t)
+	first.mustServe(t)
 	second := newMixedWorld(t, plenty, generated)
-	second.served(t)
+	second.mustServe(t)
 	is.Equal(first.up.attempts[0].Instance.ID, second.up.attempts[0].Instance.ID)
 }
--- a/coordination/forward/split_test.go
+++ b/coordination/forward/split_test.go
@@ -13,7 +13,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-func TestPromptIsReadApartAndHandedOn(t *testing.T) {
+func TestSeparatePrefillIsHandedToDecodeEngine(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{status: 200, body: "h1"}, reply{status: 200, events: true, body: "id: 1\ndata: x\n\n"})
 	answer, err := w.Forward(t.Context(), modelRequest(9000, true))
@@ -27,7 +27,7 @@
 	is.Equal(*w.up.attempts[1].Source, KVSource{Instance: w.up.attempts[0].Instance, Handle: "h1"})
 }
 
-func TestShortPromptGoesToAnEngineThatGenerates(t *testing.T) {
+func TestShortPromptHasNoSeparatePrefill(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{status: 200, events: true, body: "id: 1\ndata: x\n\n"})
 	answer, err := w.Forward(t.Context(), modelRequest(500, false))
@@ -38,7 +38,7 @@
 	is.True(w.up.attempts[0].Source == nil)
 }
 
-func TestFailedPrefillFallsBackToTheGeneratingEngine(t *testing.T) {
+func TestFailedPrefillFallsBackToDecodeEngine(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, 1, reply{err: errSent}, reply{status: 503, notRun: true}, reply{status: 200, events: true, body: "id: 1\n\n"})
 	answer, err := w.Forward(t.Context(), modelRequest(9000, true))
@@ -51,7 +51,7 @@
 }
 
 // Refused readings arrive at engines too: what is sent after one is a repeat.
-func TestSendingAfterARefusedPromptIsARepeat(t *testing.T) {
+func TestAttemptAfterRefusedPrefillIsRetry(t *testing.T) {
 	refused := reply{status: 421, notRun: true}
 	for _, c := range []struct {
 		name     string
@@ -61,11 +61,11 @@
 		served   bool
 	}{
 		{"none left", 0, []reply{refused}, 1, false},
-		{"one left for the second reading and the run", 1, []reply{refused, promptRead, generated}, 3, true},
+		{"one left for the second reading and the run", 1, []reply{refused, prefilled, generated}, 3, true},
 		{"one left, refused twice", 1, []reply{refused, refused}, 2, false},
 		{"two left, refused twice", 2, []reply{refused, refused, generated}, 3, true},
-		{"a second reading counts after a lost one", 0, []reply{{err: errSent}, promptRead, generated}, 2, false},
-		{"one that never left doesn't", 0, []reply{{err: errUnsent}, promptRead, generated}, 3, true},
+		{"a second reading counts after a lost one", 0, []reply{{err: errSent}, prefilled, generated}, 2, false},
+		{"one that never left doesn't", 0, []reply{{err: errUnsent}, prefilled, generated}, 3, true},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestDarkPrefillEngineIsLeftForAnother(t *testing.T) {
+func TestUnresponsivePrefillEngineIsReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{hang: true}, reply{status: 200, body: "h2"}, reply{status: 200, events: true, body: "id: 1\n\n"})
@@ -107,7 +107,7 @@
 
 // Memory that takes long to move stays in its failure domain; bytes that move at once
 // don't decide.
-func TestAnswerIsGeneratedNearMemoryThatIsSlowToMove(t *testing.T) {
+func TestDecodeStaysNearSlowKVCache(t *testing.T) {
 	is := is.New(t)
 	r := modelRequest(17000, false)
 	source := &KVSource{Instance: &state.Instance{FailureDomain: "d2"}}
@@ -121,12 +121,12 @@
 
 // The engine leaves the list while its owner is asked: nothing is sent to it, and the
 // prompt is read elsewhere.
-func TestEngineThatLeavesWhileItsOwnerIsAskedIsPassedOver(t *testing.T) {
+func TestEngineRemovedDuringAdmissionIsSkipped(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, plenty, promptRead, generated, promptRead, generated)
-	w.served(t) // its session's engine is warm from now on
+	w := newWorld(t, plenty, prefilled, generated, prefilled, generated)
+	w.mustServe(t) // its session's engine is warm from now on
 	var gone state.InstanceID
-	w.gate.asked = func(a occupancy.Ask) {
+	w.gate.onEnter = func(a occupancy.Ask) {
 		if gone != (state.InstanceID{}) {
 			return
 		}
@@ -139,19 +139,19 @@
 		}
 		w.fleet.Update(left)
 	}
-	w.served(t)
+	w.mustServe(t)
 	is.True(gone != state.InstanceID{})
 	is.Equal(w.up.attempts[0].Instance.ID, gone)
 	is.True(w.up.attempts[2].Instance.ID != gone)
 }
 
 var (
-	promptRead = reply{status: 200, body: "h1"}
-	generated  = reply{status: 200, events: true, body: "id: 1\n\n"}
+	prefilled = reply{status: 200, body: "h1"}
+	generated = reply{status: 200, events: true, body: "id: 1\n\n"}
 )
 
-// served forwards a long prompt that is answered.
-func (w *world) served(t *testing.T) {
+// mustServe forwards a long prompt that is answered.
+func (w *world) mustServe(t *testing.T) {
 	t.Helper()
 	answer, err := w.Forward(t.Context(), modelRequest(9000, true))
 	if err != nil {
@@ -162,7 +162,7 @@
 	}
 }
 
-func TestCacheThatNobodyTakesIsFreed(t *testing.T) {
+func TestUnusedKVCacheIsDiscarded(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{status: 200, body: "h1"}, reply{status: 503, notRun: true}, reply{status: 503, notRun: true})
 	_, err := w.Forward(t.Context(), modelRequest(9000, true))
--- a/coordination/forward/stream_test.go
+++ b/coordination/forward/stream_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestResumableStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
+func TestStreamResumesAfterLastWholeEvent(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty,
 		reply{status: 200, events: true, body: "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\nda", readErr: errors.New("reset")},
@@ -19,10 +19,10 @@
 	is.NoErr(err)
 	is.Equal(got, "id: 1\ndata: a\n\nid: 2\ndata: b\n\nid: 3\ndata: c\n\n")
 	is.Equal(w.up.attempts[1].LastEventID, "2")
-	is.True(w.up.cuts >= 1) // the earlier run is ended first
+	is.True(w.up.aborts >= 1) // the earlier run is ended first
 }
 
-func TestStreamThatMayRunOnceIsCutNotResumed(t *testing.T) {
+func TestNonRepeatableStreamIsNotResumed(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{status: 200, events: true, body: "id: 1\ndata: a\n\nid: 2\nda", readErr: errors.New("reset")})
 	answer, err := w.Forward(t.Context(), modelRequest(500, false))
@@ -33,7 +33,7 @@
 	is.Equal(len(w.up.attempts), 1)
 }
 
-func TestResumingStopsAtTheRoutesAttempts(t *testing.T) {
+func TestResumeStopsAtMaxAttempts(t *testing.T) {
 	is := is.New(t)
 	cut := reply{status: 200, events: true, body: "id: 1\ndata: a\n\n", readErr: errors.New("reset")}
 	w := newWorld(t, plenty, cut, reply{status: 200, events: true, readErr: errors.New("reset")})
--- a/coordination/forward/suspended_test.go
+++ b/coordination/forward/suspended_test.go
@@ -16,7 +16,7 @@
 // The host was suspended while requests waited or ran: their deadlines have passed, although no
 // timer says so. They are sent nowhere any more, and their callers are told truly what became of
 // them.
-func TestRequestsOfASuspendedHostAreNotSentLate(t *testing.T) {
+func TestNoAttemptAfterSuspensionPastDeadline(t *testing.T) {
 	for name, c := range map[string]struct {
 		request func() *Request
 		replies []reply
@@ -32,8 +32,8 @@
 				is := is.New(t)
 				machine := &clocktest.Machine{}
 				w := newWorldAt(t, machine, plenty, c.replies...)
-				w.gate.asked = func(occupancy.Ask) { machine.Suspend(time.Minute) }
-				w.up.noted = func() { machine.Suspend(time.Minute) }
+				w.gate.onEnter = func(occupancy.Ask) { machine.Suspend(time.Minute) }
+				w.up.onSend = func() { machine.Suspend(time.Minute) }
 				_, err := w.Forward(t.Context(), c.request())
 				var refusal *Refusal
 				is.True(errors.As(err, &refusal))
--- a/coordination/forward/turn_test.go
+++ b/coordination/forward/turn_test.go
@@ -18,13 +18,13 @@
 // its parts; those after it go to the one that reads them.
 func TestColdSessionIsReadAtOneEngine(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, plenty, promptRead, generated, promptRead, generated)
+	w := newWorld(t, plenty, prefilled, generated, prefilled, generated)
 	home := w.fleet.Prefill("model", "b", nil)
-	w.served(t)
-	is.Equal(w.readingAsks(), maxAsked+1)
+	w.mustServe(t)
+	is.Equal(w.prefillAsks(), maxAsked+1)
 	is.Equal(w.up.attempts[0].Instance.ID, home.Instance.ID)
-	w.served(t)
-	is.Equal(w.readingAsks(), maxAsked+2)
+	w.mustServe(t)
+	is.Equal(w.prefillAsks(), maxAsked+2)
 	is.Equal(w.up.attempts[2].Instance.ID, home.Instance.ID)
 }
 
@@ -32,14 +32,14 @@
 // shared parts.
 func TestPromptIsReadWhereItIsReadSoonest(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, plenty, promptRead, generated)
+	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = []backlog.Forecast{
 		{Wait: 300 * time.Millisecond, Finish: 320 * time.Millisecond, Kept: 400, Coming: 400},
 		{Wait: 100 * time.Millisecond, Finish: 150 * time.Millisecond, Cold: 30 * time.Millisecond},
 		{Wait: 50 * time.Millisecond, Finish: 100 * time.Millisecond, Cold: 30 * time.Millisecond},
 		{Wait: 250 * time.Millisecond, Finish: 300 * time.Millisecond, Cold: 30 * time.Millisecond},
 	}
-	w.served(t)
+	w.mustServe(t)
 	home := w.fleet.Prefill("model", "b", nil)
 	is.Equal(w.gate.asks[0].Engine, home.Instance.ID)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[2].Engine)
@@ -51,14 +51,14 @@
 // A session's engine was replaced: the next one by its order still keeps the parts.
 func TestPartsAreFetchedFromWhoeverKeepsThem(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, plenty, promptRead, generated)
+	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = []backlog.Forecast{
 		{Finish: 90 * time.Millisecond, Cold: 50 * time.Millisecond},
 		{Wait: 200 * time.Millisecond, Finish: 240 * time.Millisecond, Kept: 400, Coming: 400},
 		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, Cold: 50 * time.Millisecond},
 		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, Cold: 50 * time.Millisecond},
 	}
-	w.served(t)
+	w.mustServe(t)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[0].Engine)
 	is.Equal(w.up.attempts[0].FetchFrom, w.gate.asks[1].Engine.Name+":1")
 }
@@ -87,17 +87,17 @@
 }
 
 func TestPromptIsTriedWhileNothingIsKnown(t *testing.T) {
-	w := newWorld(t, plenty, promptRead, generated)
+	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = busyFor(5*time.Second, false)
-	w.served(t)
+	w.mustServe(t)
 }
 
 func TestLatePromptIsReadBehindTheOthers(t *testing.T) {
 	is := is.New(t)
-	w := newWorld(t, plenty, promptRead, generated)
+	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = busyFor(time.Second, true)
 	w.gate.given = &backlog.Forecast{Rank: backlog.Classes + 1}
-	w.served(t)
+	w.mustServe(t)
 	is.Equal(w.up.attempts[0].Rank, backlog.Classes+1)
 	is.Equal(w.up.attempts[1].Rank, 0) // what was read generates in its turn
 	is.Equal(turnAt(offer{Verdict: occupancy.Verdict{Answer: occupancy.Answer{Forecast: *w.gate.given}}}, nil).kind, TurnDeferred)
@@ -130,7 +130,7 @@
 func TestPromptThatIsRefusedAtItsEndSaysNothingOfItsEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, plenty, reply{status: 503, notRun: true, after: 1990 * time.Millisecond})
+		w := newWorld(t, plenty, reply{status: 503, notRun: true, delay: 1990 * time.Millisecond})
 		r := modelRequest(9000, true)
 		ctx, cancel := context.WithDeadline(t.Context(), r.Deadline)
 		defer cancel()
@@ -148,7 +148,7 @@
 func TestPromptIsLeftWhereItsTurnComes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, plenty, reply{status: 200, body: "h1", after: time.Second}, generated)
+		w := newWorld(t, plenty, reply{status: 200, body: "h1", delay: time.Second}, generated)
 		w.gate.given = &backlog.Forecast{Known: true, Finish: 10 * time.Millisecond}
 		r := modelRequest(200_000, true) // 4 s of reading by the book
 		_, err := w.Forward(t.Context(), r)
@@ -205,7 +205,7 @@
 	for name, c := range map[string]struct{ full int }{"some are full": {4}, "all are full": {5}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w := newWorld(t, plenty, promptRead, generated)
+			w := newWorld(t, plenty, prefilled, generated)
 			session := modelRequest(9000, true).Generation.Session()
 			var order []state.InstanceID
 			for range 5 {
@@ -217,7 +217,7 @@
 				}
 			}
 			want := order[c.full%len(order)]
-			w.served(t)
+			w.mustServe(t)
 			is.Equal(w.up.attempts[1].Instance.ID, want)
 			is.Equal(w.up.attempts[1].Rank, 0)
 		})
