--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -30,11 +30,11 @@
 	a.Backup = d.backupFor(a.Request, a.Instance, rec.tried)
 	a.TimeLeft = d.timeLeft(a.Request)
 	started := d.o.Clock.Now()
-	running, first := d.watchFirstEvent(ctx, a, rec)
-	resp, err := d.send(running, a)
+	attemptCtx, firstWatch := d.watchFirstEvent(ctx, a, rec)
+	resp, err := d.send(attemptCtx, a)
 	took := d.o.Clock.Now().Sub(started)
 	if err != nil {
-		first.cancel()
+		firstWatch.cancel()
 		sent.end()
 		return nil, d.noteSendError(ctx, a, runner, rec, "run", took, err)
 	}
@@ -42,9 +42,9 @@
 	head := resp.Head()
 	if head.EventStream && head.Status < firstErrorStatus && !head.NotRun {
 		rec.mayHaveRun = true
-		return d.openStream(ctx, a, runner, rec, resp, sent, started, first)
+		return d.openStream(ctx, a, runner, rec, resp, sent, started, firstWatch)
 	}
-	defer first.cancel()
+	defer firstWatch.cancel()
 	if head.NotRun {
 		discardBody(resp)
 		sent.end()
@@ -88,11 +88,11 @@
 
 // noteSendError notes an attempt without a response.
 func (d *Dispatcher) noteSendError(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, operation string, took time.Duration, err error) outcome {
-	failed := asSendError(err)
-	if !failed.Withheld {
+	sendErr := asSendError(err)
+	if !sendErr.Withheld {
 		d.noteBrokenConnection(ctx, runner)
 	}
-	if !failed.Sent {
+	if !sendErr.Sent {
 		rec.addStep(a.Instance, operation, outcomeUnsent, took, err)
 		return outcomeUnsent
 	}
--- a/coordination/forward/broken_test.go
+++ b/coordination/forward/broken_test.go
@@ -41,9 +41,9 @@
 				_, _ = readAll(answer.Stream)
 			}
 			var got []string
-			for _, work := range w.crashes.suspects {
-				is.Equal(work.RequestID, c.request.ID)
-				if work.Settled {
+			for _, suspect := range w.crashes.suspects {
+				is.Equal(suspect.RequestID, c.request.ID)
+				if suspect.Settled {
 					got = append(got, settled)
 				} else {
 					got = append(got, fresh)
@@ -58,7 +58,7 @@
 // which the news of the second one's end is on its way, and is not held against the request.
 func TestRetryAtEndedRunnerIsNotReported(t *testing.T) {
 	for name, c := range map[string]struct {
-		after time.Duration
+		delay time.Duration
 		want  int
 	}{
 		"ended before it arrived": {2 * time.Millisecond, 1},
@@ -66,7 +66,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				w := newWorld(t, plenty, reply{err: errSent}, reply{status: 200, delay: c.after, body: "do", readErr: io.ErrUnexpectedEOF})
+				w := newWorld(t, plenty, reply{err: errSent}, reply{status: 200, delay: c.delay, body: "do", readErr: io.ErrUnexpectedEOF})
 				_, err := w.Forward(t.Context(), request(state.RouteSafe, 2, false))
 				is := is.New(t)
 				is.True(err != nil)
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -213,7 +213,7 @@
 			return nil, err
 		}
 		a := &Attempt{Request: r, Instance: c.Instance, Source: source, LastEventID: r.LastEventID, Rank: c.rank(r), FetchFrom: c.fetchFrom()}
-		answer, end := d.attempt(ctx, a, c, rec)
+		answer, result := d.attempt(ctx, a, c, rec)
 		if answer != nil && !d.isRetryableFailure(r, rec, answer) {
 			return answer, nil
 		}
@@ -221,14 +221,14 @@
 			rec.failure = answer
 		}
 		switch {
-		case end == outcomeLimited:
-		case end == outcomeUnsent && unsent < maxUnsentAttempts:
+		case result == outcomeLimited:
+		case result == outcomeUnsent && unsent < maxUnsentAttempts:
 			unsent++
 		case !d.takeRetry(r, rec):
 			if err := d.checkDeadline(ctx, r, rec); err != nil {
 				return nil, err
 			}
-			return nil, d.refuse(r, rec, reasonOf(end))
+			return nil, d.refuse(r, rec, reasonFor(result))
 		}
 	}
 }
@@ -257,7 +257,7 @@
 	return &Refusal{Reason: ReasonCrashes, NotRun: !rec.mayHaveRun, Cause: &quarantine.HeldError{Digest: rec.digest, Crashes: len(hold.Evidence)}}
 }
 
-func reasonOf(o outcome) Reason {
+func reasonFor(o outcome) Reason {
 	switch o {
 	case outcomeNotRun:
 		return ReasonFull
@@ -271,11 +271,11 @@
 // checkDeadline returns the refusal of a request whose caller has left or whose time is up.
 // One that has been worked on isn't sent again for the last moment.
 func (d *Dispatcher) checkDeadline(ctx context.Context, r *Request, rec *record) error {
-	least := time.Duration(1)
+	minLeft := time.Duration(1)
 	if len(rec.steps) > 0 {
-		least = minRetryTime
+		minLeft = minRetryTime
 	}
-	if ctx.Err() == nil && d.timeLeft(r) >= least {
+	if ctx.Err() == nil && d.timeLeft(r) >= minLeft {
 		return nil
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
--- a/coordination/forward/forward_test.go
+++ b/coordination/forward/forward_test.go
@@ -15,10 +15,10 @@
 func TestHoldsAtMostOnceForwarded(t *testing.T) {
 	ok := reply{status: 200, body: "done"}
 	for name, c := range map[string]struct {
-		replies []reply
-		sends   int
-		answer  bool
-		notRun  bool
+		replies  []reply
+		attempts int
+		answered bool
+		notRun   bool
 	}{
 		"answered":                          {[]reply{ok}, 1, true, false},
 		"nothing sent, then answered":       {[]reply{{err: errUnsent}, {err: errUnsent}, ok}, 3, true, false},
@@ -34,8 +34,8 @@
 			is := is.New(t)
 			w := newWorld(t, plenty, c.replies...)
 			answer, err := w.Forward(t.Context(), request(state.RouteUnsafe, 1, false))
-			is.Equal(len(w.up.attempts), c.sends)
-			is.Equal(answer != nil, c.answer)
+			is.Equal(len(w.up.attempts), c.attempts)
+			is.Equal(answer != nil, c.answered)
 			if answer == nil {
 				var refusal *Refusal
 				is.True(errors.As(err, &refusal))
@@ -48,10 +48,10 @@
 func TestRepeatableCallIsRetried(t *testing.T) {
 	ok := reply{status: 200, body: "done"}
 	for name, c := range map[string]struct {
-		budget  int
-		replies []reply
-		sends   int
-		status  int
+		budget   int
+		replies  []reply
+		attempts int
+		status   int
 	}{
 		"after a lost answer":              {plenty, []reply{{err: errSent}, ok}, 2, 200},
 		"after the runner's failure":       {plenty, []reply{{status: 500}, ok}, 2, 200},
@@ -65,7 +65,7 @@
 			is := is.New(t)
 			w := newWorld(t, c.budget, c.replies...)
 			answer, err := w.Forward(t.Context(), request(state.RouteSafe, 2, false))
-			is.Equal(len(w.up.attempts), c.sends)
+			is.Equal(len(w.up.attempts), c.attempts)
 			if c.status == 0 {
 				is.True(err != nil)
 				return
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -322,15 +322,15 @@
 	}
 	fleet.Update(list)
 	gate := newScriptedGate(t)
-	silent, broken, held := &fakeOutliers{}, &fakeCrashes{}, &fakeQuarantine{}
+	outliers, crashes, holds := &fakeOutliers{}, &fakeCrashes{}, &fakeQuarantine{}
 	d, err := New(Options{
-		Upstream: up, Placer: fleet, Gate: gate, Budget: &countingBudget{budget}, Observer: noObserver{}, Outliers: silent, Crashes: broken, Quarantine: held, Advice: advice, Clock: clock,
+		Upstream: up, Placer: fleet, Gate: gate, Budget: &countingBudget{budget}, Observer: noObserver{}, Outliers: outliers, Crashes: crashes, Quarantine: holds, Advice: advice, Clock: clock,
 		Log: slog.New(slog.DiscardHandler), SplitTokens: 600,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &world{d, up, fleet, gate, silent, broken, held, advice}
+	return &world{d, up, fleet, gate, outliers, crashes, holds, advice}
 }
 
 func newAdvice(t *testing.T, clock state.Clock, tell func(backpressure.Notice), left func()) *backpressure.Registry {
--- a/coordination/forward/held_test.go
+++ b/coordination/forward/held_test.go
@@ -18,11 +18,11 @@
 	event := "id: 1\ndata: x\n\n"
 	for name, c := range map[string]struct {
 		request *Request
-		// after is how often the quarantine is asked before the request is held.
-		after   int
-		replies []reply
-		sends   int
-		notRun  bool
+		// lookups is how often the quarantine is asked before the request is held.
+		lookups  int
+		replies  []reply
+		attempts int
+		notRun   bool
 	}{
 		"at once":                             {request(state.RouteSafe, 2, false), -1, nil, 0, true},
 		"while it waited for its place":       {modelRequest(200, false), 1, nil, 0, true},
@@ -35,8 +35,8 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(t, plenty, c.replies...)
-			w.quarantine.holdAfter = max(c.after, 0)
-			if c.after < 0 {
+			w.quarantine.holdAfter = max(c.lookups, 0)
+			if c.lookups < 0 {
 				w.quarantine.holdAfter, w.quarantine.lookups = 1, 1
 			}
 			_, err := w.Forward(t.Context(), c.request)
@@ -46,7 +46,7 @@
 			is.Equal(refusal.NotRun, c.notRun)
 			is.Equal(int64(refusal.RetryAfter), int64(0)) // nothing to come back for
 			is.True(strings.Contains(refusal.Error(), "2 runners crashed"))
-			is.Equal(len(w.up.attempts), c.sends)
+			is.Equal(len(w.up.attempts), c.attempts)
 		})
 	}
 	t.Run("in the midst of its answer", func(t *testing.T) {
@@ -66,9 +66,9 @@
 func TestCompleteAnswersAreRecorded(t *testing.T) {
 	event := "id: 1\ndata: x\n\n"
 	for name, c := range map[string]struct {
-		request *Request
-		reply   reply
-		noted   bool
+		request  *Request
+		reply    reply
+		recorded bool
 	}{
 		"a call":                {request(state.RouteUnsafe, 1, false), reply{status: 200, body: "done"}, true},
 		"a caller's own fault":  {request(state.RouteUnsafe, 1, false), reply{status: 404}, true},
@@ -83,7 +83,7 @@
 			if answer, err := w.Forward(t.Context(), c.request); err == nil && answer.Stream != nil {
 				_, _ = readAll(answer.Stream)
 			}
-			is.Equal(len(w.quarantine.answered) > 0, c.noted)
+			is.Equal(len(w.quarantine.answered) > 0, c.recorded)
 			for _, d := range w.quarantine.answered {
 				is.Equal(d, quarantine.DigestOf(c.request.content()))
 			}
--- a/coordination/forward/split.go
+++ b/coordination/forward/split.go
@@ -111,16 +111,16 @@
 	}
 	took := d.o.Clock.Now().Sub(started)
 	if err != nil {
-		failed := asSendError(err)
-		if failed.Sent {
+		sendErr := asSendError(err)
+		if sendErr.Sent {
 			rec.countPrefill(false)
 		}
 		// Reading a prompt runs nothing, so a lost response breaks no promise. That
 		// a prompt isn't read in its time says nothing of an engine that reads others.
-		if (ctx.Err() == nil || p.dark.Load()) && !failed.Withheld {
+		if (ctx.Err() == nil || p.dark.Load()) && !sendErr.Withheld {
 			runner.Broken()
 			d.o.Outliers.Silent(runner.Instance.ID)
-			if failed.Sent {
+			if sendErr.Sent {
 				d.reportSuspect(requestCtx, r, runner, rec, took, false)
 			}
 		}
--- a/coordination/forward/stream.go
+++ b/coordination/forward/stream.go
@@ -58,8 +58,8 @@
 const streamReadSize = 4 << 10
 
 // openStream waits for the first event.
-func (d *Dispatcher) openStream(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, resp Response, sent *sending, started time.Time, first *firstEventWatch) (*Answer, outcome) {
-	s := &Stream{d: d, ctx: ctx, firstWatch: first, a: a, rec: rec, runner: runner, resp: resp, sent: sent, started: started, lastID: a.LastEventID}
+func (d *Dispatcher) openStream(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, resp Response, sent *sending, started time.Time, firstWatch *firstEventWatch) (*Answer, outcome) {
+	s := &Stream{d: d, ctx: ctx, firstWatch: firstWatch, a: a, rec: rec, runner: runner, resp: resp, sent: sent, started: started, lastID: a.LastEventID}
 	var err error
 	if !resp.Head().Signed {
 		err = errUnsigned
@@ -67,8 +67,8 @@
 	for err == nil && s.ready == 0 && !s.eof {
 		err = s.fill()
 	}
-	first.stop()
-	if err == nil && first.timedOut.Load() {
+	firstWatch.stop()
+	if err == nil && firstWatch.timedOut.Load() {
 		err = errFirstEventTimeout // the connection has been cut
 	}
 	took := d.o.Clock.Now().Sub(started)
