--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -339,8 +339,8 @@
 }
 
 // runTraffic sends harmless requests of all kinds through each host for the given time, and calls
-// copies, which sends the crashing request, every 200 to 800 ms.
-func (f *crashFleet) runTraffic(duration time.Duration, copies func()) {
+// sendCopy, which sends the crashing request, every 200 to 800 ms.
+func (f *crashFleet) runTraffic(duration time.Duration, sendCopy func()) {
 	var callers sync.WaitGroup
 	end := time.Now().Add(duration)
 	for _, h := range f.hosts {
@@ -352,7 +352,7 @@
 		})
 	}
 	for time.Now().Before(end) {
-		copies()
+		sendCopy()
 		time.Sleep(time.Duration(200+f.rng.IntN(600)) * time.Millisecond)
 	}
 	callers.Wait()
--- a/coordination/forward/lead.go
+++ b/coordination/forward/lead.go
@@ -33,40 +33,40 @@
 type delayEstimate struct{ mean, deviation time.Duration }
 
 // observe adds the delay of a first event.
-func (l *firstEventDelays) observe(service string, took time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if l.byService == nil {
-		l.byService = map[string]delayEstimate{}
+func (f *firstEventDelays) observe(service string, took time.Duration) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.byService == nil {
+		f.byService = map[string]delayEstimate{}
 	}
-	old := l.estimate(service)
+	old := f.estimate(service)
 	diff := took - old.mean
-	l.byService[service] = delayEstimate{
+	f.byService[service] = delayEstimate{
 		mean:      old.mean + time.Duration(delayGain*float64(diff)),
 		deviation: old.deviation + time.Duration(delayGain*float64(max(diff, -diff)-old.deviation)),
 	}
 }
 
-// estimate returns the estimate of a service. l.mu must be held.
-func (l *firstEventDelays) estimate(service string) delayEstimate {
-	if known, ok := l.byService[service]; ok {
+// estimate returns the estimate of a service. f.mu must be held.
+func (f *firstEventDelays) estimate(service string) delayEstimate {
+	if known, ok := f.byService[service]; ok {
 		return known
 	}
 	return delayEstimate{initialDelay, initialDelay}
 }
 
 // mean returns the mean delay of a service.
-func (l *firstEventDelays) mean(service string) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.estimate(service).mean
+func (f *firstEventDelays) mean(service string) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.estimate(service).mean
 }
 
 // timeout returns the delay after which the first event is overdue.
-func (l *firstEventDelays) timeout(service string) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	e := l.estimate(service)
+func (f *firstEventDelays) timeout(service string) time.Duration {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	e := f.estimate(service)
 	return e.mean + delayDeviations*e.deviation + delaySlack
 }
 
