--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -10,8 +10,8 @@
 	"github.com/thymerack/thymerack/coordination/quarantine"
 )
 
-// attempt sends the request to one runner. It returns an answer, or how the attempt
-// ended without one.
+// attempt sends the request to one runner. It returns an answer, or the outcome of an attempt
+// without one.
 func (d *Dispatcher) attempt(ctx context.Context, a *Attempt, c choice, rec *record) (*Answer, outcome) {
 	runner, sent := c.Runner, c.begin()
 	if !c.permitted && !d.permitted(ctx, a.Instance, "run", rec, 0) {
@@ -28,89 +28,89 @@
 		return nil, outcomeUnsent
 	}
 	a.Backup = d.backupFor(a.Request, a.Instance, rec.tried)
-	a.Left = d.left(a.Request)
+	a.TimeLeft = d.timeLeft(a.Request)
 	started := d.o.Clock.Now()
-	running, first := d.awaitFirst(ctx, a, rec)
-	resp, err := d.send(running, a)
+	attemptCtx, firstWatch := d.watchFirstEvent(ctx, a, rec)
+	resp, err := d.send(attemptCtx, a)
 	took := d.o.Clock.Now().Sub(started)
 	if err != nil {
-		first.cancel()
+		firstWatch.cancel()
 		sent.end()
-		return nil, d.sendFailed(ctx, a, runner, rec, "run", took, err)
+		return nil, d.noteSendError(ctx, a, runner, rec, "run", took, err)
 	}
-	rec.noteRun()
+	rec.countAttempt()
 	head := resp.Head()
-	if head.Events && head.Status < statusFailed && !head.NotRun {
+	if head.EventStream && head.Status < firstErrorStatus && !head.NotRun {
 		rec.mayHaveRun = true
-		return d.openStream(ctx, a, runner, rec, resp, sent, started, first)
+		return d.openStream(ctx, a, runner, rec, resp, sent, started, firstWatch)
 	}
-	defer first.cancel()
+	defer firstWatch.cancel()
 	if head.NotRun {
-		drain(resp)
+		discardBody(resp)
 		sent.end()
-		rec.turnedAway = true
-		d.noteRefused(runner, head)
-		rec.add(a.Instance, "run", outcomeNotRun, took, &statusError{head.Status})
+		rec.refused = true
+		d.noteRefusal(runner, head)
+		rec.addStep(a.Instance, "run", outcomeNotRun, took, &statusError{head.Status})
 		return nil, outcomeNotRun
 	}
 	rec.mayHaveRun = true
-	d.noteBegan(a.Request, rec, started)
+	d.noteStarted(a.Request, rec, started)
 	defer sent.end()
-	body, err := readWhole(resp)
+	body, err := readBody(resp)
 	took = d.o.Clock.Now().Sub(started)
-	if err == nil && head.Status < statusFailed && !head.Sealed {
-		err = errUnsealed
+	if err == nil && head.Status < firstErrorStatus && !head.Signed {
+		err = errUnsigned
 	}
 	if err != nil {
-		resp.Cut()
-		d.noteBroken(ctx, runner)
-		d.noteWork(ctx, a.Request, runner, rec, took, true)
-		rec.add(a.Instance, "run", outcomeUnknown, took, err)
+		resp.Abort()
+		d.noteBrokenConnection(ctx, runner)
+		d.reportSuspect(ctx, a.Request, runner, rec, took, true)
+		rec.addStep(a.Instance, "run", outcomeUnknown, took, err)
 		return nil, outcomeUnknown
 	}
 	resp.Finish()
 	sent.answered()
 	if head.Status >= 500 {
 		runner.Failed()
-		rec.add(a.Instance, "run", outcomeFailed, took, nil)
+		rec.addStep(a.Instance, "run", outcomeFailed, took, nil)
 	} else {
 		runner.Answered(took)
 		d.o.Quarantine.Answered(rec.digest)
-		rec.add(a.Instance, "run", outcomeAnswered, took, nil)
+		rec.addStep(a.Instance, "run", outcomeAnswered, took, nil)
 	}
 	return &Answer{Head: head, Body: body}, outcomeAnswered
 }
 
-// statusFailed is the first status that is no success.
-const statusFailed = 300
+// firstErrorStatus is the lowest HTTP status that isn't a success.
+const firstErrorStatus = 300
 
-var errUnsealed = errors.New("the response has no signature of its runner; it was dropped")
+var errUnsigned = errors.New("the response has no signature of its runner; it was dropped")
 
-// sendFailed notes an attempt without a response.
-func (d *Dispatcher) sendFailed(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, part string, took time.Duration, err error) outcome {
-	failed := sendError(err)
-	if !failed.Withheld {
-		d.noteBroken(ctx, runner)
-	}
-	if !failed.Sent {
-		rec.add(a.Instance, part, outcomeUnsent, took, err)
+// noteSendError records an attempt that got no response, and returns its outcome.
+func (d *Dispatcher) noteSendError(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, operation string, took time.Duration, err error) outcome {
+	sendErr := asSendError(err)
+	if !sendErr.Withheld {
+		d.noteBrokenConnection(ctx, runner)
+	}
+	if !sendErr.Sent {
+		rec.addStep(a.Instance, operation, outcomeUnsent, took, err)
 		return outcomeUnsent
 	}
-	rec.noteRun()
+	rec.countAttempt()
 	rec.mayHaveRun = true
 	if a.Request.Generation == nil {
-		// A plain service begins at once, so that its answer is what was lost; an engine may
-		// have held the request for long without a token.
-		d.noteBegan(a.Request, rec, d.o.Clock.Now().Add(-took))
+		// A plain service starts a request at once, so that only the answer was lost. An engine may
+		// have queued the request without computing a token.
+		d.noteStarted(a.Request, rec, d.o.Clock.Now().Add(-took))
 	}
-	d.noteWork(ctx, a.Request, runner, rec, took, false)
-	rec.add(a.Instance, part, outcomeUnknown, took, err)
+	d.reportSuspect(ctx, a.Request, runner, rec, took, false)
+	rec.addStep(a.Instance, operation, outcomeUnknown, took, err)
 	return outcomeUnknown
 }
 
-// noteBroken counts a broken connection against the runner, unless the caller
-// broke it off.
-func (d *Dispatcher) noteBroken(ctx context.Context, runner *placement.Runner) {
+// noteBrokenConnection counts a broken connection against the runner, unless the caller
+// cancelled the request.
+func (d *Dispatcher) noteBrokenConnection(ctx context.Context, runner *placement.Runner) {
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		runner.Broken()
 		d.o.Outliers.Silent(runner.Instance.ID)
@@ -118,17 +118,18 @@
 }
 
 const (
-	// movedWithin is the time in which the news that a runner has ended may still be on its
-	// way: three round trips between failure domains.
-	movedWithin = 10 * time.Millisecond
+	// crashNoticeDelay bounds the time until hosts learn that a runner has ended: three round
+	// trips between failure domains.
+	crashNoticeDelay = 10 * time.Millisecond
 )
 
-// noteWork notes that the request broke off at the runner, which may have crashed under
-// it, so long after it was sent; answering says that a part of the answer had arrived. That
-// this host or the caller broke it off says nothing, nor that one of two runners which ended
-// together was asked after the other, before its end was known.
-func (d *Dispatcher) noteWork(ctx context.Context, r *Request, runner *placement.Runner, rec *record, took time.Duration, answering bool) {
-	if ctx.Err() != nil || (took < movedWithin && rec.broke()) {
+// reportSuspect reports a request that broke off at the runner, which may have crashed because
+// of it. took is the time since it was sent; answering is set if part of the answer had
+// arrived. Nothing is reported if this host or the caller ended the attempt. Nor is a retry that
+// broke off within crashNoticeDelay: if two runners end together, the request may have been
+// retried at the second one before its end was known.
+func (d *Dispatcher) reportSuspect(ctx context.Context, r *Request, runner *placement.Runner, rec *record, took time.Duration, answering bool) {
+	if ctx.Err() != nil || (took < crashNoticeDelay && rec.brokeOff()) {
 		return
 	}
 	d.o.Crashes.Broke(runner.Instance, quarantine.Suspect{
@@ -136,10 +137,11 @@
 	})
 }
 
-// noteRefused counts a refusal against the runner, unless it asked for rest: it is passed over
-// until then, and has not failed. One that is not the run that was meant is asked for: it may be
-// gone, with another at its address.
-func (d *Dispatcher) noteRefused(runner *placement.Runner, head *Head) {
+// noteRefusal counts a refusal against the runner, unless the runner asked for a backoff: then it
+// hasn't failed, and isn't chosen until the backoff ends. A runner that a request was misdirected
+// to is also reported as silent, so that it is probed: the intended run may have ended, and
+// another one may use its address.
+func (d *Dispatcher) noteRefusal(runner *placement.Runner, head *Head) {
 	if d.rests(runner.Instance) {
 		return
 	}
@@ -149,22 +151,21 @@
 	}
 }
 
-// statusMisdirected is the answer of a runner that isn't the one that was meant, or has
-// another role.
+// statusMisdirected is the status of a runner that isn't the intended one, or has another role.
 const statusMisdirected = 421
 
-// readWhole reads a body to its end.
-func readWhole(resp Response) ([]byte, error) {
-	return io.ReadAll(readerOf{resp})
+// readBody reads the body to its end.
+func readBody(resp Response) ([]byte, error) {
+	return io.ReadAll(responseReader{resp})
 }
 
-// readerOf is a Response as an io.Reader.
-type readerOf struct{ Response }
+// responseReader makes a Response an io.Reader.
+type responseReader struct{ Response }
 
-// drain ends a response whose body nobody wants.
-func drain(resp Response) {
-	if _, err := io.Copy(io.Discard, readerOf{resp}); err != nil {
-		resp.Cut()
+// discardBody reads the rest of a response whose body isn't needed, and ends it.
+func discardBody(resp Response) {
+	if _, err := io.Copy(io.Discard, responseReader{resp}); err != nil {
+		resp.Abort()
 		return
 	}
 	resp.Finish()
--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -25,34 +25,31 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// What was seen: one request came again about once a second, each time with an id of its own
-// and at another host. Each engine that began to generate for it ended about 80 ms later with
-// all that it ran, and was back 3 s later: 16 engines of four in 40 s, until hardly any request
-// of the service had one.
+// These tests guard against one request that crashes many engines. A caller repeated such a
+// request about once a second, each time with a new ID and through another host. Each engine that
+// began to generate for it ended about 80 ms later with all its runs and was back after 3 s: four
+// engines crashed 16 times in 40 s, until hardly any request of the service had an engine.
 //
-// How it came about: its prompt was read, an engine was chosen and lost, the caller got a 502
-// and the next copy was a new request to whichever host it reached.
-//
-// Cause: attempts are bounded for each id of a caller and at each host. Nothing knew that it was
-// the same request, at no host and not in the fleet.
-//
-// Proof: the digest of what was asked is the same in the last moments of each engine that ended,
-// whatever else ran there, and the hosts treated the last copy like the first.
+// Each copy was answered with a 502. Attempts are bounded for each request ID and at each host, so
+// that the next copy was a new request to the host that it reached. The digest of the content is
+// the same for all copies, whatever else runs at the engines that crash.
 
 const (
-	// crashAfter is how long an engine lives under the request, and downFor until it is back.
-	crashAfter = 80 * time.Millisecond
-	downFor    = 3 * time.Second
-	// contact is the time after the third crash in which all hosts must know.
-	contact = 3 * time.Second
-	// mostLate bounds the copies that reach an engine after that.
-	mostLate = 3
+	// crashDelay is the time from the start of the request to the end of its engine, and
+	// restartDelay the time until the engine is back.
+	crashDelay   = 80 * time.Millisecond
+	restartDelay = 3 * time.Second
+	// quarantineDelay is the time after the third crash in which all hosts must hold the request.
+	quarantineDelay = 3 * time.Second
+	// maxLateArrivals bounds the copies that reach an engine after that.
+	maxLateArrivals = 3
 )
 
+// poison is the body of the request that crashes its runner.
 const poison = "poison"
 
-// crashFleet is hosts that share engines, one of which ends whenever it runs the request
-// whose body is poison.
+// crashFleet is a set of hosts with common engines. An engine that runs a request with the body
+// poison ends.
 type crashFleet struct {
 	t       *testing.T
 	rng     *rand.Rand
@@ -61,17 +58,18 @@
 	engines []*crashEngine
 
 	mu sync.Mutex
-	// crashes are the times at which the request ended an engine, arrivals those at which a
-	// copy of it reached one.
+	// crashes are the times at which the request ended an engine, arrivals those at which a copy of
+	// it reached one.
 	crashes, arrivals []time.Time
 	// served and unserved count the other requests.
 	served, unserved int
-	// firstEvent is when an engine that runs the request gives its first event.
+	// firstEvent is the time until an engine that runs the request sends its first event.
 	firstEvent time.Duration
-	// sameName lets a later run of an engine take what was meant for the one before.
-	sameName bool
+	// acceptAnyRun lets a restarted engine accept requests that were meant for its earlier run.
+	acceptAnyRun bool
 }
 
+// crashHost is one host with its own view of the fleet and of the quarantine.
 type crashHost struct {
 	*Dispatcher
 	f     *crashFleet
@@ -80,14 +78,14 @@
 	*quarantine.Registry
 }
 
-// crashEngine is one engine, or a runner of a plain service if it has no role; its run ends
-// with ended.
+// crashEngine is one engine, or a runner of a plain service if it has no role. Its current run
+// ends when ended is closed.
 type crashEngine struct {
 	name string
 	role state.Role
 	born int64
 	up   bool
-	// ended is closed when the present run ends.
+	// ended is closed when the current run ends.
 	ended chan struct{}
 }
 
@@ -115,7 +113,7 @@
 	for n := range hosts {
 		f.hosts = append(f.hosts, f.newHost(fmt.Sprint("h", n)))
 	}
-	f.list()
+	f.updateLists()
 	return f
 }
 
@@ -123,7 +121,7 @@
 	f.t.Helper()
 	h := &crashHost{f: f, name: name, fleet: placement.NewFleet(placement.Options{Clock: clocktest.Bubble{}, FailureDomain: "d1"})}
 	up := &crashUpstream{h}
-	h.keep()
+	h.startQuarantine()
 	crashes, err := crash.New(f.t.Context(), crash.Options{
 		Probe:    up.probe,
 		Listed:   func(i *state.Instance) bool { return h.fleet.Has(i.ID) },
@@ -135,8 +133,8 @@
 		f.t.Fatal(err)
 	}
 	h.Dispatcher, err = New(Options{
-		Upstream: up, Placer: h.fleet, Gate: newScriptedGate(f.t).Gate, Budget: anyBudget{}, Observer: noObserver{},
-		Outliers: &silentRunners{}, Crashes: crashes, Quarantine: h.Registry, Advice: newAdvice(f.t, clocktest.Bubble{}, func(backpressure.Notice) {}, func() {}), Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), SplitTokens: 600,
+		Upstream: up, Placer: h.fleet, Gate: newScriptedGate(f.t).Gate, Budget: unlimitedBudget{}, Observer: noObserver{},
+		Outliers: &fakeOutliers{}, Crashes: crashes, Quarantine: h.Registry, Advice: newAdvice(f.t, clocktest.Bubble{}, func(backpressure.Notice) {}, func() {}), Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), SplitTokens: 600,
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -144,20 +142,20 @@
 	return h
 }
 
-// anyBudget allows every repeat.
-type anyBudget struct{}
+// unlimitedBudget allows every retry.
+type unlimitedBudget struct{}
 
-func (anyBudget) Seen(string) {}
+func (unlimitedBudget) Seen(string) {}
 
-func (anyBudget) Allow(string) bool     { return true }
-func (anyBudget) AllowMove(string) bool { return true }
+func (unlimitedBudget) Allow(string) bool     { return true }
+func (unlimitedBudget) AllowMove(string) bool { return true }
 
-// noticeTime is the way of a notice to the other hosts.
-const noticeTime = 5 * time.Millisecond
+// noticeDelay is the time in which a notice reaches the other hosts.
+const noticeDelay = 5 * time.Millisecond
 
-// keep gives the host its part of the quarantine: notices reach all hosts, and the store's
-// entries come by a copy of its own.
-func (h *crashHost) keep() {
+// startQuarantine starts the host's registry of the quarantine. Notices reach all hosts, and a
+// mirror follows the entries in the store.
+func (h *crashHost) startQuarantine() {
 	h.f.t.Helper()
 	client := h.f.store.Client(h.name)
 	var err error
@@ -165,7 +163,7 @@
 		Host: h.name, Table: quarantine.NewTable(clocktest.Bubble{}), Store: client, FollowsStore: func() bool { return true },
 		Publish: func(n quarantine.Notice) {
 			for _, to := range h.f.hosts {
-				time.AfterFunc(noticeTime, func() { to.Take(n) })
+				time.AfterFunc(noticeDelay, func() { to.Take(n) })
 			}
 		},
 		Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
@@ -183,8 +181,8 @@
 	go mirror.Run(h.f.t.Context())
 }
 
-// list puts the present engines in the hosts' lists.
-func (f *crashFleet) list() {
+// updateLists gives the hosts the current list of engines.
+func (f *crashFleet) updateLists() {
 	f.mu.Lock()
 	var list []state.Instance
 	for _, e := range f.engines {
@@ -206,8 +204,8 @@
 	return nil
 }
 
-// end ends the present run of an engine, which is back after a while.
-func (f *crashFleet) end(e *crashEngine) {
+// endRun ends the current run of an engine, which restarts after restartDelay.
+func (f *crashFleet) endRun(e *crashEngine) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if !e.up {
@@ -216,16 +214,16 @@
 	e.up = false
 	f.crashes = append(f.crashes, time.Now())
 	close(e.ended)
-	time.AfterFunc(downFor, func() {
+	time.AfterFunc(restartDelay, func() {
 		f.mu.Lock()
 		e.up, e.ended = true, make(chan struct{})
 		e.born++
 		f.mu.Unlock()
-		time.AfterFunc(time.Second, f.list) // the list lags behind
+		time.AfterFunc(time.Second, f.updateLists) // the list shows the new run later
 	})
 }
 
-// crashUpstream is a host's way to the engines.
+// crashUpstream connects a host to the engines.
 type crashUpstream struct{ h *crashHost }
 
 var _ Upstream = (*crashUpstream)(nil)
@@ -234,25 +232,25 @@
 	f, e := u.h.f, u.h.f.engine(a.Instance.ID.Name)
 	f.mu.Lock()
 	up, ended, born := e.up, e.ended, e.born
-	bad := string(a.Request.Body) == poison
-	if up && bad {
+	crashing := string(a.Request.Body) == poison
+	if up && crashing {
 		f.arrivals = append(f.arrivals, time.Now())
 	}
 	f.mu.Unlock()
 	switch {
 	case !up:
 		return nil, &SendError{Cause: errors.New("refused")}
-	case born != a.Instance.ID.Born && !f.sameName:
+	case born != a.Instance.ID.Born && !f.acceptAnyRun:
 		return &crashResponse{head: &Head{Status: statusMisdirected, NotRun: true}}, nil
 	case a.PrefillOnly:
 		return &crashResponse{head: &Head{Status: 200}, ctx: ctx, ended: ended, events: []string{"handle"}, pause: 10 * time.Millisecond}, nil
-	case bad:
-		time.AfterFunc(crashAfter, func() { f.end(e) })
-		return &crashResponse{head: &Head{Status: 200, Events: e.role != "", Sealed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: f.firstEvent, then: time.Hour}, nil
+	case crashing:
+		time.AfterFunc(crashDelay, func() { f.endRun(e) })
+		return &crashResponse{head: &Head{Status: 200, EventStream: e.role != "", Signed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: f.firstEvent, laterPause: time.Hour}, nil
 	case e.role == "":
-		return &crashResponse{head: &Head{Status: 200, Sealed: true}, ctx: ctx, ended: ended, events: []string{"answer"}, pause: 15 * time.Millisecond}, nil
+		return &crashResponse{head: &Head{Status: 200, Signed: true}, ctx: ctx, ended: ended, events: []string{"answer"}, pause: 15 * time.Millisecond}, nil
 	}
-	return &crashResponse{head: &Head{Status: 200, Events: true, Sealed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 20 * time.Millisecond}, nil
+	return &crashResponse{head: &Head{Status: 200, EventStream: true, Signed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 20 * time.Millisecond}, nil
 }
 
 func (u *crashUpstream) probe(_ context.Context, i *state.Instance) crash.Fate {
@@ -277,14 +275,14 @@
 
 func (u *crashUpstream) Discard(*KVSource) error { return nil }
 
-// crashResponse gives one event after each pause, until its engine ends.
+// crashResponse sends one event after each pause, until its engine ends.
 type crashResponse struct {
 	head   *Head
 	ctx    context.Context
 	ended  chan struct{}
 	events []string
-	// pause is that before the first event, and then, if set, before the others.
-	pause, then time.Duration
+	// pause precedes the first event, and laterPause, if set, each later one.
+	pause, laterPause time.Duration
 }
 
 func (r *crashResponse) Head() *Head { return r.head }
@@ -302,18 +300,18 @@
 	}
 	n := copy(p, r.events[0])
 	r.events = r.events[1:]
-	if r.then > 0 {
-		r.pause = r.then
+	if r.laterPause > 0 {
+		r.pause = r.laterPause
 	}
 	return n, nil
 }
 
 func (r *crashResponse) Finish() {}
-func (r *crashResponse) Cut()    {}
+func (r *crashResponse) Abort()  {}
 
-// ask sends a request of that content and id through a host, and reports whether it was
-// served whole.
-func (h *crashHost) ask(id, body string, r *Request) bool {
+// forwardRequest forwards r with the given ID and body through the host. It reports whether the
+// answer was complete.
+func (h *crashHost) forwardRequest(id, body string, r *Request) bool {
 	r.ID, r.URI, r.Method, r.Host, r.Body = id, "/verdicts/1", "POST", "fleet", []byte(body)
 	ctx, cancel := context.WithDeadline(h.f.t.Context(), r.Deadline)
 	defer cancel()
@@ -328,8 +326,8 @@
 	return err == nil
 }
 
-// ordinary are the requests beside the one that crashes runners.
-func ordinary(n int) *Request {
+// harmlessRequest returns a request that crashes nothing, of a kind that depends on n.
+func harmlessRequest(n int) *Request {
 	switch n % 3 {
 	case 0:
 		return modelRequest(200, false)
@@ -340,36 +338,36 @@
 	}
 }
 
-// play lets callers ask for so long: all sorts of requests at each host, and every some
-// hundred milliseconds a copy of the one that crashes engines, at any host.
-func (f *crashFleet) play(long time.Duration, copies func()) {
+// runTraffic sends harmless requests of all kinds through each host for the given time, and calls
+// sendCopy, which sends the crashing request, every 200 to 800 ms.
+func (f *crashFleet) runTraffic(duration time.Duration, sendCopy func()) {
 	var callers sync.WaitGroup
-	end := time.Now().Add(long)
+	end := time.Now().Add(duration)
 	for _, h := range f.hosts {
 		callers.Go(func() {
 			for n := 0; time.Now().Before(end); n++ {
-				callers.Go(func() { f.note(f.askTwice(h, fmt.Sprint(h.name, "-", n), n)) })
+				callers.Go(func() { f.countServed(f.forwardTwice(h, fmt.Sprint(h.name, "-", n), n)) })
 				time.Sleep(40 * time.Millisecond)
 			}
 		})
 	}
 	for time.Now().Before(end) {
-		copies()
+		sendCopy()
 		time.Sleep(time.Duration(200+f.rng.IntN(600)) * time.Millisecond)
 	}
 	callers.Wait()
 }
 
-// askTwice asks once more after a failure, as callers do.
-func (f *crashFleet) askTwice(h *crashHost, body string, n int) bool {
-	if h.ask(body+"-1", body, ordinary(n)) {
+// forwardTwice retries a failed request once, as callers do.
+func (f *crashFleet) forwardTwice(h *crashHost, body string, n int) bool {
+	if h.forwardRequest(body+"-1", body, harmlessRequest(n)) {
 		return true
 	}
 	time.Sleep(100 * time.Millisecond)
-	return h.ask(body+"-2", body, ordinary(n))
+	return h.forwardRequest(body+"-2", body, harmlessRequest(n))
 }
 
-func (f *crashFleet) note(served bool) {
+func (f *crashFleet) countServed(served bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if served {
@@ -379,58 +377,59 @@
 	f.unserved++
 }
 
-// late counts the copies that reached an engine after the fleet had its time to learn of the
-// third crash. A copy that is read at one engine and generated at another arrives twice.
-func (f *crashFleet) late() int {
+// lateArrivals counts the copies that reached an engine later than quarantineDelay after the
+// third crash. A copy with a separate prefill arrives twice.
+func (f *crashFleet) lateArrivals() int {
 	if len(f.crashes) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range f.arrivals {
-		if at.After(f.crashes[2].Add(contact)) {
+		if at.After(f.crashes[2].Add(quarantineDelay)) {
 			n++
 		}
 	}
 	return n
 }
 
-func TestRequestThatCrashesEnginesIsKeptFromThem(t *testing.T) {
+// Copies of a request that crashes engines no longer reach them soon after the third crash.
+func TestCrashingRequestIsQuarantined(t *testing.T) {
 	for seed := range uint64(5) {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newCrashFleet(t, seed, 7)
 				copies := 0
-				f.play(30*time.Second, func() {
+				f.runTraffic(30*time.Second, func() {
 					copies++
 					h := f.hosts[f.rng.IntN(len(f.hosts))]
-					go h.ask(fmt.Sprint("copy-", copies), poison, modelRequest(2000, false))
+					go h.forwardRequest(fmt.Sprint("copy-", copies), poison, modelRequest(2000, false))
 				})
-				time.Sleep(downFor)
-				t.Logf("%d copies, %d engines ended, %d arrivals too late; others: %d served, %d not", copies, len(f.crashes), f.late(), f.served, f.unserved)
-				is.True(len(f.crashes) >= 2) // the request does what it is here for
-				is.True(f.late() <= mostLate)
+				time.Sleep(restartDelay)
+				t.Logf("%d copies sent, %d engines crashed, %d late arrivals; other requests: %d served, %d failed", copies, len(f.crashes), f.lateArrivals(), f.served, f.unserved)
+				is.True(len(f.crashes) >= 2) // the request does crash engines
+				is.True(f.lateArrivals() <= maxLateArrivals)
 			})
 		})
 	}
 }
 
-// All sorts of requests that crash what runs them cost few runners, and the others are served.
-func TestFewRunnersEndUnderOneRequest(t *testing.T) {
+// Crashing requests of any kind end few runners, and the other requests are served.
+func TestCrashingRequestEndsFewRunners(t *testing.T) {
 	for name, c := range map[string]struct {
 		request func() *Request
-		// together is how many copies come in the same moment.
+		// together is how many copies are sent at the same time.
 		together   int
 		firstEvent time.Duration
-		most       int
+		maxCrashes int
 	}{
-		"a prompt that is read apart":             {func() *Request { return modelRequest(2000, false) }, 1, time.Hour, 2},
-		"a short prompt":                          {func() *Request { return modelRequest(200, false) }, 1, time.Hour, 2},
-		"one that is tried at a second engine":    {func() *Request { return modelRequest(200, true) }, 1, time.Hour, 2},
-		"one whose answer has just begun":         {func() *Request { return modelRequest(200, true) }, 1, crashAfter / 2, 2},
-		"a call that runs once":                   {func() *Request { return request(state.RouteUnsafe, 1, false) }, 1, time.Hour, 2},
-		"a call that is tried at a second runner": {func() *Request { return request(state.RouteSafe, 2, false) }, 1, time.Hour, 2},
-		"three copies in the same moment":         {func() *Request { return modelRequest(200, false) }, 3, time.Hour, 3},
+		"a long prompt with separate prefill": {func() *Request { return modelRequest(2000, false) }, 1, time.Hour, 2},
+		"a short prompt":                      {func() *Request { return modelRequest(200, false) }, 1, time.Hour, 2},
+		"a short prompt that is retried":      {func() *Request { return modelRequest(200, true) }, 1, time.Hour, 2},
+		"a stream that has just started":      {func() *Request { return modelRequest(200, true) }, 1, crashDelay / 2, 2},
+		"a call that may run once":            {func() *Request { return request(state.RouteUnsafe, 1, false) }, 1, time.Hour, 2},
+		"a call that is retried":              {func() *Request { return request(state.RouteSafe, 2, false) }, 1, time.Hour, 2},
+		"three copies at the same time":       {func() *Request { return modelRequest(200, false) }, 3, time.Hour, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -438,40 +437,40 @@
 				f := newCrashFleet(t, 1, 7)
 				f.firstEvent = c.firstEvent
 				copies := 0
-				f.play(20*time.Second, func() {
+				f.runTraffic(20*time.Second, func() {
 					for range c.together {
 						copies++
 						h := f.hosts[f.rng.IntN(len(f.hosts))]
-						go h.ask(fmt.Sprint("copy-", copies), poison, c.request())
+						go h.forwardRequest(fmt.Sprint("copy-", copies), poison, c.request())
 					}
 				})
-				time.Sleep(downFor)
-				t.Logf("%d copies, %d runners ended, %d arrivals too late; others: %d served, %d not", copies, len(f.crashes), f.late(), f.served, f.unserved)
+				time.Sleep(restartDelay)
+				t.Logf("%d copies sent, %d runners crashed, %d late arrivals; other requests: %d served, %d failed", copies, len(f.crashes), f.lateArrivals(), f.served, f.unserved)
 				is.True(len(f.crashes) >= 2)
-				is.True(len(f.crashes) <= c.most)
-				is.True(f.late() <= mostLate)
-				is.Equal(f.unserved, 0) // each comes twice at most
+				is.True(len(f.crashes) <= c.maxCrashes)
+				is.True(f.lateArrivals() <= maxLateArrivals)
+				is.Equal(f.unserved, 0) // at most one retry each
 			})
 		})
 	}
 }
 
-// Engines that are back under their names take work before the list tells the new run from the
-// old one: a copy that ends such a run counts as well.
-func TestRunsUnderOneNameCountEach(t *testing.T) {
+// A restarted engine accepts requests before the list shows its new run. The crash of such a run
+// counts as well.
+func TestCrashesOfRestartedEngineCountSeparately(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newCrashFleet(t, 1, 3)
-		f.sameName = true
+		f.acceptAnyRun = true
 		f.engines = slices.DeleteFunc(f.engines, func(e *crashEngine) bool {
 			return e.role == state.RoleDecode && e.name != "d0"
 		})
-		f.list()
+		f.updateLists()
 		for n := range 20 {
-			go f.hosts[n%3].ask(fmt.Sprint("copy-", n), poison, modelRequest(200, true))
-			time.Sleep(downFor/2 + 50*time.Millisecond) // every second one finds the engine back
+			go f.hosts[n%3].forwardRequest(fmt.Sprint("copy-", n), poison, modelRequest(200, true))
+			time.Sleep(restartDelay/2 + 50*time.Millisecond) // the engine is back for every second copy
 		}
-		t.Logf("%d runs of one engine ended", len(f.crashes))
+		t.Logf("%d runs of one engine crashed", len(f.crashes))
 		is.Equal(len(f.crashes), 2)
 	})
 }
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -12,72 +12,77 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Placer chooses runners; tried names instances not to be chosen again. Each
-// method returns nil when there is none.
+// Placer chooses runners. tried lists instances that must not be chosen again. Methods that
+// choose return nil if there is no runner.
 type Placer interface {
+	// Call chooses a runner for a call of a plain service.
 	Call(service string, tried []state.InstanceID) *placement.Runner
-	// Decode prefers engines of the failure domain near, "" for the host's own.
+	// Decode chooses an engine that generates. It prefers engines of the failure domain near;
+	// "" means the host's own domain.
 	Decode(service, session, near string, tried []state.InstanceID) *placement.Runner
+	// Prefill chooses an engine that computes a prompt.
 	Prefill(service, session string, tried []state.InstanceID) *placement.Runner
-	// Standby chooses an engine for the copy of a run, one that isn't lost with the run's.
+	// Standby chooses an engine for the backup of a run at another engine. It avoids engines
+	// that can be lost together with that engine.
 	Standby(service string, at *state.Instance, tried []state.InstanceID) *placement.Runner
-	// ReadsApart reports whether some of the service's engines only read prompts.
+	// ReadsApart reports whether some of the service's engines only compute prompts.
 	ReadsApart(service string) bool
-	// Runner is the instance with what is known of it, or nil.
+	// Runner returns an instance with this host's knowledge of it, or nil if it isn't listed.
 	Runner(id state.InstanceID) *placement.Runner
-	// Has reports whether work may be sent to the instance at this moment.
+	// Has reports whether requests may be sent to the instance now.
 	Has(id state.InstanceID) bool
-	// Soonest is the first runner to take such work again, and when; zero for now.
+	// Soonest returns the runner that is the first to accept such work, and when it does; the
+	// time is zero if it does now.
 	Soonest(service string, p placement.Part, tried []state.InstanceID) (*placement.Runner, time.Time)
 }
 
-// Budget limits further sendings over all hosts.
+// Budget limits retries over all hosts.
 type Budget interface {
-	// Seen counts a request of the service; Allow takes a further sending.
+	// Seen counts a request of the service, and Allow takes a retry if one is left.
 	Seen(service string)
 	Allow(service string) bool
-	// AllowMove takes the sending of a run that goes on at another engine.
+	// AllowMove takes the retry of a run that continues at another engine.
 	AllowMove(service string) bool
 }
 
-// Observer takes the dispatcher's measures.
+// Observer collects the dispatcher's metrics.
 type Observer interface {
-	// Turn notes how a part of a model request got its place among the others.
-	Turn(w Work, t Turn)
-	// Read notes how long the reading of a prompt took, waiting included, against what
-	// was predicted of it.
-	Read(service string, predicted, took time.Duration)
-	// Held notes a sending that the quarantine kept from the runners.
-	Held(service string)
-	// Began notes that a request of a customer began to run, by the dispatcher's clock. It is
-	// told once a request.
-	Began(customer string, at time.Time)
+	// Admitted counts how a phase of a model request was admitted to an engine.
+	Admitted(w Work, t Turn)
+	// PrefillDone records the duration of a prefill, queueing included, and its forecast.
+	PrefillDone(service string, predicted, took time.Duration)
+	// RequestHeld counts a request that the quarantine kept from the runners.
+	RequestHeld(service string)
+	// RequestStarted records when a request of a customer started to run, by the dispatcher's
+	// clock. It is called once per request.
+	RequestStarted(customer string, at time.Time)
 }
 
-// Gate gives places at engines, counted over all hosts.
+// Gate admits work to engines, counted over all hosts.
 type Gate interface {
+	// Enter asks for admission to an engine.
 	Enter(ctx context.Context, a occupancy.Ask) occupancy.Verdict
-	// Permit asks to send a request to a runner that names a limit.
+	// Permit asks for a request to be sent to a runner that has a rate limit.
 	Permit(ctx context.Context, a occupancy.PermitAsk) occupancy.Permit
 }
 
-// Outliers is told of runners that don't answer.
+// Outliers collects reports of runners that don't answer.
 type Outliers interface {
-	// Silent doesn't wait.
+	// Silent reports that this host hears nothing from the runner. It doesn't block.
 	Silent(id state.InstanceID)
 }
 
-// Crashes is told of work that broke off at a runner without its end.
+// Crashes collects reports of requests that broke off at a runner.
 type Crashes interface {
-	// Broke doesn't wait.
+	// Broke reports a request that broke off at the runner before its end. It doesn't block.
 	Broke(i *state.Instance, w quarantine.Suspect)
 }
 
-// Quarantine knows the requests that crash what runs them.
+// Quarantine holds the requests that crash their runners.
 type Quarantine interface {
-	// Held returns why a request may reach no runner, or nil.
+	// Held returns the hold of a request that no runner may get, or nil.
 	Held(d quarantine.Digest) *quarantine.Hold
-	// Answered notes that a runner has answered the request whole.
+	// Answered records that a runner answered the request completely.
 	Answered(d quarantine.Digest)
 }
 
@@ -90,21 +95,21 @@
 	Observer Observer
 	Outliers Outliers
 	Crashes  Crashes
-	// Quarantine is asked before each sending.
+	// Quarantine is consulted before each attempt.
 	Quarantine Quarantine
 	Advice     Advice
 	Clock      state.Clock
 	Log        *slog.Logger
-	// SplitTokens is the prompt size from which a prompt is read at a prefill
-	// engine and its KV cache handed on.
+	// SplitTokens is the prompt size, in tokens, from which a prefill engine computes the prompt
+	// and a decode engine continues from its KV cache.
 	SplitTokens int
 }
 
-// Dispatcher carries requests to runners. It is safe for concurrent use.
+// Dispatcher forwards requests to runners. It is safe for concurrent use.
 type Dispatcher struct {
-	o     Options
-	leads leads
-	sizes sizes
+	o           Options
+	firstEvents firstEventDelays
+	sizes       sizes
 }
 
 // New validates the options.
@@ -116,23 +121,23 @@
 }
 
 const (
-	// maxUnsent bounds the runners that are tried and not reached in one request:
-	// with one in five out of reach, four in a row are one in six hundred.
-	maxUnsent = 4
-	// retryCalls and retryModel are when a request that runners refused may come back. A
-	// full runner of a plain service has a free place after one run, 15 to 30 ms on
-	// today's sheets; an engine that refused is passed over for 100 ms at first, and who
-	// comes back earlier is as likely to meet another that does.
-	retryCalls = 40 * time.Millisecond
-	retryModel = 100 * time.Millisecond
+	// maxUnsentAttempts bounds the attempts of one request in which no byte could be sent. If one
+	// runner in five is unreachable, four such attempts in a row are one in six hundred.
+	maxUnsentAttempts = 4
+	// retryAfterCall and retryAfterGeneration are the times after which a caller may retry a
+	// request that runners refused. A full runner of a plain service has capacity again after one
+	// run, which takes 15 to 30 ms. An engine that refused is avoided for 100 ms at first, and a
+	// caller that returns earlier is as likely to get another engine that refuses.
+	retryAfterCall       = 40 * time.Millisecond
+	retryAfterGeneration = 100 * time.Millisecond
 )
 
-// Forward sends the request and returns its answer. The error is a *Refusal. ctx
+// Forward sends the request to a runner and returns the answer. The error is a *Refusal. ctx
 // ends at the request's deadline or when the caller leaves.
 func (d *Dispatcher) Forward(ctx context.Context, r *Request) (*Answer, error) {
 	rec := &record{digest: quarantine.DigestOf(r.content())}
-	if err := d.held(r, rec); err != nil {
-		d.log(ctx, r, rec, 0, err)
+	if err := d.checkQuarantine(r, rec); err != nil {
+		d.logRequest(ctx, r, rec, 0, err)
 		return nil, err
 	}
 	d.o.Budget.Seen(r.Service)
@@ -140,36 +145,36 @@
 		d.sizes.note(r.Service, r.Generation.PromptTokens)
 	}
 	answer, err := d.serve(ctx, r, rec)
-	if err != nil && rec.failed != nil {
-		answer, err = rec.failed, nil
+	if err != nil && rec.failure != nil {
+		answer, err = rec.failure, nil
 	}
-	d.discard(r, rec)
+	d.discardKV(r, rec)
 	if answer != nil && answer.Stream != nil {
-		return answer, nil // logged at its end
+		return answer, nil // logged at the end of the stream
 	}
 	status := 0
 	if answer != nil {
 		status = answer.Head.Status
 	}
-	d.log(ctx, r, rec, status, err)
+	d.logRequest(ctx, r, rec, status, err)
 	return answer, err
 }
 
-// discard frees a KV cache that no engine was asked to take. One that can't be freed
-// lapses at its engine by itself.
-func (d *Dispatcher) discard(r *Request, rec *record) {
-	if rec.cached == nil || rec.mayHaveRun {
+// discardKV frees the KV cache of a prompt if no engine was asked to continue from it. If that
+// fails the engine evicts it after a time.
+func (d *Dispatcher) discardKV(r *Request, rec *record) {
+	if rec.promptKV == nil || rec.mayHaveRun {
 		return
 	}
 	go func() {
-		if err := d.o.Upstream.Discard(rec.cached); err != nil {
-			d.o.Log.Info("KV cache not freed", "request_id", r.ID, "instance", rec.cached.Instance.ID, "cause", err.Error())
+		if err := d.o.Upstream.Discard(rec.promptKV); err != nil {
+			d.o.Log.Info("KV cache not freed", "request_id", r.ID, "instance", rec.promptKV.Instance.ID, "cause", err.Error())
 		}
 	}()
 }
 
-// log writes the one line of a request.
-func (d *Dispatcher) log(ctx context.Context, r *Request, rec *record, status int, err error) {
+// logRequest writes the log line of a request at its end.
+func (d *Dispatcher) logRequest(ctx context.Context, r *Request, rec *record, status int, err error) {
 	attrs := []slog.Attr{
 		slog.String("request_id", r.ID), slog.String("route", r.Route.Name), slog.String("service", r.Service),
 		slog.Uint64("config_version", r.ConfigVersion), slog.Int64("took_ms", d.o.Clock.Now().Sub(r.ArrivedAt).Milliseconds()), slog.String("turn", string(rec.turn)),
@@ -186,78 +191,79 @@
 	d.o.Log.LogAttrs(ctx, level, "request ended", attrs...)
 }
 
-// serve tries runners until one answers or nothing more may be tried.
+// serve tries runners until one answers or no further attempt is allowed.
 func (d *Dispatcher) serve(ctx context.Context, r *Request, rec *record) (*Answer, error) {
 	var source *KVSource
-	rec.apart = d.long(r) && d.o.Placer.ReadsApart(r.Service)
-	if rec.apart {
+	rec.separatePrefill = d.hasLongPrompt(r) && d.o.Placer.ReadsApart(r.Service)
+	if rec.separatePrefill {
 		var err error
-		if source, err = d.readPrompt(ctx, r, rec); err != nil {
+		if source, err = d.prefill(ctx, r, rec); err != nil {
 			return nil, err
 		}
 	}
-	if !d.pay(r, rec) {
+	if !d.chargeRetries(r, rec) {
 		return nil, d.refuse(r, rec, ReasonBudget)
 	}
 	unsent := 0
 	for {
-		if err := d.over(ctx, r, rec); err != nil {
+		if err := d.checkDeadline(ctx, r, rec); err != nil {
 			return nil, err
 		}
 		c, err := d.pick(ctx, r, rec, d.usefulBy(r))
 		if err != nil {
 			return nil, err
 		}
-		if err := d.barred(ctx, r, rec); err != nil {
+		if err := d.checkBeforeSend(ctx, r, rec); err != nil {
 			c.giveBack()
 			return nil, err
 		}
 		a := &Attempt{Request: r, Instance: c.Instance, Source: source, LastEventID: r.LastEventID, Rank: c.rank(r), FetchFrom: c.fetchFrom()}
-		answer, end := d.attempt(ctx, a, c, rec)
-		if answer != nil && !d.repeatFailure(r, rec, answer) {
+		answer, result := d.attempt(ctx, a, c, rec)
+		if answer != nil && !d.isRetryableFailure(r, rec, answer) {
 			return answer, nil
 		}
 		if answer != nil {
-			rec.failed = answer
+			rec.failure = answer
 		}
 		switch {
-		case end == outcomeLimited:
-		case end == outcomeUnsent && unsent < maxUnsent:
+		case result == outcomeLimited:
+		case result == outcomeUnsent && unsent < maxUnsentAttempts:
 			unsent++
-		case !d.mayRepeat(r, rec):
-			if err := d.over(ctx, r, rec); err != nil {
+		case !d.takeRetry(r, rec):
+			if err := d.checkDeadline(ctx, r, rec); err != nil {
 				return nil, err
 			}
-			return nil, d.refuse(r, rec, reasonOf(end))
+			return nil, d.refuse(r, rec, reasonFor(result))
 		}
 	}
 }
 
-// barred returns the refusal of a request that may not be sent after a wait: it is held now, or
-// its time is up. The context doesn't tell that on a host that was suspended meanwhile, whose
-// timers stood still.
-func (d *Dispatcher) barred(ctx context.Context, r *Request, rec *record) error {
-	if err := d.held(r, rec); err != nil {
+// checkBeforeSend returns the refusal of a request that must not be sent after a wait, because
+// it is quarantined by now or its deadline has passed. It reads the clock: timers don't advance
+// while a host is suspended, so that the context may end too late.
+func (d *Dispatcher) checkBeforeSend(ctx context.Context, r *Request, rec *record) error {
+	if err := d.checkQuarantine(r, rec); err != nil {
 		return err
 	}
-	if d.left(r) > 0 {
+	if d.timeLeft(r) > 0 {
 		return nil
 	}
-	return d.over(ctx, r, rec)
+	return d.checkDeadline(ctx, r, rec)
 }
 
-// held returns the refusal of a request that crashes what runs it. It is asked before each
-// sending: a request may have waited for its place when that became known.
-func (d *Dispatcher) held(r *Request, rec *record) error {
+// checkQuarantine returns the refusal of a request that crashes its runners. It is called before
+// each attempt, since the request may have been quarantined while it waited for admission.
+func (d *Dispatcher) checkQuarantine(r *Request, rec *record) error {
 	hold := d.o.Quarantine.Held(rec.digest)
 	if hold == nil {
 		return nil
 	}
-	d.o.Observer.Held(r.Service)
+	d.o.Observer.RequestHeld(r.Service)
 	return &Refusal{Reason: ReasonCrashes, NotRun: !rec.mayHaveRun, Cause: &quarantine.HeldError{Digest: rec.digest, Crashes: len(hold.Evidence)}}
 }
 
-func reasonOf(o outcome) Reason {
+// reasonFor returns the reason for refusing a request whose last attempt had the outcome.
+func reasonFor(o outcome) Reason {
 	switch o {
 	case outcomeNotRun:
 		return ReasonFull
@@ -268,14 +274,14 @@
 	}
 }
 
-// over returns the refusal of a request whose caller has left or whose time is up.
-// One that has been worked on isn't sent again for the last moment.
-func (d *Dispatcher) over(ctx context.Context, r *Request, rec *record) error {
-	least := time.Duration(1)
+// checkDeadline returns the refusal of a request whose caller has left or whose deadline has
+// passed. After the first step at least minRetryTime must be left.
+func (d *Dispatcher) checkDeadline(ctx context.Context, r *Request, rec *record) error {
+	minLeft := time.Duration(1)
 	if len(rec.steps) > 0 {
-		least = minLeft
+		minLeft = minRetryTime
 	}
-	if ctx.Err() == nil && d.left(r) >= least {
+	if ctx.Err() == nil && d.timeLeft(r) >= minLeft {
 		return nil
 	}
 	if errors.Is(ctx.Err(), context.Canceled) {
@@ -284,63 +290,68 @@
 	return &Refusal{Reason: ReasonDeadline, NotRun: !rec.mayHaveRun, Cause: context.DeadlineExceeded}
 }
 
-func (d *Dispatcher) refuse(r *Request, rec *record, why Reason) error {
-	after := retryCalls
+// refuse returns a refusal with the time after which the caller may retry.
+func (d *Dispatcher) refuse(r *Request, rec *record, reason Reason) error {
+	after := retryAfterCall
 	if r.Generation != nil {
-		after = retryModel
+		after = retryAfterGeneration
 	}
-	return &Refusal{Reason: why, NotRun: !rec.mayHaveRun, RetryAfter: after}
+	return &Refusal{Reason: reason, NotRun: !rec.mayHaveRun, RetryAfter: after}
 }
 
-// choose picks a runner that generates or serves the call.
+// choose picks a runner for a call, or an engine that generates.
 func (d *Dispatcher) choose(ctx context.Context, r *Request, rec *record) (choice, error) {
 	switch {
 	case r.Generation == nil:
 		return choice{Runner: d.o.Placer.Call(r.Service, rec.tried)}, nil
-	case rec.apart:
+	case rec.separatePrefill:
 		return d.takeSlot(ctx, r, rec), nil
-	case d.long(r):
+	case d.hasLongPrompt(r):
 		return d.takeReadingPlace(ctx, r, rec)
 	default:
 		return d.takePlace(ctx, r, rec), nil
 	}
 }
 
-// mayRepeat reports whether the request may be sent once more, and takes it from
-// the budget if so.
-func (d *Dispatcher) mayRepeat(r *Request, rec *record) bool {
+// takeRetry reports whether the request may be retried, and takes the retry from the budget if
+// it may.
+func (d *Dispatcher) takeRetry(r *Request, rec *record) bool {
 	if rec.mayHaveRun && !r.Route.Repeatable() {
 		return false
 	}
-	if rec.sends >= r.Route.MaxAttempts {
+	if rec.attempts >= r.Route.MaxAttempts {
 		return false
 	}
-	return d.pay(r, rec)
+	return d.chargeRetries(r, rec)
 }
 
-// pay takes from the budget for what arrived before, so that one more sending of the
-// request may arrive. It takes nothing twice.
-func (d *Dispatcher) pay(r *Request, rec *record) bool { return payFrom(d.o.Budget.Allow, r, rec) }
+// chargeRetries takes one retry from the budget for each delivery so far that hasn't been
+// charged, so that the request may be delivered once more. It reports whether the budget allows
+// it.
+func (d *Dispatcher) chargeRetries(r *Request, rec *record) bool {
+	return chargeRetriesTo(d.o.Budget.Allow, r, rec)
+}
 
-// payFrom is pay from one of the budgets.
-func payFrom(allow func(service string) bool, r *Request, rec *record) bool {
-	for rec.paid < rec.arrivals {
+// chargeRetriesTo is chargeRetries with the given method of the budget.
+func chargeRetriesTo(allow func(service string) bool, r *Request, rec *record) bool {
+	for rec.charged < rec.deliveries {
 		if !allow(r.Service) {
 			return false
 		}
-		rec.paid++
+		rec.charged++
 	}
 	return true
 }
 
-// minLeft is the least time with which a request is sent once more: the shortest
-// service time on the sites' sheets is 15 ms.
-const minLeft = 15 * time.Millisecond
+// minRetryTime is the least time left with which a request is retried: the shortest service
+// time at the known sites is 15 ms.
+const minRetryTime = 15 * time.Millisecond
 
-// repeatFailure reports whether a runner's own failure is to be tried elsewhere:
-// a repeatable call whose runner answered that it failed.
-func (d *Dispatcher) repeatFailure(r *Request, rec *record, a *Answer) bool {
-	return r.Route.Kind == state.RouteSafe && a.Head.Status >= 500 && rec.sends < r.Route.MaxAttempts
+// isRetryableFailure reports whether the request is retried after a runner's answer: the answer
+// says that the runner failed, the call may run more than once, and it has attempts left.
+func (d *Dispatcher) isRetryableFailure(r *Request, rec *record, a *Answer) bool {
+	return r.Route.Kind == state.RouteSafe && a.Head.Status >= 500 && rec.attempts < r.Route.MaxAttempts
 }
 
-func (d *Dispatcher) left(r *Request) time.Duration { return r.Deadline.Sub(d.o.Clock.Now()) }
+// timeLeft returns the time until the request's deadline.
+func (d *Dispatcher) timeLeft(r *Request) time.Duration { return r.Deadline.Sub(d.o.Clock.Now()) }
--- a/coordination/forward/forward_test.go
+++ b/coordination/forward/forward_test.go
@@ -12,30 +12,32 @@
 	"github.com/thymerack/thymerack/state"
 )
 
+// A request that may run once is sent again only if no byte of it was sent, and a refusal says
+// "not run" only if it can't have run.
 func TestHoldsAtMostOnceForwarded(t *testing.T) {
 	ok := reply{status: 200, body: "done"}
 	for name, c := range map[string]struct {
-		replies []reply
-		sends   int
-		answer  bool
-		notRun  bool
+		replies  []reply
+		attempts int
+		answered bool
+		notRun   bool
 	}{
-		"answered":                          {[]reply{ok}, 1, true, false},
-		"nothing sent, then answered":       {[]reply{{err: errUnsent}, {err: errUnsent}, ok}, 3, true, false},
-		"lost after sending":                {[]reply{{err: errSent}}, 1, false, false},
-		"nothing sent, then lost":           {[]reply{{err: errUnsent}, {err: errSent}}, 2, false, false},
-		"cut in the answer":                 {[]reply{{status: 200, body: "do", readErr: io.ErrUnexpectedEOF}}, 1, false, false},
-		"without the runner's signature":    {[]reply{{status: 200, body: "done", unseal: true}}, 1, false, false},
-		"refused as not run, one attempt":   {[]reply{{status: 503, notRun: true}}, 1, false, true},
-		"the runner's own failure is given": {[]reply{{status: 500, body: "failed"}}, 1, true, false},
-		"nobody reached":                    {[]reply{{err: errUnsent}, {err: errUnsent}, {err: errUnsent}, {err: errUnsent}, {err: errUnsent}}, 5, false, true},
+		"answered":                     {[]reply{ok}, 1, true, false},
+		"unsent, then answered":        {[]reply{{err: errUnsent}, {err: errUnsent}, ok}, 3, true, false},
+		"broken off after sending":     {[]reply{{err: errSent}}, 1, false, false},
+		"unsent, then broken off":      {[]reply{{err: errUnsent}, {err: errSent}}, 2, false, false},
+		"broken off in the answer":     {[]reply{{status: 200, body: "do", readErr: io.ErrUnexpectedEOF}}, 1, false, false},
+		"response without signature":   {[]reply{{status: 200, body: "done", unsigned: true}}, 1, false, false},
+		"refused without running":      {[]reply{{status: 503, notRun: true}}, 1, false, true},
+		"runner's failure is returned": {[]reply{{status: 500, body: "failed"}}, 1, true, false},
+		"no runner reachable":          {[]reply{{err: errUnsent}, {err: errUnsent}, {err: errUnsent}, {err: errUnsent}, {err: errUnsent}}, 5, false, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(t, plenty, c.replies...)
 			answer, err := w.Forward(t.Context(), request(state.RouteUnsafe, 1, false))
-			is.Equal(len(w.up.attempts), c.sends)
-			is.Equal(answer != nil, c.answer)
+			is.Equal(len(w.up.attempts), c.attempts)
+			is.Equal(answer != nil, c.answered)
 			if answer == nil {
 				var refusal *Refusal
 				is.True(errors.As(err, &refusal))
@@ -45,27 +47,27 @@
 	}
 }
 
-func TestRepeatableCallIsSentAgain(t *testing.T) {
+func TestRepeatableCallIsRetried(t *testing.T) {
 	ok := reply{status: 200, body: "done"}
 	for name, c := range map[string]struct {
-		budget  int
-		replies []reply
-		sends   int
-		status  int
+		budget   int
+		replies  []reply
+		attempts int
+		status   int
 	}{
-		"after a lost answer":              {plenty, []reply{{err: errSent}, ok}, 2, 200},
-		"after the runner's failure":       {plenty, []reply{{status: 500}, ok}, 2, 200},
-		"the second failure is given":      {plenty, []reply{{status: 500}, {status: 500}}, 2, 500},
-		"never more than its attempts":     {plenty, []reply{{err: errSent}, {err: errSent}}, 2, 0},
-		"the failure, after a lost answer": {plenty, []reply{{status: 500}, {err: errSent}}, 2, 500},
-		"not without budget":               {0, []reply{{err: errSent}}, 1, 0},
-		"failure is given without budget":  {0, []reply{{status: 500}}, 1, 500},
+		"after a broken attempt":                      {plenty, []reply{{err: errSent}, ok}, 2, 200},
+		"after the runner's failure":                  {plenty, []reply{{status: 500}, ok}, 2, 200},
+		"second failure is returned":                  {plenty, []reply{{status: 500}, {status: 500}}, 2, 500},
+		"not beyond the route's attempts":             {plenty, []reply{{err: errSent}, {err: errSent}}, 2, 0},
+		"failure is returned if the retry breaks off": {plenty, []reply{{status: 500}, {err: errSent}}, 2, 500},
+		"not without budget":                          {0, []reply{{err: errSent}}, 1, 0},
+		"failure is returned without budget":          {0, []reply{{status: 500}}, 1, 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w := newWorld(t, c.budget, c.replies...)
 			answer, err := w.Forward(t.Context(), request(state.RouteSafe, 2, false))
-			is.Equal(len(w.up.attempts), c.sends)
+			is.Equal(len(w.up.attempts), c.attempts)
 			if c.status == 0 {
 				is.True(err != nil)
 				return
@@ -81,7 +83,7 @@
 	}
 }
 
-func TestDeadlineEndsTheWaitAtOnce(t *testing.T) {
+func TestDeadlineEndsAttempt(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{hang: true})
 	ctx, cancel := context.WithTimeout(t.Context(), 20*time.Millisecond)
@@ -95,7 +97,7 @@
 	is.Equal(refusal.NotRun, false)
 }
 
-func TestRunnerIsToldWhatIsLeft(t *testing.T) {
+func TestAttemptCarriesTimeLeft(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{err: errUnsent}, reply{status: 200})
 	r := request(state.RouteUnsafe, 1, false)
@@ -104,11 +106,11 @@
 	_, err := w.Forward(t.Context(), r)
 	is.NoErr(err)
 	for _, a := range w.up.attempts {
-		is.True(a.Left > 0 && a.Left <= 500*time.Millisecond)
+		is.True(a.TimeLeft > 0 && a.TimeLeft <= 500*time.Millisecond)
 	}
 }
 
-func TestCallerWhoLeftIsNotSentAgain(t *testing.T) {
+func TestNoRetryAfterCallerLeft(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{hang: true})
 	ctx, leave := context.WithCancel(t.Context())
@@ -120,7 +122,7 @@
 	is.Equal(len(w.up.attempts), 1)
 }
 
-func TestLeavingInstanceIsNotSentTo(t *testing.T) {
+func TestDrainingInstanceGetsNoRequest(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty)
 	w.fleet.Update([]state.Instance{{ID: state.InstanceID{Name: "s1"}, Service: "plain", Draining: true}})
--- a/coordination/forward/mixed_test.go
+++ b/coordination/forward/mixed_test.go
@@ -9,36 +9,36 @@
 	"github.com/thymerack/thymerack/coordination/backlog"
 )
 
-func TestLongPromptGoesWholeToAnEngineThatDoesBoth(t *testing.T) {
+func TestLongPromptStaysAtOneMixedEngine(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, plenty, generated)
 	w.gate.refusal = []backlog.Forecast{{Wait: 300 * time.Millisecond, Finish: 320 * time.Millisecond, Kept: 400, Coming: 400}}
-	w.served(t)
+	w.mustServe(t)
 	is.Equal(len(w.up.attempts), 1)
 	a := w.up.attempts[0]
 	is.True(!a.PrefillOnly)
 	is.True(a.Rank < backlog.Classes)
 	is.True(a.Source == nil)
-	// The second engine asked has room; it fetches what the session's own keeps.
+	// The second engine admits the prompt, and fetches the prefix that the session's own has cached.
 	is.Equal(a.Instance.ID, w.gate.asks[1].Engine)
 	is.Equal(a.FetchFrom, w.gate.asks[0].Engine.Name+":1")
-	// The place is for the reading, not one of the slots.
+	// Admission is for the prefill, not for a slot.
 	is.Equal(w.gate.asks[0].Most, 0)
 	is.True(w.gate.asks[0].Reading.Work.Own > 0)
 }
 
-func TestLatePromptWaitsBehindTheOthersAtAnEngineThatDoesBoth(t *testing.T) {
+func TestLatePromptIsQueuedLastAtMixedEngine(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, plenty, generated)
 	w.gate.refusal = busyFor(time.Second, true)
 	w.gate.given = &backlog.Forecast{Rank: backlog.Classes + 2}
-	w.served(t)
+	w.mustServe(t)
 	is.Equal(len(w.up.attempts), 1)
 	is.Equal(w.up.attempts[0].Rank, backlog.Classes+2)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[0].Engine) // the session's own
 }
 
-func TestShortPromptTakesASlotOfAnEngineThatDoesBoth(t *testing.T) {
+func TestShortPromptTakesSlotOfMixedEngine(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, plenty, generated)
 	answer, err := w.Forward(t.Context(), modelRequest(500, false))
@@ -48,10 +48,10 @@
 	is.Equal(w.gate.asks[0].Most, engineSlots)
 }
 
-func TestRefusedPromptIsTakenToAnotherEngineThatDoesBoth(t *testing.T) {
+func TestRefusedPromptIsRetriedAtAnotherMixedEngine(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, 1, reply{status: 503, notRun: true}, generated)
-	w.served(t)
+	w.mustServe(t)
 	is.Equal(len(w.up.attempts), 2)
 	is.True(w.up.attempts[0].Instance.ID != w.up.attempts[1].Instance.ID)
 	for _, r := range w.fleet.Runners("model") {
@@ -60,12 +60,12 @@
 	}
 }
 
-// A session's prompts meet at one engine, whichever host asks.
-func TestSessionKeepsToOneEngineThatDoesBoth(t *testing.T) {
+// The prompts of a session go to the same engine through all hosts, without coordination.
+func TestSessionStaysAtOneMixedEngine(t *testing.T) {
 	is := is.New(t)
 	first := newMixedWorld(t, plenty, generated)
-	first.served(t)
+	first.mustServe(t)
 	second := newMixedWorld(t, plenty, generated)
-	second.served(t)
+	second.mustServe(t)
 	is.Equal(first.up.attempts[0].Instance.ID, second.up.attempts[0].Instance.ID)
 }
