--- a/coordination/admit/admit.go
+++ b/coordination/admit/admit.go
@@ -25,10 +25,10 @@
 	LongOutput int64
 	// Deadline is when the whole answer is due; zero when it isn't.
 	Deadline time.Time
-	// Returning says that the request was refused before and comes back when it
+	// Resubmitted says that the request was refused before and comes back when it
 	// was told to; it goes before its customer's others. A request whose ID this
 	// host has refused lately is recognised without it.
-	Returning bool
+	Resubmitted bool
 }
 
 // Reason is why a request was refused.
@@ -62,7 +62,7 @@
 type Options struct {
 	// Clock and Capacity are required.
 	Clock    state.Clock
-	Capacity Capacity
+	Capacity CapacitySource
 	// NewDiscipline makes the queue of a service; default NewBWF2Q.
 	NewDiscipline func() Discipline
 	// MaxQueued bounds the waiting requests of a service; default 4096.
@@ -192,7 +192,7 @@
 	case d := <-decided:
 		return d.grant, d.err
 	case <-ctx.Done():
-		if p.Withdraw() {
+		if p.Cancel() {
 			return nil, ctx.Err()
 		}
 		d := <-decided
@@ -225,9 +225,9 @@
 	waiter *waiter
 }
 
-// Withdraw takes a waiting request back; it is false when the decision came
+// Cancel takes a waiting request back; it is false when the decision came
 // first.
-func (p *Pending) Withdraw() bool { return p.queue != nil && p.queue.withdraw(p.waiter) }
+func (p *Pending) Cancel() bool { return p.queue != nil && p.queue.withdraw(p.waiter) }
 
 // service returns the queue of a service, or nil beyond Options.MaxServices: the
 // configuration names the services, so only a caller's invention is so many.
@@ -258,7 +258,7 @@
 		if err := a.o.Clock.Sleep(ctx, a.o.Interval); err != nil {
 			return err
 		}
-		a.Look()
+		a.Tick()
 	}
 }
 
@@ -273,9 +273,9 @@
 	return found
 }
 
-// Look refuses waiting requests whose deadlines are out of reach by now and
+// Tick refuses waiting requests whose deadlines are out of reach by now and
 // starts others if room has appeared.
-func (a *Admitter) Look() { a.eachQueue((*serviceQueue).look) }
+func (a *Admitter) Tick() { a.eachQueue((*serviceQueue).look) }
 
 func (a *Admitter) eachQueue(do func(*serviceQueue)) {
 	a.mu.Lock()
@@ -294,8 +294,8 @@
 	WaitingCost float64
 	WaitingWork snapshot.Work
 	Running     snapshot.Work
-	// Wait is the predicted wait of a new request of an ordinary class.
-	Wait time.Duration
+	// PredictedWait is the predicted wait of a new request of an ordinary class.
+	PredictedWait time.Duration
 }
 
 // Stats returns the present state of every queue.
--- a/coordination/admit/admit_test.go
+++ b/coordination/admit/admit_test.go
@@ -14,13 +14,13 @@
 )
 
 // fixedRoom is a Capacity that a test sets.
-type fixedRoom struct{ room Room }
+type fixedRoom struct{ room Capacity }
 
-func (c *fixedRoom) Room(string) Room { return c.room }
+func (c *fixedRoom) Capacity(string) Capacity { return c.room }
 
 // oneAtATime has room for one request; a token takes a millisecond.
 func oneAtATime() *fixedRoom {
-	return &fixedRoom{Room{
+	return &fixedRoom{Capacity{
 		Runners: 1, Requests: 1, PrefillTokens: 1 << 20,
 		PrefillPerSecond: 1000, DecodePerSecond: 1000, EnginePrefillPerSecond: 1000,
 		TokenInterval: time.Millisecond,
@@ -28,7 +28,7 @@
 }
 
 // run starts an admitter inside a bubble and ends it with the test function.
-func run(t *testing.T, c Capacity, o Options, test func(ctx context.Context, a *Admitter)) {
+func run(t *testing.T, c CapacitySource, o Options, test func(ctx context.Context, a *Admitter)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		o.Clock = clocktest.Bubble{}
--- a/coordination/admit/bwf2q.go
+++ b/coordination/admit/bwf2q.go
@@ -172,11 +172,11 @@
 	d.forgetAt = 2 * len(d.flows)
 }
 
-func (d *bwf2q) Queued(name string) float64 { return queuedOf(d.flows[name]) }
+func (d *bwf2q) QueuedCost(name string) float64 { return queuedOf(d.flows[name]) }
 
-func (d *bwf2q) Weights() float64 { return d.weights }
+func (d *bwf2q) TotalWeight() float64 { return d.weights }
 
-func (d *bwf2q) Ahead(name string, weight float64, returning bool) float64 {
+func (d *bwf2q) CostAhead(name string, weight float64, returning bool) float64 {
 	f := d.flows[name]
 	if f == nil || f.count == 0 {
 		return 0
@@ -200,7 +200,7 @@
 	return removed
 }
 
-func (d *bwf2q) Last() *Item {
+func (d *bwf2q) EvictionCandidate() *Item {
 	heaviest := d.current
 	for _, f := range d.eligible.flows {
 		heaviest = heavier(heaviest, f)
--- a/coordination/admit/capacity.go
+++ b/coordination/admit/capacity.go
@@ -9,9 +9,9 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Room is how much work a host may have in flight for a service, and how fast
+// Capacity is how much work a host may have in flight for a service, and how fast
 // that work goes.
-type Room struct {
+type Capacity struct {
 	// Runners is the number of runners that take work.
 	Runners int
 	// Requests and PrefillTokens are the host's part of what the fleet is to have
@@ -39,9 +39,9 @@
 	FirstTokenWait time.Duration
 }
 
-// Capacity tells the room for a service. It must not block.
-type Capacity interface {
-	Room(service string) Room
+// CapacitySource tells the room for a service. It must not block.
+type CapacitySource interface {
+	Capacity(service string) Capacity
 }
 
 // Speeds assumed of an engine that never reported.
@@ -59,8 +59,8 @@
 	TokenInterval(engine string, batch int) time.Duration
 }
 
-// FleetOptions configure a Fleet. Zero values stand for the defaults.
-type FleetOptions struct {
+// FleetCapacityOptions configure a Fleet. Zero values stand for the defaults.
+type FleetCapacityOptions struct {
 	// Clock, View and Hosts are required. Hosts is the number of hosts that
 	// share the fleet, this one included.
 	Clock state.Clock
@@ -71,22 +71,22 @@
 	Speeds Speeds
 	// Batch is how many requests an engine is to have at a time; default 32.
 	Batch int
-	// ServiceBatch is the same for a runner of a plain service; default 64.
-	ServiceBatch int
-	// PrefillAhead is the prefill backlog that a mixed engine is to have; default
+	// ServiceConcurrency is the same for a runner of a plain service; default 64.
+	ServiceConcurrency int
+	// PrefillBacklog is the prefill backlog that a mixed engine is to have; default
 	// 1 s. One of the prefill role, where it holds up no decoding, is to have
-	// PrefillRoleAhead; default 2 s.
-	PrefillAhead, PrefillRoleAhead time.Duration
+	// PrefillRoleBacklog; default 2 s.
+	PrefillBacklog, PrefillRoleBacklog time.Duration
 	// MaxAge is how long figures of an older view are used; default 20 ms.
 	MaxAge time.Duration
 }
 
-// Fleet is a Capacity over the views of a host. A host may use an equal part of
+// FleetCapacity is a Capacity over the views of a host. A host may use an equal part of
 // the fleet and beyond that an equal part of what nobody uses: so the fleet is
 // used up when the callers come to few hosts, and hosts that see the same free
 // room don't all take it.
-type Fleet struct {
-	o FleetOptions
+type FleetCapacity struct {
+	o FleetCapacityOptions
 
 	mu    sync.Mutex
 	rooms map[string]cachedRoom
@@ -96,34 +96,34 @@
 type cachedRoom struct {
 	seq  uint64
 	at   time.Time
-	room Room
+	room Capacity
 }
 
-// NewFleet returns a fleet, or an error that names the wrong option.
-func NewFleet(o FleetOptions) (*Fleet, error) {
+// NewFleetCapacity returns a fleet, or an error that names the wrong option.
+func NewFleetCapacity(o FleetCapacityOptions) (*FleetCapacity, error) {
 	if o.Clock == nil || o.View == nil || o.Hosts == nil {
 		return nil, fmt.Errorf("admit: FleetOptions.Clock, View or Hosts is nil; pass all three")
 	}
 	if o.Batch == 0 {
 		o.Batch = 32
 	}
-	if o.ServiceBatch == 0 {
-		o.ServiceBatch = 64
+	if o.ServiceConcurrency == 0 {
+		o.ServiceConcurrency = 64
 	}
-	if o.PrefillAhead == 0 {
-		o.PrefillAhead = time.Second
+	if o.PrefillBacklog == 0 {
+		o.PrefillBacklog = time.Second
 	}
-	if o.PrefillRoleAhead == 0 {
-		o.PrefillRoleAhead = 2 * time.Second
+	if o.PrefillRoleBacklog == 0 {
+		o.PrefillRoleBacklog = 2 * time.Second
 	}
 	if o.MaxAge == 0 {
 		o.MaxAge = 20 * time.Millisecond
 	}
-	return &Fleet{o: o, rooms: map[string]cachedRoom{}}, nil
+	return &FleetCapacity{o: o, rooms: map[string]cachedRoom{}}, nil
 }
 
-// Room implements Capacity.
-func (f *Fleet) Room(service string) Room {
+// Capacity implements Capacity.
+func (f *FleetCapacity) Capacity(service string) Capacity {
 	v := f.o.View()
 	now := f.o.Clock.Now()
 	f.mu.Lock()
@@ -134,7 +134,7 @@
 	}
 	if len(v.RunnersOf(service)) == 0 {
 		delete(f.rooms, service)
-		return Room{}
+		return Capacity{}
 	}
 	c = cachedRoom{v.Seq, now, f.measure(v.RunnersOf(service))}
 	f.seq++
@@ -154,7 +154,7 @@
 	wait                                 float64 // seconds, the least
 }
 
-func (f *Fleet) measure(runners []*snapshot.Runner) Room {
+func (f *FleetCapacity) measure(runners []*snapshot.Runner) Capacity {
 	var s sums
 	for _, r := range runners {
 		own := r.Track.Load()
@@ -167,7 +167,7 @@
 	return f.share(&s)
 }
 
-func (f *Fleet) addRunner(s *sums, r *snapshot.Runner) {
+func (f *FleetCapacity) addRunner(s *sums, r *snapshot.Runner) {
 	s.runners++
 	if r.Kind == state.KindService {
 		s.plain++
@@ -199,16 +199,16 @@
 }
 
 // ahead is the prefill backlog that an engine is to have.
-func (f *Fleet) ahead(role state.Role) time.Duration {
+func (f *FleetCapacity) ahead(role state.Role) time.Duration {
 	if role == state.RolePrefill {
-		return f.o.PrefillRoleAhead
+		return f.o.PrefillRoleBacklog
 	}
-	return f.o.PrefillAhead
+	return f.o.PrefillBacklog
 }
 
 // speeds returns an engine's prompt tokens a second and its seconds between
 // tokens in a full batch and in the present one.
-func (f *Fleet) speeds(r *snapshot.Runner) (prefill, full, now float64) {
+func (f *FleetCapacity) speeds(r *snapshot.Runner) (prefill, full, now float64) {
 	if f.o.Speeds != nil {
 		p, s := f.o.Speeds.SpeedsAt(r.Name, f.o.Batch)
 		n := f.o.Speeds.TokenInterval(r.Name, int(r.Track.Load().Plus(r.Peers).Requests)+1)
@@ -226,13 +226,13 @@
 }
 
 // share turns the fleet's figures into this host's.
-func (f *Fleet) share(s *sums) Room {
+func (f *FleetCapacity) share(s *sums) Capacity {
 	n := int64(max(1, f.o.Hosts()))
 	hosts := float64(n)
-	requests := int64(s.decoders*f.o.Batch + s.plain*f.o.ServiceBatch)
+	requests := int64(s.decoders*f.o.Batch + s.plain*f.o.ServiceConcurrency)
 	prompts := int64(s.prompts)
 	taken := s.own.Plus(s.peers)
-	m := Room{
+	m := Capacity{
 		Runners:           s.runners,
 		InFlight:          s.own,
 		Requests:          requests / n,
--- a/coordination/admit/capacity_test.go
+++ b/coordination/admit/capacity_test.go
@@ -29,11 +29,11 @@
 	return k
 }
 
-func newFleet(t *testing.T, k *snapshot.Keeper, hosts int) *Fleet {
+func newFleet(t *testing.T, k *snapshot.Keeper, hosts int) *FleetCapacity {
 	t.Helper()
-	f, err := NewFleet(FleetOptions{
+	f, err := NewFleetCapacity(FleetCapacityOptions{
 		Clock: &stillClock{}, View: k.View, Hosts: func() int { return hosts },
-		Batch: 10, PrefillAhead: time.Second, PrefillRoleAhead: 2 * time.Second,
+		Batch: 10, PrefillBacklog: time.Second, PrefillRoleBacklog: 2 * time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 func TestRoomIsTheHostsShareOfTheFleet(t *testing.T) {
 	is := is.New(t)
 	k := fleetOf(state.RolePrefill, state.RoleDecode, state.RoleMixed, state.RoleMixed)
-	m := newFleet(t, k, 2).Room("llm")
+	m := newFleet(t, k, 2).Capacity("llm")
 	is.Equal(m.Runners, 4)
 	is.Equal(m.Requests, int64(3*10/2))        // three engines decode
 	is.Equal(m.PrefillTokens, int64(4*1000/2)) // one of prefill for two seconds, two mixed
@@ -59,10 +59,10 @@
 	f := newFleet(t, k, 1)
 	k.MarkLeaving("e0", "1")
 	k.SetOrder(state.Order{Engine: "e1", Fence: 1, State: state.OrderDraining})
-	is.Equal(f.Room("llm").Runners, 1)
+	is.Equal(f.Capacity("llm").Runners, 1)
 	k.SetHealth("e2", false)
-	is.Equal(f.Room("llm").Runners, 0)
-	is.Equal(f.Room("unknown").Runners, 0)
+	is.Equal(f.Capacity("llm").Runners, 0)
+	is.Equal(f.Capacity("unknown").Runners, 0)
 }
 
 func TestRoomNotTakenIsShared(t *testing.T) {
@@ -70,7 +70,7 @@
 	k := fleetOf(state.RoleMixed, state.RoleMixed)
 	k.View().Runner("e0").Track.Add(snapshot.Work{Requests: 4, PrefillTokens: 600})
 	k.SetPeerWork(time.Unix(2, 0), map[string]snapshot.Work{"e1": {Requests: 8, PrefillTokens: 5000}})
-	m := newFleet(t, k, 2).Room("llm")
+	m := newFleet(t, k, 2).Capacity("llm")
 	is.Equal(m.Requests, int64(10))
 	is.Equal(m.FreeRequests, int64(20-12)/2)
 	is.Equal(m.PrefillTokens, int64(1000))
--- a/coordination/admit/discipline.go
+++ b/coordination/admit/discipline.go
@@ -8,9 +8,9 @@
 	Weight float64
 	// Cost is the service that the item needs, in prompt tokens.
 	Cost float64
-	// Returning items go before the others of their flow: they were refused
+	// Resubmitted items go before the others of their flow: they were refused
 	// before and came back when they were told to.
-	Returning bool
+	Resubmitted bool
 
 	waiter *waiter
 	next   *Item
@@ -31,21 +31,21 @@
 	Remove(it *Item)
 	// Len is the number of items.
 	Len() int
-	// Cost is the sum of the items' costs.
-	Cost() float64
-	// Queued is the sum of the costs of one flow's items.
-	Queued(flow string) float64
-	// Weights is the sum of the weights of the flows with items.
-	Weights() float64
-	// Ahead estimates the cost served before a new item of the flow.
-	Ahead(flow string, weight float64, returning bool) float64
+	// TotalCost is the sum of the items' costs.
+	TotalCost() float64
+	// QueuedCost is the sum of the costs of one flow's items.
+	QueuedCost(flow string) float64
+	// TotalWeight is the sum of the weights of the flows with items.
+	TotalWeight() float64
+	// CostAhead estimates the cost served before a new item of the flow.
+	CostAhead(flow string, weight float64, returning bool) float64
 	// Sweep visits the items, each flow's in their order, with the cost that is
 	// estimated to be served before each; it removes and returns those for which
 	// keep is false, and doesn't count them as ahead of others in the flow.
 	Sweep(keep func(it *Item, ahead float64) bool) []*Item
-	// Last returns the newest item of the flow with the largest cost per weight,
+	// EvictionCandidate returns the newest item of the flow with the largest cost per weight,
 	// the one to push out of a full queue, or nil.
-	Last() *Item
+	EvictionCandidate() *Item
 }
 
 // flow is the queue of one customer. The fields after the list belong to the
@@ -74,7 +74,7 @@
 
 func (f *flow) push(it *Item) {
 	after := f.tail
-	if it.Returning {
+	if it.Resubmitted {
 		after = f.returning
 		f.returning = it
 		f.returningCost += it.Cost
@@ -103,7 +103,7 @@
 }
 
 func (f *flow) remove(it *Item) {
-	if it.Returning {
+	if it.Resubmitted {
 		f.returningCost -= it.Cost
 		if f.returning == it {
 			f.returning = it.prev // returning items come first
@@ -157,8 +157,8 @@
 // Len is the number of items.
 func (t *totals) Len() int { return t.count }
 
-// Cost is the sum of the items' costs.
-func (t *totals) Cost() float64 { return t.cost }
+// TotalCost is the sum of the items' costs.
+func (t *totals) TotalCost() float64 { return t.cost }
 
 // fairAhead estimates the cost served before the next item of a flow that has
 // own cost queued, when backlogged flows of the given weights share by weight.
--- a/coordination/admit/discipline_test.go
+++ b/coordination/admit/discipline_test.go
@@ -43,7 +43,7 @@
 func (o *oracle) first(flow string) *Item {
 	var first *Item
 	for _, it := range o.items {
-		if it.Flow == flow && (first == nil || it.Returning && !first.Returning) {
+		if it.Flow == flow && (first == nil || it.Resubmitted && !first.Resubmitted) {
 			first = it
 		}
 	}
@@ -64,8 +64,8 @@
 	flow := rapid.IntRange(0, o.flows-1).Draw(t, "flow")
 	it := &Item{
 		Flow: fmt.Sprint("f", flow), Weight: float64(1 + flow%3),
-		Cost:      float64(rapid.IntRange(1, 20000).Draw(t, "cost")),
-		Returning: rapid.IntRange(0, 9).Draw(t, "returning") == 0,
+		Cost:        float64(rapid.IntRange(1, 20000).Draw(t, "cost")),
+		Resubmitted: rapid.IntRange(0, 9).Draw(t, "returning") == 0,
 	}
 	o.d.Push(it)
 	o.items = append(o.items, it)
@@ -93,10 +93,10 @@
 		return o.first(it.Flow) == it
 	}
 	for _, have := range o.items {
-		if have.Returning && !it.Returning {
+		if have.Resubmitted && !it.Resubmitted {
 			return false
 		}
-		if have.Returning == it.Returning {
+		if have.Resubmitted == it.Resubmitted {
 			return have == it
 		}
 	}
@@ -128,16 +128,16 @@
 			t.Fatalf("%s is %v, not %v", what, got, want)
 		}
 	}
-	near("Cost", o.d.Cost(), o.cost(""))
+	near("Cost", o.d.TotalCost(), o.cost(""))
 	for i := range o.flows {
 		flow := fmt.Sprint("f", i)
-		near("Queued of "+flow, o.d.Queued(flow), o.cost(flow))
-		ahead := o.d.Ahead(flow, float64(1+i%3), false)
+		near("Queued of "+flow, o.d.QueuedCost(flow), o.cost(flow))
+		ahead := o.d.CostAhead(flow, float64(1+i%3), false)
 		if ahead < 0 || ahead > o.cost("")+1e-3 {
 			t.Fatalf("Ahead of %s is %v of %v", flow, ahead, o.cost(""))
 		}
 	}
-	if last := o.d.Last(); (last == nil) != (len(o.items) == 0) {
+	if last := o.d.EvictionCandidate(); (last == nil) != (len(o.items) == 0) {
 		t.Fatal("Last doesn't agree with the number of items")
 	}
 }
--- a/coordination/admit/drr.go
+++ b/coordination/admit/drr.go
@@ -86,11 +86,11 @@
 	}
 }
 
-func (d *drr) Queued(name string) float64 { return queuedOf(d.flows[name]) }
+func (d *drr) QueuedCost(name string) float64 { return queuedOf(d.flows[name]) }
 
-func (d *drr) Weights() float64 { return d.weights }
+func (d *drr) TotalWeight() float64 { return d.weights }
 
-func (d *drr) Ahead(name string, weight float64, returning bool) float64 {
+func (d *drr) CostAhead(name string, weight float64, returning bool) float64 {
 	f := d.flows[name]
 	if f == nil {
 		return 0
@@ -109,7 +109,7 @@
 	return removed
 }
 
-func (d *drr) Last() *Item {
+func (d *drr) EvictionCandidate() *Item {
 	var heaviest *flow
 	for _, f := range d.ring {
 		heaviest = heavier(heaviest, f)
--- a/coordination/admit/fifo.go
+++ b/coordination/admit/fifo.go
@@ -29,7 +29,7 @@
 	d.all.remove(it)
 }
 
-func (d *fifo) Queued(name string) float64 {
+func (d *fifo) QueuedCost(name string) float64 {
 	sum := 0.0
 	for it := d.all.head; it != nil; it = it.next {
 		if it.Flow == name {
@@ -39,10 +39,10 @@
 	return sum
 }
 
-// Weights is 1: there is one queue for all.
-func (d *fifo) Weights() float64 { return 1 }
+// TotalWeight is 1: there is one queue for all.
+func (d *fifo) TotalWeight() float64 { return 1 }
 
-func (d *fifo) Ahead(_ string, _ float64, returning bool) float64 { return d.all.before(returning) }
+func (d *fifo) CostAhead(_ string, _ float64, returning bool) float64 { return d.all.before(returning) }
 
 func (d *fifo) Sweep(keep func(*Item, float64) bool) []*Item {
 	var removed []*Item
@@ -60,4 +60,4 @@
 	return removed
 }
 
-func (d *fifo) Last() *Item { return d.all.tail }
+func (d *fifo) EvictionCandidate() *Item { return d.all.tail }
--- a/coordination/admit/forecast.go
+++ b/coordination/admit/forecast.go
@@ -39,7 +39,7 @@
 	return spare < 0 || float64(f.wait) > share*float64(spare)
 }
 
-func (q *serviceQueue) forecast(r *Request, room *Room, now time.Time, wait time.Duration) forecast {
+func (q *serviceQueue) forecast(r *Request, room *Capacity, now time.Time, wait time.Duration) forecast {
 	service := room.service(r, max(r.LongOutput, r.Cost.DecodeTokens))
 	if m, ok := q.misses[r.Class]; ok {
 		service = time.Duration(float64(service) * m.at(now))
@@ -49,7 +49,7 @@
 
 // service is the predicted time from the start of a request to the end of an
 // answer of that many tokens.
-func (m *Room) service(r *Request, output int64) time.Duration {
+func (m *Capacity) service(r *Request, output int64) time.Duration {
 	d := time.Duration(output) * m.TokenInterval
 	if !r.Urgent {
 		d += m.FirstTokenWait
@@ -103,7 +103,7 @@
 }
 
 // cost is the work in prompt tokens.
-func (m *Room) cost(w snapshot.Work, decodeFactor float64) float64 {
+func (m *Capacity) cost(w snapshot.Work, decodeFactor float64) float64 {
 	if m.PrefillPerSecond > 0 && m.DecodePerSecond > 0 {
 		decodeFactor = m.PrefillPerSecond / m.DecodePerSecond
 	}
@@ -115,7 +115,7 @@
 }
 
 // timeFor is how long this host's share of the fleet takes for a cost.
-func (m *Room) timeFor(cost float64) time.Duration {
+func (m *Capacity) timeFor(cost float64) time.Duration {
 	if m.PrefillPerSecond <= 0 {
 		return 0
 	}
--- a/coordination/admit/lane.go
+++ b/coordination/admit/lane.go
@@ -21,7 +21,7 @@
 	lanes
 )
 
-func kindOf(r *Request, room *Room) laneKind {
+func kindOf(r *Request, room *Capacity) laneKind {
 	switch {
 	case r.Urgent:
 		return laneUrgent
@@ -55,7 +55,7 @@
 	promises promises
 }
 
-func (l *lane) push(it *Item, room *Room) {
+func (l *lane) push(it *Item, room *Capacity) {
 	if l.Len() == 0 {
 		l.rate = room.PrefillPerSecond
 		l.whole = false
@@ -70,7 +70,7 @@
 }
 
 // measure takes in what was started since the last look.
-func (l *lane) measure(over time.Duration, room *Room) {
+func (l *lane) measure(over time.Duration, room *Capacity) {
 	if l.whole && l.Len() > 0 && over > 0 {
 		weight := 1 - math.Exp(-over.Seconds()/laneMemory.Seconds())
 		l.rate += weight * (l.started/over.Seconds() - l.rate)
@@ -81,7 +81,7 @@
 }
 
 // timeFor is how long the lane takes to serve a cost.
-func (l *lane) timeFor(cost float64, room *Room) time.Duration {
+func (l *lane) timeFor(cost float64, room *Capacity) time.Duration {
 	if l.Len() == 0 || l.rate <= 0 {
 		return room.timeFor(cost)
 	}
--- a/coordination/admit/promise.go
+++ b/coordination/admit/promise.go
@@ -128,7 +128,7 @@
 // refusal makes the error of a refused request, with the time after which its
 // flow will have been served what waits and what was promised before it, less
 // what the request can wait itself.
-func (q *serviceQueue) refusal(r *Request, l *lane, reason Reason, room *Room, f forecast, now time.Time) error {
+func (q *serviceQueue) refusal(r *Request, l *lane, reason Reason, room *Capacity, f forecast, now time.Time) error {
 	cost := room.cost(r.Cost, q.o.DecodeFactor)
 	spare := time.Duration(returnSpare * float64(f.spare(r.Deadline, now)))
 	after := q.o.bounded(q.untilServed(r, l, room) - spare)
@@ -138,10 +138,10 @@
 
 // untilServed is the predicted time until the lane has served the flow's waiting
 // and promised work.
-func (q *serviceQueue) untilServed(r *Request, l *lane, room *Room) time.Duration {
-	own := l.Queued(r.Customer) + l.promises.of(r.Customer)
-	weights := max(l.Weights(), l.promises.weights())
-	ahead := fairAhead(own, r.Weight, weights, l.Cost()+l.promises.total)
+func (q *serviceQueue) untilServed(r *Request, l *lane, room *Capacity) time.Duration {
+	own := l.QueuedCost(r.Customer) + l.promises.of(r.Customer)
+	weights := max(l.TotalWeight(), l.promises.weights())
+	ahead := fairAhead(own, r.Weight, weights, l.TotalCost()+l.promises.total)
 	return q.wait(l, room, ahead)
 }
 
--- a/coordination/admit/queue.go
+++ b/coordination/admit/queue.go
@@ -67,8 +67,8 @@
 
 // locked runs f under the lock with the present room and time, then tells the
 // decisions that f made.
-func (q *serviceQueue) locked(f func(room *Room, now time.Time)) {
-	room := q.o.Capacity.Room(q.name)
+func (q *serviceQueue) locked(f func(room *Capacity, now time.Time)) {
+	room := q.o.Capacity.Capacity(q.name)
 	now := q.o.Clock.Now()
 	q.mu.Lock()
 	f(&room, now)
@@ -96,15 +96,15 @@
 	}
 	r.Cost.Requests = max(1, r.Cost.Requests)
 	w := &waiter{request: *r, decide: decide, at: q.o.Clock.Now()}
-	q.locked(func(room *Room, now time.Time) { q.admit(w, room, now) })
+	q.locked(func(room *Capacity, now time.Time) { q.admit(w, room, now) })
 	return w
 }
 
-func (q *serviceQueue) admit(w *waiter, room *Room, now time.Time) {
+func (q *serviceQueue) admit(w *waiter, room *Capacity, now time.Time) {
 	r := &w.request
 	l := q.lanes[kindOf(r, room)]
-	r.Returning = r.Returning || l.promises.kept(r.ID, now)
-	f := q.forecast(r, room, now, q.wait(l, room, l.Ahead(r.Customer, r.Weight, r.Returning)))
+	r.Resubmitted = r.Resubmitted || l.promises.kept(r.ID, now)
+	f := q.forecast(r, room, now, q.wait(l, room, l.CostAhead(r.Customer, r.Weight, r.Resubmitted)))
 	if err := q.refuseAtOnce(r, l, room, f, now); err != nil {
 		q.settle(w, nil, err)
 		return
@@ -114,17 +114,17 @@
 		return
 	}
 	w.lane = l
-	w.item = Item{Flow: r.Customer, Weight: r.Weight, Cost: room.cost(r.Cost, q.o.DecodeFactor), Returning: r.Returning, waiter: w}
+	w.item = Item{Flow: r.Customer, Weight: r.Weight, Cost: room.cost(r.Cost, q.o.DecodeFactor), Resubmitted: r.Resubmitted, waiter: w}
 	l.push(&w.item, room)
 	q.waiting = q.waiting.Plus(r.Cost)
 	q.pump(room, now)
 }
 
 // wait is the predicted time until the lane has served the cost ahead.
-func (q *serviceQueue) wait(l *lane, room *Room, ahead float64) time.Duration {
+func (q *serviceQueue) wait(l *lane, room *Capacity, ahead float64) time.Duration {
 	d := l.timeFor(ahead, room)
 	if u := q.lanes[laneUrgent]; l != u {
-		d += u.timeFor(u.Cost(), room)
+		d += u.timeFor(u.TotalCost(), room)
 	}
 	return d
 }
@@ -138,7 +138,7 @@
 }
 
 // refuseAtOnce returns the error of a request that can't be admitted.
-func (q *serviceQueue) refuseAtOnce(r *Request, l *lane, room *Room, f forecast, now time.Time) error {
+func (q *serviceQueue) refuseAtOnce(r *Request, l *lane, room *Capacity, f forecast, now time.Time) error {
 	switch {
 	case q.stopped:
 		return &RefusedError{ReasonStopped, q.o.MinRetryAfter}
@@ -155,7 +155,7 @@
 // waitShare is the share of the time to spare that a request may wait. One that
 // comes back as told gets all of it.
 func (q *serviceQueue) waitShare(r *Request) float64 {
-	if r.Returning {
+	if r.Resubmitted {
 		return 1
 	}
 	return q.o.WaitShare
@@ -163,18 +163,18 @@
 
 // pushOut makes place in a full queue: the newest request of the flow that has
 // most queued per weight goes, be it this one. Urgent requests go last.
-func (q *serviceQueue) pushOut(r *Request, l *lane, room *Room, f forecast, now time.Time) error {
+func (q *serviceQueue) pushOut(r *Request, l *lane, room *Capacity, f forecast, now time.Time) error {
 	from := q.lanes[lanePrompt]
-	if o := q.lanes[laneOutput]; o.Cost() > from.Cost() {
+	if o := q.lanes[laneOutput]; o.TotalCost() > from.TotalCost() {
 		from = o
 	}
 	if from.Len() == 0 {
 		from = q.lanes[laneUrgent]
 	}
-	last := from.Last()
-	own := (l.Queued(r.Customer) + room.cost(r.Cost, q.o.DecodeFactor)) / r.Weight
+	last := from.EvictionCandidate()
+	own := (l.QueuedCost(r.Customer) + room.cost(r.Cost, q.o.DecodeFactor)) / r.Weight
 	preferred := l.kind == laneUrgent && from.kind != laneUrgent
-	if !preferred && (last.Flow == r.Customer || own >= from.Queued(last.Flow)/last.Weight) {
+	if !preferred && (last.Flow == r.Customer || own >= from.QueuedCost(last.Flow)/last.Weight) {
 		return q.refusal(r, l, ReasonQueueFull, room, f, now)
 	}
 	from.Remove(last)
@@ -183,9 +183,9 @@
 }
 
 // refuse decides against a request that was taken out of its lane.
-func (q *serviceQueue) refuse(it *Item, reason Reason, room *Room, now time.Time) {
+func (q *serviceQueue) refuse(it *Item, reason Reason, room *Capacity, now time.Time) {
 	r, l := &it.waiter.request, it.waiter.lane
-	f := q.forecast(r, room, now, q.wait(l, room, l.Ahead(r.Customer, r.Weight, r.Returning)))
+	f := q.forecast(r, room, now, q.wait(l, room, l.CostAhead(r.Customer, r.Weight, r.Resubmitted)))
 	q.settle(it.waiter, nil, q.refusal(r, l, reason, room, f, now))
 }
 
@@ -197,7 +197,7 @@
 // only: if it took that again at once, a host would keep for ever what it has
 // beyond its part, and with whole prompts on every host the engines' queues would
 // never shrink.
-func (q *serviceQueue) fits(l *lane, w snapshot.Work, room *Room) bool {
+func (q *serviceQueue) fits(l *lane, w snapshot.Work, room *Capacity) bool {
 	q.follow(room)
 	have := q.inFlight(room)
 	requests := have.Requests+w.Requests <= max(1, room.Requests) || room.Seq > 0 && q.added.Requests < room.FreeRequests
@@ -209,7 +209,7 @@
 }
 
 // follow starts the counts anew when the room was measured anew.
-func (q *serviceQueue) follow(room *Room) {
+func (q *serviceQueue) follow(room *Capacity) {
 	if room.Seq != q.roomSeq {
 		q.roomSeq = room.Seq
 		q.added, q.given = snapshot.Work{}, snapshot.Work{}
@@ -218,7 +218,7 @@
 
 // inFlight is the larger of what was granted and what is counted at the runners,
 // the latter with what was granted and given back since it was counted.
-func (q *serviceQueue) inFlight(room *Room) snapshot.Work {
+func (q *serviceQueue) inFlight(room *Capacity) snapshot.Work {
 	counted := room.InFlight
 	if room.Seq > 0 {
 		counted = counted.Plus(q.added).Plus(q.given.Negate())
@@ -229,7 +229,7 @@
 	}
 }
 
-func (q *serviceQueue) start(w *waiter, room *Room, now time.Time) *Grant {
+func (q *serviceQueue) start(w *waiter, room *Capacity, now time.Time) *Grant {
 	r := &w.request
 	q.running = q.running.Plus(r.Cost)
 	q.added = q.added.Plus(r.Cost)
@@ -242,7 +242,7 @@
 
 // countLead keeps the lead of urgent work, which is forgotten while nothing
 // else waits.
-func (q *serviceQueue) countLead(r *Request, room *Room) {
+func (q *serviceQueue) countLead(r *Request, room *Capacity) {
 	if q.lanes[lanePrompt].Len()+q.lanes[laneOutput].Len() == 0 {
 		q.lead = 0
 		return
@@ -256,7 +256,7 @@
 }
 
 // pump starts waiting requests while there is room.
-func (q *serviceQueue) pump(room *Room, now time.Time) {
+func (q *serviceQueue) pump(room *Capacity, now time.Time) {
 	for room.Runners > 0 {
 		l := q.turn(room)
 		if l == nil {
@@ -269,7 +269,7 @@
 
 // turn returns the lane to serve next, or nil: the urgent one unless its lead is
 // used up, else of those whose next request fits the one that waits longest.
-func (q *serviceQueue) turn(room *Room) *lane {
+func (q *serviceQueue) turn(room *Capacity) *lane {
 	var best *lane
 	for _, l := range q.lanes {
 		it := l.Peek()
@@ -292,7 +292,7 @@
 	if q.idle() {
 		return
 	}
-	q.locked(func(room *Room, now time.Time) {
+	q.locked(func(room *Capacity, now time.Time) {
 		for _, l := range q.lanes {
 			l.measure(now.Sub(q.lookedAt), room)
 			l.promises.forget(now)
@@ -318,7 +318,7 @@
 	return true
 }
 
-func (q *serviceQueue) sweep(l *lane, room *Room, now time.Time) {
+func (q *serviceQueue) sweep(l *lane, room *Capacity, now time.Time) {
 	removed := l.Sweep(func(it *Item, ahead float64) bool {
 		r := &it.waiter.request
 		wait := time.Duration(patience * float64(q.wait(l, room, ahead)))
@@ -331,7 +331,7 @@
 
 // release gives room back and starts what fits.
 func (q *serviceQueue) release(w snapshot.Work) {
-	q.locked(func(room *Room, now time.Time) {
+	q.locked(func(room *Capacity, now time.Time) {
 		q.running = q.running.Plus(w.Negate())
 		if measured := room.Seq != q.roomSeq && room.Seq > 0; measured {
 			q.follow(room) // without what is given back
@@ -358,7 +358,7 @@
 
 // stop refuses everything from now on.
 func (q *serviceQueue) stop() {
-	q.locked(func(*Room, time.Time) {
+	q.locked(func(*Capacity, time.Time) {
 		q.stopped = true
 		for _, l := range q.lanes {
 			for it := l.Pop(); it != nil; it = l.Pop() {
@@ -369,13 +369,13 @@
 }
 
 func (q *serviceQueue) stats() QueueStats {
-	room := q.o.Capacity.Room(q.name)
+	room := q.o.Capacity.Capacity(q.name)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	stats := QueueStats{Service: q.name, Waiting: q.queued(), WaitingWork: q.waiting, Running: q.running}
 	for _, l := range q.lanes {
-		stats.WaitingCost += l.Cost()
-		stats.Wait = max(stats.Wait, q.wait(l, &room, l.Cost()))
+		stats.WaitingCost += l.TotalCost()
+		stats.PredictedWait = max(stats.PredictedWait, q.wait(l, &room, l.TotalCost()))
 	}
 	return stats
 }
--- a/coordination/admit/queue_test.go
+++ b/coordination/admit/queue_test.go
@@ -71,7 +71,7 @@
 	g := b.grants[0]
 	b.grants = b.grants[1:]
 	g.Done()
-	b.admitter.Look()
+	b.admitter.Tick()
 }
 
 func prompt(id, customer string, tokens int64) Request {
@@ -148,7 +148,7 @@
 	b.is.Equal(len(b.granted), 3)
 	room.room.Seq, room.room.FreePrefillTokens = 2, 0 // nothing is free any more
 	room.room.InFlight = snapshot.Work{Requests: 3, PrefillTokens: 3000}
-	b.admitter.Look()
+	b.admitter.Tick()
 	b.grants[0].Done()
 	b.grants[1].Done()
 	b.is.Equal(len(b.granted), 3) // 1000 tokens are still there, the host's part
@@ -217,8 +217,8 @@
 	b.ask(prompt("running", "a", 10))
 	p := b.ask(prompt("gone", "a", 10))
 	b.ask(prompt("next", "a", 10))
-	b.is.True(p.Withdraw())
-	b.is.True(!p.Withdraw())
+	b.is.True(p.Cancel())
+	b.is.True(!p.Cancel())
 	b.serve(0)
 	b.is.Equal(b.granted, []string{"running", "next"})
 	b.is.Equal(b.admitter.Stats()[0].WaitingWork, snapshot.Work{})
@@ -259,7 +259,7 @@
 		if step%10 == 9 && len(b.grants) > 0 {
 			b.serve(0)
 		}
-		b.admitter.Look()
+		b.admitter.Tick()
 	}
 	b.is.True(back >= 10)
 	b.is.True(again*5 <= back) // at most one in five was told too early
--- a/coordination/replay/call.go
+++ b/coordination/replay/call.go
@@ -72,8 +72,8 @@
 	ask := admit.Request{
 		Service: service, Customer: c.request.Customer, Class: c.request.Class,
 		Urgent: c.class.Urgent && !f.setup.NoUrgent, Weight: 1, Cost: c.work,
-		Returning:  c.back && !f.setup.ForgetReturns,
-		LongOutput: int64(c.host.outputs.Long(c.request.Customer, c.request.Class, c.class.MaxTokens)),
+		Resubmitted: c.back && !f.setup.ForgetReturns,
+		LongOutput:  int64(c.host.outputs.Long(c.request.Customer, c.request.Class, c.class.MaxTokens)),
 	}
 	if !f.setup.NoRefusal {
 		ask.Deadline = c.deadline
--- a/coordination/replay/fleet.go
+++ b/coordination/replay/fleet.go
@@ -163,7 +163,7 @@
 	})
 	f.loop.every(lookEvery, func() bool {
 		for _, h := range f.hosts {
-			h.admitter.Look()
+			h.admitter.Tick()
 		}
 		return f.running()
 	})
--- a/coordination/replay/host.go
+++ b/coordination/replay/host.go
@@ -54,7 +54,7 @@
 	capacity := f.setup.Fleet
 	capacity.Clock, capacity.View, capacity.Speeds = f.loop, h.keeper.View, h.router
 	capacity.Hosts = func() int { return len(f.hosts) }
-	room, err := admit.NewFleet(capacity)
+	room, err := admit.NewFleetCapacity(capacity)
 	if err != nil {
 		return nil, err
 	}
--- a/coordination/replay/setup.go
+++ b/coordination/replay/setup.go
@@ -64,7 +64,7 @@
 	Tuning rebalance.Options
 	// Admit, Fleet and Route override the defaults of the packages.
 	Admit admit.Options
-	Fleet admit.FleetOptions
+	Fleet admit.FleetCapacityOptions
 	Route route.Options
 	// Record gets the rebalancer's decisions; optional.
 	Record func(state.Decision)
--- a/daemon/decisions.go
+++ b/daemon/decisions.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return nil, err
 	}
-	fleet, err := admit.NewFleet(admit.FleetOptions{Clock: d.clock, View: d.keeper.View, Speeds: r, Hosts: func() int { return len(d.member.Hosts()) }})
+	fleet, err := admit.NewFleetCapacity(admit.FleetCapacityOptions{Clock: d.clock, View: d.keeper.View, Speeds: r, Hosts: func() int { return len(d.member.Hosts()) }})
 	if err != nil {
 		return nil, err
 	}
