--- a/coordination/admit/admit.go
+++ b/coordination/admit/admit.go
@@ -87,14 +87,14 @@
 
 // Admitter admits requests. It is safe for concurrent use.
 type Admitter struct {
-	o Options
+	options Options
 	// wake is signalled when a request is queued.
 	wake chan struct{}
 
-	mu       sync.Mutex
-	services map[string]*serviceQueue
-	// all is replaced, not changed, when a service is added.
-	all []*serviceQueue
+	mu     sync.Mutex
+	queues map[string]*serviceQueue
+	// queueList is replaced, not changed, when a service is added.
+	queueList []*serviceQueue
 }
 
 // New returns an admitter, or an error that names the wrong option. Run must be
@@ -110,7 +110,7 @@
 		return nil, fmt.Errorf("admit: Options.UrgentShare is outside 0 to 1; use 0.8, so that other classes don't starve")
 	}
 	o.setDefaults()
-	return &Admitter{o: o, wake: make(chan struct{}, 1), services: map[string]*serviceQueue{}}, nil
+	return &Admitter{options: o, wake: make(chan struct{}, 1), queues: map[string]*serviceQueue{}}, nil
 }
 
 func (o *Options) setDefaults() {
@@ -148,20 +148,20 @@
 	// Waited is how long the request was queued.
 	Waited time.Duration
 
-	queue    *serviceQueue
-	class    string
-	at       time.Time
-	forecast time.Duration
-	once     sync.Once
-	mu       sync.Mutex
-	left     snapshot.Work
+	queue            *serviceQueue
+	class            string
+	startedAt        time.Time
+	predictedService time.Duration
+	once             sync.Once
+	mu               sync.Mutex
+	held             snapshot.Work
 }
 
 // FirstToken gives the room of the prompt back: its prefill is done.
 func (g *Grant) FirstToken() {
 	g.mu.Lock()
-	w := snapshot.Work{PrefillTokens: g.left.PrefillTokens}
-	g.left.PrefillTokens = 0
+	w := snapshot.Work{PrefillTokens: g.held.PrefillTokens}
+	g.held.PrefillTokens = 0
 	g.mu.Unlock()
 	g.queue.release(w)
 }
@@ -170,10 +170,10 @@
 func (g *Grant) Done() {
 	g.once.Do(func() {
 		g.mu.Lock()
-		w := g.left
-		g.left = snapshot.Work{}
+		w := g.held
+		g.held = snapshot.Work{}
 		g.mu.Unlock()
-		g.queue.finished(g)
+		g.queue.recordServiceTime(g)
 		g.queue.release(w)
 	})
 }
@@ -182,17 +182,17 @@
 // soon as it is clear that it won't be answered in time, and ctx's error when
 // that ends first; in both cases the request did not run.
 func (a *Admitter) Admit(ctx context.Context, r Request) (*Grant, error) {
-	type decision struct {
+	type outcome struct {
 		grant *Grant
 		err   error
 	}
-	decided := make(chan decision, 1)
-	p := a.Submit(r, func(g *Grant, err error) { decided <- decision{g, err} })
+	decided := make(chan outcome, 1)
+	pending := a.Submit(r, func(g *Grant, err error) { decided <- outcome{g, err} })
 	select {
 	case d := <-decided:
 		return d.grant, d.err
 	case <-ctx.Done():
-		if p.Cancel() {
+		if pending.Cancel() {
 			return nil, ctx.Err()
 		}
 		d := <-decided
@@ -203,13 +203,13 @@
 // Submit asks for admission without waiting: decide is called exactly once, with
 // a grant or with a *RefusedError, before Submit returns or later from another
 // goroutine. It is not called after a successful Withdraw.
-func (a *Admitter) Submit(r Request, decide func(*Grant, error)) *Pending {
-	q := a.service(r.Service)
+func (a *Admitter) Submit(r Request, onDecided func(*Grant, error)) *Pending {
+	q := a.queueFor(r.Service)
 	if q == nil {
-		decide(nil, &RefusedError{ReasonNoCapacity, a.o.MaxRetryAfter})
+		onDecided(nil, &RefusedError{ReasonNoCapacity, a.options.MaxRetryAfter})
 		return &Pending{}
 	}
-	w := q.arrive(&r, decide)
+	w := q.submit(&r, onDecided)
 	if w.lane != nil {
 		select {
 		case a.wake <- struct{}{}:
@@ -227,18 +227,18 @@
 
 // Cancel takes a waiting request back; it is false when the decision came
 // first.
-func (p *Pending) Cancel() bool { return p.queue != nil && p.queue.withdraw(p.waiter) }
+func (p *Pending) Cancel() bool { return p.queue != nil && p.queue.cancel(p.waiter) }
 
-// service returns the queue of a service, or nil beyond Options.MaxServices: the
+// queueFor returns the queue of a queueFor, or nil beyond Options.MaxServices: the
 // configuration names the services, so only a caller's invention is so many.
-func (a *Admitter) service(name string) *serviceQueue {
+func (a *Admitter) queueFor(name string) *serviceQueue {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	q := a.services[name]
-	if q == nil && len(a.services) < a.o.MaxServices {
-		q = newServiceQueue(name, &a.o)
-		a.services[name] = q
-		a.all = append(slices.Clip(a.all), q)
+	q := a.queues[name]
+	if q == nil && len(a.queues) < a.options.MaxServices {
+		q = newServiceQueue(name, &a.options)
+		a.queues[name] = q
+		a.queueList = append(slices.Clip(a.queueList), q)
 	}
 	return q
 }
@@ -246,7 +246,7 @@
 // Run calls Look every Options.Interval while requests wait, until ctx ends; then
 // it refuses those that still wait.
 func (a *Admitter) Run(ctx context.Context) error {
-	defer a.eachQueue((*serviceQueue).stop)
+	defer a.forEachQueue((*serviceQueue).stop)
 	for {
 		if !a.anyQueued() {
 			select {
@@ -255,7 +255,7 @@
 				return ctx.Err()
 			}
 		}
-		if err := a.o.Clock.Sleep(ctx, a.o.Interval); err != nil {
+		if err := a.options.Clock.Sleep(ctx, a.options.Interval); err != nil {
 			return err
 		}
 		a.Tick()
@@ -265,24 +265,24 @@
 // anyQueued reports whether a request waits.
 func (a *Admitter) anyQueued() bool {
 	found := false
-	a.eachQueue(func(q *serviceQueue) {
+	a.forEachQueue(func(q *serviceQueue) {
 		q.mu.Lock()
 		defer q.mu.Unlock()
-		found = found || q.queued() > 0
+		found = found || q.numQueued() > 0
 	})
 	return found
 }
 
 // Tick refuses waiting requests whose deadlines are out of reach by now and
 // starts others if room has appeared.
-func (a *Admitter) Tick() { a.eachQueue((*serviceQueue).look) }
+func (a *Admitter) Tick() { a.forEachQueue((*serviceQueue).tick) }
 
-func (a *Admitter) eachQueue(do func(*serviceQueue)) {
+func (a *Admitter) forEachQueue(visit func(*serviceQueue)) {
 	a.mu.Lock()
-	all := a.all
+	queues := a.queueList
 	a.mu.Unlock()
-	for _, q := range all {
-		do(q)
+	for _, q := range queues {
+		visit(q)
 	}
 }
 
@@ -301,6 +301,6 @@
 // Stats returns the present state of every queue.
 func (a *Admitter) Stats() []QueueStats {
 	var out []QueueStats
-	a.eachQueue(func(q *serviceQueue) { out = append(out, q.stats()) })
+	a.forEachQueue(func(q *serviceQueue) { out = append(out, q.stats()) })
 	return out
 }
--- a/coordination/admit/admit_test.go
+++ b/coordination/admit/admit_test.go
@@ -13,22 +13,22 @@
 	"github.com/thymerack/thymerack/coordination/snapshot"
 )
 
-// fixedRoom is a Capacity that a test sets.
-type fixedRoom struct{ room Capacity }
+// fixedCapacity is a Capacity that a test sets.
+type fixedCapacity struct{ capacity Capacity }
 
-func (c *fixedRoom) Capacity(string) Capacity { return c.room }
+func (c *fixedCapacity) Capacity(string) Capacity { return c.capacity }
 
-// oneAtATime has room for one request; a token takes a millisecond.
-func oneAtATime() *fixedRoom {
-	return &fixedRoom{Capacity{
+// capacityForOneRequest has room for one request; a token takes a millisecond.
+func capacityForOneRequest() *fixedCapacity {
+	return &fixedCapacity{Capacity{
 		Runners: 1, Requests: 1, PrefillTokens: 1 << 20,
 		PrefillPerSecond: 1000, DecodePerSecond: 1000, EnginePrefillPerSecond: 1000,
 		TokenInterval: time.Millisecond,
 	}}
 }
 
-// run starts an admitter inside a bubble and ends it with the test function.
-func run(t *testing.T, c CapacitySource, o Options, test func(ctx context.Context, a *Admitter)) {
+// runAdmitter starts an admitter inside a bubble and ends it with the test function.
+func runAdmitter(t *testing.T, c CapacitySource, o Options, test func(ctx context.Context, a *Admitter)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		o.Clock = clocktest.Bubble{}
@@ -49,7 +49,7 @@
 	})
 }
 
-func ask(customer string, tokens int64, deadline time.Duration) Request {
+func newRequest(customer string, tokens int64, deadline time.Duration) Request {
 	r := Request{Service: "llm", Customer: customer, Class: "c", Cost: snapshot.Work{Requests: 1, PrefillTokens: tokens}}
 	if deadline > 0 {
 		r.Deadline = time.Now().Add(deadline)
@@ -57,13 +57,13 @@
 	return r
 }
 
-func TestRequestWaitsForRoomAndStarts(t *testing.T) {
+func TestQueuedRequestStartsWhenCapacityIsReleased(t *testing.T) {
 	is := is.New(t)
-	run(t, oneAtATime(), Options{}, func(ctx context.Context, a *Admitter) {
-		first, err := a.Admit(ctx, ask("a", 100, 0))
+	runAdmitter(t, capacityForOneRequest(), Options{}, func(ctx context.Context, a *Admitter) {
+		first, err := a.Admit(ctx, newRequest("a", 100, 0))
 		is.NoErr(err)
 		time.AfterFunc(time.Second, first.Done)
-		second, err := a.Admit(ctx, ask("b", 100, 0))
+		second, err := a.Admit(ctx, newRequest("b", 100, 0))
 		is.NoErr(err)
 		is.Equal(second.Waited, time.Second)
 	})
@@ -71,9 +71,9 @@
 
 func TestRequestThatCannotFinishInTimeIsRefusedOnArrival(t *testing.T) {
 	is := is.New(t)
-	run(t, oneAtATime(), Options{}, func(ctx context.Context, a *Admitter) {
+	runAdmitter(t, capacityForOneRequest(), Options{}, func(ctx context.Context, a *Admitter) {
 		start := time.Now()
-		_, err := a.Admit(ctx, ask("a", 2000, time.Second))
+		_, err := a.Admit(ctx, newRequest("a", 2000, time.Second))
 		var refused *RefusedError
 		is.True(errors.As(err, &refused))
 		is.Equal(refused.Reason, ReasonDeadline)
@@ -81,31 +81,31 @@
 	})
 }
 
-func TestWaitingRequestIsRefusedAsSoonAsItsDeadlineIsOutOfReach(t *testing.T) {
+func TestQueuedRequestIsRefusedOnceItsDeadlineIsUnreachable(t *testing.T) {
 	is := is.New(t)
-	run(t, oneAtATime(), Options{}, func(ctx context.Context, a *Admitter) {
-		_, err := a.Admit(ctx, ask("a", 100, 0))
+	runAdmitter(t, capacityForOneRequest(), Options{}, func(ctx context.Context, a *Admitter) {
+		_, err := a.Admit(ctx, newRequest("a", 100, 0))
 		is.NoErr(err)
 		start := time.Now()
-		_, err = a.Admit(ctx, ask("b", 1000, 5*time.Second))
+		_, err = a.Admit(ctx, newRequest("b", 1000, 5*time.Second))
 		var refused *RefusedError
 		is.True(errors.As(err, &refused))
 		// The work takes a second, so four seconds after its arrival nothing helps.
 		waited := time.Since(start)
-		is.True(waited > 4*time.Second && waited <= 4*time.Second+2*a.o.Interval)
+		is.True(waited > 4*time.Second && waited <= 4*time.Second+2*a.options.Interval)
 		is.True(refused.RetryAfter > 0)
 	})
 }
 
-// TestRoomComesBackBetweenMeasurements starts more requests one after another
+// TestReleasedCapacityIsReusedWithinOneSnapshot starts more requests one after another
 // than there is room for at a time, all on one measurement of the room.
-func TestRoomComesBackBetweenMeasurements(t *testing.T) {
+func TestReleasedCapacityIsReusedWithinOneSnapshot(t *testing.T) {
 	is := is.New(t)
-	c := oneAtATime()
-	c.room.Seq = 1
-	run(t, c, Options{}, func(ctx context.Context, a *Admitter) {
+	c := capacityForOneRequest()
+	c.capacity.Seq = 1
+	runAdmitter(t, c, Options{}, func(ctx context.Context, a *Admitter) {
 		for range 10 {
-			g, err := a.Admit(ctx, ask("a", 100, 0))
+			g, err := a.Admit(ctx, newRequest("a", 100, 0))
 			is.NoErr(err)
 			is.Equal(g.Waited, time.Duration(0))
 			g.Done()
--- a/coordination/admit/bwf2q.go
+++ b/coordination/admit/bwf2q.go
@@ -24,12 +24,12 @@
 // current; a flow without items is in none of them.
 type bwf2q struct {
 	totals
-	flows   map[string]*flow
-	now     float64 // the virtual time
-	weights float64 // of the flows with items
-	current *flow   // the flow in service, with budget left
-	// forgetAt is the number of flows at which idle ones are forgotten.
-	forgetAt int
+	flows       map[string]*flow
+	virtualTime float64 // the virtual time
+	totalWeight float64 // of the flows with items
+	current     *flow   // the flow in service, with budget left
+	// pruneAt is the number of flows at which idle ones are forgotten.
+	pruneAt int
 	// eligible is ordered by finish, waiting by start.
 	eligible, waiting flowHeap
 }
@@ -38,35 +38,35 @@
 func NewBWF2Q() Discipline {
 	return &bwf2q{
 		flows:    map[string]*flow{},
-		eligible: flowHeap{key: func(f *flow) float64 { return f.finish }},
-		waiting:  flowHeap{key: func(f *flow) float64 { return f.start }},
+		eligible: flowHeap{key: func(f *flow) float64 { return f.virtualFinish }},
+		waiting:  flowHeap{key: func(f *flow) float64 { return f.virtualStart }},
 	}
 }
 
 func (d *bwf2q) Push(it *Item) {
 	f := d.flows[it.Flow]
 	if f == nil {
-		d.forgetIdle()
+		d.pruneIdle()
 		f = &flow{name: it.Flow, weight: it.Weight, budget: minBudget}
 		d.flows[it.Flow] = f
 	}
 	d.add(it)
 	if f.count > 0 {
-		d.weights += it.Weight - f.weight
+		d.totalWeight += it.Weight - f.weight
 		f.push(it)
 		return
 	}
 	f.push(it)
-	d.weights += f.weight
-	d.activate(f, max(d.now, f.finish))
+	d.totalWeight += f.weight
+	d.activate(f, max(d.virtualTime, f.virtualFinish))
 }
 
 // activate queues a flow that has items, to start at the given virtual time.
 func (d *bwf2q) activate(f *flow, start float64) {
 	f.served = 0
-	f.start = start
-	f.finish = start + max(f.budget, f.head.Cost)/f.weight
-	f.eligible = start <= d.now
+	f.virtualStart = start
+	f.virtualFinish = start + max(f.budget, f.head.Cost)/f.weight
+	f.eligible = start <= d.virtualTime
 	heap.Push(d.heapOf(f), f)
 }
 
@@ -77,15 +77,15 @@
 	return &d.waiting
 }
 
-// next returns the flow to serve.
-func (d *bwf2q) next() *flow {
+// nextFlow returns the flow to serve.
+func (d *bwf2q) nextFlow() *flow {
 	if d.current != nil {
 		return d.current
 	}
 	if len(d.eligible.flows) == 0 && len(d.waiting.flows) > 0 {
-		d.now = max(d.now, d.waiting.flows[0].start)
+		d.virtualTime = max(d.virtualTime, d.waiting.flows[0].virtualStart)
 	}
-	for len(d.waiting.flows) > 0 && d.waiting.flows[0].start <= d.now {
+	for len(d.waiting.flows) > 0 && d.waiting.flows[0].virtualStart <= d.virtualTime {
 		f := heap.Pop(&d.waiting).(*flow)
 		f.eligible = true
 		heap.Push(&d.eligible, f)
@@ -97,7 +97,7 @@
 }
 
 func (d *bwf2q) Peek() *Item {
-	f := d.next()
+	f := d.nextFlow()
 	if f == nil {
 		return nil
 	}
@@ -105,7 +105,7 @@
 }
 
 func (d *bwf2q) Pop() *Item {
-	f := d.next()
+	f := d.nextFlow()
 	if f == nil {
 		return nil
 	}
@@ -115,84 +115,84 @@
 	}
 	it := f.head
 	f.served += it.Cost
-	d.now += it.Cost / d.weights
+	d.virtualTime += it.Cost / d.totalWeight
 	f.remove(it)
 	d.sub(it)
-	d.settle(f)
+	d.endServiceIfExhausted(f)
 	return it
 }
 
-// settle ends the service of the current flow once its queue or its budget is
+// endServiceIfExhausted ends the service of the current flow once its queue or its budget is
 // used up.
-func (d *bwf2q) settle(f *flow) {
+func (d *bwf2q) endServiceIfExhausted(f *flow) {
 	if f.count > 0 && f.served+f.head.Cost <= f.budget {
 		return
 	}
 	d.current = nil
-	f.finish = f.start + f.served/f.weight
+	f.virtualFinish = f.virtualStart + f.served/f.weight
 	if f.count == 0 {
-		d.weights = max(0, d.weights-f.weight)
+		d.totalWeight = max(0, d.totalWeight-f.weight)
 		f.budget = min(max(f.served, minBudget), maxBudget)
 		return
 	}
 	f.budget = min(2*max(f.budget, f.served), maxBudget)
-	d.activate(f, f.finish)
+	d.activate(f, f.virtualFinish)
 }
 
 func (d *bwf2q) Remove(it *Item) {
 	f := it.flow
-	first := f.head == it
+	wasHead := f.head == it
 	f.remove(it)
 	d.sub(it)
 	switch {
 	case f == d.current:
-		d.settle(f)
+		d.endServiceIfExhausted(f)
 	case f.count == 0:
 		heap.Remove(d.heapOf(f), f.heapIndex)
-		d.weights = max(0, d.weights-f.weight)
-		f.finish = f.start // nothing was served
-	case first:
+		d.totalWeight = max(0, d.totalWeight-f.weight)
+		f.virtualFinish = f.virtualStart // nothing was served
+	case wasHead:
 		heap.Remove(d.heapOf(f), f.heapIndex)
-		d.activate(f, f.start)
+		d.activate(f, f.virtualStart)
 	}
 }
 
-// forgetIdle drops flows without items once there are many of them: those whose
+// pruneIdle drops flows without items once there are many of them: those whose
 // virtual finish has passed lose nothing by it. It looks again when there are
 // twice as many as it left, so that a push costs little on average.
-func (d *bwf2q) forgetIdle() {
-	if len(d.flows) < max(maxIdleFlows, d.forgetAt) {
+func (d *bwf2q) pruneIdle() {
+	if len(d.flows) < max(maxIdleFlows, d.pruneAt) {
 		return
 	}
 	for name, f := range d.flows {
-		if f.count == 0 && f.finish <= d.now {
+		if f.count == 0 && f.virtualFinish <= d.virtualTime {
 			delete(d.flows, name)
 		}
 	}
-	d.forgetAt = 2 * len(d.flows)
+	d.pruneAt = 2 * len(d.flows)
 }
 
-func (d *bwf2q) QueuedCost(name string) float64 { return queuedOf(d.flows[name]) }
+func (d *bwf2q) QueuedCost(name string) float64 { return queuedCost(d.flows[name]) }
 
-func (d *bwf2q) TotalWeight() float64 { return d.weights }
+func (d *bwf2q) TotalWeight() float64 { return d.totalWeight }
 
-func (d *bwf2q) CostAhead(name string, weight float64, returning bool) float64 {
+func (d *bwf2q) CostAhead(name string, weight float64, resubmitted bool) float64 {
 	f := d.flows[name]
 	if f == nil || f.count == 0 {
 		return 0
 	}
-	return fairAhead(f.before(returning), weight, d.weights, d.cost)
+	return fairCostAhead(f.costAhead(resubmitted), weight, d.totalWeight, d.cost)
 }
 
 func (d *bwf2q) Sweep(keep func(*Item, float64) bool) []*Item {
 	var removed []*Item
 	for _, h := range []*flowHeap{&d.eligible, &d.waiting} {
 		for _, f := range h.flows {
-			removed = append(removed, sweepFlow(f, d.weights, d.cost, keep)...)
+			removed = append(removed, sweepFlow(f, d.totalWeight, d.cost, keep)...)
 		}
 	}
 	if d.current != nil {
-		removed = append(removed, sweepFlow(d.current, d.weights, d.cost, keep)...)
+		removed = append(removed, sweepFlow(d.current, d.totalWeight, d.cost, keep)...)
 	}
 	for _, it := range removed {
 		d.Remove(it)
--- a/coordination/admit/capacity.go
+++ b/coordination/admit/capacity.go
@@ -86,17 +86,17 @@
 // used up when the callers come to few hosts, and hosts that see the same free
 // room don't all take it.
 type FleetCapacity struct {
-	o FleetCapacityOptions
+	options FleetCapacityOptions
 
-	mu    sync.Mutex
-	rooms map[string]cachedRoom
-	seq   uint64
+	mu      sync.Mutex
+	cache   map[string]cachedCapacity
+	lastSeq uint64
 }
 
-type cachedRoom struct {
-	seq  uint64
-	at   time.Time
-	room Capacity
+type cachedCapacity struct {
+	viewSeq    uint64
+	computedAt time.Time
+	capacity   Capacity
 }
 
 // NewFleetCapacity returns a fleet, or an error that names the wrong option.
@@ -119,43 +119,43 @@
 	if o.MaxAge == 0 {
 		o.MaxAge = 20 * time.Millisecond
 	}
-	return &FleetCapacity{o: o, rooms: map[string]cachedRoom{}}, nil
+	return &FleetCapacity{options: o, cache: map[string]cachedCapacity{}}, nil
 }
 
 // Capacity implements Capacity.
 func (f *FleetCapacity) Capacity(service string) Capacity {
-	v := f.o.View()
-	now := f.o.Clock.Now()
+	v := f.options.View()
+	now := f.options.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c, ok := f.rooms[service]
-	if ok && (c.seq == v.Seq && now.Sub(c.at) < f.o.MaxAge) {
-		return c.room
+	cached, ok := f.cache[service]
+	if ok && (cached.viewSeq == v.Seq && now.Sub(cached.computedAt) < f.options.MaxAge) {
+		return cached.capacity
 	}
 	if len(v.RunnersOf(service)) == 0 {
-		delete(f.rooms, service)
+		delete(f.cache, service)
 		return Capacity{}
 	}
-	c = cachedRoom{v.Seq, now, f.measure(v.RunnersOf(service))}
-	f.seq++
-	c.room.Seq = f.seq
-	f.rooms[service] = c
-	return c.room
+	cached = cachedCapacity{v.Seq, now, f.compute(v.RunnersOf(service))}
+	f.lastSeq++
+	cached.capacity.Seq = f.lastSeq
+	f.cache[service] = cached
+	return cached.capacity
 }
 
-// sums are the figures of a fleet added up.
-type sums struct {
-	runners, prefillers, decoders, plain int
-	prefill, decode                      float64 // tokens per second
-	prompts                              float64 // tokens that may be waiting
-	interval                             float64 // seconds, the least with room
-	roomy                                bool    // interval is of an engine with room
-	own, peers                           snapshot.Work
-	wait                                 float64 // seconds, the least
+// fleetTotals are the figures of a fleet added up.
+type fleetTotals struct {
+	runners, prefillers, decoders, serviceRunners int
+	prefillPerSecond, decodePerSecond             float64 // tokens per second
+	prefillTokens                                 float64 // tokens that may be waiting
+	tokenInterval                                 float64 // seconds, the least with room
+	freeSlot                                      bool    // interval is of an engine with room
+	own, peers                                    snapshot.Work
+	firstTokenWait                                float64 // seconds, the least
 }
 
-func (f *FleetCapacity) measure(runners []*snapshot.Runner) Capacity {
-	var s sums
+func (f *FleetCapacity) compute(runners []*snapshot.Runner) Capacity {
+	var s fleetTotals
 	for _, r := range runners {
 		own := r.Track.Load()
 		s.own = s.own.Plus(own)
@@ -164,88 +164,88 @@
 			f.addRunner(&s, r)
 		}
 	}
-	return f.share(&s)
+	return f.hostShare(&s)
 }
 
-func (f *FleetCapacity) addRunner(s *sums, r *snapshot.Runner) {
+func (f *FleetCapacity) addRunner(s *fleetTotals, r *snapshot.Runner) {
 	s.runners++
 	if r.Kind == state.KindService {
-		s.plain++
+		s.serviceRunners++
 		return
 	}
-	prefill, step, now := f.speeds(r)
+	prefill, step, currentStep := f.speeds(r)
 	if r.Target.Role != state.RoleDecode {
 		s.prefillers++
-		s.prefill += prefill
-		s.prompts += prefill * f.ahead(r.Target.Role).Seconds()
+		s.prefillPerSecond += prefill
+		s.prefillTokens += prefill * f.prefillBacklog(r.Target.Role).Seconds()
 		wait := float64(max(0, r.Track.Load().Plus(r.Peers).PrefillTokens)) / prefill
-		if s.prefillers == 1 || wait < s.wait {
-			s.wait = wait
+		if s.prefillers == 1 || wait < s.firstTokenWait {
+			s.firstTokenWait = wait
 		}
 	}
 	if r.Target.Role != state.RolePrefill {
 		s.decoders++
-		s.addInterval(now, r.Track.Load().Plus(r.Peers).Requests < int64(f.o.Batch))
-		s.decode += float64(f.o.Batch) / step
+		s.addTokenInterval(currentStep, r.Track.Load().Plus(r.Peers).Requests < int64(f.options.Batch))
+		s.decodePerSecond += float64(f.options.Batch) / step
 	}
 }
 
-// addInterval takes in an engine's time between tokens; engines with room in
+// addTokenInterval takes in an engine's time between tokens; engines with room in
 // their batch go before others.
-func (s *sums) addInterval(interval float64, roomy bool) {
-	if s.interval == 0 || roomy && !s.roomy || roomy == s.roomy && interval < s.interval {
-		s.interval, s.roomy = interval, roomy
+func (s *fleetTotals) addTokenInterval(interval float64, freeSlot bool) {
+	if s.tokenInterval == 0 || freeSlot && !s.freeSlot || freeSlot == s.freeSlot && interval < s.tokenInterval {
+		s.tokenInterval, s.freeSlot = interval, freeSlot
 	}
 }
 
-// ahead is the prefill backlog that an engine is to have.
-func (f *FleetCapacity) ahead(role state.Role) time.Duration {
+// prefillBacklog is the prefill backlog that an engine is to have.
+func (f *FleetCapacity) prefillBacklog(role state.Role) time.Duration {
 	if role == state.RolePrefill {
-		return f.o.PrefillRoleBacklog
+		return f.options.PrefillRoleBacklog
 	}
-	return f.o.PrefillBacklog
+	return f.options.PrefillBacklog
 }
 
 // speeds returns an engine's prompt tokens a second and its seconds between
 // tokens in a full batch and in the present one.
-func (f *FleetCapacity) speeds(r *snapshot.Runner) (prefill, full, now float64) {
-	if f.o.Speeds != nil {
-		p, s := f.o.Speeds.SpeedsAt(r.Name, f.o.Batch)
-		n := f.o.Speeds.TokenInterval(r.Name, int(r.Track.Load().Plus(r.Peers).Requests)+1)
-		return p, s.Seconds(), n.Seconds()
+func (f *FleetCapacity) speeds(r *snapshot.Runner) (prefill, fullStep, currentStep float64) {
+	if f.options.Speeds != nil {
+		rate, step := f.options.Speeds.SpeedsAt(r.Name, f.options.Batch)
+		interval := f.options.Speeds.TokenInterval(r.Name, int(r.Track.Load().Plus(r.Peers).Requests)+1)
+		return rate, step.Seconds(), interval.Seconds()
 	}
 	prefill = r.Load.PrefillTokensPerSecond
 	if prefill <= 0 {
 		prefill = defaultPrefillPerSecond
 	}
-	now = r.Load.DecodeStepMillis / 1000
-	if now <= 0 {
-		now = defaultStep.Seconds()
+	currentStep = r.Load.DecodeStepMillis / 1000
+	if currentStep <= 0 {
+		currentStep = defaultStep.Seconds()
 	}
-	return prefill, now, now
+	return prefill, currentStep, currentStep
 }
 
-// share turns the fleet's figures into this host's.
-func (f *FleetCapacity) share(s *sums) Capacity {
-	n := int64(max(1, f.o.Hosts()))
+// hostShare turns the fleet's figures into this host's.
+func (f *FleetCapacity) hostShare(s *fleetTotals) Capacity {
+	n := int64(max(1, f.options.Hosts()))
 	hosts := float64(n)
-	requests := int64(s.decoders*f.o.Batch + s.plain*f.o.ServiceConcurrency)
-	prompts := int64(s.prompts)
+	requests := int64(s.decoders*f.options.Batch + s.serviceRunners*f.options.ServiceConcurrency)
+	prefillTokens := int64(s.prefillTokens)
 	taken := s.own.Plus(s.peers)
-	m := Capacity{
+	capacity := Capacity{
 		Runners:           s.runners,
 		InFlight:          s.own,
 		Requests:          requests / n,
-		PrefillTokens:     prompts / n,
+		PrefillTokens:     prefillTokens / n,
 		FreeRequests:      max(0, requests-taken.Requests) / n,
-		FreePrefillTokens: max(0, prompts-taken.PrefillTokens) / n,
-		PrefillPerSecond:  s.prefill / hosts,
-		DecodePerSecond:   s.decode / hosts,
+		FreePrefillTokens: max(0, prefillTokens-taken.PrefillTokens) / n,
+		PrefillPerSecond:  s.prefillPerSecond / hosts,
+		DecodePerSecond:   s.decodePerSecond / hosts,
 	}
 	if s.prefillers > 0 {
-		m.EnginePrefillPerSecond = s.prefill / float64(s.prefillers)
+		capacity.EnginePrefillPerSecond = s.prefillPerSecond / float64(s.prefillers)
 	}
-	m.TokenInterval = seconds(s.interval)
-	m.FirstTokenWait = seconds(s.wait)
-	return m
+	capacity.TokenInterval = seconds(s.tokenInterval)
+	capacity.FirstTokenWait = seconds(s.firstTokenWait)
+	return capacity
 }
--- a/coordination/admit/capacity_test.go
+++ b/coordination/admit/capacity_test.go
@@ -11,9 +11,9 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// fleetOf returns a keeper with engines of the given roles, each of 1000 prompt
+// keeperWithRoles returns a keeper with engines of the given roles, each of 1000 prompt
 // tokens a second and 10 ms between tokens.
-func fleetOf(roles ...state.Role) *snapshot.Keeper {
+func keeperWithRoles(roles ...state.Role) *snapshot.Keeper {
 	k := snapshot.NewKeeper()
 	var list []state.Listed
 	for i := range roles {
@@ -29,10 +29,10 @@
 	return k
 }
 
-func newFleet(t *testing.T, k *snapshot.Keeper, hosts int) *FleetCapacity {
+func newFleetCapacity(t *testing.T, k *snapshot.Keeper, hosts int) *FleetCapacity {
 	t.Helper()
 	f, err := NewFleetCapacity(FleetCapacityOptions{
-		Clock: &stillClock{}, View: k.View, Hosts: func() int { return hosts },
+		Clock: &manualClock{}, View: k.View, Hosts: func() int { return hosts },
 		Batch: 10, PrefillBacklog: time.Second, PrefillRoleBacklog: 2 * time.Second,
 	})
 	if err != nil {
@@ -41,22 +41,22 @@
 	return f
 }
 
-func TestRoomIsTheHostsShareOfTheFleet(t *testing.T) {
+func TestCapacityIsTheHostsShareOfTheFleet(t *testing.T) {
 	is := is.New(t)
-	k := fleetOf(state.RolePrefill, state.RoleDecode, state.RoleMixed, state.RoleMixed)
-	m := newFleet(t, k, 2).Capacity("llm")
-	is.Equal(m.Runners, 4)
-	is.Equal(m.Requests, int64(3*10/2))        // three engines decode
-	is.Equal(m.PrefillTokens, int64(4*1000/2)) // one of prefill for two seconds, two mixed
-	is.Equal(m.PrefillPerSecond, 3*1000/2.0)   // of each second
-	is.Equal(m.DecodePerSecond, 3*10/0.01/2.0) // in full batches
-	is.Equal(m.TokenInterval, 10*time.Millisecond)
+	k := keeperWithRoles(state.RolePrefill, state.RoleDecode, state.RoleMixed, state.RoleMixed)
+	capacity := newFleetCapacity(t, k, 2).Capacity("llm")
+	is.Equal(capacity.Runners, 4)
+	is.Equal(capacity.Requests, int64(3*10/2))        // three engines decode
+	is.Equal(capacity.PrefillTokens, int64(4*1000/2)) // one of prefill for two seconds, two mixed
+	is.Equal(capacity.PrefillPerSecond, 3*1000/2.0)   // of each second
+	is.Equal(capacity.DecodePerSecond, 3*10/0.01/2.0) // in full batches
+	is.Equal(capacity.TokenInterval, 10*time.Millisecond)
 }
 
-func TestRoomLeavesOutWhatDrainsOrLeaves(t *testing.T) {
+func TestCapacityExcludesDrainingAndLeavingRunners(t *testing.T) {
 	is := is.New(t)
-	k := fleetOf(state.RoleMixed, state.RoleMixed, state.RoleMixed)
-	f := newFleet(t, k, 1)
+	k := keeperWithRoles(state.RoleMixed, state.RoleMixed, state.RoleMixed)
+	f := newFleetCapacity(t, k, 1)
 	k.MarkLeaving("e0", "1")
 	k.SetOrder(state.Order{Engine: "e1", Fence: 1, State: state.OrderDraining})
 	is.Equal(f.Capacity("llm").Runners, 1)
@@ -65,15 +65,15 @@
 	is.Equal(f.Capacity("unknown").Runners, 0)
 }
 
-func TestRoomNotTakenIsShared(t *testing.T) {
+func TestFreeCapacityIsSharedAmongHosts(t *testing.T) {
 	is := is.New(t)
-	k := fleetOf(state.RoleMixed, state.RoleMixed)
+	k := keeperWithRoles(state.RoleMixed, state.RoleMixed)
 	k.View().Runner("e0").Track.Add(snapshot.Work{Requests: 4, PrefillTokens: 600})
 	k.SetPeerWork(time.Unix(2, 0), map[string]snapshot.Work{"e1": {Requests: 8, PrefillTokens: 5000}})
-	m := newFleet(t, k, 2).Capacity("llm")
-	is.Equal(m.Requests, int64(10))
-	is.Equal(m.FreeRequests, int64(20-12)/2)
-	is.Equal(m.PrefillTokens, int64(1000))
-	is.Equal(m.FreePrefillTokens, int64(0)) // the peers have more than there is
-	is.Equal(m.InFlight, snapshot.Work{Requests: 4, PrefillTokens: 600})
+	capacity := newFleetCapacity(t, k, 2).Capacity("llm")
+	is.Equal(capacity.Requests, int64(10))
+	is.Equal(capacity.FreeRequests, int64(20-12)/2)
+	is.Equal(capacity.PrefillTokens, int64(1000))
+	is.Equal(capacity.FreePrefillTokens, int64(0)) // the peers have more than there is
+	is.Equal(capacity.InFlight, snapshot.Work{Requests: 4, PrefillTokens: 600})
 }
--- a/coordination/admit/discipline.go
+++ b/coordination/admit/discipline.go
@@ -38,7 +38,7 @@
 	// TotalWeight is the sum of the weights of the flows with items.
 	TotalWeight() float64
 	// CostAhead estimates the cost served before a new item of the flow.
-	CostAhead(flow string, weight float64, returning bool) float64
+	CostAhead(flow string, weight float64, resubmitted bool) float64
 	// Sweep visits the items, each flow's in their order, with the cost that is
 	// estimated to be served before each; it removes and returns those for which
 	// keep is false, and doesn't count them as ahead of others in the flow.
@@ -57,27 +57,27 @@
 	tail   *Item
 	count  int
 	cost   float64
-	// returning is the last of the returning items, which come first, and
+	// lastResubmitted is the last of the lastResubmitted items, which come first, and
 	// returningCost the sum of their costs.
-	returning     *Item
-	returningCost float64
+	lastResubmitted *Item
+	resubmittedCost float64
 
 	// deficit is DRR's credit.
 	deficit float64
 
-	// start, finish, budget and served belong to B-WF2Q+.
-	start, finish  float64
-	budget, served float64
-	heapIndex      int
-	eligible       bool
+	// virtualStart, virtualFinish, budget and served belong to B-WF2Q+.
+	virtualStart, virtualFinish float64
+	budget, served              float64
+	heapIndex                   int
+	eligible                    bool
 }
 
 func (f *flow) push(it *Item) {
 	after := f.tail
 	if it.Resubmitted {
-		after = f.returning
-		f.returning = it
-		f.returningCost += it.Cost
+		after = f.lastResubmitted
+		f.lastResubmitted = it
+		f.resubmittedCost += it.Cost
 	}
 	f.insert(it, after)
 	f.count++
@@ -104,9 +104,9 @@
 
 func (f *flow) remove(it *Item) {
 	if it.Resubmitted {
-		f.returningCost -= it.Cost
-		if f.returning == it {
-			f.returning = it.prev // returning items come first
+		f.resubmittedCost -= it.Cost
+		if f.lastResubmitted == it {
+			f.lastResubmitted = it.prev // returning items come first
 		}
 	}
 	if it.prev == nil {
@@ -123,14 +123,14 @@
 	f.count--
 	f.cost -= it.Cost
 	if f.count == 0 {
-		f.cost, f.returningCost = 0, 0 // drops what rounding left
+		f.cost, f.resubmittedCost = 0, 0 // drops what rounding left
 	}
 }
 
-// before is the cost of the flow's items that go before a new one.
-func (f *flow) before(returning bool) float64 {
-	if returning {
-		return f.returningCost
+// costAhead is the cost of the flow's items that go costAhead a new one.
+func (f *flow) costAhead(resubmitted bool) float64 {
+	if resubmitted {
+		return f.resubmittedCost
 	}
 	return f.cost
 }
@@ -160,19 +160,19 @@
 // TotalCost is the sum of the items' costs.
 func (t *totals) TotalCost() float64 { return t.cost }
 
-// fairAhead estimates the cost served before the next item of a flow that has
+// fairCostAhead estimates the cost served before the next item of a flow that has
 // own cost queued, when backlogged flows of the given weights share by weight.
-func fairAhead(own, weight, weights, total float64) float64 {
-	return min(total, own*max(weights, weight)/weight)
+func fairCostAhead(ownCost, weight, totalWeight, totalCost float64) float64 {
+	return min(totalCost, ownCost*max(totalWeight, weight)/weight)
 }
 
 // sweepFlow is Sweep for one flow of a fair discipline.
-func sweepFlow(f *flow, weights, total float64, keep func(*Item, float64) bool) []*Item {
+func sweepFlow(f *flow, totalWeight, totalCost float64, keep func(*Item, float64) bool) []*Item {
 	var removed []*Item
-	var own float64
+	var ownCost float64
 	for it := f.head; it != nil; it = it.next {
-		if keep(it, fairAhead(own, f.weight, weights, total)) {
-			own += it.Cost
+		if keep(it, fairCostAhead(ownCost, f.weight, totalWeight, totalCost)) {
+			ownCost += it.Cost
 		} else {
 			removed = append(removed, it)
 		}
@@ -180,7 +180,7 @@
 	return removed
 }
 
-func queuedOf(f *flow) float64 {
+func queuedCost(f *flow) float64 {
 	if f == nil {
 		return 0
 	}
--- a/coordination/admit/discipline_test.go
+++ b/coordination/admit/discipline_test.go
@@ -157,9 +157,9 @@
 	}
 }
 
-// backlog keeps every flow backlogged and pops until the given cost is served;
+// serveBacklogged keeps every flow backlogged and pops until the given cost is served;
 // it returns the cost served of each flow.
-func backlog(d Discipline, weights []float64, cost func() float64, total float64) []float64 {
+func serveBacklogged(d Discipline, weights []float64, cost func() float64, total float64) []float64 {
 	served := make([]float64, len(weights))
 	push := func(i int) {
 		d.Push(&Item{Flow: fmt.Sprint("f", i), Weight: weights[i], Cost: cost()})
@@ -187,7 +187,7 @@
 			costs := rapid.SliceOfN(rapid.Float64Range(1, largest), 16, 16).Draw(t, "costs")
 			next := 0
 			cost := func() float64 { next++; return costs[next%len(costs)] }
-			served := backlog(disciplines[name](), weights, cost, 2e6)
+			served := serveBacklogged(disciplines[name](), weights, cost, 2e6)
 			for i := range weights {
 				for j := range weights {
 					apart := served[i]/weights[i] - served[j]/weights[j]
@@ -200,9 +200,9 @@
 	}
 }
 
-// costBefore is the cost served before a small item of a new flow that comes
+// costServedBeforeSporadic is the cost served before a small item of a new flow that comes
 // among flows with much queued.
-func costBefore(d Discipline, flows int) float64 {
+func costServedBeforeSporadic(d Discipline, flows int) float64 {
 	for n := range 50 * flows {
 		d.Push(&Item{Flow: fmt.Sprint("f", n%flows), Weight: 1, Cost: 4000})
 	}
@@ -225,14 +225,14 @@
 		"b-wf2q+": flows*minBudget + maxBudget, // what a small budget lets others have, and the flow in service
 	} {
 		t.Run(name, func(t *testing.T) {
-			if before := costBefore(disciplines[name](), flows); before > limit {
+			if before := costServedBeforeSporadic(disciplines[name](), flows); before > limit {
 				t.Errorf("%v was served before it, more than %v", before, limit)
 			}
 		})
 	}
 }
 
-func TestIdleFlowsAreForgotten(t *testing.T) {
+func TestIdleFlowsArePruned(t *testing.T) {
 	d := NewBWF2Q().(*bwf2q)
 	for n := range 10 * maxIdleFlows {
 		d.Push(&Item{Flow: fmt.Sprint("f", n), Weight: 1, Cost: 100})
--- a/coordination/admit/drr.go
+++ b/coordination/admit/drr.go
@@ -8,9 +8,9 @@
 // in proportion to its weight, which its items use up.
 type drr struct {
 	totals
-	flows   map[string]*flow
-	ring    []*flow // backlogged flows; ring[0] has its turn
-	weights float64
+	flows       map[string]*flow
+	ring        []*flow // backlogged flows; ring[0] has its turn
+	totalWeight float64
 }
 
 // NewDRR returns a deficit round robin discipline.
@@ -22,9 +22,9 @@
 		f = &flow{name: it.Flow, weight: it.Weight}
 		d.flows[it.Flow] = f
 		d.ring = append(d.ring, f)
-		d.weights += it.Weight
+		d.totalWeight += it.Weight
 	}
-	d.weights += it.Weight - f.weight
+	d.totalWeight += it.Weight - f.weight
 	f.push(it)
 	d.add(it)
 }
@@ -38,14 +38,14 @@
 		f := d.ring[0]
 		f.deficit += drrQuantum * f.weight
 		if f.deficit < f.head.Cost {
-			d.turn()
+			d.rotate()
 		}
 	}
 	return d.ring[0].head
 }
 
-// turn moves the first flow to the end.
-func (d *drr) turn() {
+// rotate moves the first flow to the end.
+func (d *drr) rotate() {
 	f := d.ring[0]
 	copy(d.ring, d.ring[1:])
 	d.ring[len(d.ring)-1] = f
@@ -60,7 +60,7 @@
 	f.deficit -= it.Cost
 	d.Remove(it)
 	if f.count > 0 && f.deficit < f.head.Cost {
-		d.turn()
+		d.rotate()
 	}
 	return it
 }
@@ -70,38 +70,38 @@
 	f.remove(it)
 	d.sub(it)
 	if f.count == 0 {
-		d.leave(f)
+		d.removeFlow(f)
 	}
 }
 
-// leave drops a flow that has no items, and with it its credit.
-func (d *drr) leave(f *flow) {
+// removeFlow drops a flow that has no items, and with it its credit.
+func (d *drr) removeFlow(f *flow) {
 	delete(d.flows, f.name)
-	d.weights -= f.weight
-	for i, g := range d.ring {
-		if g == f {
+	d.totalWeight -= f.weight
+	for i, other := range d.ring {
+		if other == f {
 			d.ring = append(d.ring[:i], d.ring[i+1:]...)
 			return
 		}
 	}
 }
 
-func (d *drr) QueuedCost(name string) float64 { return queuedOf(d.flows[name]) }
+func (d *drr) QueuedCost(name string) float64 { return queuedCost(d.flows[name]) }
 
-func (d *drr) TotalWeight() float64 { return d.weights }
+func (d *drr) TotalWeight() float64 { return d.totalWeight }
 
-func (d *drr) CostAhead(name string, weight float64, returning bool) float64 {
+func (d *drr) CostAhead(name string, weight float64, resubmitted bool) float64 {
 	f := d.flows[name]
 	if f == nil {
 		return 0
 	}
-	return fairAhead(f.before(returning), weight, d.weights, d.cost)
+	return fairCostAhead(f.costAhead(resubmitted), weight, d.totalWeight, d.cost)
 }
 
 func (d *drr) Sweep(keep func(*Item, float64) bool) []*Item {
 	var removed []*Item
 	for _, f := range d.ring {
-		removed = append(removed, sweepFlow(f, d.weights, d.cost, keep)...)
+		removed = append(removed, sweepFlow(f, d.totalWeight, d.cost, keep)...)
 	}
 	for _, it := range removed {
 		d.Remove(it)
--- a/coordination/admit/fifo.go
+++ b/coordination/admit/fifo.go
@@ -3,21 +3,21 @@
 // fifo serves in order of arrival, whoever asks.
 type fifo struct {
 	totals
-	all flow
+	queue flow
 }
 
 // NewFIFO returns a discipline that serves in order of arrival.
 func NewFIFO() Discipline { return &fifo{} }
 
 func (d *fifo) Push(it *Item) {
-	d.all.push(it)
+	d.queue.push(it)
 	d.add(it)
 }
 
-func (d *fifo) Peek() *Item { return d.all.head }
+func (d *fifo) Peek() *Item { return d.queue.head }
 
 func (d *fifo) Pop() *Item {
-	it := d.all.head
+	it := d.queue.head
 	if it != nil {
 		d.Remove(it)
 	}
@@ -26,12 +26,12 @@
 
 func (d *fifo) Remove(it *Item) {
 	d.sub(it)
-	d.all.remove(it)
+	d.queue.remove(it)
 }
 
 func (d *fifo) QueuedCost(name string) float64 {
 	sum := 0.0
-	for it := d.all.head; it != nil; it = it.next {
+	for it := d.queue.head; it != nil; it = it.next {
 		if it.Flow == name {
 			sum += it.Cost
 		}
@@ -42,12 +42,14 @@
 // TotalWeight is 1: there is one queue for all.
 func (d *fifo) TotalWeight() float64 { return 1 }
 
-func (d *fifo) CostAhead(_ string, _ float64, returning bool) float64 { return d.all.before(returning) }
+func (d *fifo) CostAhead(_ string, _ float64, resubmitted bool) float64 {
+	return d.queue.costAhead(resubmitted)
+}
 
 func (d *fifo) Sweep(keep func(*Item, float64) bool) []*Item {
 	var removed []*Item
 	var ahead float64
-	for it := d.all.head; it != nil; it = it.next {
+	for it := d.queue.head; it != nil; it = it.next {
 		if keep(it, ahead) {
 			ahead += it.Cost
 		} else {
@@ -60,4 +62,4 @@
 	return removed
 }
 
-func (d *fifo) EvictionCandidate() *Item { return d.all.tail }
+func (d *fifo) EvictionCandidate() *Item { return d.queue.tail }
--- a/coordination/admit/forecast.go
+++ b/coordination/admit/forecast.go
@@ -6,8 +6,8 @@
 	"github.com/thymerack/thymerack/coordination/snapshot"
 )
 
-// noCapacityRetry is told while no runner takes work.
-const noCapacityRetry = 2 * time.Second
+// noCapacityRetryAfter is told while no runner takes work.
+const noCapacityRetryAfter = 2 * time.Second
 
 // forecast is the predicted course of one request.
 type forecast struct {
@@ -21,105 +21,105 @@
 	return !deadline.IsZero() && now.Add(f.wait+f.service).After(deadline)
 }
 
-// spare is how long the request could wait and still be in time.
-func (f forecast) spare(deadline, now time.Time) time.Duration {
+// slack is how long the request could wait and still be in time.
+func (f forecast) slack(deadline, now time.Time) time.Duration {
 	if deadline.IsZero() {
 		return 0
 	}
 	return max(0, deadline.Sub(now)-f.service)
 }
 
-// crowded reports whether the wait takes more than the given share of the time
+// waitExceeds reports whether the wait takes more than the given share of the time
 // to spare.
-func (f forecast) crowded(deadline, now time.Time, share float64) bool {
+func (f forecast) waitExceeds(deadline, now time.Time, share float64) bool {
 	if deadline.IsZero() {
 		return false
 	}
-	spare := deadline.Sub(now) - f.service
-	return spare < 0 || float64(f.wait) > share*float64(spare)
+	slack := deadline.Sub(now) - f.service
+	return slack < 0 || float64(f.wait) > share*float64(slack)
 }
 
-func (q *serviceQueue) forecast(r *Request, room *Capacity, now time.Time, wait time.Duration) forecast {
-	service := room.service(r, max(r.LongOutput, r.Cost.DecodeTokens))
-	if m, ok := q.misses[r.Class]; ok {
-		service = time.Duration(float64(service) * m.at(now))
+func (q *serviceQueue) predict(r *Request, capacity *Capacity, now time.Time, wait time.Duration) forecast {
+	service := capacity.predictService(r, max(r.LongOutput, r.Cost.DecodeTokens))
+	if ratio, ok := q.serviceRatios[r.Class]; ok {
+		service = time.Duration(float64(service) * ratio.valueAt(now))
 	}
 	return forecast{wait: wait, service: service}
 }
 
-// service is the predicted time from the start of a request to the end of an
+// predictService is the predicted time from the start of a request to the end of an
 // answer of that many tokens.
-func (m *Capacity) service(r *Request, output int64) time.Duration {
-	d := time.Duration(output) * m.TokenInterval
+func (c *Capacity) predictService(r *Request, output int64) time.Duration {
+	d := time.Duration(output) * c.TokenInterval
 	if !r.Urgent {
-		d += m.FirstTokenWait
+		d += c.FirstTokenWait
 	}
-	if m.EnginePrefillPerSecond > 0 {
-		d += seconds(float64(r.Cost.PrefillTokens) / m.EnginePrefillPerSecond)
+	if c.EnginePrefillPerSecond > 0 {
+		d += seconds(float64(r.Cost.PrefillTokens) / c.EnginePrefillPerSecond)
 	}
 	return d
 }
 
 // Weights and bounds of the ratio of actual to forecast time of service.
 const (
-	missWeight       = 0.05
-	minMiss, maxMiss = 0.5, 4
-	maxMissClasses   = 256
-	// missHalfLife is the age at which half of what was learnt is left.
-	missHalfLife = 2 * time.Second
+	ratioWeight        = 0.05
+	minRatio, maxRatio = 0.5, 4
+	maxRatioClasses    = 256
+	// ratioHalfLife is the age at which half of what was learnt is left.
+	ratioHalfLife = 2 * time.Second
 )
 
-// miss is the ratio of the actual to the forecast time of service of a class.
-type miss struct {
-	ratio float64
-	seen  time.Time
+// serviceRatio is the ratio of the actual to the forecast time of service of a class.
+type serviceRatio struct {
+	ratio     float64
+	updatedAt time.Time
 }
 
-// at is the ratio as far as it still holds. Without new answers it goes back to
+// valueAt is the ratio as far as it still holds. Without new answers it goes back to
 // 1: a class that was refused for its ratio would never show a better one.
-func (m miss) at(now time.Time) float64 {
-	age := max(0, now.Sub(m.seen)).Seconds() / missHalfLife.Seconds()
-	return 1 + (m.ratio-1)/(1+age)
+func (r serviceRatio) valueAt(now time.Time) float64 {
+	age := max(0, now.Sub(r.updatedAt)).Seconds() / ratioHalfLife.Seconds()
+	return 1 + (r.ratio-1)/(1+age)
 }
 
-// finished learns from the actual time of service.
-func (q *serviceQueue) finished(g *Grant) {
-	if g.forecast <= 0 {
+// recordServiceTime learns from the actual time of service.
+func (q *serviceQueue) recordServiceTime(g *Grant) {
+	if g.predictedService <= 0 {
 		return
 	}
-	now := q.o.Clock.Now()
-	ratio := float64(now.Sub(g.at)) / float64(g.forecast)
+	now := q.options.Clock.Now()
+	ratio := float64(now.Sub(g.startedAt)) / float64(g.predictedService)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	m, known := q.misses[g.class]
+	current, known := q.serviceRatios[g.class]
 	if !known {
-		if len(q.misses) >= maxMissClasses {
+		if len(q.serviceRatios) >= maxRatioClasses {
 			return
 		}
-		m = miss{1, now}
+		current = serviceRatio{1, now}
 	}
-	was := m.at(now)
-	q.misses[g.class] = miss{min(max(was+missWeight*(ratio-was), minMiss), maxMiss), now}
+	previous := current.valueAt(now)
+	q.serviceRatios[g.class] = serviceRatio{min(max(previous+ratioWeight*(ratio-previous), minRatio), maxRatio), now}
 }
 
 // cost is the work in prompt tokens.
-func (m *Capacity) cost(w snapshot.Work, decodeFactor float64) float64 {
-	if m.PrefillPerSecond > 0 && m.DecodePerSecond > 0 {
-		decodeFactor = m.PrefillPerSecond / m.DecodePerSecond
+func (c *Capacity) cost(w snapshot.Work, decodeFactor float64) float64 {
+	if c.PrefillPerSecond > 0 && c.DecodePerSecond > 0 {
+		decodeFactor = c.PrefillPerSecond / c.DecodePerSecond
 	}
-	c := float64(w.PrefillTokens) + float64(w.DecodeTokens)*decodeFactor
-	if c == 0 {
+	total := float64(w.PrefillTokens) + float64(w.DecodeTokens)*decodeFactor
+	if total == 0 {
 		return float64(w.Requests) // a plain service
 	}
-	return c
+	return total
 }
 
-// timeFor is how long this host's share of the fleet takes for a cost.
-func (m *Capacity) timeFor(cost float64) time.Duration {
-	if m.PrefillPerSecond <= 0 {
+// timeToServe is how long this host's share of the fleet takes for a cost.
+func (c *Capacity) timeToServe(cost float64) time.Duration {
+	if c.PrefillPerSecond <= 0 {
 		return 0
 	}
-	return seconds(cost / m.PrefillPerSecond)
+	return seconds(cost / c.PrefillPerSecond)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/coordination/admit/lane.go
+++ b/coordination/admit/lane.go
@@ -8,37 +8,37 @@
 // laneKind tells the waiting requests of a service apart by what they wait for.
 type laneKind int
 
-// The lanes. Requests of urgent classes go first. Others wait for the resource
+// The numLanes. Requests of urgent classes go first. Others wait for the resource
 // that they need most, so that work for a busy one doesn't keep work for a free
 // one waiting.
 const (
 	laneUrgent laneKind = iota
-	// lanePrompt holds requests that are mostly prefill.
-	lanePrompt
-	// laneOutput holds requests that are mostly decode, and calls of plain
+	// lanePrefill holds requests that are mostly prefill.
+	lanePrefill
+	// laneDecode holds requests that are mostly decode, and calls of plain
 	// services.
-	laneOutput
-	lanes
+	laneDecode
+	numLanes
 )
 
-func kindOf(r *Request, room *Capacity) laneKind {
+func laneKindFor(r *Request, capacity *Capacity) laneKind {
 	switch {
 	case r.Urgent:
 		return laneUrgent
-	case float64(r.Cost.PrefillTokens)*room.DecodePerSecond > float64(r.Cost.DecodeTokens)*room.PrefillPerSecond:
-		return lanePrompt
+	case float64(r.Cost.PrefillTokens)*capacity.DecodePerSecond > float64(r.Cost.DecodeTokens)*capacity.PrefillPerSecond:
+		return lanePrefill
 	default:
-		return laneOutput
+		return laneDecode
 	}
 }
 
 // The pace of a lane is measured while it is never empty.
 const (
-	// laneMemory is how long a measured rate counts.
-	laneMemory = 2 * time.Second
+	// rateTimeConstant is how long a measured rate counts.
+	rateTimeConstant = 2 * time.Second
 	// The measured rate is kept within these shares of the one expected from
 	// the fleet's speed.
-	minLaneShare, maxLaneShare = 0.1, 2
+	minRateFactor, maxRateFactor = 0.1, 2
 )
 
 // lane is the queue of one kind with the rate at which it is served.
@@ -48,42 +48,42 @@
 	// rate is the measured cost started per second; it is of use only while the
 	// lane isn't empty.
 	rate float64
-	// started is the cost started since the last look; whole is true if the
+	// startedCost is the cost startedCost since the last look; whole is true if the
 	// lane hasn't been empty since then.
-	started  float64
-	whole    bool
-	promises promises
+	startedCost  float64
+	backlogged   bool
+	reservations reservations
 }
 
-func (l *lane) push(it *Item, room *Capacity) {
+func (l *lane) push(it *Item, capacity *Capacity) {
 	if l.Len() == 0 {
-		l.rate = room.PrefillPerSecond
-		l.whole = false
+		l.rate = capacity.PrefillPerSecond
+		l.backlogged = false
 	}
 	l.Push(it)
 }
 
 func (l *lane) pop() *Item {
 	it := l.Pop()
-	l.started += it.Cost
+	l.startedCost += it.Cost
 	return it
 }
 
-// measure takes in what was started since the last look.
-func (l *lane) measure(over time.Duration, room *Capacity) {
-	if l.whole && l.Len() > 0 && over > 0 {
-		weight := 1 - math.Exp(-over.Seconds()/laneMemory.Seconds())
-		l.rate += weight * (l.started/over.Seconds() - l.rate)
-		l.rate = min(max(l.rate, minLaneShare*room.PrefillPerSecond), maxLaneShare*room.PrefillPerSecond)
+// updateRate takes in what was started since the last look.
+func (l *lane) updateRate(elapsed time.Duration, capacity *Capacity) {
+	if l.backlogged && l.Len() > 0 && elapsed > 0 {
+		weight := 1 - math.Exp(-elapsed.Seconds()/rateTimeConstant.Seconds())
+		l.rate += weight * (l.startedCost/elapsed.Seconds() - l.rate)
+		l.rate = min(max(l.rate, minRateFactor*capacity.PrefillPerSecond), maxRateFactor*capacity.PrefillPerSecond)
 	}
-	l.started = 0
-	l.whole = l.Len() > 0
+	l.startedCost = 0
+	l.backlogged = l.Len() > 0
 }
 
-// timeFor is how long the lane takes to serve a cost.
-func (l *lane) timeFor(cost float64, room *Capacity) time.Duration {
+// timeToServe is how long the lane takes to serve a cost.
+func (l *lane) timeToServe(cost float64, capacity *Capacity) time.Duration {
 	if l.Len() == 0 || l.rate <= 0 {
-		return room.timeFor(cost)
+		return capacity.timeToServe(cost)
 	}
 	return seconds(cost / l.rate)
 }
--- a/coordination/admit/promise.go
+++ b/coordination/admit/promise.go
@@ -6,145 +6,145 @@
 
 // Bounds of what is remembered of refused requests.
 const (
-	// maxPromises bounds the promises that are counted.
-	maxPromises = 16384
-	// returnGrace is how long after its time a request may come back and be
+	// maxReservations bounds the promises that are counted.
+	maxReservations = 16384
+	// resubmitGrace is how long after its time a request may come back and be
 	// recognised, returnEarly how long before.
-	returnGrace = 10 * time.Second
-	returnEarly = time.Second
+	resubmitGrace = 10 * time.Second
+	resubmitEarly = time.Second
 )
 
-// promise is what a refused request was told.
-type promise struct {
+// reservation is what a refused request was told.
+type reservation struct {
 	id     string
 	flow   string
 	weight float64
 	cost   float64
-	at     time.Time
+	dueAt  time.Time
 }
 
-// promises are the refused requests of one lane that were told to come back and
+// reservations are the refused requests of one lane that were told to come back and
 // whose time hasn't come. They count as if they waited, so that the next one is
 // told a later time and not all come at once to be refused again.
-type promises struct {
-	total float64
-	flows map[string]*promisedFlow
+type reservations struct {
+	totalCost float64
+	flows     map[string]*reservedFlow
 	// open holds the promises in no order.
-	open []promise
-	// ids is when each refused request was told to come back.
-	ids map[string]time.Time
+	open []reservation
+	// dueByID is when each refused request was told to come back.
+	dueByID map[string]time.Time
 }
 
-type promisedFlow struct {
+type reservedFlow struct {
 	cost, weight float64
 	count        int
 }
 
-func newPromises() promises {
-	return promises{flows: map[string]*promisedFlow{}, ids: map[string]time.Time{}}
+func newReservations() reservations {
+	return reservations{flows: map[string]*reservedFlow{}, dueByID: map[string]time.Time{}}
 }
 
 // add counts a promise.
-func (p *promises) add(m promise) {
-	if len(p.open) >= maxPromises {
+func (rs *reservations) add(r reservation) {
+	if len(rs.open) >= maxReservations {
 		return
 	}
-	f := p.flows[m.flow]
+	f := rs.flows[r.flow]
 	if f == nil {
-		f = &promisedFlow{weight: m.weight}
-		p.flows[m.flow] = f
+		f = &reservedFlow{weight: r.weight}
+		rs.flows[r.flow] = f
 	}
-	f.cost += m.cost
+	f.cost += r.cost
 	f.count++
-	p.total += m.cost
-	p.open = append(p.open, m)
-	if m.id != "" {
-		p.ids[m.id] = m.at
+	rs.totalCost += r.cost
+	rs.open = append(rs.open, r)
+	if r.id != "" {
+		rs.dueByID[r.id] = r.dueAt
 	}
 }
 
-// of is the cost promised to a flow.
-func (p *promises) of(flow string) float64 {
-	if f := p.flows[flow]; f != nil {
+// flowCost is the cost promised to a flow.
+func (rs *reservations) flowCost(flow string) float64 {
+	if f := rs.flows[flow]; f != nil {
 		return f.cost
 	}
 	return 0
 }
 
-// weights is the sum of the weights of the flows with promises.
-func (p *promises) weights() float64 {
+// totalWeight is the sum of the totalWeight of the flows with promises.
+func (rs *reservations) totalWeight() float64 {
 	sum := 0.0
-	for _, f := range p.flows {
+	for _, f := range rs.flows {
 		sum += f.weight
 	}
 	return sum
 }
 
-// kept reports whether a request was refused here and comes back as told.
-func (p *promises) kept(id string, now time.Time) bool {
-	at, ok := p.ids[id]
+// redeem reports whether a request was refused here and comes back as told.
+func (rs *reservations) redeem(id string, now time.Time) bool {
+	dueAt, ok := rs.dueByID[id]
 	if !ok {
 		return false
 	}
-	delete(p.ids, id)
-	return !now.Before(at.Add(-returnEarly))
+	delete(rs.dueByID, id)
+	return !now.Before(dueAt.Add(-resubmitEarly))
 }
 
-// forget drops what is over.
-func (p *promises) forget(now time.Time) {
-	rest := p.open[:0]
-	for _, m := range p.open {
-		if m.at.After(now) {
-			rest = append(rest, m)
+// expire drops what is over.
+func (rs *reservations) expire(now time.Time) {
+	kept := rs.open[:0]
+	for _, r := range rs.open {
+		if r.dueAt.After(now) {
+			kept = append(kept, r)
 			continue
 		}
-		p.drop(m)
+		rs.subtract(r)
 	}
-	p.open = rest
-	for id, at := range p.ids {
-		if now.After(at.Add(returnGrace)) {
-			delete(p.ids, id)
+	rs.open = kept
+	for id, dueAt := range rs.dueByID {
+		if now.After(dueAt.Add(resubmitGrace)) {
+			delete(rs.dueByID, id)
 		}
 	}
 }
 
-func (p *promises) drop(m promise) {
-	f := p.flows[m.flow]
-	f.cost -= m.cost
+func (rs *reservations) subtract(r reservation) {
+	f := rs.flows[r.flow]
+	f.cost -= r.cost
 	f.count--
-	p.total -= m.cost
+	rs.totalCost -= r.cost
 	if f.count == 0 {
-		delete(p.flows, m.flow)
+		delete(rs.flows, r.flow)
 	}
-	if len(p.flows) == 0 {
-		p.total = 0 // drops what rounding left
+	if len(rs.flows) == 0 {
+		rs.totalCost = 0 // drops what rounding left
 	}
 }
 
-// returnSpare is the share of its own time to spare that a request is told to
+// retrySlackShare is the share of its own time to spare that a request is told to
 // wait here rather than there: the more, the more come back for nothing.
-const returnSpare = 0.25
+const retrySlackShare = 0.25
 
-// refusal makes the error of a refused request, with the time after which its
+// newRefusal makes the error of a refused request, with the time after which its
 // flow will have been served what waits and what was promised before it, less
 // what the request can wait itself.
-func (q *serviceQueue) refusal(r *Request, l *lane, reason Reason, room *Capacity, f forecast, now time.Time) error {
-	cost := room.cost(r.Cost, q.o.DecodeFactor)
-	spare := time.Duration(returnSpare * float64(f.spare(r.Deadline, now)))
-	after := q.o.bounded(q.untilServed(r, l, room) - spare)
-	l.promises.add(promise{r.ID, r.Customer, r.Weight, cost, now.Add(after)})
-	return &RefusedError{reason, after}
+func (q *serviceQueue) newRefusal(r *Request, l *lane, reason Reason, capacity *Capacity, f forecast, now time.Time) error {
+	cost := capacity.cost(r.Cost, q.options.DecodeFactor)
+	slack := time.Duration(retrySlackShare * float64(f.slack(r.Deadline, now)))
+	retryAfter := q.options.clampRetryAfter(q.timeUntilServed(r, l, capacity) - slack)
+	l.reservations.add(reservation{r.ID, r.Customer, r.Weight, cost, now.Add(retryAfter)})
+	return &RefusedError{reason, retryAfter}
 }
 
-// untilServed is the predicted time until the lane has served the flow's waiting
+// timeUntilServed is the predicted time until the lane has served the flow's waiting
 // and promised work.
-func (q *serviceQueue) untilServed(r *Request, l *lane, room *Capacity) time.Duration {
-	own := l.QueuedCost(r.Customer) + l.promises.of(r.Customer)
-	weights := max(l.TotalWeight(), l.promises.weights())
-	ahead := fairAhead(own, r.Weight, weights, l.TotalCost()+l.promises.total)
-	return q.wait(l, room, ahead)
+func (q *serviceQueue) timeUntilServed(r *Request, l *lane, capacity *Capacity) time.Duration {
+	ownCost := l.QueuedCost(r.Customer) + l.reservations.flowCost(r.Customer)
+	totalWeight := max(l.TotalWeight(), l.reservations.totalWeight())
+	ahead := fairCostAhead(ownCost, r.Weight, totalWeight, l.TotalCost()+l.reservations.totalCost)
+	return q.predictWait(l, capacity, ahead)
 }
 
-func (o *Options) bounded(d time.Duration) time.Duration {
+func (o *Options) clampRetryAfter(d time.Duration) time.Duration {
 	return min(max(d, o.MinRetryAfter), o.MaxRetryAfter)
 }
--- a/coordination/admit/queue.go
+++ b/coordination/admit/queue.go
@@ -7,19 +7,19 @@
 	"github.com/thymerack/thymerack/coordination/snapshot"
 )
 
-// patience is the share of a waiting request's predicted wait that must come
+// lateWaitFactor is the share of a waiting request's predicted wait that must come
 // true for its deadline to be given up: the prediction is not exact.
-const patience = 0.8
+const lateWaitFactor = 0.8
 
 // waiter is a request that waits for its decision.
 type waiter struct {
 	item    Item
 	request Request
 	// lane is nil unless the request was queued.
-	lane    *lane
-	at      time.Time
-	decided bool
-	decide  func(*Grant, error)
+	lane        *lane
+	submittedAt time.Time
+	decided     bool
+	onDecided   func(*Grant, error)
 }
 
 // decision is told to the caller once the queue is unlocked, since the caller
@@ -32,56 +32,56 @@
 
 // serviceQueue admits the requests of one service.
 type serviceQueue struct {
-	name string
-	o    *Options
+	name    string
+	options *Options
 
 	mu      sync.Mutex
 	stopped bool
-	lanes   [lanes]*lane
-	running snapshot.Work
+	lanes   [numLanes]*lane
+	granted snapshot.Work
 	waiting snapshot.Work
-	// added was started and given was given back since the room numbered roomSeq
+	// grantedSince was started and releasedSince was releasedSince back since the room numbered roomSeq
 	// was measured.
-	added, given snapshot.Work
-	roomSeq      uint64
-	// lead is how much more than its share urgent work had while others
+	grantedSince, releasedSince snapshot.Work
+	capacitySeq                 uint64
+	// urgentLead is how much more than its share urgent work had while others
 	// waited, in prompt tokens.
-	lead     float64
-	lookedAt time.Time
-	// misses holds, by class, the ratio of actual to forecast time of service.
-	misses map[string]miss
+	urgentLead float64
+	tickedAt   time.Time
+	// serviceRatios holds, by class, the ratio of actual to forecast time of service.
+	serviceRatios map[string]serviceRatio
 	// decisions are those made since the lock was taken.
 	decisions []decision
 }
 
 func newServiceQueue(name string, o *Options) *serviceQueue {
 	q := &serviceQueue{
-		name: name, o: o, lookedAt: o.Clock.Now(),
-		misses: map[string]miss{},
+		name: name, options: o, tickedAt: o.Clock.Now(),
+		serviceRatios: map[string]serviceRatio{},
 	}
 	for i := range q.lanes {
-		q.lanes[i] = &lane{Discipline: o.NewDiscipline(), kind: laneKind(i), promises: newPromises()}
+		q.lanes[i] = &lane{Discipline: o.NewDiscipline(), kind: laneKind(i), reservations: newReservations()}
 	}
 	return q
 }
 
-// locked runs f under the lock with the present room and time, then tells the
+// withLock runs f under the lock with the present room and time, then tells the
 // decisions that f made.
-func (q *serviceQueue) locked(f func(room *Capacity, now time.Time)) {
-	room := q.o.Capacity.Capacity(q.name)
-	now := q.o.Clock.Now()
+func (q *serviceQueue) withLock(f func(capacity *Capacity, now time.Time)) {
+	capacity := q.options.Capacity.Capacity(q.name)
+	now := q.options.Clock.Now()
 	q.mu.Lock()
-	f(&room, now)
-	made := q.decisions
+	f(&capacity, now)
+	decisions := q.decisions
 	q.decisions = nil
 	q.mu.Unlock()
-	for _, d := range made {
-		d.waiter.decide(d.grant, d.err)
+	for _, d := range decisions {
+		d.waiter.onDecided(d.grant, d.err)
 	}
 }
 
-// settle notes the decision on a waiter; q.mu is held.
-func (q *serviceQueue) settle(w *waiter, g *Grant, err error) {
+// recordDecision notes the decision on a waiter; q.mu is held.
+func (q *serviceQueue) recordDecision(w *waiter, g *Grant, err error) {
 	w.decided = true
 	if w.lane != nil {
 		q.waiting = q.waiting.Plus(w.request.Cost.Negate())
@@ -89,47 +89,47 @@
 	q.decisions = append(q.decisions, decision{w, g, err})
 }
 
-// arrive starts, queues or refuses a request.
-func (q *serviceQueue) arrive(r *Request, decide func(*Grant, error)) *waiter {
+// submit starts, queues or refuses a request.
+func (q *serviceQueue) submit(r *Request, onDecided func(*Grant, error)) *waiter {
 	if r.Weight <= 0 {
 		r.Weight = 1
 	}
 	r.Cost.Requests = max(1, r.Cost.Requests)
-	w := &waiter{request: *r, decide: decide, at: q.o.Clock.Now()}
-	q.locked(func(room *Capacity, now time.Time) { q.admit(w, room, now) })
+	w := &waiter{request: *r, onDecided: onDecided, submittedAt: q.options.Clock.Now()}
+	q.withLock(func(capacity *Capacity, now time.Time) { q.admit(w, capacity, now) })
 	return w
 }
 
-func (q *serviceQueue) admit(w *waiter, room *Capacity, now time.Time) {
+func (q *serviceQueue) admit(w *waiter, capacity *Capacity, now time.Time) {
 	r := &w.request
-	l := q.lanes[kindOf(r, room)]
-	r.Resubmitted = r.Resubmitted || l.promises.kept(r.ID, now)
-	f := q.forecast(r, room, now, q.wait(l, room, l.CostAhead(r.Customer, r.Weight, r.Resubmitted)))
-	if err := q.refuseAtOnce(r, l, room, f, now); err != nil {
-		q.settle(w, nil, err)
+	l := q.lanes[laneKindFor(r, capacity)]
+	r.Resubmitted = r.Resubmitted || l.reservations.redeem(r.ID, now)
+	f := q.predict(r, capacity, now, q.predictWait(l, capacity, l.CostAhead(r.Customer, r.Weight, r.Resubmitted)))
+	if err := q.refuseOnArrival(r, l, capacity, f, now); err != nil {
+		q.recordDecision(w, nil, err)
 		return
 	}
-	if l.Len() == 0 && q.lanes[laneUrgent].Len() == 0 && q.fits(l, r.Cost, room) {
-		q.settle(w, q.start(w, room, now), nil)
+	if l.Len() == 0 && q.lanes[laneUrgent].Len() == 0 && q.fits(l, r.Cost, capacity) {
+		q.recordDecision(w, q.start(w, capacity, now), nil)
 		return
 	}
 	w.lane = l
-	w.item = Item{Flow: r.Customer, Weight: r.Weight, Cost: room.cost(r.Cost, q.o.DecodeFactor), Resubmitted: r.Resubmitted, waiter: w}
-	l.push(&w.item, room)
+	w.item = Item{Flow: r.Customer, Weight: r.Weight, Cost: capacity.cost(r.Cost, q.options.DecodeFactor), Resubmitted: r.Resubmitted, waiter: w}
+	l.push(&w.item, capacity)
 	q.waiting = q.waiting.Plus(r.Cost)
-	q.pump(room, now)
+	q.startWaiting(capacity, now)
 }
 
-// wait is the predicted time until the lane has served the cost ahead.
-func (q *serviceQueue) wait(l *lane, room *Capacity, ahead float64) time.Duration {
-	d := l.timeFor(ahead, room)
+// predictWait is the predicted time until the lane has served the cost ahead.
+func (q *serviceQueue) predictWait(l *lane, capacity *Capacity, ahead float64) time.Duration {
+	d := l.timeToServe(ahead, capacity)
 	if u := q.lanes[laneUrgent]; l != u {
-		d += u.timeFor(u.TotalCost(), room)
+		d += u.timeToServe(u.TotalCost(), capacity)
 	}
 	return d
 }
 
-func (q *serviceQueue) queued() int {
+func (q *serviceQueue) numQueued() int {
 	n := 0
 	for _, l := range q.lanes {
 		n += l.Len()
@@ -137,56 +137,56 @@
 	return n
 }
 
-// refuseAtOnce returns the error of a request that can't be admitted.
-func (q *serviceQueue) refuseAtOnce(r *Request, l *lane, room *Capacity, f forecast, now time.Time) error {
+// refuseOnArrival returns the error of a request that can't be admitted.
+func (q *serviceQueue) refuseOnArrival(r *Request, l *lane, capacity *Capacity, f forecast, now time.Time) error {
 	switch {
 	case q.stopped:
-		return &RefusedError{ReasonStopped, q.o.MinRetryAfter}
-	case room.Runners == 0:
-		return &RefusedError{ReasonNoCapacity, q.o.bounded(noCapacityRetry)}
-	case f.crowded(r.Deadline, now, q.waitShare(r)):
-		return q.refusal(r, l, ReasonDeadline, room, f, now)
-	case q.queued() >= q.o.MaxQueued:
-		return q.pushOut(r, l, room, f, now)
+		return &RefusedError{ReasonStopped, q.options.MinRetryAfter}
+	case capacity.Runners == 0:
+		return &RefusedError{ReasonNoCapacity, q.options.clampRetryAfter(noCapacityRetryAfter)}
+	case f.waitExceeds(r.Deadline, now, q.maxWaitShare(r)):
+		return q.newRefusal(r, l, ReasonDeadline, capacity, f, now)
+	case q.numQueued() >= q.options.MaxQueued:
+		return q.evictOrRefuse(r, l, capacity, f, now)
 	}
 	return nil
 }
 
-// waitShare is the share of the time to spare that a request may wait. One that
+// maxWaitShare is the share of the time to spare that a request may wait. One that
 // comes back as told gets all of it.
-func (q *serviceQueue) waitShare(r *Request) float64 {
+func (q *serviceQueue) maxWaitShare(r *Request) float64 {
 	if r.Resubmitted {
 		return 1
 	}
-	return q.o.WaitShare
+	return q.options.WaitShare
 }
 
-// pushOut makes place in a full queue: the newest request of the flow that has
+// evictOrRefuse makes place in a full queue: the newest request of the flow that has
 // most queued per weight goes, be it this one. Urgent requests go last.
-func (q *serviceQueue) pushOut(r *Request, l *lane, room *Capacity, f forecast, now time.Time) error {
-	from := q.lanes[lanePrompt]
-	if o := q.lanes[laneOutput]; o.TotalCost() > from.TotalCost() {
-		from = o
+func (q *serviceQueue) evictOrRefuse(r *Request, l *lane, capacity *Capacity, f forecast, now time.Time) error {
+	victimLane := q.lanes[lanePrefill]
+	if decodeLane := q.lanes[laneDecode]; decodeLane.TotalCost() > victimLane.TotalCost() {
+		victimLane = decodeLane
 	}
-	if from.Len() == 0 {
-		from = q.lanes[laneUrgent]
+	if victimLane.Len() == 0 {
+		victimLane = q.lanes[laneUrgent]
 	}
-	last := from.EvictionCandidate()
-	own := (l.QueuedCost(r.Customer) + room.cost(r.Cost, q.o.DecodeFactor)) / r.Weight
-	preferred := l.kind == laneUrgent && from.kind != laneUrgent
-	if !preferred && (last.Flow == r.Customer || own >= from.QueuedCost(last.Flow)/last.Weight) {
-		return q.refusal(r, l, ReasonQueueFull, room, f, now)
+	victim := victimLane.EvictionCandidate()
+	costPerWeight := (l.QueuedCost(r.Customer) + capacity.cost(r.Cost, q.options.DecodeFactor)) / r.Weight
+	preferred := l.kind == laneUrgent && victimLane.kind != laneUrgent
+	if !preferred && (victim.Flow == r.Customer || costPerWeight >= victimLane.QueuedCost(victim.Flow)/victim.Weight) {
+		return q.newRefusal(r, l, ReasonQueueFull, capacity, f, now)
 	}
-	from.Remove(last)
-	q.refuse(last, ReasonQueueFull, room, now)
+	victimLane.Remove(victim)
+	q.refuseQueued(victim, ReasonQueueFull, capacity, now)
 	return nil
 }
 
-// refuse decides against a request that was taken out of its lane.
-func (q *serviceQueue) refuse(it *Item, reason Reason, room *Capacity, now time.Time) {
+// refuseQueued decides against a request that was taken out of its lane.
+func (q *serviceQueue) refuseQueued(it *Item, reason Reason, capacity *Capacity, now time.Time) {
 	r, l := &it.waiter.request, it.waiter.lane
-	f := q.forecast(r, room, now, q.wait(l, room, l.CostAhead(r.Customer, r.Weight, r.Resubmitted)))
-	q.settle(it.waiter, nil, q.refusal(r, l, reason, room, f, now))
+	f := q.predict(r, capacity, now, q.predictWait(l, capacity, l.CostAhead(r.Customer, r.Weight, r.Resubmitted)))
+	q.recordDecision(it.waiter, nil, q.newRefusal(r, l, reason, capacity, f, now))
 }
 
 // fits reports whether the lane may start work now. A prompt is started while
@@ -197,154 +197,154 @@
 // only: if it took that again at once, a host would keep for ever what it has
 // beyond its part, and with whole prompts on every host the engines' queues would
 // never shrink.
-func (q *serviceQueue) fits(l *lane, w snapshot.Work, room *Capacity) bool {
-	q.follow(room)
-	have := q.inFlight(room)
-	requests := have.Requests+w.Requests <= max(1, room.Requests) || room.Seq > 0 && q.added.Requests < room.FreeRequests
-	if l.kind != lanePrompt || !requests {
-		return requests
+func (q *serviceQueue) fits(l *lane, w snapshot.Work, capacity *Capacity) bool {
+	q.syncCapacity(capacity)
+	inFlight := q.inFlight(capacity)
+	requestFits := inFlight.Requests+w.Requests <= max(1, capacity.Requests) || capacity.Seq > 0 && q.grantedSince.Requests < capacity.FreeRequests
+	if l.kind != lanePrefill || !requestFits {
+		return requestFits
 	}
-	return have.PrefillTokens <= 0 || have.PrefillTokens < room.PrefillTokens ||
-		room.Seq > 0 && q.added.PrefillTokens < room.FreePrefillTokens
+	return inFlight.PrefillTokens <= 0 || inFlight.PrefillTokens < capacity.PrefillTokens ||
+		capacity.Seq > 0 && q.grantedSince.PrefillTokens < capacity.FreePrefillTokens
 }
 
-// follow starts the counts anew when the room was measured anew.
-func (q *serviceQueue) follow(room *Capacity) {
-	if room.Seq != q.roomSeq {
-		q.roomSeq = room.Seq
-		q.added, q.given = snapshot.Work{}, snapshot.Work{}
+// syncCapacity starts the counts anew when the room was measured anew.
+func (q *serviceQueue) syncCapacity(capacity *Capacity) {
+	if capacity.Seq != q.capacitySeq {
+		q.capacitySeq = capacity.Seq
+		q.grantedSince, q.releasedSince = snapshot.Work{}, snapshot.Work{}
 	}
 }
 
 // inFlight is the larger of what was granted and what is counted at the runners,
 // the latter with what was granted and given back since it was counted.
-func (q *serviceQueue) inFlight(room *Capacity) snapshot.Work {
-	counted := room.InFlight
-	if room.Seq > 0 {
-		counted = counted.Plus(q.added).Plus(q.given.Negate())
+func (q *serviceQueue) inFlight(capacity *Capacity) snapshot.Work {
+	counted := capacity.InFlight
+	if capacity.Seq > 0 {
+		counted = counted.Plus(q.grantedSince).Plus(q.releasedSince.Negate())
 	}
 	return snapshot.Work{
-		Requests:      max(q.running.Requests, counted.Requests),
-		PrefillTokens: max(q.running.PrefillTokens, counted.PrefillTokens),
+		Requests:      max(q.granted.Requests, counted.Requests),
+		PrefillTokens: max(q.granted.PrefillTokens, counted.PrefillTokens),
 	}
 }
 
-func (q *serviceQueue) start(w *waiter, room *Capacity, now time.Time) *Grant {
+func (q *serviceQueue) start(w *waiter, capacity *Capacity, now time.Time) *Grant {
 	r := &w.request
-	q.running = q.running.Plus(r.Cost)
-	q.added = q.added.Plus(r.Cost)
-	q.countLead(r, room)
+	q.granted = q.granted.Plus(r.Cost)
+	q.grantedSince = q.grantedSince.Plus(r.Cost)
+	q.updateUrgentLead(r, capacity)
 	return &Grant{
-		Waited: now.Sub(w.at), queue: q, left: r.Cost,
-		class: r.Class, at: now, forecast: room.service(r, r.Cost.DecodeTokens),
+		Waited: now.Sub(w.submittedAt), queue: q, held: r.Cost,
+		class: r.Class, startedAt: now, predictedService: capacity.predictService(r, r.Cost.DecodeTokens),
 	}
 }
 
-// countLead keeps the lead of urgent work, which is forgotten while nothing
+// updateUrgentLead keeps the lead of urgent work, which is forgotten while nothing
 // else waits.
-func (q *serviceQueue) countLead(r *Request, room *Capacity) {
-	if q.lanes[lanePrompt].Len()+q.lanes[laneOutput].Len() == 0 {
-		q.lead = 0
+func (q *serviceQueue) updateUrgentLead(r *Request, capacity *Capacity) {
+	if q.lanes[lanePrefill].Len()+q.lanes[laneDecode].Len() == 0 {
+		q.urgentLead = 0
 		return
 	}
-	cost := room.cost(r.Cost, q.o.DecodeFactor)
+	cost := capacity.cost(r.Cost, q.options.DecodeFactor)
 	if r.Urgent {
-		q.lead += cost * (1 - q.o.UrgentShare)
+		q.urgentLead += cost * (1 - q.options.UrgentShare)
 	} else {
-		q.lead = max(-cost, q.lead-cost*q.o.UrgentShare)
+		q.urgentLead = max(-cost, q.urgentLead-cost*q.options.UrgentShare)
 	}
 }
 
-// pump starts waiting requests while there is room.
-func (q *serviceQueue) pump(room *Capacity, now time.Time) {
-	for room.Runners > 0 {
-		l := q.turn(room)
+// startWaiting starts waiting requests while there is room.
+func (q *serviceQueue) startWaiting(capacity *Capacity, now time.Time) {
+	for capacity.Runners > 0 {
+		l := q.nextLane(capacity)
 		if l == nil {
 			return
 		}
 		it := l.pop()
-		q.settle(it.waiter, q.start(it.waiter, room, now), nil)
+		q.recordDecision(it.waiter, q.start(it.waiter, capacity, now), nil)
 	}
 }
 
-// turn returns the lane to serve next, or nil: the urgent one unless its lead is
+// nextLane returns the lane to serve next, or nil: the urgent one unless its lead is
 // used up, else of those whose next request fits the one that waits longest.
-func (q *serviceQueue) turn(room *Capacity) *lane {
+func (q *serviceQueue) nextLane(capacity *Capacity) *lane {
 	var best *lane
 	for _, l := range q.lanes {
 		it := l.Peek()
-		if it == nil || !q.fits(l, it.waiter.request.Cost, room) {
+		if it == nil || !q.fits(l, it.waiter.request.Cost, capacity) {
 			continue
 		}
-		if l.kind == laneUrgent && q.lead <= 0 {
+		if l.kind == laneUrgent && q.urgentLead <= 0 {
 			return l
 		}
-		if best == nil || best.kind == laneUrgent || it.waiter.at.Before(best.Peek().waiter.at) {
+		if best == nil || best.kind == laneUrgent || it.waiter.submittedAt.Before(best.Peek().waiter.submittedAt) {
 			best = l
 		}
 	}
 	return best
 }
 
-// look refuses waiting requests that can't meet their deadlines any more and
+// tick refuses waiting requests that can't meet their deadlines any more and
 // starts others if there is room.
-func (q *serviceQueue) look() {
-	if q.idle() {
+func (q *serviceQueue) tick() {
+	if q.markTickedIfIdle() {
 		return
 	}
-	q.locked(func(room *Capacity, now time.Time) {
+	q.withLock(func(capacity *Capacity, now time.Time) {
 		for _, l := range q.lanes {
-			l.measure(now.Sub(q.lookedAt), room)
-			l.promises.forget(now)
-			q.sweep(l, room, now)
+			l.updateRate(now.Sub(q.tickedAt), capacity)
+			l.reservations.expire(now)
+			q.refuseLate(l, capacity, now)
 		}
-		q.lookedAt = now
-		q.pump(room, now)
+		q.tickedAt = now
+		q.startWaiting(capacity, now)
 	})
 }
 
-// idle reports whether there is nothing to look at, and notes that it was looked
+// markTickedIfIdle reports whether there is nothing to look at, and notes that it was looked
 // at in that case.
-func (q *serviceQueue) idle() bool {
-	now := q.o.Clock.Now()
+func (q *serviceQueue) markTickedIfIdle() bool {
+	now := q.options.Clock.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for _, l := range q.lanes {
-		if l.Len() > 0 || l.whole || len(l.promises.ids) > 0 || len(l.promises.open) > 0 {
+		if l.Len() > 0 || l.backlogged || len(l.reservations.dueByID) > 0 || len(l.reservations.open) > 0 {
 			return false
 		}
 	}
-	q.lookedAt = now
+	q.tickedAt = now
 	return true
 }
 
-func (q *serviceQueue) sweep(l *lane, room *Capacity, now time.Time) {
+func (q *serviceQueue) refuseLate(l *lane, capacity *Capacity, now time.Time) {
 	removed := l.Sweep(func(it *Item, ahead float64) bool {
 		r := &it.waiter.request
-		wait := time.Duration(patience * float64(q.wait(l, room, ahead)))
-		return !q.forecast(r, room, now, wait).late(r.Deadline, now)
+		wait := time.Duration(lateWaitFactor * float64(q.predictWait(l, capacity, ahead)))
+		return !q.predict(r, capacity, now, wait).late(r.Deadline, now)
 	})
 	for _, it := range removed {
-		q.refuse(it, ReasonDeadline, room, now)
+		q.refuseQueued(it, ReasonDeadline, capacity, now)
 	}
 }
 
 // release gives room back and starts what fits.
 func (q *serviceQueue) release(w snapshot.Work) {
-	q.locked(func(room *Capacity, now time.Time) {
-		q.running = q.running.Plus(w.Negate())
-		if measured := room.Seq != q.roomSeq && room.Seq > 0; measured {
-			q.follow(room) // without what is given back
+	q.withLock(func(capacity *Capacity, now time.Time) {
+		q.granted = q.granted.Plus(w.Negate())
+		if recomputed := capacity.Seq != q.capacitySeq && capacity.Seq > 0; recomputed {
+			q.syncCapacity(capacity) // without what is given back
 		} else {
-			q.given = q.given.Plus(w)
+			q.releasedSince = q.releasedSince.Plus(w)
 		}
-		q.pump(room, now)
+		q.startWaiting(capacity, now)
 	})
 }
 
-// withdraw takes out a waiter whose caller has gone; it is false when the
+// cancel takes out a waiter whose caller has gone; it is false when the
 // decision came first.
-func (q *serviceQueue) withdraw(w *waiter) bool {
+func (q *serviceQueue) cancel(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	if w.decided {
@@ -358,24 +358,24 @@
 
 // stop refuses everything from now on.
 func (q *serviceQueue) stop() {
-	q.locked(func(*Capacity, time.Time) {
+	q.withLock(func(*Capacity, time.Time) {
 		q.stopped = true
 		for _, l := range q.lanes {
 			for it := l.Pop(); it != nil; it = l.Pop() {
-				q.settle(it.waiter, nil, &RefusedError{ReasonStopped, q.o.MinRetryAfter})
+				q.recordDecision(it.waiter, nil, &RefusedError{ReasonStopped, q.options.MinRetryAfter})
 			}
 		}
 	})
 }
 
 func (q *serviceQueue) stats() QueueStats {
-	room := q.o.Capacity.Capacity(q.name)
+	capacity := q.options.Capacity.Capacity(q.name)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	stats := QueueStats{Service: q.name, Waiting: q.queued(), WaitingWork: q.waiting, Running: q.running}
+	stats := QueueStats{Service: q.name, Waiting: q.numQueued(), WaitingWork: q.waiting, Running: q.granted}
 	for _, l := range q.lanes {
 		stats.WaitingCost += l.TotalCost()
-		stats.PredictedWait = max(stats.PredictedWait, q.wait(l, &room, l.TotalCost()))
+		stats.PredictedWait = max(stats.PredictedWait, q.predictWait(l, &capacity, l.TotalCost()))
 	}
 	return stats
 }
