--- a/coordination/admit/admit.go
+++ b/coordination/admit/admit.go
@@ -11,45 +11,54 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Request asks for admission.
+// Request describes a request to be admitted.
 type Request struct {
+	// ID may be empty. Class is the request class; predicted service times are
+	// corrected for each class separately.
 	ID, Service, Customer, Class string
-	// Urgent requests go first, within Options.UrgentShare.
+	// Urgent requests go before others, within Options.UrgentShare.
 	Urgent bool
-	// Weight is the customer's share; zero stands for 1.
+	// Weight is the customer's relative share; zero means 1.
 	Weight float64
-	// Cost is the predicted work: uncached prompt tokens and expected output.
+	// Cost is the predicted work: prompt tokens that aren't cached, and expected
+	// output tokens.
 	Cost snapshot.Work
-	// LongOutput is an output in tokens that most answers don't exceed; the
-	// deadline has to hold for it. Zero stands for Cost.DecodeTokens.
+	// LongOutput is an output length, in tokens, that most answers don't exceed.
+	// The deadline is checked against an answer of this length, or of
+	// Cost.DecodeTokens if that is longer.
 	LongOutput int64
-	// Deadline is when the whole answer is due; zero when it isn't.
+	// Deadline is when the whole answer is due; zero means no deadline.
 	Deadline time.Time
-	// Resubmitted says that the request was refused before and comes back when it
-	// was told to; it goes before its customer's others. A request whose ID this
-	// host has refused lately is recognised without it.
+	// Resubmitted reports that the request was refused before and is sent again
+	// after its RefusedError.RetryAfter; it goes before the customer's other
+	// requests. A request whose ID this host refused recently is recognised
+	// without it.
 	Resubmitted bool
 }
 
-// Reason is why a request was refused.
+// Reason is why a request was refused. Its text reaches callers.
 type Reason string
 
-// The reasons.
+// Reasons for a refusal.
 const (
-	// ReasonDeadline means that the predicted finish is past the deadline.
+	// ReasonDeadline means that the predicted finish is after the deadline, or
+	// that the predicted wait takes more than Options.WaitShare of the slack.
 	ReasonDeadline Reason = "the deadline can't be met"
-	// ReasonQueueFull means that the queue is at its bound.
+	// ReasonQueueFull means that Options.MaxQueued requests wait already.
 	ReasonQueueFull Reason = "the queue is full"
-	// ReasonNoCapacity means that no runner takes work.
+	// ReasonNoCapacity means that no runner of the service takes work, or that
+	// there are more services than Options.MaxServices.
 	ReasonNoCapacity Reason = "no runner takes work"
 	// ReasonStopped means that the host is shutting down.
 	ReasonStopped Reason = "the host is shutting down"
 )
 
-// RefusedError says that a request was refused and did not run.
+// RefusedError reports that a request was refused and did not run. It can be
+// sent again after RetryAfter.
 type RefusedError struct {
 	Reason Reason
-	// RetryAfter is when the same request is expected to be admitted.
+	// RetryAfter is the time after which the same request is expected to be
+	// admitted.
 	RetryAfter time.Duration
 }
 
@@ -58,53 +67,62 @@
 	return fmt.Sprintf("not admitted: %s; come back after %v", e.Reason, e.RetryAfter)
 }
 
-// Options configure an Admitter. Zero values stand for the defaults.
+// Options configures an Admitter. Zero values mean the defaults.
 type Options struct {
 	// Clock and Capacity are required.
 	Clock    state.Clock
 	Capacity CapacitySource
-	// NewDiscipline makes the queue of a service; default NewBWF2Q.
+	// NewDiscipline returns an empty queue; it is called for each lane of a
+	// service. Default NewBWF2Q.
 	NewDiscipline func() Discipline
-	// MaxQueued bounds the waiting requests of a service; default 4096.
+	// MaxQueued bounds the waiting requests of one service; default 4096.
 	MaxQueued int
-	// MaxServices bounds the services kept apart; default 256.
+	// MaxServices bounds the services that have a queue; requests for others are
+	// refused. Default 256.
 	MaxServices int
-	// UrgentShare is the largest share of the tokens that urgent requests take
-	// while others wait; default 0.8.
+	// UrgentShare is the largest fraction of the cost started that urgent
+	// requests take while others wait; at least 0 and less than 1, default 0.8.
 	UrgentShare float64
-	// WaitShare is the largest share of the time to spare before its deadline
-	// that a request may be predicted to wait when it comes; default 0.5. A
-	// queue that takes all of it leaves nothing for what can't be predicted.
+	// WaitShare is the largest fraction of its slack (the time until the
+	// deadline less the predicted service time) that a request may be predicted
+	// to wait on arrival; default 0.5. A queue that uses all of the slack leaves
+	// none for errors of the prediction.
 	WaitShare float64
-	// DecodeFactor is the cost of an output token in prompt tokens; default 4.
+	// DecodeFactor is the cost of an output token in prompt tokens while the
+	// speeds of a service are unknown; default 4.
 	DecodeFactor float64
-	// Interval is how often waiting requests are looked at again; default 20 ms.
+	// Interval is the time between ticks (see Admitter.Tick) while requests wait;
+	// default 20 ms.
 	Interval time.Duration
-	// MinRetryAfter and MaxRetryAfter bound what refused callers are told;
-	// default 500 ms and 60 s.
+	// MinRetryAfter and MaxRetryAfter bound RefusedError.RetryAfter; default
+	// 500 ms and 60 s.
 	MinRetryAfter, MaxRetryAfter time.Duration
 }
 
-// Admitter admits requests. It is safe for concurrent use.
+// Admitter admits, queues or refuses requests, with one queue per service. It is
+// safe for concurrent use.
 type Admitter struct {
 	options Options
 	// wake is signalled when a request is queued.
 	wake chan struct{}
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// queues holds the queues by service.
 	queues map[string]*serviceQueue
-	// queueList is replaced, not changed, when a service is added.
+	// queueList holds the same queues. It is replaced, not modified, when a
+	// service is added, so that it can be read without the lock.
 	queueList []*serviceQueue
 }
 
-// New returns an admitter, or an error that names the wrong option. Run must be
-// running for waiting requests to be started as room appears by itself.
+// New returns an admitter, or an error that names the invalid option. Run has to
+// be running: it starts waiting requests when the fleet's capacity grows and
+// refuses those that can't meet their deadlines.
 func New(o Options) (*Admitter, error) {
 	if o.Clock == nil {
 		return nil, fmt.Errorf("admit: Options.Clock is nil; pass a state.Clock")
 	}
 	if o.Capacity == nil {
-		return nil, fmt.Errorf("admit: Options.Capacity is nil; pass NewFleet or your own")
+		return nil, fmt.Errorf("admit: Options.Capacity is nil; pass NewFleetCapacity or another CapacitySource")
 	}
 	if o.UrgentShare < 0 || o.UrgentShare >= 1 {
 		return nil, fmt.Errorf("admit: Options.UrgentShare is outside 0 to 1; use 0.8, so that other classes don't starve")
@@ -143,21 +161,26 @@
 	}
 }
 
-// Grant is the right to run one request.
+// Grant is the right to run one request. The holder calls Done when the request
+// has ended. It is safe for concurrent use.
 type Grant struct {
 	// Waited is how long the request was queued.
 	Waited time.Duration
 
-	queue            *serviceQueue
-	class            string
-	startedAt        time.Time
+	queue     *serviceQueue
+	class     string
+	startedAt time.Time
+	// predictedService is the predicted time from startedAt to the end of the
+	// answer.
 	predictedService time.Duration
 	once             sync.Once
 	mu               sync.Mutex
-	held             snapshot.Work
+	// held is the granted work that hasn't been released.
+	held snapshot.Work
 }
 
-// FirstToken gives the room of the prompt back: its prefill is done.
+// FirstToken releases the prompt's share of the granted work, since its prefill
+// is done.
 func (g *Grant) FirstToken() {
 	g.mu.Lock()
 	w := snapshot.Work{PrefillTokens: g.held.PrefillTokens}
@@ -166,7 +189,7 @@
 	g.queue.release(w)
 }
 
-// Done gives the room back; calling it again has no effect.
+// Done releases the granted work; further calls have no effect.
 func (g *Grant) Done() {
 	g.once.Do(func() {
 		g.mu.Lock()
@@ -178,9 +201,9 @@
 	})
 }
 
-// Admit returns a grant once the request may run. It returns a *RefusedError as
-// soon as it is clear that it won't be answered in time, and ctx's error when
-// that ends first; in both cases the request did not run.
+// Admit waits until the request may run and returns a grant. It returns a
+// *RefusedError if the request is refused on arrival or in the queue, and ctx's
+// error if ctx ends first; in both cases the request did not run.
 func (a *Admitter) Admit(ctx context.Context, r Request) (*Grant, error) {
 	type outcome struct {
 		grant *Grant
@@ -200,9 +223,9 @@
 	}
 }
 
-// Submit asks for admission without waiting: decide is called exactly once, with
-// a grant or with a *RefusedError, before Submit returns or later from another
-// goroutine. It is not called after a successful Withdraw.
+// Submit submits a request without waiting for the decision. onDecided is called
+// exactly once, with a grant or with a *RefusedError, before Submit returns or
+// later from another goroutine. It is not called after a successful Cancel.
 func (a *Admitter) Submit(r Request, onDecided func(*Grant, error)) *Pending {
 	q := a.queueFor(r.Service)
 	if q == nil {
@@ -213,24 +236,25 @@
 	if w.lane != nil {
 		select {
 		case a.wake <- struct{}{}:
-		default: // it is signalled already
+		default: // already signalled
 		}
 	}
 	return &Pending{queue: q, waiter: w}
 }
 
-// Pending is a submitted request.
+// Pending is a submitted request that may still be waiting.
 type Pending struct {
 	queue  *serviceQueue
 	waiter *waiter
 }
 
-// Cancel takes a waiting request back; it is false when the decision came
-// first.
+// Cancel removes a waiting request from its queue. It returns false if the
+// request was already granted, refused or cancelled.
 func (p *Pending) Cancel() bool { return p.queue != nil && p.queue.cancel(p.waiter) }
 
-// queueFor returns the queue of a queueFor, or nil beyond Options.MaxServices: the
-// configuration names the services, so only a caller's invention is so many.
+// queueFor returns the queue of a service and creates it if needed. It returns nil
+// if that would exceed Options.MaxServices: the configuration names the services,
+// so a larger number can only come from names invented by callers.
 func (a *Admitter) queueFor(name string) *serviceQueue {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -243,8 +267,8 @@
 	return q
 }
 
-// Run calls Look every Options.Interval while requests wait, until ctx ends; then
-// it refuses those that still wait.
+// Run calls Tick every Options.Interval while requests wait, until ctx ends; then
+// it refuses those that still wait and all later ones, and returns ctx's error.
 func (a *Admitter) Run(ctx context.Context) error {
 	defer a.forEachQueue((*serviceQueue).stop)
 	for {
@@ -262,7 +286,7 @@
 	}
 }
 
-// anyQueued reports whether a request waits.
+// anyQueued reports whether any request waits.
 func (a *Admitter) anyQueued() bool {
 	found := false
 	a.forEachQueue(func(q *serviceQueue) {
@@ -273,10 +297,11 @@
 	return found
 }
 
-// Tick refuses waiting requests whose deadlines are out of reach by now and
-// starts others if room has appeared.
+// Tick updates the measured service rates, refuses waiting requests whose
+// deadlines are out of reach and starts others as far as the capacity allows.
 func (a *Admitter) Tick() { a.forEachQueue((*serviceQueue).tick) }
 
+// forEachQueue calls visit for every queue, without holding the lock.
 func (a *Admitter) forEachQueue(visit func(*serviceQueue)) {
 	a.mu.Lock()
 	queues := a.queueList
@@ -286,19 +311,23 @@
 	}
 }
 
-// QueueStats tells what waits and runs of one service.
+// QueueStats describes the waiting and the running requests of one service.
 type QueueStats struct {
 	Service string
+	// Waiting is the number of queued requests.
 	Waiting int
-	// WaitingCost is in prompt tokens.
+	// WaitingCost is their cost, in prompt tokens.
 	WaitingCost float64
+	// WaitingWork is their work.
 	WaitingWork snapshot.Work
-	Running     snapshot.Work
-	// PredictedWait is the predicted wait of a new request of an ordinary class.
+	// Running is the work granted and not released.
+	Running snapshot.Work
+	// PredictedWait is the predicted wait of a request that arrives now and is
+	// served after all waiting ones, in the lane where that takes longest.
 	PredictedWait time.Duration
 }
 
-// Stats returns the present state of every queue.
+// Stats returns the state of every queue.
 func (a *Admitter) Stats() []QueueStats {
 	var out []QueueStats
 	a.forEachQueue(func(q *serviceQueue) { out = append(out, q.stats()) })
--- a/coordination/admit/admit_test.go
+++ b/coordination/admit/admit_test.go
@@ -13,12 +13,13 @@
 	"github.com/thymerack/thymerack/coordination/snapshot"
 )
 
-// fixedCapacity is a Capacity that a test sets.
+// fixedCapacity is a CapacitySource with a capacity set by the test.
 type fixedCapacity struct{ capacity Capacity }
 
 func (c *fixedCapacity) Capacity(string) Capacity { return c.capacity }
 
-// capacityForOneRequest has room for one request; a token takes a millisecond.
+// capacityForOneRequest returns a source with capacity for one request at a time. A
+// token, prompt or output, takes a millisecond.
 func capacityForOneRequest() *fixedCapacity {
 	return &fixedCapacity{Capacity{
 		Runners: 1, Requests: 1, PrefillTokens: 1 << 20,
@@ -27,7 +28,8 @@
 	}}
 }
 
-// runAdmitter starts an admitter inside a bubble and ends it with the test function.
+// runAdmitter calls test with a running admitter inside a synctest bubble and stops
+// the admitter afterwards.
 func runAdmitter(t *testing.T, c CapacitySource, o Options, test func(ctx context.Context, a *Admitter)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -49,6 +51,8 @@
 	})
 }
 
+// newRequest returns a request of a number of prompt tokens; a zero deadline means
+// none.
 func newRequest(customer string, tokens int64, deadline time.Duration) Request {
 	r := Request{Service: "llm", Customer: customer, Class: "c", Cost: snapshot.Work{Requests: 1, PrefillTokens: tokens}}
 	if deadline > 0 {
@@ -90,15 +94,17 @@
 		_, err = a.Admit(ctx, newRequest("b", 1000, 5*time.Second))
 		var refused *RefusedError
 		is.True(errors.As(err, &refused))
-		// The work takes a second, so four seconds after its arrival nothing helps.
+		// The work takes a second, so the deadline is out of reach four seconds
+		// after the arrival.
 		waited := time.Since(start)
 		is.True(waited > 4*time.Second && waited <= 4*time.Second+2*a.options.Interval)
 		is.True(refused.RetryAfter > 0)
 	})
 }
 
-// TestReleasedCapacityIsReusedWithinOneSnapshot starts more requests one after another
-// than there is room for at a time, all on one measurement of the room.
+// TestReleasedCapacityIsReusedWithinOneSnapshot starts requests one after another
+// on a capacity for one request that is never recomputed. It fails if capacity
+// released since the computation isn't available again.
 func TestReleasedCapacityIsReusedWithinOneSnapshot(t *testing.T) {
 	is := is.New(t)
 	c := capacityForOneRequest()
--- a/coordination/admit/bwf2q.go
+++ b/coordination/admit/bwf2q.go
@@ -2,39 +2,42 @@
 
 import "container/heap"
 
-// Budgets of B-WF2Q+, in prompt tokens.
+// Bounds of the state kept by B-WF2Q+.
 const (
+	// minBudget and maxBudget bound the budget of a flow, in prompt tokens.
 	minBudget = 256
 	maxBudget = 16384
-	// maxIdleFlows bounds the flows without items whose virtual finish time is
-	// remembered.
+	// maxIdleFlows is the number of flows from which on those without items are
+	// pruned.
 	maxIdleFlows = 4096
 )
 
-// bwf2q is B-WF2Q+, the scheduler of Budget Fair Queueing (P. Valente and
-// M. Andreolini, SYSTOR 2012). Each flow has a budget of service. Of the
-// eligible flows (virtual start not after the virtual time) the one with the
-// earliest virtual finish is served until its budget or its queue is used up.
-// A flow that uses its budget up gets a larger one next, and one that empties
-// gets what it used: so short sporadic flows have early finish times and are
-// served soon, whatever the budgets of the others. The shares depend on the
-// weights only, not on the budgets.
+// bwf2q implements B-WF2Q+, the scheduler of Budget Fair Queueing (P. Valente and
+// M. Andreolini, SYSTOR 2012). Each flow has a budget of service. Of the eligible
+// flows (those whose virtual start is not after the virtual time) the one with the
+// earliest virtual finish is served until its budget is used up or it has no items
+// left. A flow that uses up its budget gets a larger one next; the next budget of
+// a flow that runs out of items is the service it used. So short sporadic flows
+// have early virtual finish times and are served soon, whatever the budgets of the
+// others. The flows' shares depend on their weights only, not on their budgets.
 //
-// Invariants: a flow with items is in exactly one of waiting, eligible or
-// current; a flow without items is in none of them.
+// Invariants: a flow with items is in exactly one of waiting and eligible, or is
+// current; a flow without items is none of these.
 type bwf2q struct {
 	totals
 	flows       map[string]*flow
-	virtualTime float64 // the virtual time
+	virtualTime float64 // in cost per weight
 	totalWeight float64 // of the flows with items
 	current     *flow   // the flow in service, with budget left
-	// pruneAt is the number of flows at which idle ones are forgotten.
+	// pruneAt is the number of flows at which idle ones are pruned next, if it is
+	// more than maxIdleFlows.
 	pruneAt int
-	// eligible is ordered by finish, waiting by start.
+	// eligible is ordered by virtual finish. waiting holds the flows whose virtual
+	// start is in the future, ordered by virtual start.
 	eligible, waiting flowHeap
 }
 
-// NewBWF2Q returns a B-WF2Q+ discipline.
+// NewBWF2Q returns a B-WF2Q+ discipline with the customers as flows.
 func NewBWF2Q() Discipline {
 	return &bwf2q{
 		flows:    map[string]*flow{},
@@ -61,7 +64,8 @@
 	d.activate(f, max(d.virtualTime, f.virtualFinish))
 }
 
-// activate queues a flow that has items, to start at the given virtual time.
+// activate adds a flow that has items to its heap, with the given virtual start. A
+// first item that exceeds the budget is served all the same and counts in full.
 func (d *bwf2q) activate(f *flow, start float64) {
 	f.served = 0
 	f.virtualStart = start
@@ -70,6 +74,7 @@
 	heap.Push(d.heapOf(f), f)
 }
 
+// heapOf returns the heap that holds a flow other than the current one.
 func (d *bwf2q) heapOf(f *flow) *flowHeap {
 	if f.eligible {
 		return &d.eligible
@@ -77,7 +82,8 @@
 	return &d.waiting
 }
 
-// nextFlow returns the flow to serve.
+// nextFlow returns the flow to serve, or nil. If no flow is eligible, it advances
+// the virtual time to the earliest virtual start.
 func (d *bwf2q) nextFlow() *flow {
 	if d.current != nil {
 		return d.current
@@ -122,8 +128,8 @@
 	return it
 }
 
-// endServiceIfExhausted ends the service of the current flow once its queue or its budget is
-// used up.
+// endServiceIfExhausted ends the service of the current flow if it has no items
+// left or its budget doesn't cover the next one.
 func (d *bwf2q) endServiceIfExhausted(f *flow) {
 	if f.count > 0 && f.served+f.head.Cost <= f.budget {
 		return
@@ -157,9 +163,10 @@
 	}
 }
 
-// pruneIdle drops flows without items once there are many of them: those whose
-// virtual finish has passed lose nothing by it. It looks again when there are
-// twice as many as it left, so that a push costs little on average.
+// pruneIdle removes flows without items once there are many. Only flows whose
+// virtual finish has passed are removed, since a new flow would start at the same
+// virtual time. The next pruning happens at twice the flows left, so that the cost
+// per push is amortised.
 func (d *bwf2q) pruneIdle() {
 	if len(d.flows) < max(maxIdleFlows, d.pruneAt) {
 		return
@@ -214,7 +221,7 @@
 	return heaviest.tail
 }
 
-// flowHeap is a heap of flows by key, for container/heap.
+// flowHeap is a min-heap of flows by key, for container/heap.
 type flowHeap struct {
 	flows []*flow
 	key   func(*flow) float64
@@ -223,7 +230,8 @@
 // Len implements heap.Interface.
 func (h *flowHeap) Len() int { return len(h.flows) }
 
-// Less implements heap.Interface; equal keys go by name, so that runs repeat.
+// Less implements heap.Interface. Equal keys are ordered by name, so that runs are
+// reproducible.
 func (h *flowHeap) Less(i, j int) bool {
 	a, b := h.flows[i], h.flows[j]
 	if ka, kb := h.key(a), h.key(b); ka != kb {
--- a/coordination/admit/capacity.go
+++ b/coordination/admit/capacity.go
@@ -9,100 +9,117 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Capacity is how much work a host may have in flight for a service, and how fast
-// that work goes.
+// Capacity is the work that this host may have in flight for a service, and the
+// speed at which it is served.
 type Capacity struct {
 	// Runners is the number of runners that take work.
 	Runners int
-	// Requests and PrefillTokens are the host's part of what the fleet is to have
-	// in flight: it may always have so much.
+	// Requests and PrefillTokens are the host's share of the work that the fleet
+	// is to have in flight. The host may always have this much in flight.
 	Requests, PrefillTokens int64
-	// FreeRequests and FreePrefillTokens are its part of what nobody has taken:
-	// it may take so much beyond.
+	// FreeRequests and FreePrefillTokens are the host's share of the unused part
+	// of that work. The host may start this much beyond its own share until the
+	// capacity is recomputed.
 	FreeRequests, FreePrefillTokens int64
-	// InFlight is what the host had in flight when these figures were taken, as
-	// counted at the runners; prompts can turn out dearer there than forecast.
+	// InFlight is the work that the host had in flight when the capacity was
+	// computed, as counted at the runners. It can exceed the granted work, since
+	// prompts can need more prefill there than predicted.
 	InFlight snapshot.Work
-	// Seq changes whenever the figures are taken anew; zero when they never are.
+	// Seq increases whenever the capacity is recomputed; zero if it is fixed.
 	Seq uint64
 	// PrefillPerSecond and DecodePerSecond are this host's share of the fleet's
-	// speed in tokens; for a plain service PrefillPerSecond is in requests and
-	// zero when unknown.
+	// speed, in tokens per second. For a service that isn't an engine,
+	// PrefillPerSecond is in requests per second, or zero if unknown.
 	PrefillPerSecond, DecodePerSecond float64
-	// EnginePrefillPerSecond is the speed of one engine.
+	// EnginePrefillPerSecond is the mean prefill speed of one engine, in tokens per
+	// second.
 	EnginePrefillPerSecond float64
-	// TokenInterval is the time between the tokens of one answer, at the engine
-	// where it is shortest.
+	// TokenInterval is the time between the tokens of an answer at the engine
+	// where it is shortest; engines with a free batch slot go before others.
 	TokenInterval time.Duration
-	// FirstTokenWait is the least backlog that a started request finds at an
-	// engine. Urgent ones go before it.
+	// FirstTokenWait is the shortest time, over all engines, in which an engine
+	// prefills its backlog. Started requests wait for it, unless they are urgent.
 	FirstTokenWait time.Duration
 }
 
-// CapacitySource tells the room for a service. It must not block.
+// CapacitySource provides the capacity for a service.
 type CapacitySource interface {
+	// Capacity returns the present capacity for a service; zero if the service
+	// has no runners. It must not block.
 	Capacity(service string) Capacity
 }
 
-// Speeds assumed of an engine that never reported.
+// Speeds assumed for an engine that hasn't reported any.
 const (
+	// defaultPrefillPerSecond is in prompt tokens per second.
 	defaultPrefillPerSecond = 8000
-	defaultStep             = 25 * time.Millisecond
+	// defaultStep is the duration of a decode step, which yields one token for
+	// each request of the batch.
+	defaultStep = 25 * time.Millisecond
 )
 
-// Speeds tells what an engine does in its present role.
+// Speeds provides the speeds of an engine in its present role.
 type Speeds interface {
-	// SpeedsAt returns prompt tokens a second and the engine's own time between
-	// tokens in a batch of that size.
+	// SpeedsAt returns the prompt tokens per second of an engine and the duration
+	// of its decode step with a batch of the given size.
 	SpeedsAt(engine string, batch int) (prefillPerSecond float64, step time.Duration)
-	// TokenInterval is the time between tokens as callers see it.
+	// TokenInterval returns the time between tokens that callers observe with a
+	// batch of the given size.
 	TokenInterval(engine string, batch int) time.Duration
 }
 
-// FleetCapacityOptions configure a Fleet. Zero values stand for the defaults.
+// FleetCapacityOptions configures a FleetCapacity. Zero values mean the defaults.
 type FleetCapacityOptions struct {
 	// Clock, View and Hosts are required. Hosts is the number of hosts that
 	// share the fleet, this one included.
 	Clock state.Clock
 	View  func() *snapshot.View
 	Hosts func() int
-	// Speeds tells what engines do; nil takes their reports. A route.Router
-	// knows them.
+	// Speeds provides the speeds of the engines; route.Router implements it. If
+	// nil, the speeds are those that the engines report.
 	Speeds Speeds
-	// Batch is how many requests an engine is to have at a time; default 32.
+	// Batch is the target number of requests in flight per engine; default 32.
 	Batch int
-	// ServiceConcurrency is the same for a runner of a plain service; default 64.
+	// ServiceConcurrency is the target number of requests in flight per runner of
+	// a service that isn't an engine; default 64.
 	ServiceConcurrency int
-	// PrefillBacklog is the prefill backlog that a mixed engine is to have; default
-	// 1 s. One of the prefill role, where it holds up no decoding, is to have
-	// PrefillRoleBacklog; default 2 s.
+	// PrefillBacklog is the target prefill backlog of an engine, as the time to
+	// compute it; default 1 s. PrefillRoleBacklog is that of an engine of the
+	// prefill role, where a backlog delays no decoding; default 2 s.
 	PrefillBacklog, PrefillRoleBacklog time.Duration
-	// MaxAge is how long figures of an older view are used; default 20 ms.
+	// MaxAge is how long a computed capacity is used if the view stays the same;
+	// default 20 ms.
 	MaxAge time.Duration
 }
 
-// FleetCapacity is a Capacity over the views of a host. A host may use an equal part of
-// the fleet and beyond that an equal part of what nobody uses: so the fleet is
-// used up when the callers come to few hosts, and hosts that see the same free
-// room don't all take it.
+// FleetCapacity is a CapacitySource that computes a host's share from its views of
+// the fleet. Each host may use an equal share of the fleet's capacity and, beyond
+// that, an equal share of its unused capacity. So the whole fleet can be used even
+// if the callers use few hosts, and hosts that see the same unused capacity don't
+// all take it.
 type FleetCapacity struct {
 	options FleetCapacityOptions
 
-	mu      sync.Mutex
-	cache   map[string]cachedCapacity
+	mu sync.Mutex
+	// cache holds the capacities by service.
+	cache map[string]cachedCapacity
+	// lastSeq is the Seq of the capacity computed last.
 	lastSeq uint64
 }
 
+// cachedCapacity is a capacity with the number of the view that it was computed
+// from and the time.
 type cachedCapacity struct {
 	viewSeq    uint64
 	computedAt time.Time
 	capacity   Capacity
 }
 
-// NewFleetCapacity returns a fleet, or an error that names the wrong option.
+// NewFleetCapacity returns a FleetCapacity, or an error that names the missing
+// options.
 func NewFleetCapacity(o FleetCapacityOptions) (*FleetCapacity, error) {
 	if o.Clock == nil || o.View == nil || o.Hosts == nil {
-		return nil, fmt.Errorf("admit: FleetOptions.Clock, View or Hosts is nil; pass all three")
+		return nil, fmt.Errorf("admit: FleetCapacityOptions.Clock, View or Hosts is nil; pass all three")
 	}
 	if o.Batch == 0 {
 		o.Batch = 32
@@ -122,7 +139,7 @@
 	return &FleetCapacity{options: o, cache: map[string]cachedCapacity{}}, nil
 }
 
-// Capacity implements Capacity.
+// Capacity implements CapacitySource.
 func (f *FleetCapacity) Capacity(service string) Capacity {
 	v := f.options.View()
 	now := f.options.Clock.Now()
@@ -143,17 +160,20 @@
 	return cached.capacity
 }
 
-// fleetTotals are the figures of a fleet added up.
+// fleetTotals aggregates the runners of one service.
 type fleetTotals struct {
+	// Numbers of the runners that take work: all, engines that prefill, engines
+	// that decode, and runners that aren't engines.
 	runners, prefillers, decoders, serviceRunners int
-	prefillPerSecond, decodePerSecond             float64 // tokens per second
-	prefillTokens                                 float64 // tokens that may be waiting
-	tokenInterval                                 float64 // seconds, the least with room
-	freeSlot                                      bool    // interval is of an engine with room
-	own, peers                                    snapshot.Work
-	firstTokenWait                                float64 // seconds, the least
+	prefillPerSecond, decodePerSecond             float64       // tokens per second
+	prefillTokens                                 float64       // target backlog of prompt tokens
+	tokenInterval                                 float64       // seconds; see Capacity.TokenInterval
+	freeSlot                                      bool          // the engine of tokenInterval has a free batch slot
+	own, peers                                    snapshot.Work // in flight, of all runners
+	firstTokenWait                                float64       // seconds; see Capacity.FirstTokenWait
 }
 
+// compute returns this host's capacity over the runners of a service.
 func (f *FleetCapacity) compute(runners []*snapshot.Runner) Capacity {
 	var s fleetTotals
 	for _, r := range runners {
@@ -167,6 +187,7 @@
 	return f.hostShare(&s)
 }
 
+// addRunner adds a runner that takes work to the totals.
 func (f *FleetCapacity) addRunner(s *fleetTotals, r *snapshot.Runner) {
 	s.runners++
 	if r.Kind == state.KindService {
@@ -190,15 +211,15 @@
 	}
 }
 
-// addTokenInterval takes in an engine's time between tokens; engines with room in
-// their batch go before others.
+// addTokenInterval updates the shortest token interval, in seconds. Engines with a
+// free batch slot go before others.
 func (s *fleetTotals) addTokenInterval(interval float64, freeSlot bool) {
 	if s.tokenInterval == 0 || freeSlot && !s.freeSlot || freeSlot == s.freeSlot && interval < s.tokenInterval {
 		s.tokenInterval, s.freeSlot = interval, freeSlot
 	}
 }
 
-// prefillBacklog is the prefill backlog that an engine is to have.
+// prefillBacklog returns the target prefill backlog of an engine of a role.
 func (f *FleetCapacity) prefillBacklog(role state.Role) time.Duration {
 	if role == state.RolePrefill {
 		return f.options.PrefillRoleBacklog
@@ -206,8 +227,9 @@
 	return f.options.PrefillBacklog
 }
 
-// speeds returns an engine's prompt tokens a second and its seconds between
-// tokens in a full batch and in the present one.
+// speeds returns an engine's prompt tokens per second, the duration of its decode
+// step with a full batch, and the time between tokens that one more request would
+// have now, both in seconds.
 func (f *FleetCapacity) speeds(r *snapshot.Runner) (prefill, fullStep, currentStep float64) {
 	if f.options.Speeds != nil {
 		rate, step := f.options.Speeds.SpeedsAt(r.Name, f.options.Batch)
@@ -225,7 +247,7 @@
 	return prefill, currentStep, currentStep
 }
 
-// hostShare turns the fleet's figures into this host's.
+// hostShare returns this host's share of the fleet's totals.
 func (f *FleetCapacity) hostShare(s *fleetTotals) Capacity {
 	n := int64(max(1, f.options.Hosts()))
 	hosts := float64(n)
--- a/coordination/admit/capacity_test.go
+++ b/coordination/admit/capacity_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// keeperWithRoles returns a keeper with engines of the given roles, each of 1000 prompt
-// tokens a second and 10 ms between tokens.
+// keeperWithRoles returns a keeper with one engine of each given role. Each engine
+// reports 1000 prompt tokens per second and decode steps of 10 ms.
 func keeperWithRoles(roles ...state.Role) *snapshot.Keeper {
 	k := snapshot.NewKeeper()
 	var list []state.Listed
@@ -29,6 +29,8 @@
 	return k
 }
 
+// newFleetCapacity returns a FleetCapacity that shares the fleet among a number of
+// hosts.
 func newFleetCapacity(t *testing.T, k *snapshot.Keeper, hosts int) *FleetCapacity {
 	t.Helper()
 	f, err := NewFleetCapacity(FleetCapacityOptions{
@@ -47,8 +49,8 @@
 	capacity := newFleetCapacity(t, k, 2).Capacity("llm")
 	is.Equal(capacity.Runners, 4)
 	is.Equal(capacity.Requests, int64(3*10/2))        // three engines decode
-	is.Equal(capacity.PrefillTokens, int64(4*1000/2)) // one of prefill for two seconds, two mixed
-	is.Equal(capacity.PrefillPerSecond, 3*1000/2.0)   // of each second
+	is.Equal(capacity.PrefillTokens, int64(4*1000/2)) // 2 s of the prefill engine, 1 s of each mixed one
+	is.Equal(capacity.PrefillPerSecond, 3*1000/2.0)   // three engines prefill
 	is.Equal(capacity.DecodePerSecond, 3*10/0.01/2.0) // in full batches
 	is.Equal(capacity.TokenInterval, 10*time.Millisecond)
 }
@@ -74,6 +76,6 @@
 	is.Equal(capacity.Requests, int64(10))
 	is.Equal(capacity.FreeRequests, int64(20-12)/2)
 	is.Equal(capacity.PrefillTokens, int64(1000))
-	is.Equal(capacity.FreePrefillTokens, int64(0)) // the peers have more than there is
+	is.Equal(capacity.FreePrefillTokens, int64(0)) // the peers exceed the target
 	is.Equal(capacity.InFlight, snapshot.Work{Requests: 4, PrefillTokens: 600})
 }
--- a/coordination/admit/discipline.go
+++ b/coordination/admit/discipline.go
@@ -2,24 +2,25 @@
 
 // Item is one waiting request in a Discipline.
 type Item struct {
-	// Flow is the customer that it is charged to.
+	// Flow is the customer that the request is charged to.
 	Flow string
-	// Weight is the flow's share; it is positive.
+	// Weight is the flow's relative share; it is positive.
 	Weight float64
-	// Cost is the service that the item needs, in prompt tokens.
+	// Cost is the work of the request, in prompt tokens.
 	Cost float64
 	// Resubmitted items go before the others of their flow: they were refused
-	// before and came back when they were told to.
+	// before and sent again after their retry time.
 	Resubmitted bool
 
 	waiter *waiter
-	next   *Item
-	prev   *Item
-	flow   *flow
+	// next, prev and flow link the item into the list of its flow.
+	next *Item
+	prev *Item
+	flow *flow
 }
 
-// Discipline is the order in which the waiting requests of one service are
-// served. It is not safe for concurrent use.
+// Discipline is a queue of requests that defines the order in which they are
+// served. Costs are in prompt tokens. It is not safe for concurrent use.
 type Discipline interface {
 	// Push adds an item.
 	Push(it *Item)
@@ -27,29 +28,32 @@
 	Peek() *Item
 	// Pop removes and returns the next item, or nil.
 	Pop() *Item
-	// Remove takes out an item that won't be served.
+	// Remove removes a queued item that won't be served.
 	Remove(it *Item)
-	// Len is the number of items.
+	// Len returns the number of items.
 	Len() int
-	// TotalCost is the sum of the items' costs.
+	// TotalCost returns the sum of the items' costs.
 	TotalCost() float64
-	// QueuedCost is the sum of the costs of one flow's items.
+	// QueuedCost returns the sum of the costs of one flow's items.
 	QueuedCost(flow string) float64
-	// TotalWeight is the sum of the weights of the flows with items.
+	// TotalWeight returns the sum of the weights of the flows with items.
 	TotalWeight() float64
-	// CostAhead estimates the cost served before a new item of the flow.
+	// CostAhead estimates the cost that would be served before a new item of the
+	// flow with the given weight.
 	CostAhead(flow string, weight float64, resubmitted bool) float64
-	// Sweep visits the items, each flow's in their order, with the cost that is
-	// estimated to be served before each; it removes and returns those for which
-	// keep is false, and doesn't count them as ahead of others in the flow.
+	// Sweep calls keep for each item, in order within a flow, with the cost that
+	// is estimated to be served before it. It removes and returns the items for
+	// which keep returns false; their costs don't count for later items of the
+	// flow.
 	Sweep(keep func(it *Item, ahead float64) bool) []*Item
-	// EvictionCandidate returns the newest item of the flow with the largest cost per weight,
-	// the one to push out of a full queue, or nil.
+	// EvictionCandidate returns the item to evict from a full queue: the newest of
+	// the flow with the largest queued cost per weight, or of all items in FIFO.
+	// It returns nil if the queue is empty.
 	EvictionCandidate() *Item
 }
 
-// flow is the queue of one customer. The fields after the list belong to the
-// discipline.
+// flow is the list of the items of one customer, resubmitted ones first, with the
+// scheduling state that the disciplines keep for each customer.
 type flow struct {
 	name   string
 	weight float64
@@ -57,21 +61,25 @@
 	tail   *Item
 	count  int
 	cost   float64
-	// lastResubmitted is the last of the lastResubmitted items, which come first, and
-	// returningCost the sum of their costs.
+	// lastResubmitted is the last of the resubmitted items, which come first, and
+	// resubmittedCost the sum of their costs.
 	lastResubmitted *Item
 	resubmittedCost float64
 
-	// deficit is DRR's credit.
+	// deficit is the credit in deficit round robin, in prompt tokens.
 	deficit float64
 
-	// virtualStart, virtualFinish, budget and served belong to B-WF2Q+.
+	// The following fields belong to B-WF2Q+. virtualStart and virtualFinish are
+	// in units of cost per weight, budget and served in prompt tokens; served is
+	// the part of the budget used since the flow was activated. eligible tells
+	// which heap the flow is in, and heapIndex its index there.
 	virtualStart, virtualFinish float64
 	budget, served              float64
 	heapIndex                   int
 	eligible                    bool
 }
 
+// push adds an item after the resubmitted items if it is one, else at the end.
 func (f *flow) push(it *Item) {
 	after := f.tail
 	if it.Resubmitted {
@@ -85,7 +93,7 @@
 	f.weight = it.Weight
 }
 
-// insert links an item in after another, or as the first after nil.
+// insert links an item after another one, or as the first if after is nil.
 func (f *flow) insert(it, after *Item) {
 	it.flow, it.prev = f, after
 	if after == nil {
@@ -102,11 +110,12 @@
 	}
 }
 
+// remove unlinks an item.
 func (f *flow) remove(it *Item) {
 	if it.Resubmitted {
 		f.resubmittedCost -= it.Cost
 		if f.lastResubmitted == it {
-			f.lastResubmitted = it.prev // returning items come first
+			f.lastResubmitted = it.prev // resubmitted too, or nil
 		}
 	}
 	if it.prev == nil {
@@ -123,11 +132,11 @@
 	f.count--
 	f.cost -= it.Cost
 	if f.count == 0 {
-		f.cost, f.resubmittedCost = 0, 0 // drops what rounding left
+		f.cost, f.resubmittedCost = 0, 0 // discards rounding errors
 	}
 }
 
-// costAhead is the cost of the flow's items that go costAhead a new one.
+// costAhead returns the cost of the flow's items that go before a new one.
 func (f *flow) costAhead(resubmitted bool) float64 {
 	if resubmitted {
 		return f.resubmittedCost
@@ -135,7 +144,7 @@
 	return f.cost
 }
 
-// totals are the sums over all items of a discipline.
+// totals holds the number and the cost of all items of a discipline.
 type totals struct {
 	count int
 	cost  float64
@@ -154,19 +163,22 @@
 	}
 }
 
-// Len is the number of items.
+// Len implements Discipline.
 func (t *totals) Len() int { return t.count }
 
-// TotalCost is the sum of the items' costs.
+// TotalCost implements Discipline.
 func (t *totals) TotalCost() float64 { return t.cost }
 
-// fairCostAhead estimates the cost served before the next item of a flow that has
-// own cost queued, when backlogged flows of the given weights share by weight.
+// fairCostAhead estimates the cost served before the next item of a flow with
+// ownCost queued, if backlogged flows of the given total weight and cost share by
+// weight: while the flow is served ownCost, all flows together are served
+// ownCost*totalWeight/weight, or totalCost if that is less.
 func fairCostAhead(ownCost, weight, totalWeight, totalCost float64) float64 {
 	return min(totalCost, ownCost*max(totalWeight, weight)/weight)
 }
 
-// sweepFlow is Sweep for one flow of a fair discipline.
+// sweepFlow does the visits of Discipline.Sweep for one flow of a fair discipline
+// and returns the items to remove.
 func sweepFlow(f *flow, totalWeight, totalCost float64, keep func(*Item, float64) bool) []*Item {
 	var removed []*Item
 	var ownCost float64
@@ -180,6 +192,7 @@
 	return removed
 }
 
+// queuedCost returns the cost of the items of a flow, zero if f is nil.
 func queuedCost(f *flow) float64 {
 	if f == nil {
 		return 0
@@ -187,7 +200,7 @@
 	return f.cost
 }
 
-// heavier returns the flow with the larger cost per weight.
+// heavier returns the flow with the larger cost per weight; a or b may be nil.
 func heavier(a, b *flow) *flow {
 	if a == nil || b != nil && b.cost/b.weight > a.cost/a.weight {
 		return b
--- a/coordination/admit/doc.go
+++ b/coordination/admit/doc.go
@@ -1,9 +1,15 @@
-// Package admit decides which requests a host starts, in which order, and which
-// it refuses at once.
+// Package admit implements admission control: it decides which requests a host
+// starts, in which order, and which it refuses.
 //
-// A request is started while the host's share of the fleet has room for it.
-// Else it waits in a bounded queue of its service: customers share by weight in
-// tokens, and urgent classes go first within a bound. A request whose predicted
-// finish is past its deadline is refused when it comes, or in the queue as soon
-// as its deadline can't be met any more, and told when to come back.
+// An Admitter starts a request while the host's share of the fleet's capacity
+// allows it. Otherwise the request waits in the bounded queue of its service, in
+// which customers share by weight, measured in tokens, and urgent requests go
+// first up to a bounded share. A request whose predicted finish is after its
+// deadline is refused on arrival; a queued one is refused as soon as its deadline
+// is out of reach. A refusal carries the time after which to send the request
+// again.
+//
+// Costs are in prompt tokens: the work of a request expressed as the number of
+// prompt tokens whose prefill takes as long. A request without tokens, such as a
+// call of a service that isn't an engine, costs 1.
 package admit
--- a/coordination/admit/drr.go
+++ b/coordination/admit/drr.go
@@ -1,19 +1,20 @@
 package admit
 
-// drrQuantum is the credit that a flow of weight 1 gets in each round, in
-// prompt tokens.
+// drrQuantum is the credit, in prompt tokens, that a flow of weight 1 gets in each
+// round.
 const drrQuantum = 1024
 
-// drr is deficit round robin: each round gives every backlogged flow a credit
-// in proportion to its weight, which its items use up.
+// drr implements deficit round robin (M. Shreedhar and G. Varghese, SIGCOMM 1995):
+// each round gives every backlogged flow a credit in proportion to its weight,
+// and serving an item takes its cost from the credit.
 type drr struct {
 	totals
 	flows       map[string]*flow
-	ring        []*flow // backlogged flows; ring[0] has its turn
+	ring        []*flow // backlogged flows; ring[0] is served next
 	totalWeight float64
 }
 
-// NewDRR returns a deficit round robin discipline.
+// NewDRR returns a deficit round robin discipline with the customers as flows.
 func NewDRR() Discipline { return &drr{flows: map[string]*flow{}} }
 
 func (d *drr) Push(it *Item) {
@@ -29,7 +30,8 @@
 	d.add(it)
 }
 
-// Peek gives out credit until the flow whose turn it is can pay for its head.
+// Peek adds credit, flow by flow, until the first flow has enough for its first
+// item, which it returns.
 func (d *drr) Peek() *Item {
 	if len(d.ring) == 0 {
 		return nil
@@ -44,7 +46,7 @@
 	return d.ring[0].head
 }
 
-// rotate moves the first flow to the end.
+// rotate moves the first flow to the end of the ring.
 func (d *drr) rotate() {
 	f := d.ring[0]
 	copy(d.ring, d.ring[1:])
@@ -74,7 +76,7 @@
 	}
 }
 
-// removeFlow drops a flow that has no items, and with it its credit.
+// removeFlow removes a flow that has no items, and its credit.
 func (d *drr) removeFlow(f *flow) {
 	delete(d.flows, f.name)
 	d.totalWeight -= f.weight
--- a/coordination/admit/fifo.go
+++ b/coordination/admit/fifo.go
@@ -1,12 +1,14 @@
 package admit
 
-// fifo serves in order of arrival, whoever asks.
+// fifo serves items in order of arrival, regardless of their flows. Resubmitted
+// items go first.
 type fifo struct {
 	totals
 	queue flow
 }
 
-// NewFIFO returns a discipline that serves in order of arrival.
+// NewFIFO returns a discipline that serves items in order of arrival, resubmitted
+// ones first, without sharing between customers.
 func NewFIFO() Discipline { return &fifo{} }
 
 func (d *fifo) Push(it *Item) {
@@ -39,7 +41,7 @@
 	return sum
 }
 
-// TotalWeight is 1: there is one queue for all.
+// TotalWeight returns 1, since all customers share one queue.
 func (d *fifo) TotalWeight() float64 { return 1 }
 
 func (d *fifo) CostAhead(_ string, _ float64, resubmitted bool) float64 {
--- a/coordination/admit/forecast.go
+++ b/coordination/admit/forecast.go
@@ -6,22 +6,25 @@
 	"github.com/thymerack/thymerack/coordination/snapshot"
 )
 
-// noCapacityRetryAfter is told while no runner takes work.
+// noCapacityRetryAfter is the retry time given while no runner takes work.
 const noCapacityRetryAfter = 2 * time.Second
 
-// forecast is the predicted course of one request.
+// forecast is the predicted timing of one request.
 type forecast struct {
-	// wait is the time in the queue.
+	// wait is the predicted time in the queue.
 	wait time.Duration
-	// service is the time from the start to the end of the answer.
+	// service is the predicted time from the start of the request to the end of the
+	// answer.
 	service time.Duration
 }
 
+// late reports whether the predicted finish is after the deadline.
 func (f forecast) late(deadline, now time.Time) bool {
 	return !deadline.IsZero() && now.Add(f.wait+f.service).After(deadline)
 }
 
-// slack is how long the request could wait and still be in time.
+// slack returns how long the request can wait and still meet its deadline; zero if
+// it has no deadline.
 func (f forecast) slack(deadline, now time.Time) time.Duration {
 	if deadline.IsZero() {
 		return 0
@@ -29,8 +32,8 @@
 	return max(0, deadline.Sub(now)-f.service)
 }
 
-// waitExceeds reports whether the wait takes more than the given share of the time
-// to spare.
+// waitExceeds reports whether the predicted wait is more than the given share of
+// the slack, or the deadline can't be met even without a wait.
 func (f forecast) waitExceeds(deadline, now time.Time, share float64) bool {
 	if deadline.IsZero() {
 		return false
@@ -39,6 +42,8 @@
 	return slack < 0 || float64(f.wait) > share*float64(slack)
 }
 
+// predict returns the forecast for a request with the given wait. The service time
+// is that of a long answer, corrected by the service ratio of the class.
 func (q *serviceQueue) predict(r *Request, capacity *Capacity, now time.Time, wait time.Duration) forecast {
 	service := capacity.predictService(r, max(r.LongOutput, r.Cost.DecodeTokens))
 	if ratio, ok := q.serviceRatios[r.Class]; ok {
@@ -47,8 +52,9 @@
 	return forecast{wait: wait, service: service}
 }
 
-// predictService is the predicted time from the start of a request to the end of an
-// answer of that many tokens.
+// predictService returns the predicted time from the start of a request to the end
+// of an answer of the given number of tokens. Urgent requests don't wait for the
+// backlog of an engine.
 func (c *Capacity) predictService(r *Request, output int64) time.Duration {
 	d := time.Duration(output) * c.TokenInterval
 	if !r.Urgent {
@@ -60,29 +66,34 @@
 	return d
 }
 
-// Weights and bounds of the ratio of actual to forecast time of service.
+// Parameters of the service ratios.
 const (
-	ratioWeight        = 0.05
+	// ratioWeight is the weight of a new answer in the moving average.
+	ratioWeight = 0.05
+	// minRatio and maxRatio bound a ratio.
 	minRatio, maxRatio = 0.5, 4
-	maxRatioClasses    = 256
-	// ratioHalfLife is the age at which half of what was learnt is left.
+	// maxRatioClasses bounds the classes that a ratio is kept for.
+	maxRatioClasses = 256
+	// ratioHalfLife is the age at which half of a ratio's deviation from 1 is left.
 	ratioHalfLife = 2 * time.Second
 )
 
-// serviceRatio is the ratio of the actual to the forecast time of service of a class.
+// serviceRatio is the moving average of the ratio of the actual to the predicted
+// service time of a class.
 type serviceRatio struct {
 	ratio     float64
 	updatedAt time.Time
 }
 
-// valueAt is the ratio as far as it still holds. Without new answers it goes back to
-// 1: a class that was refused for its ratio would never show a better one.
+// valueAt returns the ratio at a time. Without new answers it decays towards 1:
+// otherwise a class whose requests are all refused because of its ratio would get
+// no answers that could correct the ratio.
 func (r serviceRatio) valueAt(now time.Time) float64 {
 	age := max(0, now.Sub(r.updatedAt)).Seconds() / ratioHalfLife.Seconds()
 	return 1 + (r.ratio-1)/(1+age)
 }
 
-// recordServiceTime learns from the actual time of service.
+// recordServiceTime updates the service ratio of the class by a finished request.
 func (q *serviceQueue) recordServiceTime(g *Grant) {
 	if g.predictedService <= 0 {
 		return
@@ -102,19 +113,22 @@
 	q.serviceRatios[g.class] = serviceRatio{min(max(previous+ratioWeight*(ratio-previous), minRatio), maxRatio), now}
 }
 
-// cost is the work in prompt tokens.
+// cost returns the work in prompt tokens. An output token costs as many prompt
+// tokens as the fleet prefills in the time of decoding it; decodeFactor is used
+// while the speeds are unknown.
 func (c *Capacity) cost(w snapshot.Work, decodeFactor float64) float64 {
 	if c.PrefillPerSecond > 0 && c.DecodePerSecond > 0 {
 		decodeFactor = c.PrefillPerSecond / c.DecodePerSecond
 	}
 	total := float64(w.PrefillTokens) + float64(w.DecodeTokens)*decodeFactor
 	if total == 0 {
-		return float64(w.Requests) // a plain service
+		return float64(w.Requests) // a service that isn't an engine
 	}
 	return total
 }
 
-// timeToServe is how long this host's share of the fleet takes for a cost.
+// timeToServe returns the time in which this host's share of the fleet serves a
+// cost; zero if the speed is unknown.
 func (c *Capacity) timeToServe(cost float64) time.Duration {
 	if c.PrefillPerSecond <= 0 {
 		return 0
@@ -122,4 +136,5 @@
 	return seconds(cost / c.PrefillPerSecond)
 }
 
+// seconds converts seconds to a duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/coordination/admit/lane.go
+++ b/coordination/admit/lane.go
@@ -5,22 +5,25 @@
 	"time"
 )
 
-// laneKind tells the waiting requests of a service apart by what they wait for.
+// laneKind says which requests of a service wait in a lane.
 type laneKind int
 
-// The numLanes. Requests of urgent classes go first. Others wait for the resource
-// that they need most, so that work for a busy one doesn't keep work for a free
-// one waiting.
+// Kinds of lanes. Requests that aren't urgent are divided by the resource that they
+// need most, prefill or decode, so that requests for a busy resource don't block
+// requests for a free one.
 const (
+	// laneUrgent holds urgent requests, whatever they need.
 	laneUrgent laneKind = iota
-	// lanePrefill holds requests that are mostly prefill.
+	// lanePrefill holds requests that take longer to prefill than to decode.
 	lanePrefill
-	// laneDecode holds requests that are mostly decode, and calls of plain
-	// services.
+	// laneDecode holds the other requests, among them those of services that
+	// aren't engines.
 	laneDecode
+	// numLanes is the number of kinds.
 	numLanes
 )
 
+// laneKindFor returns the kind of the lane that a request waits in.
 func laneKindFor(r *Request, capacity *Capacity) laneKind {
 	switch {
 	case r.Urgent:
@@ -32,29 +35,34 @@
 	}
 }
 
-// The pace of a lane is measured while it is never empty.
+// Parameters of the service rate of a lane, which is measured while the lane is
+// backlogged.
 const (
-	// rateTimeConstant is how long a measured rate counts.
+	// rateTimeConstant is the time constant of the exponential moving average.
 	rateTimeConstant = 2 * time.Second
-	// The measured rate is kept within these shares of the one expected from
-	// the fleet's speed.
+	// minRateFactor and maxRateFactor bound the measured rate, relative to the
+	// rate that the host's share of the fleet is expected to have.
 	minRateFactor, maxRateFactor = 0.1, 2
 )
 
-// lane is the queue of one kind with the rate at which it is served.
+// lane is the queue of the requests of one kind, with the measured rate at which it
+// is served.
 type lane struct {
 	Discipline
 	kind laneKind
-	// rate is the measured cost started per second; it is of use only while the
-	// lane isn't empty.
+	// rate is the measured cost started per second, in prompt tokens; it is valid
+	// only while the lane isn't empty.
 	rate float64
-	// startedCost is the cost startedCost since the last look; whole is true if the
-	// lane hasn't been empty since then.
-	startedCost  float64
-	backlogged   bool
+	// startedCost is the cost started since the last tick.
+	startedCost float64
+	// backlogged reports whether the lane has never been empty since the last
+	// tick.
+	backlogged bool
+	// reservations holds the refused requests that are expected again.
 	reservations reservations
 }
 
+// push adds an item. A lane that was empty starts with the expected rate.
 func (l *lane) push(it *Item, capacity *Capacity) {
 	if l.Len() == 0 {
 		l.rate = capacity.PrefillPerSecond
@@ -63,13 +71,14 @@
 	l.Push(it)
 }
 
+// pop removes the next item and counts its cost as started.
 func (l *lane) pop() *Item {
 	it := l.Pop()
 	l.startedCost += it.Cost
 	return it
 }
 
-// updateRate takes in what was started since the last look.
+// updateRate updates the rate by the cost started since the last tick, elapsed ago.
 func (l *lane) updateRate(elapsed time.Duration, capacity *Capacity) {
 	if l.backlogged && l.Len() > 0 && elapsed > 0 {
 		weight := 1 - math.Exp(-elapsed.Seconds()/rateTimeConstant.Seconds())
@@ -80,7 +89,7 @@
 	l.backlogged = l.Len() > 0
 }
 
-// timeToServe is how long the lane takes to serve a cost.
+// timeToServe returns the predicted time in which the lane serves a cost.
 func (l *lane) timeToServe(cost float64, capacity *Capacity) time.Duration {
 	if l.Len() == 0 || l.rate <= 0 {
 		return capacity.timeToServe(cost)
--- a/coordination/admit/promise.go
+++ b/coordination/admit/promise.go
@@ -4,37 +4,41 @@
 	"time"
 )
 
-// Bounds of what is remembered of refused requests.
+// Bounds of the reservations.
 const (
-	// maxReservations bounds the promises that are counted.
+	// maxReservations bounds the reservations of a lane; further refused requests
+	// get none.
 	maxReservations = 16384
-	// resubmitGrace is how long after its time a request may come back and be
-	// recognised, returnEarly how long before.
+	// resubmitGrace is how long after its retry time, and resubmitEarly how long
+	// before it, a request may be sent again and be recognised as resubmitted.
 	resubmitGrace = 10 * time.Second
 	resubmitEarly = time.Second
 )
 
-// reservation is what a refused request was told.
+// reservation is the expected return of a refused request at its retry time.
 type reservation struct {
 	id     string
 	flow   string
 	weight float64
-	cost   float64
+	cost   float64 // prompt tokens
 	dueAt  time.Time
 }
 
-// reservations are the refused requests of one lane that were told to come back and
-// whose time hasn't come. They count as if they waited, so that the next one is
-// told a later time and not all come at once to be refused again.
+// reservations holds the refused requests of one lane whose retry time hasn't come.
+// They count as waiting when the next retry time is computed, so that refused
+// requests get staggered retry times instead of all being sent again at once, to be
+// refused again.
 type reservations struct {
+	// totalCost is the cost of the open reservations, in prompt tokens.
 	totalCost float64
 	flows     map[string]*reservedFlow
-	// open holds the promises in no order.
+	// open holds the reservations in no particular order.
 	open []reservation
-	// dueByID is when each refused request was told to come back.
+	// dueByID holds the retry times by request ID, until resubmitGrace has passed.
 	dueByID map[string]time.Time
 }
 
+// reservedFlow sums the open reservations of one flow.
 type reservedFlow struct {
 	cost, weight float64
 	count        int
@@ -44,7 +48,7 @@
 	return reservations{flows: map[string]*reservedFlow{}, dueByID: map[string]time.Time{}}
 }
 
-// add counts a promise.
+// add adds a reservation.
 func (rs *reservations) add(r reservation) {
 	if len(rs.open) >= maxReservations {
 		return
@@ -63,7 +67,7 @@
 	}
 }
 
-// flowCost is the cost promised to a flow.
+// flowCost returns the cost of the open reservations of a flow.
 func (rs *reservations) flowCost(flow string) float64 {
 	if f := rs.flows[flow]; f != nil {
 		return f.cost
@@ -71,7 +75,7 @@
 	return 0
 }
 
-// totalWeight is the sum of the totalWeight of the flows with promises.
+// totalWeight returns the sum of the weights of the flows with reservations.
 func (rs *reservations) totalWeight() float64 {
 	sum := 0.0
 	for _, f := range rs.flows {
@@ -80,7 +84,8 @@
 	return sum
 }
 
-// redeem reports whether a request was refused here and comes back as told.
+// redeem reports whether a request was refused here and is sent again not too early,
+// and forgets its retry time.
 func (rs *reservations) redeem(id string, now time.Time) bool {
 	dueAt, ok := rs.dueByID[id]
 	if !ok {
@@ -90,7 +95,8 @@
 	return !now.Before(dueAt.Add(-resubmitEarly))
 }
 
-// expire drops what is over.
+// expire removes the reservations whose retry time has come and the IDs whose grace
+// period is over.
 func (rs *reservations) expire(now time.Time) {
 	kept := rs.open[:0]
 	for _, r := range rs.open {
@@ -108,6 +114,7 @@
 	}
 }
 
+// subtract removes a reservation from the sums.
 func (rs *reservations) subtract(r reservation) {
 	f := rs.flows[r.flow]
 	f.cost -= r.cost
@@ -117,17 +124,18 @@
 		delete(rs.flows, r.flow)
 	}
 	if len(rs.flows) == 0 {
-		rs.totalCost = 0 // drops what rounding left
+		rs.totalCost = 0 // discards rounding errors
 	}
 }
 
-// retrySlackShare is the share of its own time to spare that a request is told to
-// wait here rather than there: the more, the more come back for nothing.
+// retrySlackShare is the fraction of its slack that a refused request is to wait in
+// this host's queue after it is sent again, rather than at the caller before that.
+// The larger it is, the more requests are sent again too early and refused again.
 const retrySlackShare = 0.25
 
-// newRefusal makes the error of a refused request, with the time after which its
-// flow will have been served what waits and what was promised before it, less
-// what the request can wait itself.
+// newRefusal returns the error for a refused request and adds its reservation. The
+// retry time is the predicted time until the work that its flow has waiting and
+// reserved is served, less a share of the slack that the request can wait itself.
 func (q *serviceQueue) newRefusal(r *Request, l *lane, reason Reason, capacity *Capacity, f forecast, now time.Time) error {
 	cost := capacity.cost(r.Cost, q.options.DecodeFactor)
 	slack := time.Duration(retrySlackShare * float64(f.slack(r.Deadline, now)))
@@ -136,8 +144,8 @@
 	return &RefusedError{reason, retryAfter}
 }
 
-// timeUntilServed is the predicted time until the lane has served the flow's waiting
-// and promised work.
+// timeUntilServed predicts the time until the lane has served the flow's waiting and
+// reserved work.
 func (q *serviceQueue) timeUntilServed(r *Request, l *lane, capacity *Capacity) time.Duration {
 	ownCost := l.QueuedCost(r.Customer) + l.reservations.flowCost(r.Customer)
 	totalWeight := max(l.TotalWeight(), l.reservations.totalWeight())
@@ -145,6 +153,7 @@
 	return q.predictWait(l, capacity, ahead)
 }
 
+// clampRetryAfter bounds a retry time by MinRetryAfter and MaxRetryAfter.
 func (o *Options) clampRetryAfter(d time.Duration) time.Duration {
 	return min(max(d, o.MinRetryAfter), o.MaxRetryAfter)
 }
--- a/coordination/admit/queue.go
+++ b/coordination/admit/queue.go
@@ -7,30 +7,34 @@
 	"github.com/thymerack/thymerack/coordination/snapshot"
 )
 
-// lateWaitFactor is the share of a waiting request's predicted wait that must come
-// true for its deadline to be given up: the prediction is not exact.
+// lateWaitFactor scales the predicted wait of a queued request when its deadline
+// is checked: the prediction isn't exact, so a request is refused only if it would
+// be late even after this fraction of the predicted wait.
 const lateWaitFactor = 0.8
 
-// waiter is a request that waits for its decision.
+// waiter is a submitted request and the state of its decision.
 type waiter struct {
 	item    Item
 	request Request
-	// lane is nil unless the request was queued.
+	// lane is the lane that the request was queued in, or nil.
 	lane        *lane
 	submittedAt time.Time
-	decided     bool
-	onDecided   func(*Grant, error)
+	// decided is true once the request is granted, refused or cancelled.
+	decided   bool
+	onDecided func(*Grant, error)
 }
 
-// decision is told to the caller once the queue is unlocked, since the caller
-// may call back.
+// decision is a grant or a refusal of a request. It is passed to
+// waiter.onDecided after the queue is unlocked, because the callback may call
+// into the queue.
 type decision struct {
 	waiter *waiter
 	grant  *Grant
 	err    error
 }
 
-// serviceQueue admits the requests of one service.
+// serviceQueue admits the requests of one service. Waiting requests are kept in
+// lanes, each with its own discipline and its own measured service rate.
 type serviceQueue struct {
 	name    string
 	options *Options
@@ -38,19 +42,23 @@
 	mu      sync.Mutex
 	stopped bool
 	lanes   [numLanes]*lane
+	// granted is the work granted and not released.
 	granted snapshot.Work
+	// waiting is the work of the requests in the lanes.
 	waiting snapshot.Work
-	// grantedSince was started and releasedSince was releasedSince back since the room numbered roomSeq
-	// was measured.
+	// grantedSince and releasedSince are the work granted and released since the
+	// capacity numbered capacitySeq was computed.
 	grantedSince, releasedSince snapshot.Work
 	capacitySeq                 uint64
-	// urgentLead is how much more than its share urgent work had while others
-	// waited, in prompt tokens.
+	// urgentLead is the cost, in prompt tokens, that urgent requests have been
+	// started with beyond Options.UrgentShare while others waited.
 	urgentLead float64
-	tickedAt   time.Time
-	// serviceRatios holds, by class, the ratio of actual to forecast time of service.
+	// tickedAt is the time of the last tick.
+	tickedAt time.Time
+	// serviceRatios holds, by class, the ratio of the actual to the predicted
+	// service time.
 	serviceRatios map[string]serviceRatio
-	// decisions are those made since the lock was taken.
+	// decisions holds the decisions made since the lock was taken.
 	decisions []decision
 }
 
@@ -65,8 +73,8 @@
 	return q
 }
 
-// withLock runs f under the lock with the present room and time, then tells the
-// decisions that f made.
+// withLock calls f under the lock with the present capacity and time, then passes
+// on the decisions that f recorded.
 func (q *serviceQueue) withLock(f func(capacity *Capacity, now time.Time)) {
 	capacity := q.options.Capacity.Capacity(q.name)
 	now := q.options.Clock.Now()
@@ -80,7 +88,8 @@
 	}
 }
 
-// recordDecision notes the decision on a waiter; q.mu is held.
+// recordDecision records the decision on a waiter. The caller holds q.mu, and
+// withLock passes the decision on.
 func (q *serviceQueue) recordDecision(w *waiter, g *Grant, err error) {
 	w.decided = true
 	if w.lane != nil {
@@ -100,6 +109,7 @@
 	return w
 }
 
+// admit decides on an arriving request, or queues it. The caller holds q.mu.
 func (q *serviceQueue) admit(w *waiter, capacity *Capacity, now time.Time) {
 	r := &w.request
 	l := q.lanes[laneKindFor(r, capacity)]
@@ -120,7 +130,8 @@
 	q.startWaiting(capacity, now)
 }
 
-// predictWait is the predicted time until the lane has served the cost ahead.
+// predictWait predicts the time until the lane has served the cost ahead of a
+// request, including the time for all urgent requests, which go first.
 func (q *serviceQueue) predictWait(l *lane, capacity *Capacity, ahead float64) time.Duration {
 	d := l.timeToServe(ahead, capacity)
 	if u := q.lanes[laneUrgent]; l != u {
@@ -129,6 +140,7 @@
 	return d
 }
 
+// numQueued returns the number of waiting requests.
 func (q *serviceQueue) numQueued() int {
 	n := 0
 	for _, l := range q.lanes {
@@ -137,7 +149,8 @@
 	return n
 }
 
-// refuseOnArrival returns the error of a request that can't be admitted.
+// refuseOnArrival returns the error for a request that can't be admitted or
+// queued, or nil. It may evict a queued request to make a place.
 func (q *serviceQueue) refuseOnArrival(r *Request, l *lane, capacity *Capacity, f forecast, now time.Time) error {
 	switch {
 	case q.stopped:
@@ -152,8 +165,8 @@
 	return nil
 }
 
-// maxWaitShare is the share of the time to spare that a request may wait. One that
-// comes back as told gets all of it.
+// maxWaitShare returns the fraction of its slack that a request may be predicted
+// to wait. A resubmitted request may use all of it.
 func (q *serviceQueue) maxWaitShare(r *Request) float64 {
 	if r.Resubmitted {
 		return 1
@@ -161,8 +174,11 @@
 	return q.options.WaitShare
 }
 
-// evictOrRefuse makes place in a full queue: the newest request of the flow that has
-// most queued per weight goes, be it this one. Urgent requests go last.
+// evictOrRefuse makes a place in a full queue by refusing the newest request of the
+// flow with the largest queued cost per weight, in the prefill or the decode lane,
+// whichever has the larger cost. If that is the new request, it returns its error;
+// otherwise it evicts the queued one. Urgent requests are evicted only if nothing
+// else is queued, and a new urgent request always evicts one that isn't.
 func (q *serviceQueue) evictOrRefuse(r *Request, l *lane, capacity *Capacity, f forecast, now time.Time) error {
 	victimLane := q.lanes[lanePrefill]
 	if decodeLane := q.lanes[laneDecode]; decodeLane.TotalCost() > victimLane.TotalCost() {
@@ -182,21 +198,22 @@
 	return nil
 }
 
-// refuseQueued decides against a request that was taken out of its lane.
+// refuseQueued refuses a request that was removed from its lane.
 func (q *serviceQueue) refuseQueued(it *Item, reason Reason, capacity *Capacity, now time.Time) {
 	r, l := &it.waiter.request, it.waiter.lane
 	f := q.predict(r, capacity, now, q.predictWait(l, capacity, l.CostAhead(r.Customer, r.Weight, r.Resubmitted)))
 	q.recordDecision(it.waiter, nil, q.newRefusal(r, l, reason, capacity, f, now))
 }
 
-// fits reports whether the lane may start work now. A prompt is started while
-// there is any room for prompts: in the small share of one host whole prompts
-// would seldom fit. Work that is mostly output needs a place in a batch only.
+// fits reports whether the lane may start a request of work w now. Every request
+// needs a free batch slot; one request per host always fits. A prefill request also
+// needs free prefill capacity, but need not fit into it as a whole: a whole prompt
+// would seldom fit into the small share of one host.
 //
-// What the host gave back since the room was measured counts for its own part
-// only: if it took that again at once, a host would keep for ever what it has
-// beyond its part, and with whole prompts on every host the engines' queues would
-// never shrink.
+// Work released since the capacity was computed frees capacity only within the
+// host's own share, not within the free capacity beyond it. Otherwise a host that
+// exceeds its share would reuse the excess forever, and since each host may exceed
+// its share by a whole prompt, the engines' queues would never shrink.
 func (q *serviceQueue) fits(l *lane, w snapshot.Work, capacity *Capacity) bool {
 	q.syncCapacity(capacity)
 	inFlight := q.inFlight(capacity)
@@ -208,7 +225,8 @@
 		capacity.Seq > 0 && q.grantedSince.PrefillTokens < capacity.FreePrefillTokens
 }
 
-// syncCapacity starts the counts anew when the room was measured anew.
+// syncCapacity resets grantedSince and releasedSince if the capacity was
+// recomputed.
 func (q *serviceQueue) syncCapacity(capacity *Capacity) {
 	if capacity.Seq != q.capacitySeq {
 		q.capacitySeq = capacity.Seq
@@ -216,8 +234,9 @@
 	}
 }
 
-// inFlight is the larger of what was granted and what is counted at the runners,
-// the latter with what was granted and given back since it was counted.
+// inFlight returns the larger of the granted work and the work counted at the
+// runners, the latter adjusted by what was granted and released since it was
+// counted.
 func (q *serviceQueue) inFlight(capacity *Capacity) snapshot.Work {
 	counted := capacity.InFlight
 	if capacity.Seq > 0 {
@@ -229,6 +248,7 @@
 	}
 }
 
+// start counts the work of a request as granted and returns the grant.
 func (q *serviceQueue) start(w *waiter, capacity *Capacity, now time.Time) *Grant {
 	r := &w.request
 	q.granted = q.granted.Plus(r.Cost)
@@ -240,8 +260,9 @@
 	}
 }
 
-// updateUrgentLead keeps the lead of urgent work, which is forgotten while nothing
-// else waits.
+// updateUrgentLead updates urgentLead for a started request. The lead is zero while
+// only urgent requests wait. It is at least the negative cost of the last request
+// that isn't urgent, so that urgent requests can't save up an unused share.
 func (q *serviceQueue) updateUrgentLead(r *Request, capacity *Capacity) {
 	if q.lanes[lanePrefill].Len()+q.lanes[laneDecode].Len() == 0 {
 		q.urgentLead = 0
@@ -255,7 +276,7 @@
 	}
 }
 
-// startWaiting starts waiting requests while there is room.
+// startWaiting starts waiting requests while the capacity allows.
 func (q *serviceQueue) startWaiting(capacity *Capacity, now time.Time) {
 	for capacity.Runners > 0 {
 		l := q.nextLane(capacity)
@@ -267,8 +288,10 @@
 	}
 }
 
-// nextLane returns the lane to serve next, or nil: the urgent one unless its lead is
-// used up, else of those whose next request fits the one that waits longest.
+// nextLane returns the lane to serve next, or nil if no lane's next request fits.
+// It is the urgent lane unless urgent requests have exceeded their share. Otherwise
+// it is the other lane whose next request has waited longest, and the urgent lane
+// only if no other fits.
 func (q *serviceQueue) nextLane(capacity *Capacity) *lane {
 	var best *lane
 	for _, l := range q.lanes {
@@ -286,8 +309,7 @@
 	return best
 }
 
-// tick refuses waiting requests that can't meet their deadlines any more and
-// starts others if there is room.
+// tick implements Admitter.Tick for one service.
 func (q *serviceQueue) tick() {
 	if q.markTickedIfIdle() {
 		return
@@ -303,8 +325,8 @@
 	})
 }
 
-// markTickedIfIdle reports whether there is nothing to look at, and notes that it was looked
-// at in that case.
+// markTickedIfIdle reports whether a tick has nothing to do: no waiting requests,
+// no rate to update and no reservations. In that case it sets tickedAt.
 func (q *serviceQueue) markTickedIfIdle() bool {
 	now := q.options.Clock.Now()
 	q.mu.Lock()
@@ -318,6 +340,8 @@
 	return true
 }
 
+// refuseLate refuses the requests of a lane that are predicted to miss their
+// deadlines.
 func (q *serviceQueue) refuseLate(l *lane, capacity *Capacity, now time.Time) {
 	removed := l.Sweep(func(it *Item, ahead float64) bool {
 		r := &it.waiter.request
@@ -329,12 +353,12 @@
 	}
 }
 
-// release gives room back and starts what fits.
+// release releases granted work and starts the waiting requests that now fit.
 func (q *serviceQueue) release(w snapshot.Work) {
 	q.withLock(func(capacity *Capacity, now time.Time) {
 		q.granted = q.granted.Plus(w.Negate())
 		if recomputed := capacity.Seq != q.capacitySeq && capacity.Seq > 0; recomputed {
-			q.syncCapacity(capacity) // without what is given back
+			q.syncCapacity(capacity) // the new InFlight already excludes w
 		} else {
 			q.releasedSince = q.releasedSince.Plus(w)
 		}
@@ -342,8 +366,8 @@
 	})
 }
 
-// cancel takes out a waiter whose caller has gone; it is false when the
-// decision came first.
+// cancel removes a waiting request. It returns false if a decision was made
+// before.
 func (q *serviceQueue) cancel(w *waiter) bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -356,7 +380,7 @@
 	return true
 }
 
-// stop refuses everything from now on.
+// stop refuses all waiting requests, and all later ones.
 func (q *serviceQueue) stop() {
 	q.withLock(func(*Capacity, time.Time) {
 		q.stopped = true
@@ -368,6 +392,7 @@
 	})
 }
 
+// stats returns the state of the queue.
 func (q *serviceQueue) stats() QueueStats {
 	capacity := q.options.Capacity.Capacity(q.name)
 	q.mu.Lock()
--- a/coordination/admit/queue_test.go
+++ b/coordination/admit/queue_test.go
@@ -12,7 +12,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// manualClock is moved by a test.
+// manualClock is a clock that a test advances by setting now.
 type manualClock struct {
 	state.Clock
 	now time.Time
@@ -20,19 +20,22 @@
 
 func (c *manualClock) Now() time.Time { return c.now }
 
-// harness serves one request at a time, in the order in which they are granted.
+// harness submits requests to an Admitter and ends them, oldest grant first. Time
+// and ticks are under the control of the test.
 type harness struct {
 	t        *testing.T
 	is       *is.I
 	clock    *manualClock
 	admitter *Admitter
-	// granted are the requests that were started, in their order, refused the
-	// errors of the others by request.
+	// granted holds the IDs of the granted requests in the order of their grants,
+	// refused the errors of the refused requests by ID.
 	granted []string
 	refused map[string]*RefusedError
-	grants  []*Grant
+	// grants holds the grants that weren't ended, oldest first.
+	grants []*Grant
 }
 
+// newHarness returns a harness; the default capacity is for one request.
 func newHarness(t *testing.T, o Options) *harness {
 	t.Helper()
 	h := &harness{
@@ -50,7 +53,7 @@
 	return h
 }
 
-// submit submits a request named by its id.
+// submit submits a request and records its decision under its ID.
 func (h *harness) submit(r Request) *Pending {
 	r.Service = "llm"
 	return h.admitter.Submit(r, func(g *Grant, err error) {
@@ -65,7 +68,7 @@
 	})
 }
 
-// finishOldest ends the request that runs, after d.
+// finishOldest advances the clock by d, ends the oldest granted request and ticks.
 func (h *harness) finishOldest(d time.Duration) {
 	h.clock.now = h.clock.now.Add(d)
 	g := h.grants[0]
@@ -74,10 +77,12 @@
 	h.admitter.Tick()
 }
 
+// prefillRequest returns a request of prompt tokens only.
 func prefillRequest(id, customer string, tokens int64) Request {
 	return Request{ID: id, Customer: customer, Class: "c", Cost: snapshot.Work{PrefillTokens: tokens}}
 }
 
+// decodeRequest returns a request of output tokens only.
 func decodeRequest(id, customer string, tokens int64) Request {
 	return Request{ID: id, Customer: customer, Class: "c", Cost: snapshot.Work{DecodeTokens: tokens}}
 }
@@ -115,7 +120,7 @@
 		h.finishOldest(0)
 	}
 	h.is.Equal(len(h.granted), 20)
-	h.submit(prefillRequest("other", "a", 100)) // no lead is held against later urgent ones
+	h.submit(prefillRequest("other", "a", 100)) // the earlier urgent requests don't count against the next one
 	u := prefillRequest("urgent", "a", 100)
 	u.Urgent = true
 	h.submit(u)
@@ -134,24 +139,24 @@
 	h.is.Equal(h.granted, []string{"running", "short"})
 }
 
-// A host that has more than its part gives the difference back: others may be
-// waiting for it.
+// A host that exceeds its share doesn't reuse the excess when its requests end:
+// other hosts may wait for that capacity.
 func TestHostDoesNotKeepCapacityAboveItsShare(t *testing.T) {
 	source := capacityForOneRequest()
 	source.capacity.Requests, source.capacity.PrefillTokens = 100, 1000
 	source.capacity.Seq = 1
 	source.capacity.FreePrefillTokens = 3000
 	h := newHarness(t, Options{Capacity: source})
-	for i := range 5 { // up to 1000, then up to 3000 more
+	for i := range 5 { // up to 1000 of its share, then up to 3000 of free capacity
 		h.submit(prefillRequest(fmt.Sprint(i), "a", 1000))
 	}
 	h.is.Equal(len(h.granted), 3)
-	source.capacity.Seq, source.capacity.FreePrefillTokens = 2, 0 // nothing is free any more
+	source.capacity.Seq, source.capacity.FreePrefillTokens = 2, 0 // no capacity is free
 	source.capacity.InFlight = snapshot.Work{Requests: 3, PrefillTokens: 3000}
 	h.admitter.Tick()
 	h.grants[0].Done()
 	h.grants[1].Done()
-	h.is.Equal(len(h.granted), 3) // 1000 tokens are still there, the host's part
+	h.is.Equal(len(h.granted), 3) // the remaining 1000 tokens use up the host's share
 	h.grants[2].Done()
 	h.is.Equal(len(h.granted), 4)
 }
@@ -166,7 +171,7 @@
 	h.grants[0].FirstToken()
 	h.is.Equal(h.granted, []string{"running", "waiting"})
 	h.grants[0].Done()
-	h.grants[0].Done() // has no effect
+	h.grants[0].Done() // no effect
 	h.is.Equal(h.admitter.Stats()[0].Running, snapshot.Work{Requests: 1, PrefillTokens: 5000})
 }
 
@@ -224,13 +229,15 @@
 	h.is.Equal(h.admitter.Stats()[0].WaitingWork, snapshot.Work{})
 }
 
-// A request that was refused and comes back when it was told to is admitted
-// though new ones of its customer keep coming, and so are those refused after it.
+// A refused request that is sent again after RetryAfter is admitted although new
+// requests of its customer keep arriving, and so are those refused after it. Two
+// customers together send twice what can be served. The test fails if the retry
+// times are too early for more than one request in five.
 func TestResubmittedRequestIsAdmittedAfterRetryAfter(t *testing.T) {
 	h := newHarness(t, Options{})
 	due := map[string]time.Time{}
 	submit := func(id, customer string) {
-		r := prefillRequest(id, customer, 1000) // takes a second
+		r := prefillRequest(id, customer, 1000) // one second
 		r.Deadline = h.clock.now.Add(5 * time.Second)
 		h.submit(r)
 		if e := h.refused[id]; e != nil {
@@ -239,7 +246,7 @@
 		}
 	}
 	resubmitted, refusedAgain := 0, 0
-	for step := range 400 { // a tenth of a second each, twice what can be served
+	for step := range 400 { // steps of 100 ms, with twice the requests that can be served
 		h.clock.now = h.clock.now.Add(100 * time.Millisecond)
 		if step%10 == 0 {
 			submit(fmt.Sprint("x", step), "x")
@@ -262,9 +269,11 @@
 		h.admitter.Tick()
 	}
 	h.is.True(resubmitted >= 10)
-	h.is.True(refusedAgain*5 <= resubmitted) // at most one in five was told too early
+	h.is.True(refusedAgain*5 <= resubmitted) // at most one in five returned too early
 }
 
+// Requests that are refused one after another must not all get the same retry time,
+// or they would be sent again at once and be refused again.
 func TestRefusedRequestsGetStaggeredRetryAfter(t *testing.T) {
 	h := newHarness(t, Options{WaitShare: 0.1})
 	h.submit(prefillRequest("running", "a", 1000))
@@ -280,6 +289,9 @@
 	}
 }
 
+// A class whose answers took four times the prediction is refused for its service
+// ratio. Since it gets no answers that could correct the ratio, the ratio must decay
+// so that the class is admitted again later.
 func TestServiceRatioDecaysWhileAClassIsRefused(t *testing.T) {
 	source := capacityForOneRequest()
 	source.capacity.Requests = 100
@@ -293,7 +305,7 @@
 		submit(fmt.Sprint(i))
 	}
 	h.is.Equal(len(h.granted), 30)
-	h.clock.now = h.clock.now.Add(4 * time.Second) // four times the forecast
+	h.clock.now = h.clock.now.Add(4 * time.Second) // four times the predicted service time
 	for _, g := range h.grants {
 		g.Done()
 	}
