--- a/coordination/admit/queue_test.go
+++ b/coordination/admit/queue_test.go
@@ -195,7 +195,7 @@
 	h.is.Equal(len(h.refused), 3)
 }
 
-func TestNoCapacityIsRefusedAtOnce(t *testing.T) {
+func TestRequestWithoutCapacityIsRefusedAtOnce(t *testing.T) {
 	h := newHarness(t, Options{Capacity: &fixedCapacity{}})
 	h.submit(prefillRequest("a", "a", 1))
 	h.is.Equal(h.refused["a"].Reason, ReasonNoCapacity)
