--- a/coordination/admit/admit.go
+++ b/coordination/admit/admit.go
@@ -268,7 +268,8 @@
 }
 
 // Run calls Tick every Options.Interval while requests wait, until ctx ends; then
-// it refuses those that still wait and all later ones, and returns ctx's error.
+// it refuses those that still wait and later ones of the same services, and returns
+// ctx's error.
 func (a *Admitter) Run(ctx context.Context) error {
 	defer a.forEachQueue((*serviceQueue).stop)
 	for {
--- a/coordination/admit/bwf2q.go
+++ b/coordination/admit/bwf2q.go
@@ -7,8 +7,8 @@
 	// minBudget and maxBudget bound the budget of a flow, in prompt tokens.
 	minBudget = 256
 	maxBudget = 16384
-	// maxIdleFlows is the number of flows from which on those without items are
-	// pruned.
+	// maxIdleFlows is the number of flows at which those without items are first
+	// pruned; until then their virtual finish times and budgets are kept.
 	maxIdleFlows = 4096
 )
 
--- a/coordination/admit/forecast.go
+++ b/coordination/admit/forecast.go
@@ -72,7 +72,8 @@
 	ratioWeight = 0.05
 	// minRatio and maxRatio bound a ratio.
 	minRatio, maxRatio = 0.5, 4
-	// maxRatioClasses bounds the classes that a ratio is kept for.
+	// maxRatioClasses bounds the classes that a ratio is kept for; the predictions
+	// for further classes aren't corrected.
 	maxRatioClasses = 256
 	// ratioHalfLife is the age at which half of a ratio's deviation from 1 is left.
 	ratioHalfLife = 2 * time.Second
