--- a/coordination/admit/capacity.go
+++ b/coordination/admit/capacity.go
@@ -9,153 +9,173 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Room is how much work a host may have in flight for a service, and how fast
-// that work goes.
-type Room struct {
+// Capacity is the work that this host may have in flight for a service, and the
+// speed at which it is served.
+type Capacity struct {
 	// Runners is the number of runners that take work.
 	Runners int
-	// Requests and PrefillTokens are the host's part of what the fleet is to have
-	// in flight: it may always have so much.
+	// Requests and PrefillTokens are the host's share of the work that the fleet
+	// is to have in flight. The host may always have this much in flight.
 	Requests, PrefillTokens int64
-	// FreeRequests and FreePrefillTokens are its part of what nobody has taken:
-	// it may take so much beyond.
+	// FreeRequests and FreePrefillTokens are the host's share of the unused part
+	// of that work. The host may start this much beyond its own share until the
+	// capacity is recomputed.
 	FreeRequests, FreePrefillTokens int64
-	// InFlight is what the host had in flight when these figures were taken, as
-	// counted at the runners; prompts can turn out dearer there than forecast.
+	// InFlight is the work that the host had in flight when the capacity was
+	// computed, as counted at the runners. It can exceed the granted work, since
+	// prompts can need more prefill there than predicted.
 	InFlight snapshot.Work
-	// Seq changes whenever the figures are taken anew; zero when they never are.
+	// Seq increases whenever the capacity is recomputed; zero if it is fixed.
 	Seq uint64
 	// PrefillPerSecond and DecodePerSecond are this host's share of the fleet's
-	// speed in tokens; for a plain service PrefillPerSecond is in requests and
-	// zero when unknown.
+	// speed, in tokens per second. For a service that isn't an engine,
+	// PrefillPerSecond is in requests per second, or zero if unknown.
 	PrefillPerSecond, DecodePerSecond float64
-	// EnginePrefillPerSecond is the speed of one engine.
+	// EnginePrefillPerSecond is the mean prefill speed of one engine, in tokens per
+	// second.
 	EnginePrefillPerSecond float64
-	// TokenInterval is the time between the tokens of one answer, at the engine
-	// where it is shortest.
+	// TokenInterval is the time between the tokens of an answer at the engine
+	// where it is shortest; engines with a free batch slot go before others.
 	TokenInterval time.Duration
-	// FirstTokenWait is the least backlog that a started request finds at an
-	// engine. Urgent ones go before it.
+	// FirstTokenWait is the shortest time, over all engines, in which an engine
+	// prefills its backlog. Started requests wait for it, unless they are urgent.
 	FirstTokenWait time.Duration
 }
 
-// Capacity tells the room for a service. It must not block.
-type Capacity interface {
-	Room(service string) Room
+// CapacitySource provides the capacity for a service.
+type CapacitySource interface {
+	// Capacity returns the present capacity for a service; zero if the service
+	// has no runners. It must not block.
+	Capacity(service string) Capacity
 }
 
-// Speeds assumed of an engine that never reported.
+// Speeds assumed for an engine that hasn't reported any.
 const (
+	// defaultPrefillPerSecond is in prompt tokens per second.
 	defaultPrefillPerSecond = 8000
-	defaultStep             = 25 * time.Millisecond
+	// defaultStep is the duration of a decode step, which yields one token for
+	// each request of the batch.
+	defaultStep = 25 * time.Millisecond
 )
 
-// Speeds tells what an engine does in its present role.
+// Speeds provides the speeds of an engine in its present role.
 type Speeds interface {
-	// SpeedsAt returns prompt tokens a second and the engine's own time between
-	// tokens in a batch of that size.
+	// SpeedsAt returns the prompt tokens per second of an engine and the duration
+	// of its decode step with a batch of the given size.
 	SpeedsAt(engine string, batch int) (prefillPerSecond float64, step time.Duration)
-	// TokenInterval is the time between tokens as callers see it.
+	// TokenInterval returns the time between tokens that callers observe with a
+	// batch of the given size.
 	TokenInterval(engine string, batch int) time.Duration
 }
 
-// FleetOptions configure a Fleet. Zero values stand for the defaults.
-type FleetOptions struct {
+// FleetCapacityOptions configures a FleetCapacity. Zero values mean the defaults.
+type FleetCapacityOptions struct {
 	// Clock, View and Hosts are required. Hosts is the number of hosts that
 	// share the fleet, this one included.
 	Clock state.Clock
 	View  func() *snapshot.View
 	Hosts func() int
-	// Speeds tells what engines do; nil takes their reports. A route.Router
-	// knows them.
+	// Speeds provides the speeds of the engines; route.Router implements it. If
+	// nil, the speeds are those that the engines report.
 	Speeds Speeds
-	// Batch is how many requests an engine is to have at a time; default 32.
+	// Batch is the target number of requests in flight per engine; default 32.
 	Batch int
-	// ServiceBatch is the same for a runner of a plain service; default 64.
-	ServiceBatch int
-	// PrefillAhead is the prefill backlog that a mixed engine is to have; default
-	// 1 s. One of the prefill role, where it holds up no decoding, is to have
-	// PrefillRoleAhead; default 2 s.
-	PrefillAhead, PrefillRoleAhead time.Duration
-	// MaxAge is how long figures of an older view are used; default 20 ms.
+	// ServiceConcurrency is the target number of requests in flight per runner of
+	// a service that isn't an engine; default 64.
+	ServiceConcurrency int
+	// PrefillBacklog is the target prefill backlog of an engine, as the time to
+	// compute it; default 1 s. PrefillRoleBacklog is that of an engine of the
+	// prefill role, where a backlog delays no decoding; default 2 s.
+	PrefillBacklog, PrefillRoleBacklog time.Duration
+	// MaxAge is how long a computed capacity is used if the view stays the same;
+	// default 20 ms.
 	MaxAge time.Duration
 }
 
-// Fleet is a Capacity over the views of a host. A host may use an equal part of
-// the fleet and beyond that an equal part of what nobody uses: so the fleet is
-// used up when the callers come to few hosts, and hosts that see the same free
-// room don't all take it.
-type Fleet struct {
-	o FleetOptions
+// FleetCapacity is a CapacitySource that computes a host's share from its views of
+// the fleet. Each host may use an equal share of the fleet's capacity and, beyond
+// that, an equal share of its unused capacity. So the whole fleet can be used even
+// if the callers use few hosts, and hosts that see the same unused capacity don't
+// all take it.
+type FleetCapacity struct {
+	options FleetCapacityOptions
 
-	mu    sync.Mutex
-	rooms map[string]cachedRoom
-	seq   uint64
+	mu sync.Mutex
+	// cache holds the capacities by service.
+	cache map[string]cachedCapacity
+	// lastSeq is the Seq of the capacity computed last.
+	lastSeq uint64
 }
 
-type cachedRoom struct {
-	seq  uint64
-	at   time.Time
-	room Room
+// cachedCapacity is a capacity with the number of the view that it was computed
+// from and the time.
+type cachedCapacity struct {
+	viewSeq    uint64
+	computedAt time.Time
+	capacity   Capacity
 }
 
-// NewFleet returns a fleet, or an error that names the wrong option.
-func NewFleet(o FleetOptions) (*Fleet, error) {
+// NewFleetCapacity returns a FleetCapacity, or an error that names the missing
+// options.
+func NewFleetCapacity(o FleetCapacityOptions) (*FleetCapacity, error) {
 	if o.Clock == nil || o.View == nil || o.Hosts == nil {
-		return nil, fmt.Errorf("admit: FleetOptions.Clock, View or Hosts is nil; pass all three")
+		return nil, fmt.Errorf("admit: FleetCapacityOptions.Clock, View or Hosts is nil; pass all three")
 	}
 	if o.Batch == 0 {
 		o.Batch = 32
 	}
-	if o.ServiceBatch == 0 {
-		o.ServiceBatch = 64
+	if o.ServiceConcurrency == 0 {
+		o.ServiceConcurrency = 64
 	}
-	if o.PrefillAhead == 0 {
-		o.PrefillAhead = time.Second
+	if o.PrefillBacklog == 0 {
+		o.PrefillBacklog = time.Second
 	}
-	if o.PrefillRoleAhead == 0 {
-		o.PrefillRoleAhead = 2 * time.Second
+	if o.PrefillRoleBacklog == 0 {
+		o.PrefillRoleBacklog = 2 * time.Second
 	}
 	if o.MaxAge == 0 {
 		o.MaxAge = 20 * time.Millisecond
 	}
-	return &Fleet{o: o, rooms: map[string]cachedRoom{}}, nil
+	return &FleetCapacity{options: o, cache: map[string]cachedCapacity{}}, nil
 }
 
-// Room implements Capacity.
-func (f *Fleet) Room(service string) Room {
-	v := f.o.View()
-	now := f.o.Clock.Now()
+// Capacity implements CapacitySource.
+func (f *FleetCapacity) Capacity(service string) Capacity {
+	v := f.options.View()
+	now := f.options.Clock.Now()
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	c, ok := f.rooms[service]
-	if ok && (c.seq == v.Seq && now.Sub(c.at) < f.o.MaxAge) {
-		return c.room
+	cached, ok := f.cache[service]
+	if ok && (cached.viewSeq == v.Seq && now.Sub(cached.computedAt) < f.options.MaxAge) {
+		return cached.capacity
 	}
 	if len(v.RunnersOf(service)) == 0 {
-		delete(f.rooms, service)
-		return Room{}
-	}
-	c = cachedRoom{v.Seq, now, f.measure(v.RunnersOf(service))}
-	f.seq++
-	c.room.Seq = f.seq
-	f.rooms[service] = c
-	return c.room
+		delete(f.cache, service)
+		return Capacity{}
+	}
+	cached = cachedCapacity{v.Seq, now, f.compute(v.RunnersOf(service))}
+	f.lastSeq++
+	cached.capacity.Seq = f.lastSeq
+	f.cache[service] = cached
+	return cached.capacity
 }
 
-// sums are the figures of a fleet added up.
-type sums struct {
-	runners, prefillers, decoders, plain int
-	prefill, decode                      float64 // tokens per second
-	prompts                              float64 // tokens that may be waiting
-	interval                             float64 // seconds, the least with room
-	roomy                                bool    // interval is of an engine with room
-	own, peers                           snapshot.Work
-	wait                                 float64 // seconds, the least
+// fleetTotals aggregates the runners of one service.
+type fleetTotals struct {
+	// Numbers of the runners that take work: all, engines that prefill, engines
+	// that decode, and runners that aren't engines.
+	runners, prefillers, decoders, serviceRunners int
+	prefillPerSecond, decodePerSecond             float64       // tokens per second
+	prefillTokens                                 float64       // target backlog of prompt tokens
+	tokenInterval                                 float64       // seconds; see Capacity.TokenInterval
+	freeSlot                                      bool          // the engine of tokenInterval has a free batch slot
+	own, peers                                    snapshot.Work // in flight, of all runners
+	firstTokenWait                                float64       // seconds; see Capacity.FirstTokenWait
 }
 
-func (f *Fleet) measure(runners []*snapshot.Runner) Room {
-	var s sums
+// compute returns this host's capacity over the runners of a service.
+func (f *FleetCapacity) compute(runners []*snapshot.Runner) Capacity {
+	var s fleetTotals
 	for _, r := range runners {
 		own := r.Track.Load()
 		s.own = s.own.Plus(own)
@@ -164,88 +184,90 @@
 			f.addRunner(&s, r)
 		}
 	}
-	return f.share(&s)
+	return f.hostShare(&s)
 }
 
-func (f *Fleet) addRunner(s *sums, r *snapshot.Runner) {
+// addRunner adds a runner that takes work to the totals.
+func (f *FleetCapacity) addRunner(s *fleetTotals, r *snapshot.Runner) {
 	s.runners++
 	if r.Kind == state.KindService {
-		s.plain++
+		s.serviceRunners++
 		return
 	}
-	prefill, step, now := f.speeds(r)
+	prefill, step, currentStep := f.speeds(r)
 	if r.Target.Role != state.RoleDecode {
 		s.prefillers++
-		s.prefill += prefill
-		s.prompts += prefill * f.ahead(r.Target.Role).Seconds()
+		s.prefillPerSecond += prefill
+		s.prefillTokens += prefill * f.prefillBacklog(r.Target.Role).Seconds()
 		wait := float64(max(0, r.Track.Load().Plus(r.Peers).PrefillTokens)) / prefill
-		if s.prefillers == 1 || wait < s.wait {
-			s.wait = wait
+		if s.prefillers == 1 || wait < s.firstTokenWait {
+			s.firstTokenWait = wait
 		}
 	}
 	if r.Target.Role != state.RolePrefill {
 		s.decoders++
-		s.addInterval(now, r.Track.Load().Plus(r.Peers).Requests < int64(f.o.Batch))
-		s.decode += float64(f.o.Batch) / step
+		s.addTokenInterval(currentStep, r.Track.Load().Plus(r.Peers).Requests < int64(f.options.Batch))
+		s.decodePerSecond += float64(f.options.Batch) / step
 	}
 }
 
-// addInterval takes in an engine's time between tokens; engines with room in
-// their batch go before others.
-func (s *sums) addInterval(interval float64, roomy bool) {
-	if s.interval == 0 || roomy && !s.roomy || roomy == s.roomy && interval < s.interval {
-		s.interval, s.roomy = interval, roomy
+// addTokenInterval updates the shortest token interval, in seconds. Engines with a
+// free batch slot go before others.
+func (s *fleetTotals) addTokenInterval(interval float64, freeSlot bool) {
+	if s.tokenInterval == 0 || freeSlot && !s.freeSlot || freeSlot == s.freeSlot && interval < s.tokenInterval {
+		s.tokenInterval, s.freeSlot = interval, freeSlot
 	}
 }
 
-// ahead is the prefill backlog that an engine is to have.
-func (f *Fleet) ahead(role state.Role) time.Duration {
+// prefillBacklog returns the target prefill backlog of an engine of a role.
+func (f *FleetCapacity) prefillBacklog(role state.Role) time.Duration {
 	if role == state.RolePrefill {
-		return f.o.PrefillRoleAhead
+		return f.options.PrefillRoleBacklog
 	}
-	return f.o.PrefillAhead
+	return f.options.PrefillBacklog
 }
 
-// speeds returns an engine's prompt tokens a second and its seconds between
-// tokens in a full batch and in the present one.
-func (f *Fleet) speeds(r *snapshot.Runner) (prefill, full, now float64) {
-	if f.o.Speeds != nil {
-		p, s := f.o.Speeds.SpeedsAt(r.Name, f.o.Batch)
-		n := f.o.Speeds.TokenInterval(r.Name, int(r.Track.Load().Plus(r.Peers).Requests)+1)
-		return p, s.Seconds(), n.Seconds()
+// speeds returns an engine's prompt tokens per second, the duration of its decode
+// step with a full batch, and the time between tokens that one more request would
+// have now, both in seconds.
+func (f *FleetCapacity) speeds(r *snapshot.Runner) (prefill, fullStep, currentStep float64) {
+	if f.options.Speeds != nil {
+		rate, step := f.options.Speeds.SpeedsAt(r.Name, f.options.Batch)
+		interval := f.options.Speeds.TokenInterval(r.Name, int(r.Track.Load().Plus(r.Peers).Requests)+1)
+		return rate, step.Seconds(), interval.Seconds()
 	}
 	prefill = r.Load.PrefillTokensPerSecond
 	if prefill <= 0 {
 		prefill = defaultPrefillPerSecond
 	}
-	now = r.Load.DecodeStepMillis / 1000
-	if now <= 0 {
-		now = defaultStep.Seconds()
+	currentStep = r.Load.DecodeStepMillis / 1000
+	if currentStep <= 0 {
+		currentStep = defaultStep.Seconds()
 	}
-	return prefill, now, now
+	return prefill, currentStep, currentStep
 }
 
-// share turns the fleet's figures into this host's.
-func (f *Fleet) share(s *sums) Room {
-	n := int64(max(1, f.o.Hosts()))
+// hostShare returns this host's share of the fleet's totals.
+func (f *FleetCapacity) hostShare(s *fleetTotals) Capacity {
+	n := int64(max(1, f.options.Hosts()))
 	hosts := float64(n)
-	requests := int64(s.decoders*f.o.Batch + s.plain*f.o.ServiceBatch)
-	prompts := int64(s.prompts)
+	requests := int64(s.decoders*f.options.Batch + s.serviceRunners*f.options.ServiceConcurrency)
+	prefillTokens := int64(s.prefillTokens)
 	taken := s.own.Plus(s.peers)
-	m := Room{
+	capacity := Capacity{
 		Runners:           s.runners,
 		InFlight:          s.own,
 		Requests:          requests / n,
-		PrefillTokens:     prompts / n,
+		PrefillTokens:     prefillTokens / n,
 		FreeRequests:      max(0, requests-taken.Requests) / n,
-		FreePrefillTokens: max(0, prompts-taken.PrefillTokens) / n,
-		PrefillPerSecond:  s.prefill / hosts,
-		DecodePerSecond:   s.decode / hosts,
+		FreePrefillTokens: max(0, prefillTokens-taken.PrefillTokens) / n,
+		PrefillPerSecond:  s.prefillPerSecond / hosts,
+		DecodePerSecond:   s.decodePerSecond / hosts,
 	}
 	if s.prefillers > 0 {
-		m.EnginePrefillPerSecond = s.prefill / float64(s.prefillers)
+		capacity.EnginePrefillPerSecond = s.prefillPerSecond / float64(s.prefillers)
 	}
-	m.TokenInterval = seconds(s.interval)
-	m.FirstTokenWait = seconds(s.wait)
-	return m
+	capacity.TokenInterval = seconds(s.tokenInterval)
+	capacity.FirstTokenWait = seconds(s.firstTokenWait)
+	return capacity
 }
--- a/coordination/admit/drr.go
+++ b/coordination/admit/drr.go
@@ -1,19 +1,20 @@
 package admit
 
-// drrQuantum is the credit that a flow of weight 1 gets in each round, in
-// prompt tokens.
+// drrQuantum is the credit, in prompt tokens, that a flow of weight 1 gets in each
+// round.
 const drrQuantum = 1024
 
-// drr is deficit round robin: each round gives every backlogged flow a credit
-// in proportion to its weight, which its items use up.
+// drr implements deficit round robin (M. Shreedhar and G. Varghese, SIGCOMM 1995):
+// each round gives every backlogged flow a credit in proportion to its weight,
+// and serving an item takes its cost from the credit.
 type drr struct {
 	totals
-	flows   map[string]*flow
-	ring    []*flow // backlogged flows; ring[0] has its turn
-	weights float64
+	flows       map[string]*flow
+	ring        []*flow // backlogged flows; ring[0] is served next
+	totalWeight float64
 }
 
-// NewDRR returns a deficit round robin discipline.
+// NewDRR returns a deficit round robin discipline with the customers as flows.
 func NewDRR() Discipline { return &drr{flows: map[string]*flow{}} }
 
 func (d *drr) Push(it *Item) {
@@ -22,14 +23,15 @@
 		f = &flow{name: it.Flow, weight: it.Weight}
 		d.flows[it.Flow] = f
 		d.ring = append(d.ring, f)
-		d.weights += it.Weight
+		d.totalWeight += it.Weight
 	}
-	d.weights += it.Weight - f.weight
+	d.totalWeight += it.Weight - f.weight
 	f.push(it)
 	d.add(it)
 }
 
-// Peek gives out credit until the flow whose turn it is can pay for its head.
+// Peek adds credit, flow by flow, until the first flow has enough for its first
+// item, which it returns.
 func (d *drr) Peek() *Item {
 	if len(d.ring) == 0 {
 		return nil
@@ -38,14 +40,14 @@
 		f := d.ring[0]
 		f.deficit += drrQuantum * f.weight
 		if f.deficit < f.head.Cost {
-			d.turn()
+			d.rotate()
 		}
 	}
 	return d.ring[0].head
 }
 
-// turn moves the first flow to the end.
-func (d *drr) turn() {
+// rotate moves the first flow to the end of the ring.
+func (d *drr) rotate() {
 	f := d.ring[0]
 	copy(d.ring, d.ring[1:])
 	d.ring[len(d.ring)-1] = f
@@ -60,7 +62,7 @@
 	f.deficit -= it.Cost
 	d.Remove(it)
 	if f.count > 0 && f.deficit < f.head.Cost {
-		d.turn()
+		d.rotate()
 	}
 	return it
 }
@@ -70,38 +72,38 @@
 	f.remove(it)
 	d.sub(it)
 	if f.count == 0 {
-		d.leave(f)
+		d.removeFlow(f)
 	}
 }
 
-// leave drops a flow that has no items, and with it its credit.
-func (d *drr) leave(f *flow) {
+// removeFlow removes a flow that has no items, and its credit.
+func (d *drr) removeFlow(f *flow) {
 	delete(d.flows, f.name)
-	d.weights -= f.weight
-	for i, g := range d.ring {
-		if g == f {
+	d.totalWeight -= f.weight
+	for i, other := range d.ring {
+		if other == f {
 			d.ring = append(d.ring[:i], d.ring[i+1:]...)
 			return
 		}
 	}
 }
 
-func (d *drr) Queued(name string) float64 { return queuedOf(d.flows[name]) }
+func (d *drr) QueuedCost(name string) float64 { return queuedCost(d.flows[name]) }
 
-func (d *drr) Weights() float64 { return d.weights }
+func (d *drr) TotalWeight() float64 { return d.totalWeight }
 
-func (d *drr) Ahead(name string, weight float64, returning bool) float64 {
+func (d *drr) CostAhead(name string, weight float64, resubmitted bool) float64 {
 	f := d.flows[name]
 	if f == nil {
 		return 0
 	}
-	return fairAhead(f.before(returning), weight, d.weights, d.cost)
+	return fairCostAhead(f.costAhead(resubmitted), weight, d.totalWeight, d.cost)
 }
 
 func (d *drr) Sweep(keep func(*Item, float64) bool) []*Item {
 	var removed []*Item
 	for _, f := range d.ring {
-		removed = append(removed, sweepFlow(f, d.weights, d.cost, keep)...)
+		removed = append(removed, sweepFlow(f, d.totalWeight, d.cost, keep)...)
 	}
 	for _, it := range removed {
 		d.Remove(it)
@@ -109,7 +111,7 @@
 	return removed
 }
 
-func (d *drr) Last() *Item {
+func (d *drr) EvictionCandidate() *Item {
 	var heaviest *flow
 	for _, f := range d.ring {
 		heaviest = heavier(heaviest, f)
