--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -30,22 +30,22 @@
 }
 
 const (
-	// permitFor is how long after its time a permit may be used. A host that was held up or
+	// permitValidity is how long after its time a permit may be used. A host that was held up or
 	// suspended longer asks again: others have got what it didn't use.
-	permitFor = 250 * time.Millisecond
-	// leastClosed is the shortest time for which a used up limit closes a runner, so that a
+	permitValidity = 250 * time.Millisecond
+	// minLimitPause is the shortest time for which a used up limit closes a runner, so that a
 	// request doesn't ask again at once.
-	leastClosed = time.Millisecond
-	// answerTime is kept of an objective for the answer: a short one and its way.
-	answerTime = 50 * time.Millisecond
+	minLimitPause = time.Millisecond
+	// answerReserve is kept of an objective for the answer: a short one and its way.
+	answerReserve = 50 * time.Millisecond
 	// resumeWait is how long a stream that broke off waits for a runner that takes it.
 	// Callers give one up after two seconds without an event.
 	resumeWait = time.Second
 )
 
-// permitted reports whether a request may be sent to a runner, by the rest that is over and the
+// acquirePermit reports whether a request may be sent to a runner, by the rest that is over and the
 // limit that it names. It waits for the latter so long at most.
-func (d *Dispatcher) permitted(ctx context.Context, i *state.Instance, part string, rec *record, wait time.Duration) bool {
+func (d *Dispatcher) acquirePermit(ctx context.Context, i *state.Instance, part string, rec *record, wait time.Duration) bool {
 	if !d.o.Advice.Try(i.ID) {
 		rec.add(i, part, outcomeLimited, 0, nil)
 		return false
@@ -57,37 +57,37 @@
 	asked := d.o.Clock.Now()
 	p := d.o.Gate.Permit(ctx, occupancy.PermitAsk{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
 	if !p.Granted {
-		d.o.Advice.Closed(i.ID, d.o.Clock.Now().Add(max(p.Wait, leastClosed)))
+		d.o.Advice.Closed(i.ID, d.o.Clock.Now().Add(max(p.Wait, minLimitPause)))
 		rec.add(i, part, outcomeLimited, 0, nil)
 		return false
 	}
 	if p.Wait > 0 && d.o.Clock.Sleep(ctx, p.Wait) != nil {
 		return false
 	}
-	return d.o.Clock.Now().Sub(asked) <= p.Wait+permitFor
+	return d.o.Clock.Now().Sub(asked) <= p.Wait+permitValidity
 }
 
-// ErrRunnerCloses is the cause of a SendError that was withheld since its runner takes nothing
+// ErrRunnerClosed is the cause of a SendError that was withheld since its runner takes nothing
 // any more.
-var ErrRunnerCloses = errors.New("the runner leaves or wants rest; choose another")
+var ErrRunnerClosed = errors.New("the runner leaves or wants rest; choose another")
 
 // send is the only way of an attempt to a runner. The runner is looked at once more when the
 // request is about to leave: a connection may have taken a while, or the host stood still.
 func (d *Dispatcher) send(ctx context.Context, a *Attempt) (Response, error) {
 	a.Permit = func() error {
-		if !d.o.Placer.Has(a.Instance.ID) || d.rests(a.Instance) {
-			return ErrRunnerCloses
+		if !d.o.Placer.Has(a.Instance.ID) || d.inBackoff(a.Instance) {
+			return ErrRunnerClosed
 		}
 		return nil
 	}
 	return d.o.Upstream.Send(ctx, a)
 }
 
-// rests reports whether a runner wants nothing from this host now.
-func (d *Dispatcher) rests(i *state.Instance) bool { return !d.o.Advice.RestsUntil(i.ID).IsZero() }
+// inBackoff reports whether a runner wants nothing from this host now.
+func (d *Dispatcher) inBackoff(i *state.Instance) bool { return !d.o.Advice.RestsUntil(i.ID).IsZero() }
 
-// part is what a runner does for the request after its prompt was read apart, if it is.
-func (d *Dispatcher) part(r *Request, rec *record) placement.Part {
+// remainingPart is what a runner does for the request after its prompt was read apart, if it is.
+func (d *Dispatcher) remainingPart(r *Request, rec *record) placement.Part {
 	switch {
 	case r.Generation == nil:
 		return placement.PartCall
@@ -98,9 +98,9 @@
 	}
 }
 
-// pick chooses a runner for the next sending. If all are closed it waits for the first that
+// pickRunner chooses a runner for the next sending. If all are closed it waits for the first that
 // opens until by at most, and refuses the request otherwise.
-func (d *Dispatcher) pick(ctx context.Context, r *Request, rec *record, by time.Time) (choice, error) {
+func (d *Dispatcher) pickRunner(ctx context.Context, r *Request, rec *record, by time.Time) (choice, error) {
 	for {
 		c, err := d.choose(ctx, r, rec)
 		if err != nil {
@@ -109,18 +109,18 @@
 		if c.Runner == nil && !rec.reconsider() {
 			break
 		}
-		if c.Runner != nil && !d.passOver(c.Runner.Instance, rec) {
+		if c.Runner != nil && !d.skipUnproven(c.Runner.Instance, rec) {
 			return c, nil
 		}
-		c.giveBack()
+		c.release()
 	}
-	runner, err := d.awaitOpening(ctx, r, rec, d.part(r, rec), by)
+	runner, err := d.awaitRunner(ctx, r, rec, d.remainingPart(r, rec), by)
 	return choice{Runner: runner, permitted: true}, err
 }
 
-// passOver keeps a request that a runner has turned away from one whose rest has only just
+// skipUnproven keeps a request that a runner has turned away from one whose rest has only just
 // ended, while there are others: it would use up its attempts on trials.
-func (d *Dispatcher) passOver(i *state.Instance, rec *record) bool {
+func (d *Dispatcher) skipUnproven(i *state.Instance, rec *record) bool {
 	if !rec.turnedAway || !d.o.Advice.Unproven(i.ID) {
 		return false
 	}
@@ -129,9 +129,9 @@
 	return true
 }
 
-// awaitOpening waits for a runner that takes such work, until by at most, and takes the permit
+// awaitRunner waits for a runner that takes such work, until by at most, and takes the permit
 // that its limit asks for.
-func (d *Dispatcher) awaitOpening(ctx context.Context, r *Request, rec *record, p placement.Part, by time.Time) (*placement.Runner, error) {
+func (d *Dispatcher) awaitRunner(ctx context.Context, r *Request, rec *record, p placement.Part, by time.Time) (*placement.Runner, error) {
 	for {
 		runner, at := d.o.Placer.Soonest(r.Service, p, rec.tried)
 		if runner == nil {
@@ -151,7 +151,7 @@
 			}
 			continue
 		}
-		if d.permitted(ctx, runner.Instance, "wait", rec, by.Sub(d.o.Clock.Now())) {
+		if d.acquirePermit(ctx, runner.Instance, "wait", rec, by.Sub(d.o.Clock.Now())) {
 			return runner, nil
 		}
 	}
@@ -165,18 +165,18 @@
 	return &Refusal{Reason: ReasonBackpressure, NotRun: !rec.mayHaveRun, RetryAfter: d.spread(wait)}
 }
 
-// usefulBy is the last moment at which a request that waits for a runner is answered in time.
-func (d *Dispatcher) usefulBy(r *Request) time.Time {
+// startDeadline is the last moment at which a request that waits for a runner is answered in time.
+func (d *Dispatcher) startDeadline(r *Request) time.Time {
 	if r.Route.Objective <= 0 {
-		return r.Deadline.Add(-answerTime)
+		return r.Deadline.Add(-answerReserve)
 	}
-	return r.ArrivedAt.Add(r.Route.Objective - answerTime)
+	return r.ArrivedAt.Add(r.Route.Objective - answerReserve)
 }
 
-// generates refuses a request that no engine takes in time after its prompt was read.
-func (d *Dispatcher) generates(r *Request, rec *record) error {
+// checkDecodeInTime refuses a request that no engine takes in time after its prompt was read.
+func (d *Dispatcher) checkDecodeInTime(r *Request, rec *record) error {
 	runner, at := d.o.Placer.Soonest(r.Service, placement.PartGenerate, rec.tried)
-	if runner == nil || !at.After(d.usefulBy(r)) {
+	if runner == nil || !at.After(d.startDeadline(r)) {
 		return nil
 	}
 	return d.refuseUntil(rec, runner.Instance, at)
--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -465,7 +465,7 @@
 
 // inRest counts the requests that reached a runner from a host that it had asked for rest, later
 // than the answer's way, and those that it turned away.
-func (r *advisedRunner) inRest() (during, turnedAway int) {
+func (r *advisedRunner) inRest() (during, rejected int) {
 	for _, a := range r.arrivals {
 		if a.restedAt.IsZero() {
 			continue
@@ -474,10 +474,10 @@
 			during++
 		}
 		if a.turnedAway {
-			turnedAway++
+			rejected++
 		}
 	}
-	return during, turnedAway
+	return during, rejected
 }
 
 // firstRefusals counts the requests that a runner turned away from a host which couldn't know.
--- a/coordination/forward/alive.go
+++ b/coordination/forward/alive.go
@@ -9,30 +9,30 @@
 )
 
 const (
-	// askTimeout bounds a question to an engine: twenty round trips between failure
+	// probeTimeout bounds a question to an engine: twenty round trips between failure
 	// domains and a handshake. One that takes longer is dark, as far as can be told.
-	askTimeout = 80 * time.Millisecond
-	// heardWithin is how long an engine that answered this host isn't asked again.
-	heardWithin = 200 * time.Millisecond
+	probeTimeout = 80 * time.Millisecond
+	// recentResponse is how long an engine that answered this host isn't asked again.
+	recentResponse = 200 * time.Millisecond
 )
 
-// runsOnce reports whether the request is one of an engine and may run once.
-func (r *Request) runsOnce() bool {
+// runsAtMostOnce reports whether the request is one of an engine and may run once.
+func (r *Request) runsAtMostOnce() bool {
 	return r.Generation != nil && !r.Route.Repeatable()
 }
 
 // alive reports whether an engine answers.
 func (d *Dispatcher) alive(ctx context.Context, i *state.Instance) bool {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return d.o.Upstream.Alive(ctx, i)
 }
 
-// reached reports whether an attempt may be sent to the runner. A request that may run
+// confirmReachable reports whether an attempt may be sent to the runner. A request that may run
 // once is lost if its engine is dark, since nobody knows whether it ran: an engine that
 // hasn't answered this host recently is asked first. The question costs a round trip.
-func (d *Dispatcher) reached(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record) bool {
-	if !a.Request.runsOnce() || runner.HeardWithin(heardWithin) {
+func (d *Dispatcher) confirmReachable(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record) bool {
+	if !a.Request.runsAtMostOnce() || runner.HeardWithin(recentResponse) {
 		return true
 	}
 	started := d.o.Clock.Now()
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -38,7 +38,7 @@
 			is.NoErr(err)
 			_, err = readAll(answer.Stream)
 			is.NoErr(err)
-			is.True(time.Since(r.ArrivedAt) <= 2*askTimeout)
+			is.True(time.Since(r.ArrivedAt) <= 2*probeTimeout)
 		}
 		is.Equal(len(w.up.attempts), questions)
 		for _, a := range w.up.attempts {
@@ -63,12 +63,12 @@
 		is.Equal(len(w.up.asked), 1)
 		serve(onceRequest())
 		is.Equal(len(w.up.asked), 1)
-		time.Sleep(2 * heardWithin)
+		time.Sleep(2 * recentResponse)
 		repeatable := onceRequest()
 		repeatable.Route.Resumable = true
 		serve(repeatable)
 		is.Equal(len(w.up.asked), 1)
-		time.Sleep(2 * heardWithin)
+		time.Sleep(2 * recentResponse)
 		serve(onceRequest())
 		is.Equal(len(w.up.asked), 2)
 	})
@@ -157,7 +157,7 @@
 		_, err = readAll(answer.Stream)
 		is.NoErr(err)
 		is.True(w.up.attempts[0].PrefillOnly && w.up.attempts[1].PrefillOnly)
-		is.True(time.Since(r.ArrivedAt) <= lookEvery+askTimeout)
+		is.True(time.Since(r.ArrivedAt) <= checkInterval+probeTimeout)
 		is.Equal(w.silent.ids[0], w.up.attempts[0].Instance.ID) // the host tells of it, too
 	})
 }
--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -14,7 +14,7 @@
 // ended without one.
 func (d *Dispatcher) attempt(ctx context.Context, a *Attempt, c choice, rec *record) (*Answer, outcome) {
 	runner, sent := c.Runner, c.begin()
-	if !c.permitted && !d.permitted(ctx, a.Instance, "run", rec, 0) {
+	if !c.permitted && !d.acquirePermit(ctx, a.Instance, "run", rec, 0) {
 		sent.end()
 		return nil, outcomeLimited
 	}
@@ -23,11 +23,11 @@
 		sent.end()
 		return nil, outcomeUnsent
 	}
-	if !d.reached(ctx, a, runner, rec) {
+	if !d.confirmReachable(ctx, a, runner, rec) {
 		sent.end()
 		return nil, outcomeUnsent
 	}
-	a.Backup = d.backupFor(a.Request, a.Instance, rec.tried)
+	a.Backup = d.backupEngine(a.Request, a.Instance, rec.tried)
 	a.Left = d.left(a.Request)
 	started := d.o.Clock.Now()
 	running, first := d.awaitFirst(ctx, a, rec)
@@ -69,7 +69,7 @@
 		return nil, outcomeUnknown
 	}
 	resp.Finish()
-	sent.answered()
+	sent.markAnswered()
 	if head.Status >= 500 {
 		runner.Failed()
 		rec.add(a.Instance, "run", outcomeFailed, took, nil)
@@ -140,7 +140,7 @@
 // until then, and has not failed. One that is not the run that was meant is asked for: it may be
 // gone, with another at its address.
 func (d *Dispatcher) noteRefused(runner *placement.Runner, head *Head) {
-	if d.rests(runner.Instance) {
+	if d.inBackoff(runner.Instance) {
 		return
 	}
 	runner.Refused()
--- a/coordination/forward/backup_test.go
+++ b/coordination/forward/backup_test.go
@@ -48,7 +48,7 @@
 	w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
 		fell = time.Now()
 		w.up.setDark(first)
-		w.up.noted = func() { is.True(time.Since(fell) <= 250*time.Millisecond+askTimeout) }
+		w.up.noted = func() { is.True(time.Since(fell) <= 250*time.Millisecond+probeTimeout) }
 	}, reply{status: 200, events: true, body: begun, stall: time.Minute}, reply{status: 200, events: true, body: rest})
 	is.NoErr(err)
 	is.Equal(got, begun+rest)
@@ -161,9 +161,9 @@
 		room   bool
 	}{{200, true}, {9000, false}, {200, true}} {
 		for range 300 {
-			w.sizes.note(r.Service, c.tokens)
+			w.sizes.observe(r.Service, c.tokens)
 		}
-		is.Equal(w.backupFor(r, w.fleet.Runners("model")[0].Instance, nil) != nil, c.room)
+		is.Equal(w.backupEngine(r, w.fleet.Runners("model")[0].Instance, nil) != nil, c.room)
 	}
 }
 
--- a/coordination/forward/evacuate.go
+++ b/coordination/forward/evacuate.go
@@ -23,19 +23,19 @@
 // its end.
 const evacuateTimeout = 200 * time.Millisecond
 
-// leaves reports whether a run that may run once is at an engine that is about to go: it
+// needsEvacuation reports whether a run that may run once is at an engine that is about to go: it
 // drains for some seconds, or two when it is taken back, and cuts what takes longer. Streams
 // of rostering's questions take four seconds at the mean.
-func (d *Dispatcher) leaves(a *Attempt) bool {
-	return a.Request.runsOnce() && !d.o.Placer.Has(a.Instance.ID) && d.o.Placer.Runner(a.Instance.ID) != nil
+func (d *Dispatcher) needsEvacuation(a *Attempt) bool {
+	return a.Request.runsAtMostOnce() && !d.o.Placer.Has(a.Instance.ID) && d.o.Placer.Runner(a.Instance.ID) != nil
 }
 
 // evacuate stops the run, has its memory copied to another engine and cuts the response, so
 // that the stream goes on there. It is tried once for each run: one that can't be moved, or may
 // not be sent once more, stays where it is, and goes on from its backup if it is cut there.
-func (d *Dispatcher) evacuate(ctx context.Context, w *watch, a *Attempt, resp Response) {
+func (d *Dispatcher) evacuate(ctx context.Context, w *streamWatch, a *Attempt, resp Response) {
 	e := &evacuation{done: make(chan struct{})}
-	if !w.evacuated.CompareAndSwap(nil, e) {
+	if !w.evacuation.CompareAndSwap(nil, e) {
 		return
 	}
 	defer close(e.done)
@@ -47,27 +47,27 @@
 	defer cancel()
 	handle, err := d.o.Upstream.Move(ctx, a.Instance, a.Request.ID, runner.Instance)
 	if err != nil || handle == "" {
-		d.o.Log.Info("run not moved off a leaving engine", "request_id", a.Request.ID, "instance", a.Instance.ID, "to", runner.Instance.ID, "cause", errText(err))
+		d.o.Log.Info("run not moved off a leaving engine", "request_id", a.Request.ID, "instance", a.Instance.ID, "to", runner.Instance.ID, "cause", moveFailure(err))
 		return
 	}
 	e.to, e.source = runner.Instance, &KVSource{Instance: a.Instance, Handle: handle}
 	resp.Cut()
 }
 
-func errText(err error) string {
+func moveFailure(err error) string {
 	if err == nil {
 		return "the engine has no such run"
 	}
 	return err.Error()
 }
 
-// moved returns where the present run was moved to, waiting for a move under way; nil if it
+// awaitEvacuation returns where the present run was awaitEvacuation to, waiting for a move under way; nil if it
 // wasn't.
-func (s *Stream) moved() *evacuation {
+func (s *Stream) awaitEvacuation() *evacuation {
 	if s.watch == nil {
 		return nil
 	}
-	e := s.watch.evacuated.Load()
+	e := s.watch.evacuation.Load()
 	if e == nil {
 		return nil
 	}
--- a/coordination/forward/evacuate_test.go
+++ b/coordination/forward/evacuate_test.go
@@ -76,7 +76,7 @@
 	is.Equal(len(w.up.moved), 0)
 	repeatable := &Attempt{Request: modelRequest(9000, true), Instance: w.up.attempts[0].Instance}
 	w.drain(repeatable.Instance.ID)
-	is.True(!w.leaves(repeatable))
+	is.True(!w.needsEvacuation(repeatable))
 }
 
 // A run whose request may not be sent once more isn't stopped: what is left of its engine's time
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -43,7 +43,7 @@
 // Observer takes the dispatcher's measures.
 type Observer interface {
 	// Turn notes how a part of a model request got its place among the others.
-	Turn(w Work, t Turn)
+	Turn(w Phase, t ReservationKind)
 	// Read notes how long the reading of a prompt took, waiting included, against what
 	// was predicted of it.
 	Read(service string, predicted, took time.Duration)
@@ -104,7 +104,7 @@
 type Dispatcher struct {
 	o     Options
 	leads leads
-	sizes sizes
+	sizes promptSizes
 }
 
 // New validates the options.
@@ -137,7 +137,7 @@
 	}
 	d.o.Budget.Seen(r.Service)
 	if r.Generation != nil {
-		d.sizes.note(r.Service, r.Generation.PromptTokens)
+		d.sizes.observe(r.Service, r.Generation.PromptTokens)
 	}
 	answer, err := d.serve(ctx, r, rec)
 	if err != nil && rec.failed != nil {
@@ -204,12 +204,12 @@
 		if err := d.over(ctx, r, rec); err != nil {
 			return nil, err
 		}
-		c, err := d.pick(ctx, r, rec, d.usefulBy(r))
+		c, err := d.pickRunner(ctx, r, rec, d.startDeadline(r))
 		if err != nil {
 			return nil, err
 		}
 		if err := d.barred(ctx, r, rec); err != nil {
-			c.giveBack()
+			c.release()
 			return nil, err
 		}
 		a := &Attempt{Request: r, Instance: c.Instance, Source: source, LastEventID: r.LastEventID, Rank: c.rank(r), FetchFrom: c.fetchFrom()}
@@ -298,11 +298,11 @@
 	case r.Generation == nil:
 		return choice{Runner: d.o.Placer.Call(r.Service, rec.tried)}, nil
 	case rec.apart:
-		return d.takeSlot(ctx, r, rec), nil
+		return d.chooseDecodeEngine(ctx, r, rec), nil
 	case d.long(r):
-		return d.takeReadingPlace(ctx, r, rec)
+		return d.chooseMixedEngine(ctx, r, rec)
 	default:
-		return d.takePlace(ctx, r, rec), nil
+		return d.chooseShortPromptEngine(ctx, r, rec), nil
 	}
 }
 
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -195,7 +195,7 @@
 
 type noObserver struct{}
 
-func (noObserver) Turn(Work, Turn) {}
+func (noObserver) Turn(Phase, ReservationKind) {}
 
 func (noObserver) Read(string, time.Duration, time.Duration) {}
 
--- a/coordination/forward/lead.go
+++ b/coordination/forward/lead.go
@@ -97,7 +97,7 @@
 				f.late.Store(true)
 				f.cancel()
 			}
-			most = max(most, lookEvery)
+			most = max(most, checkInterval)
 		}
 	}()
 	return ctx, f
--- a/coordination/forward/offer.go
+++ b/coordination/forward/offer.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	// maxAsked bounds the engines whose counts are asked for one prompt: with two
+	// maxPrefillCandidates bounds the engines whose counts are asked for one prompt: with two
 	// thirds of them full, four in five prompts find room at one of four.
-	maxAsked = 4
-	// shortWait is the predicted wait with which an engine is taken without asking
+	maxPrefillCandidates = 4
+	// shortQueueWait is the predicted wait with which an engine is taken without asking
 	// others: twenty round trips to an owner of another failure domain (2 ms each).
-	shortWait = 40 * time.Millisecond
-	// anyTime puts no bound on a forecast.
-	anyTime = math.MaxInt32 * time.Millisecond
+	shortQueueWait = 40 * time.Millisecond
+	// unboundedWait puts no bound on a forecast.
+	unboundedWait = math.MaxInt32 * time.Millisecond
 )
 
-// offer is what an engine's owner predicted.
-type offer struct {
+// candidate is what an engine's owner predicted.
+type candidate struct {
 	runner *placement.Runner
 	occupancy.Verdict
 }
@@ -36,64 +36,64 @@
 // cost is what choosing the engine costs if it fetches parts from source: the time
 // until the prompt is read, and once more that of the reading itself, by which those
 // that come after wait longer.
-func (o offer) cost(r *Request, p prompt, source offer) time.Duration {
+func (o candidate) cost(r *Request, p coldPrompt, source candidate) time.Duration {
 	f := o.Forecast
 	saved := time.Duration(0)
-	if missing := p.shared() - f.Coming; source.Forecast.Kept > f.Coming {
-		found := source.Forecast.Kept - f.Coming
-		saved = time.Duration(float64(f.Cold)*float64(found)/float64(missing)) - moving(r, found, source.runner, o.runner)
+	if missing := p.sharedTokens() - f.Coming; source.Forecast.Kept > f.Coming {
+		fetchable := source.Forecast.Kept - f.Coming
+		saved = time.Duration(float64(f.Cold)*float64(fetchable)/float64(missing)) - transferTime(r, fetchable, source.runner, o.runner)
 	}
 	return 2*(f.Finish-saved) - f.Wait
 }
 
-// takeTurn finds the engine at which the prompt is read soonest: the session's own if
+// reservePrefill finds the engine at which the prompt is read soonest: the session's own if
 // hardly anything waits there and all shared parts are kept, else the best of those that
 // are asked. What another of them keeps is fetched. A prompt that would be read after
 // its caller has left is refused.
-func (d *Dispatcher) takeTurn(ctx context.Context, r *Request, rec *record, tried []state.InstanceID) (turn, error) {
-	p := promptWork(r.Generation)
-	limit := d.readBy(r).Sub(d.o.Clock.Now())
-	var offers []offer
-	asked := slices.Clone(tried)
-	for range maxAsked {
-		runner := d.o.Placer.Prefill(r.Service, r.Generation.Session(), asked)
+func (d *Dispatcher) reservePrefill(ctx context.Context, r *Request, rec *record, tried []state.InstanceID) (reservation, error) {
+	p := newColdPrompt(r.Generation)
+	limit := d.prefillTarget(r).Sub(d.o.Clock.Now())
+	var offers []candidate
+	excluded := slices.Clone(tried)
+	for range maxPrefillCandidates {
+		runner := d.o.Placer.Prefill(r.Service, r.Generation.Session(), excluded)
 		if runner == nil {
 			break
 		}
-		ask := d.readingAsk(r, runner, backlog.Work(p), shortWait, limit)
+		ask := d.prefillAsk(r, runner, backlog.Work(p), shortQueueWait, limit)
 		ask.Reading.Warm = true
-		o := offer{runner, d.o.Gate.Enter(ctx, ask)}
+		o := candidate{runner, d.o.Gate.Enter(ctx, ask)}
 		if o.Place != nil {
-			return turnAt(o, nil), nil
+			return newReservation(o, nil), nil
 		}
 		rec.add(runner.Instance, "place", outcomeFull, o.Forecast.Finish, nil)
 		offers = append(offers, o)
-		asked = append(asked, runner.Instance.ID)
+		excluded = append(excluded, runner.Instance.ID)
 	}
 	if len(offers) == 0 {
-		return turn{kind: TurnOwn}, nil
+		return reservation{kind: ReservationLocal}, nil
 	}
-	source := slices.MaxFunc(offers, func(a, b offer) int { return cmp.Compare(a.Forecast.Kept, b.Forecast.Kept) })
-	best := slices.MinFunc(offers, func(a, b offer) int { return cmp.Compare(a.cost(r, p, source), b.cost(r, p, source)) })
-	if err := d.hopeless(r, rec, best); err != nil {
-		return turn{}, err
+	source := slices.MaxFunc(offers, func(a, b candidate) int { return cmp.Compare(a.Forecast.Kept, b.Forecast.Kept) })
+	best := slices.MinFunc(offers, func(a, b candidate) int { return cmp.Compare(a.cost(r, p, source), b.cost(r, p, source)) })
+	if err := d.refuseIfOverdue(r, rec, best); err != nil {
+		return reservation{}, err
 	}
 	work := backlog.Work(p)
 	var from *placement.Runner
 	if kept := source.Forecast.Kept; kept > best.Forecast.Coming {
 		from = source.runner
 		work.Fetched = kept
-		work.FetchMS = state.InMillis(moving(r, kept, from, best.runner))
+		work.FetchMS = state.InMillis(transferTime(r, kept, from, best.runner))
 	}
-	ask := d.readingAsk(r, best.runner, work, anyTime, limit)
+	ask := d.prefillAsk(r, best.runner, work, unboundedWait, limit)
 	ask.Reading.Late = true
 	best.Verdict = d.o.Gate.Enter(ctx, ask)
-	return turnAt(best, from), nil
+	return newReservation(best, from), nil
 }
 
-// hopeless refuses a prompt that would be read after its caller has left, and tells the
+// refuseIfOverdue refuses a prompt that would be read after its caller has left, and tells the
 // caller when it would be read in time.
-func (d *Dispatcher) hopeless(r *Request, rec *record, best offer) error {
+func (d *Dispatcher) refuseIfOverdue(r *Request, rec *record, best candidate) error {
 	left := d.readLeft(r)
 	if best.Own || !best.Forecast.Known || best.Forecast.Finish < left {
 		return nil
@@ -101,16 +101,16 @@
 	d.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "request is hopeless", slog.String("request_id", r.ID),
 		slog.Any("instance", best.runner.Instance.ID), slog.Duration("predicted", best.Forecast.Finish),
 		slog.Duration("left", left))
-	return d.giveUp(r, rec, max(best.Forecast.Finish-r.Route.Objective, shortWait))
+	return d.giveUp(r, rec, max(best.Forecast.Finish-r.Route.Objective, shortQueueWait))
 }
 
-// readBy is when a prompt should be read so that the first event is in time.
-func (d *Dispatcher) readBy(r *Request) time.Time {
+// prefillTarget is when a prompt should be read so that the first event is in time.
+func (d *Dispatcher) prefillTarget(r *Request) time.Time {
 	return r.ArrivedAt.Add(r.Route.Objective - d.leads.of(r.Service))
 }
 
-// answerBy is when the first event is of no use any more: its caller has left.
-func (d *Dispatcher) answerBy(r *Request) time.Time {
+// firstEventDeadline is when the first event is of no use any more: its caller has left.
+func (d *Dispatcher) firstEventDeadline(r *Request) time.Time {
 	if r.Route.CallerSilence <= 0 {
 		return r.Deadline
 	}
@@ -120,19 +120,19 @@
 	return r.Deadline
 }
 
-// prompt is a prompt's work at an engine that keeps nothing of it.
-type prompt backlog.Work
+// coldPrompt is a coldPrompt's work at an engine that keeps nothing of it.
+type coldPrompt backlog.Work
 
-func promptWork(g *Generation) prompt {
-	p := prompt{Own: g.OwnTokens()}
+func newColdPrompt(g *Generation) coldPrompt {
+	p := coldPrompt{Own: g.OwnTokens()}
 	for _, part := range g.Parts[:max(0, len(g.Parts)-1)] {
 		p.Shared = append(p.Shared, backlog.Part{ID: xxhash.Sum64String(part.ID), Tokens: part.Tokens})
 	}
 	return p
 }
 
-// shared is the size of the parts before the prompt's own.
-func (p prompt) shared() int {
+// sharedTokens is the size of the parts before the prompt's own.
+func (p coldPrompt) sharedTokens() int {
 	out := 0
 	for _, part := range p.Shared {
 		out += part.Tokens
@@ -140,11 +140,11 @@
 	return out
 }
 
-// farMove is how much longer memory moves between failure domains.
-const farMove = 2
+// crossDomainFactor is how much longer memory moves between failure domains.
+const crossDomainFactor = 2
 
-// moveTime is the time in which the memory of tokens moves within a failure domain.
-func moveTime(r *Request, tokens int) time.Duration {
+// localTransferTime is the time in which the memory of tokens moves within a failure domain.
+func localTransferTime(r *Request, tokens int) time.Duration {
 	if r.Engine == nil || r.Engine.LinkBits <= 0 {
 		return 0
 	}
@@ -152,17 +152,17 @@
 	return time.Duration(bits / r.Engine.LinkBits * float64(time.Second))
 }
 
-// moving is the time in which the memory of tokens moves from one engine to another.
-func moving(r *Request, tokens int, from, to *placement.Runner) time.Duration {
-	took := moveTime(r, tokens)
+// transferTime is the time in which the memory of tokens moves from one engine to another.
+func transferTime(r *Request, tokens int, from, to *placement.Runner) time.Duration {
+	took := localTransferTime(r, tokens)
 	if from.Instance.FailureDomain != to.Instance.FailureDomain {
-		took *= farMove
+		took *= crossDomainFactor
 	}
 	return took
 }
 
-// readingAsk asks for a place at which the prompt is read.
-func (d *Dispatcher) readingAsk(r *Request, at *placement.Runner, w backlog.Work, wait, limit time.Duration) occupancy.Ask {
+// prefillAsk asks for a place at which the prompt is read.
+func (d *Dispatcher) prefillAsk(r *Request, at *placement.Runner, w backlog.Work, wait, limit time.Duration) occupancy.Ask {
 	reading := &occupancy.Reading{Service: r.Service, Work: w, MaxWait: wait, Limit: limit}
 	if r.Engine != nil {
 		reading.Memory = r.Engine.KVTokens
--- a/coordination/forward/patience.go
+++ b/coordination/forward/patience.go
@@ -11,54 +11,54 @@
 )
 
 const (
-	// patienceErrors is how many mean errors a reading may take longer than predicted
+	// overdueErrors is how many mean errors a reading may take longer than predicted
 	// before its engine is asked after: of errors that fall off exponentially one in
 	// twenty is larger.
-	patienceErrors = 3
-	// patienceSlack covers what no prediction knows of: a host that is held up for a
+	overdueErrors = 3
+	// overdueSlack covers what no prediction knows of: a host that is held up for a
 	// tenth of a second, a packet that is sent again.
-	patienceSlack = 200 * time.Millisecond
-	// lookEvery is how often a reading that takes longer is asked after.
-	lookEvery = 250 * time.Millisecond
+	overdueSlack = 200 * time.Millisecond
+	// checkInterval is how often a reading that takes longer is asked after.
+	checkInterval = 250 * time.Millisecond
 )
 
-// patience ends the wait for a reading at an engine that ends nothing, and any wait
+// prefillWatch ends the wait for a reading at an engine that ends nothing, and any wait
 // while the caller can still be told.
-type patience struct {
+type prefillWatch struct {
 	d      *Dispatcher
 	r      *Request
-	t      turn
+	t      reservation
 	ctx    context.Context
 	cancel context.CancelFunc
-	looks  conc.WaitGroup
-	// unsure is set once the owner knew nothing of the reading.
-	unsure bool
-	// dark is set if the engine ended nothing for too long.
-	dark atomic.Bool
+	wg     conc.WaitGroup
+	// unknownBefore is set once the owner knew nothing of the reading.
+	unknownBefore bool
+	// unavailable is set if the engine ended nothing for too long.
+	unavailable atomic.Bool
 }
 
-// patience begins the wait for a reading. It is to be ended.
-func (d *Dispatcher) patience(ctx context.Context, r *Request, t turn) (context.Context, *patience) {
+// watchPrefill begins the wait for a reading. It is to be ended.
+func (d *Dispatcher) watchPrefill(ctx context.Context, r *Request, t reservation) (context.Context, *prefillWatch) {
 	ctx, cancel := context.WithCancel(ctx)
-	p := &patience{d: d, r: r, t: t, cancel: cancel, ctx: ctx}
-	p.looks.Go(p.run)
+	p := &prefillWatch{d: d, r: r, t: t, cancel: cancel, ctx: ctx}
+	p.wg.Go(p.run)
 	return ctx, p
 }
 
 // run looks after the reading until the wait is over.
-func (p *patience) run() {
+func (p *prefillWatch) run() {
 	next := p.d.readLeft(p.r)
 	if f := p.t.forecast; f.Known {
-		next = min(next, expected(f))
+		next = min(next, overdueAfter(f))
 	}
 	for {
-		pause := min(max(next, 0), lookEvery)
+		pause := min(max(next, 0), checkInterval)
 		if p.d.o.Clock.Sleep(p.ctx, pause) != nil {
 			return
 		}
 		next -= pause
 		if p.t.runner.Silent(p.d.o.Clock.Now()) {
-			p.dark.Store(true)
+			p.unavailable.Store(true)
 			p.cancel()
 			return
 		}
@@ -66,38 +66,38 @@
 			continue
 		}
 		left := p.d.readLeft(p.r)
-		if left <= 0 || !p.progresses() {
+		if left <= 0 || !p.makesProgress() {
 			p.cancel()
 			return
 		}
-		next = min(left, lookEvery)
+		next = min(left, checkInterval)
 	}
 }
 
-// progresses reports whether the reading may still end. What an owner that was lost
+// makesProgress reports whether the reading may still end. What an owner that was lost
 // can't tell is taken for granted once.
-func (p *patience) progresses() bool {
+func (p *prefillWatch) makesProgress() bool {
 	_, progress := p.t.place.Remaining(p.ctx)
 	switch progress {
 	case backlog.Underway:
 		return true
 	case backlog.Unknown:
-		before := p.unsure
-		p.unsure = true
+		before := p.unknownBefore
+		p.unknownBefore = true
 		return !before
 	default:
-		p.dark.Store(true)
+		p.unavailable.Store(true)
 		return false
 	}
 }
 
-// expected is how long a reading takes at most, as far as is foreseen.
-func expected(f backlog.Forecast) time.Duration {
-	return f.Finish + time.Duration(patienceErrors*f.Error*float64(f.Finish)) + patienceSlack
+// overdueAfter is how long a reading takes at most, as far as is foreseen.
+func overdueAfter(f backlog.Forecast) time.Duration {
+	return f.Finish + time.Duration(overdueErrors*f.Error*float64(f.Finish)) + overdueSlack
 }
 
-// end ends the wait.
-func (p *patience) end() {
+// stop ends the wait.
+func (p *prefillWatch) stop() {
 	p.cancel()
-	p.looks.Wait()
+	p.wg.Wait()
 }
--- a/coordination/forward/record.go
+++ b/coordination/forward/record.go
@@ -80,7 +80,7 @@
 	// apart is set for a prompt that is read at an engine of its own.
 	apart bool
 	// turn is how a model request got its place among the others; "" for calls.
-	turn Turn
+	turn ReservationKind
 	// cached is where the prompt's KV cache waits to be taken, or nil.
 	cached *KVSource
 }
--- a/coordination/forward/resting_test.go
+++ b/coordination/forward/resting_test.go
@@ -162,7 +162,7 @@
 		w.ask(backpressure.Advice{Rest: 9 * time.Second}, "s1", "s2", "s4", "s5")
 		w.ask(backpressure.Advice{Rest: 3 * time.Second}, "s3")
 		rec := &record{}
-		_, err := w.pick(t.Context(), request(state.RouteSafe, 2, false), rec, time.Now().Add(time.Second))
+		_, err := w.pickRunner(t.Context(), request(state.RouteSafe, 2, false), rec, time.Now().Add(time.Second))
 		is.True(err != nil)
 		is.Equal(len(rec.steps), 1)
 		is.Equal(rec.steps[0].instance.Name, "s3")
--- a/coordination/forward/split.go
+++ b/coordination/forward/split.go
@@ -23,28 +23,28 @@
 		if d.over(ctx, r, rec) != nil || !d.pay(r, rec) {
 			return nil, nil
 		}
-		if err := d.generates(r, rec); err != nil {
+		if err := d.checkDecodeInTime(r, rec); err != nil {
 			return nil, err
 		}
-		t, err := d.takeTurn(ctx, r, rec, tried)
+		t, err := d.reservePrefill(ctx, r, rec, tried)
 		if err != nil {
 			return nil, err
 		}
-		d.noteTurn(rec, WorkRead, t.kind)
+		d.noteReservation(rec, PhasePrefill, t.kind)
 		if t.runner == nil {
 			return nil, nil
 		}
-		if !d.permitted(ctx, t.runner.Instance, "prefill", rec, 0) {
-			t.end(false)
+		if !d.acquirePermit(ctx, t.runner.Instance, "prefill", rec, 0) {
+			t.release(false)
 			continue
 		}
 		if err := d.barred(ctx, r, rec); err != nil {
-			t.end(false)
+			t.release(false)
 			return nil, err
 		}
 		tried = append(tried, t.runner.Instance.ID)
 		source := d.prefillAt(ctx, r, t, rec)
-		t.end(source != nil)
+		t.release(source != nil)
 		if source != nil {
 			return source, nil
 		}
@@ -58,7 +58,7 @@
 // readLeft is the time in which the prompt must be read so that its caller is still
 // there at the first event.
 func (d *Dispatcher) readLeft(r *Request) time.Duration {
-	return d.answerBy(r).Sub(d.o.Clock.Now()) - d.leads.of(r.Service) - givenUpMargin
+	return d.firstEventDeadline(r).Sub(d.o.Clock.Now()) - d.leads.of(r.Service) - givenUpMargin
 }
 
 // givenUpMargin is the way of a refusal to a caller that is about to leave: 3 ms one way
@@ -87,7 +87,7 @@
 // maxPrefills bounds the engines that one prompt is sent to for reading.
 const maxPrefills = 2
 
-func (d *Dispatcher) prefillAt(ctx context.Context, r *Request, t turn, rec *record) *KVSource {
+func (d *Dispatcher) prefillAt(ctx context.Context, r *Request, t reservation, rec *record) *KVSource {
 	const part = "prefill"
 	runner := t.runner
 	rec.predicted = t.forecast.Finish
@@ -97,8 +97,8 @@
 	}
 	a := &Attempt{Request: r, Instance: runner.Instance, Left: d.left(r), PrefillOnly: true, Rank: t.forecast.Rank, FetchFrom: d.keepsParts(r, t)}
 	outer := ctx
-	ctx, p := d.patience(ctx, r, t)
-	defer p.end()
+	ctx, p := d.watchPrefill(ctx, r, t)
+	defer p.stop()
 	started := d.o.Clock.Now()
 	done := runner.Begin()
 	defer done()
@@ -117,7 +117,7 @@
 		}
 		// Reading a prompt runs nothing, so a lost response breaks no promise. That
 		// a prompt isn't read in its time says nothing of an engine that reads others.
-		if (ctx.Err() == nil || p.dark.Load()) && !failed.Withheld {
+		if (ctx.Err() == nil || p.unavailable.Load()) && !failed.Withheld {
 			runner.Broken()
 			d.o.Outliers.Silent(runner.Instance.ID)
 			if failed.Sent {
@@ -155,7 +155,7 @@
 // the engine that keeps the prompt's memory if moving it between domains takes longer
 // than the request's way there; "" for the host's own.
 func generateNear(r *Request, source *KVSource) string {
-	if source == nil || moveTime(r, r.Generation.PromptTokens)*(farMove-1) < domainRoundTrip {
+	if source == nil || localTransferTime(r, r.Generation.PromptTokens)*(crossDomainFactor-1) < domainRoundTrip {
 		return ""
 	}
 	return source.Instance.FailureDomain
@@ -168,9 +168,9 @@
 // keepsParts is the address of an engine that may keep shared parts of the prompt which
 // the turn's doesn't: the one that is known to, or the one that generates for the
 // session; "" if there is none.
-func (d *Dispatcher) keepsParts(r *Request, t turn) string {
-	if t.source != nil {
-		return t.source.Instance.Addr
+func (d *Dispatcher) keepsParts(r *Request, t reservation) string {
+	if t.prefixSource != nil {
+		return t.prefixSource.Instance.Addr
 	}
 	generates := d.o.Placer.Decode(r.Service, r.Generation.Session(), t.runner.Instance.FailureDomain, nil)
 	if generates == nil {
--- a/coordination/forward/stream.go
+++ b/coordination/forward/stream.go
@@ -19,11 +19,11 @@
 	rec    *record
 	runner *placement.Runner
 	resp   Response
-	sent   *sending
+	sent   *inFlight
 	// first has ended its watch; its context is that of the attempt.
 	first *firstEvent
 	// watch looks after a run with a backup, or nil; moves is how often it went on from one.
-	watch *watch
+	watch *streamWatch
 	moves int
 
 	started time.Time
@@ -58,7 +58,7 @@
 const streamBuffer = 4 << 10
 
 // openStream waits for the first event.
-func (d *Dispatcher) openStream(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, resp Response, sent *sending, started time.Time, first *firstEvent) (*Answer, outcome) {
+func (d *Dispatcher) openStream(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, resp Response, sent *inFlight, started time.Time, first *firstEvent) (*Answer, outcome) {
 	s := &Stream{d: d, ctx: ctx, first: first, a: a, rec: rec, runner: runner, resp: resp, sent: sent, started: started, lastID: a.LastEventID}
 	var err error
 	if !resp.Head().Sealed {
@@ -81,7 +81,7 @@
 	}
 	d.noteBegan(a.Request, rec, d.o.Clock.Now())
 	runner.Answered(took)
-	sent.answered()
+	sent.markAnswered()
 	if a.Source != nil {
 		d.leads.note(a.Request.Service, took)
 	}
@@ -132,7 +132,7 @@
 	}
 	n, err := s.resp.Read(s.buf[len(s.buf):cap(s.buf)])
 	if n > 0 {
-		s.noteHeard()
+		s.noteReceived()
 	}
 	before := len(s.buf)
 	s.buf = s.buf[:before+n]
@@ -170,8 +170,8 @@
 
 // again goes on with a stream that broke off, if there is a way.
 func (s *Stream) again(cause error) bool {
-	if s.a.Request.runsOnce() {
-		return s.goOn(cause)
+	if s.a.Request.runsAtMostOnce() {
+		return s.resumeFromBackup(cause)
 	}
 	return s.resume(cause)
 }
@@ -184,12 +184,12 @@
 	s.broken()
 	s.rec.add(s.a.Instance, "run", outcomeUnknown, s.d.o.Clock.Now().Sub(s.started), cause)
 	for s.d.over(s.ctx, r, s.rec) == nil && s.d.mayRepeat(r, s.rec) {
-		c, err := s.d.pick(s.ctx, r, s.rec, s.d.o.Clock.Now().Add(resumeWait))
+		c, err := s.d.pickRunner(s.ctx, r, s.rec, s.d.o.Clock.Now().Add(resumeWait))
 		if err != nil {
 			return false
 		}
 		if s.d.barred(s.ctx, r, s.rec) != nil {
-			c.giveBack()
+			c.release()
 			return false
 		}
 		if s.resumeAt(c) {
@@ -212,7 +212,7 @@
 // resumeWith makes an attempt that goes on after the last whole event.
 func (s *Stream) resumeWith(a *Attempt, c choice) bool {
 	runner, sent := c.Runner, c.begin()
-	if !c.permitted && !s.d.permitted(s.ctx, a.Instance, "resume", s.rec, resumeWait) {
+	if !c.permitted && !s.d.acquirePermit(s.ctx, a.Instance, "resume", s.rec, resumeWait) {
 		sent.end()
 		return false
 	}
@@ -235,7 +235,7 @@
 		s.rec.add(a.Instance, "resume", outcomeNotRun, took, &statusError{head.Status})
 		return false
 	}
-	sent.answered()
+	sent.markAnswered()
 	s.a, s.runner, s.resp, s.sent, s.started = a, runner, resp, sent, started
 	s.buf, s.whole, s.eof, s.closed = nil, 0, false, false
 	s.startWatch()
--- a/coordination/forward/turn.go
+++ b/coordination/forward/turn.go
@@ -10,45 +10,45 @@
 	"github.com/thymerack/thymerack/coordination/placement"
 )
 
-// Turn is how a part of a model request got its place among the others.
-type Turn string
+// ReservationKind is how a part of a model request got its place among the others.
+type ReservationKind string
 
 // The turns.
 const (
-	// TurnCounted work has a place among that of all hosts which its engine is
+	// ReservationShared work has a place among that of all hosts which its engine is
 	// predicted to do in time.
-	TurnCounted Turn = "counted"
-	// TurnOwn work is counted at this host alone; the owner of the engine's count
+	ReservationShared ReservationKind = "counted"
+	// ReservationLocal work is counted at this host alone; the owner of the engine's count
 	// could not be asked.
-	TurnOwn Turn = "own"
-	// TurnDeferred work is predicted to be late or found all slots taken, and is put
+	ReservationLocal ReservationKind = "own"
+	// ReservationDeferred work is predicted to be late or found all slots taken, and is put
 	// behind the others.
-	TurnDeferred Turn = "deferred"
+	ReservationDeferred ReservationKind = "deferred"
 )
 
-// Work is a part of a model request.
-type Work string
+// Phase is a part of a model request.
+type Phase string
 
 // The parts of a model request that take turns.
 const (
-	// WorkRead is the reading of a long prompt at an engine of its own.
-	WorkRead Work = "read"
-	// WorkGenerate is a request with a short prompt, read where it generates.
-	WorkGenerate Work = "generate"
+	// PhasePrefill is the reading of a long prompt at an engine of its own.
+	PhasePrefill Phase = "read"
+	// PhaseGenerate is a request with a short prompt, read where it generates.
+	PhaseGenerate Phase = "generate"
 )
 
-// turn is a prompt's turn at an engine.
-type turn struct {
-	kind Turn
-	// runner is the engine to read at, or nil if there is none; source is one that
+// reservation is a prompt's reservation at an engine.
+type reservation struct {
+	kind ReservationKind
+	// runner is the engine to read at, or nil if there is none; prefixSource is one that
 	// keeps shared parts which runner lacks, or nil.
-	runner, source *placement.Runner
-	place          *occupancy.Place
-	forecast       backlog.Forecast
+	runner, prefixSource *placement.Runner
+	place                *occupancy.Place
+	forecast             backlog.Forecast
 }
 
-// end counts the prompt out; done says that it was read.
-func (t turn) end(done bool) {
+// release counts the prompt out; done says that it was read.
+func (t reservation) release(done bool) {
 	if done {
 		t.place.Done()
 		return
@@ -56,13 +56,13 @@
 	t.place.Cancel()
 }
 
-func turnAt(o offer, source *placement.Runner) turn {
-	t := turn{kind: TurnCounted, runner: o.runner, source: source, place: o.Place, forecast: o.Forecast}
+func newReservation(o candidate, source *placement.Runner) reservation {
+	t := reservation{kind: ReservationShared, runner: o.runner, prefixSource: source, place: o.Place, forecast: o.Forecast}
 	switch {
 	case o.Own:
-		t.kind = TurnOwn
+		t.kind = ReservationLocal
 	case o.Forecast.Rank >= backlog.Classes:
-		t.kind = TurnDeferred
+		t.kind = ReservationDeferred
 	}
 	return t
 }
@@ -70,21 +70,21 @@
 // choice is a runner for one sending, with its place there if it has one.
 type choice struct {
 	*placement.Runner
-	turn turn
-	// reads is set if the place is for reading the prompt and ends with that.
-	reads bool
+	reservation reservation
+	// forPrefill is set if the place is for reading the prompt and ends with that.
+	forPrefill bool
 	// permitted is set if the runner's limit was asked already.
 	permitted bool
 }
 
 // rank is the order of the sending at its runner.
 func (c choice) rank(r *Request) int {
-	rank := min(max(0, r.Priority()), usualRank)
+	rank := min(max(0, r.Priority()), defaultRank)
 	switch {
-	case c.reads:
-		return c.turn.forecast.Rank
-	case c.turn.kind == TurnDeferred:
-		return min(deferredRank+rank, lowestRank)
+	case c.forPrefill:
+		return c.reservation.forecast.Rank
+	case c.reservation.kind == ReservationDeferred:
+		return min(deferredRank+rank, maxRank)
 	default:
 		return rank
 	}
@@ -92,73 +92,73 @@
 
 // The ranks that engines know; a lower one goes first.
 const (
-	// usualRank is that of requests which name none, deferredRank the first behind it.
-	usualRank    = 5
-	deferredRank = usualRank + 1
-	lowestRank   = 9
+	// defaultRank is that of requests which name none, deferredRank the first behind it.
+	defaultRank  = 5
+	deferredRank = defaultRank + 1
+	maxRank      = 9
 )
 
 // begin counts the sending in.
-func (c choice) begin() *sending {
-	return &sending{done: c.Runner.Begin(), turn: c.turn, reads: c.reads}
+func (c choice) begin() *inFlight {
+	return &inFlight{done: c.Runner.Begin(), reservation: c.reservation, forPrefill: c.forPrefill}
 }
 
-// giveBack ends the place of a choice that isn't used; it may have none.
-func (c choice) giveBack() {
+// release ends the place of a choice that isn't used; it may have none.
+func (c choice) release() {
 	if c.Runner != nil {
-		c.turn.end(false)
+		c.reservation.release(false)
 	}
 }
 
 // fetchFrom is the address of the engine that keeps shared parts; "" if none is known.
 func (c choice) fetchFrom() string {
-	if c.turn.source == nil {
+	if c.reservation.prefixSource == nil {
 		return ""
 	}
-	return c.turn.source.Instance.Addr
+	return c.reservation.prefixSource.Instance.Addr
 }
 
-// sending is one sending that is counted in at its runner and at its place.
-type sending struct {
-	done  func()
-	turn  turn
-	reads bool
-	once  sync.Once
+// inFlight is one inFlight that is counted in at its runner and at its place.
+type inFlight struct {
+	done        func()
+	reservation reservation
+	forPrefill  bool
+	once        sync.Once
 }
 
-// answered notes the first part of the answer.
-func (s *sending) answered() {
-	if s.reads {
-		s.once.Do(func() { s.turn.end(true) })
+// markAnswered notes the first part of the answer.
+func (s *inFlight) markAnswered() {
+	if s.forPrefill {
+		s.once.Do(func() { s.reservation.release(true) })
 	}
 }
 
 // end counts the sending out. It may be called twice.
-func (s *sending) end() {
+func (s *inFlight) end() {
 	s.done()
-	s.once.Do(func() { s.turn.end(false) })
+	s.once.Do(func() { s.reservation.release(false) })
 }
 
-// takeReadingPlace looks for an engine that reads a long prompt in time and generates
+// chooseMixedEngine looks for an engine that reads a long prompt in time and generates
 // as well, as takeTurn does for engines that only read.
-func (d *Dispatcher) takeReadingPlace(ctx context.Context, r *Request, rec *record) (choice, error) {
-	t, err := d.takeTurn(ctx, r, rec, rec.tried)
+func (d *Dispatcher) chooseMixedEngine(ctx context.Context, r *Request, rec *record) (choice, error) {
+	t, err := d.reservePrefill(ctx, r, rec, rec.tried)
 	if err != nil {
 		return choice{}, err
 	}
-	d.noteTurn(rec, WorkRead, t.kind)
-	return choice{Runner: t.runner, turn: t, reads: true}, nil
+	d.noteReservation(rec, PhasePrefill, t.kind)
+	return choice{Runner: t.runner, reservation: t, forPrefill: true}, nil
 }
 
-// takeSlot looks for an engine with a free slot to generate after a prompt that was read
+// chooseDecodeEngine looks for an engine with a free slot to generate after a prompt that was read
 // apart, beginning with the session's. A full engine would put back an answer of a less
 // urgent route in the middle to make room, which then pauses for some hundred milliseconds.
 // When all that are asked are full the session's own gets it all the same.
-func (d *Dispatcher) takeSlot(ctx context.Context, r *Request, rec *record) choice {
-	free, full := d.findSlot(ctx, r, rec, r.Generation.Session(), generateNear(r, rec.cached))
+func (d *Dispatcher) chooseDecodeEngine(ctx context.Context, r *Request, rec *record) choice {
+	free, full := d.findFreeSlot(ctx, r, rec, r.Generation.Session(), generateNear(r, rec.cached))
 	switch {
 	case free.Place != nil:
-		return choice{Runner: free.runner, turn: turn{kind: TurnCounted, runner: free.runner, place: free.Place}}
+		return choice{Runner: free.runner, reservation: reservation{kind: ReservationShared, runner: free.runner, place: free.Place}}
 	case len(full) > 0:
 		return choice{Runner: full[0]}
 	default:
@@ -166,54 +166,54 @@
 	}
 }
 
-// takePlace looks for an engine with a free slot for a request that generates at
+// chooseShortPromptEngine looks for an engine with a free slot for a request that generates at
 // length. When all that are asked are full it goes behind the others at the first,
 // where it starts once nothing newer wants the slot.
-func (d *Dispatcher) takePlace(ctx context.Context, r *Request, rec *record) choice {
-	free, full := d.findSlot(ctx, r, rec, "", "")
+func (d *Dispatcher) chooseShortPromptEngine(ctx context.Context, r *Request, rec *record) choice {
+	free, full := d.findFreeSlot(ctx, r, rec, "", "")
 	for _, runner := range full {
 		rec.add(runner.Instance, "place", outcomeFull, 0, nil)
 	}
 	switch {
 	case free.Place != nil:
-		return d.generateAt(free.runner, turnAt(free, nil), rec)
+		return d.generateChoice(free.runner, newReservation(free, nil), rec)
 	case len(full) > 0:
-		return d.generateAt(full[0], turn{kind: TurnDeferred}, rec)
+		return d.generateChoice(full[0], reservation{kind: ReservationDeferred}, rec)
 	default:
 		return choice{}
 	}
 }
 
-// findSlot asks engines that generate for a free slot, in the session's order and those of
+// findFreeSlot asks engines that generate for a free slot, in the session's order and those of
 // the failure domain near first. free has a place unless none was found, and full are the
 // engines that had none, as they were asked.
-func (d *Dispatcher) findSlot(ctx context.Context, r *Request, rec *record, session, near string) (free offer, full []*placement.Runner) {
-	asked := slices.Clone(rec.tried)
-	for range maxPlacesAsked {
-		runner := d.o.Placer.Decode(r.Service, session, near, asked)
+func (d *Dispatcher) findFreeSlot(ctx context.Context, r *Request, rec *record, session, near string) (free candidate, full []*placement.Runner) {
+	excluded := slices.Clone(rec.tried)
+	for range maxSlotCandidates {
+		runner := d.o.Placer.Decode(r.Service, session, near, excluded)
 		if runner == nil {
 			break
 		}
 		v := d.o.Gate.Enter(ctx, occupancy.Ask{Engine: runner.Instance.ID, Most: max(1, runner.Instance.Slots), Keep: d.left(r)})
 		if v.Place != nil {
-			return offer{runner, v}, full
+			return candidate{runner, v}, full
 		}
 		full = append(full, runner)
-		asked = append(asked, runner.Instance.ID)
+		excluded = append(excluded, runner.Instance.ID)
 	}
-	return offer{}, full
+	return candidate{}, full
 }
 
-// maxPlacesAsked bounds the engines that are asked for a free slot: with two thirds of them
+// maxSlotCandidates bounds the engines that are asked for a free slot: with two thirds of them
 // full, one request in sixty finds none free at ten.
-const maxPlacesAsked = 10
+const maxSlotCandidates = 10
 
-func (d *Dispatcher) generateAt(runner *placement.Runner, t turn, rec *record) choice {
-	d.noteTurn(rec, WorkGenerate, t.kind)
-	return choice{Runner: runner, turn: t}
+func (d *Dispatcher) generateChoice(runner *placement.Runner, t reservation, rec *record) choice {
+	d.noteReservation(rec, PhaseGenerate, t.kind)
+	return choice{Runner: runner, reservation: t}
 }
 
-func (d *Dispatcher) noteTurn(rec *record, w Work, t Turn) {
+func (d *Dispatcher) noteReservation(rec *record, w Phase, t ReservationKind) {
 	rec.turn = t
 	d.o.Observer.Turn(w, t)
 }
--- a/coordination/forward/turn_test.go
+++ b/coordination/forward/turn_test.go
@@ -21,10 +21,10 @@
 	w := newWorld(t, plenty, promptRead, generated, promptRead, generated)
 	home := w.fleet.Prefill("model", "b", nil)
 	w.served(t)
-	is.Equal(w.readingAsks(), maxAsked+1)
+	is.Equal(w.readingAsks(), maxPrefillCandidates+1)
 	is.Equal(w.up.attempts[0].Instance.ID, home.Instance.ID)
 	w.served(t)
-	is.Equal(w.readingAsks(), maxAsked+2)
+	is.Equal(w.readingAsks(), maxPrefillCandidates+2)
 	is.Equal(w.up.attempts[2].Instance.ID, home.Instance.ID)
 }
 
@@ -64,7 +64,7 @@
 }
 
 func busyFor(d time.Duration, known bool) []backlog.Forecast {
-	out := make([]backlog.Forecast, maxAsked)
+	out := make([]backlog.Forecast, maxPrefillCandidates)
 	for i := range out {
 		out[i] = backlog.Forecast{Wait: d, Finish: d, Known: known}
 	}
@@ -100,7 +100,7 @@
 	w.served(t)
 	is.Equal(w.up.attempts[0].Rank, backlog.Classes+1)
 	is.Equal(w.up.attempts[1].Rank, 0) // what was read generates in its turn
-	is.Equal(turnAt(offer{Verdict: occupancy.Verdict{Answer: occupancy.Answer{Forecast: *w.gate.given}}}, nil).kind, TurnDeferred)
+	is.Equal(newReservation(candidate{Verdict: occupancy.Verdict{Answer: occupancy.Answer{Forecast: *w.gate.given}}}, nil).kind, ReservationDeferred)
 }
 
 // A prompt that isn't read in its time is given up while its caller still waits, and
@@ -173,7 +173,7 @@
 func TestQuestionGoesBehindTheOthersWhenAllSlotsAreTaken(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, generated)
-	w.gate.refusal = make([]backlog.Forecast, maxPlacesAsked)
+	w.gate.refusal = make([]backlog.Forecast, maxSlotCandidates)
 	answer, err := w.Forward(t.Context(), modelRequest(500, true))
 	is.NoErr(err)
 	_, err = readAll(answer.Stream)
@@ -186,17 +186,17 @@
 	is := is.New(t)
 	for _, c := range []struct {
 		priority int
-		kind     Turn
+		kind     ReservationKind
 		rank     int
 	}{
-		{-1, TurnCounted, 0}, {0, TurnCounted, 0}, {2, TurnCounted, 2}, {7, TurnCounted, usualRank},
-		{0, TurnDeferred, deferredRank}, {2, TurnDeferred, deferredRank + 2}, {9, TurnDeferred, lowestRank},
+		{-1, ReservationShared, 0}, {0, ReservationShared, 0}, {2, ReservationShared, 2}, {7, ReservationShared, defaultRank},
+		{0, ReservationDeferred, deferredRank}, {2, ReservationDeferred, deferredRank + 2}, {9, ReservationDeferred, maxRank},
 	} {
 		r := modelRequest(500, true)
 		r.Route.Priority = c.priority
-		is.Equal(choice{turn: turn{kind: c.kind}}.rank(r), c.rank)
+		is.Equal(choice{reservation: reservation{kind: c.kind}}.rank(r), c.rank)
 	}
-	is.True(2*backlog.Classes-1 <= lowestRank)
+	is.True(2*backlog.Classes-1 <= maxRank)
 }
 
 // A burst of answers fills the generating engines: what was read goes to one with a free
--- a/daemon/routed/measures.go
+++ b/daemon/routed/measures.go
@@ -97,7 +97,7 @@
 func (m *measures) Checked(o auth.Outcome, _ time.Duration) { m.checked[o].Inc() }
 
 // Turn implements forward.Observer.
-func (m *measures) Turn(w forward.Work, t forward.Turn) {
+func (m *measures) Turn(w forward.Phase, t forward.ReservationKind) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_turns_total{work=%q,turn=%q}`, w, t)).Inc()
 }
 
--- a/transport/runners/pool.go
+++ b/transport/runners/pool.go
@@ -167,7 +167,7 @@
 	if !errors.As(err, &failed) {
 		return &forward.SendError{Sent: true, Cause: err}
 	}
-	return &forward.SendError{Sent: failed.Sent, Withheld: errors.Is(err, httpclient.ErrBusy) || errors.Is(err, forward.ErrRunnerCloses), Cause: failed.Cause}
+	return &forward.SendError{Sent: failed.Sent, Withheld: errors.Is(err, httpclient.ErrBusy) || errors.Is(err, forward.ErrRunnerClosed), Cause: failed.Cause}
 }
 
 // PrefillHandle implements forward.Upstream.
--- a/transport/runners/pool_test.go
+++ b/transport/runners/pool_test.go
@@ -396,7 +396,7 @@
 	r := newRunner(t, func(_ net.Conn, br *bufio.Reader) { got <- requestOf(br) })
 	p := newPool(t, 4)
 	a := attemptAt(r, "r1", 0)
-	a.Permit = func() error { return forward.ErrRunnerCloses }
+	a.Permit = func() error { return forward.ErrRunnerClosed }
 	_, err := p.Send(t.Context(), a)
 	var failed *forward.SendError
 	is.True(errors.As(err, &failed))
