--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -20,20 +20,20 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// advisedFleet is hosts that share runners which ask something in their answers.
-type advisedFleet struct {
+// simFleet is hosts that share runners which ask something in their answers.
+type simFleet struct {
 	t       *testing.T
-	hosts   []*advisedHost
-	runners []*advisedRunner
-	// asks counts the asks for permits between hosts.
-	asks atomic.Int64
+	hosts   []*simHost
+	runners []*simRunner
+	// permitAsks counts the permitAsks for permits between hosts.
+	permitAsks atomic.Int64
 	// notices counts the notices that hosts told all others.
 	notices atomic.Int64
 
 	mu sync.Mutex
-	// peers lists the hosts and listed the runners; they are replaced whole.
-	peers  []state.Peer
-	listed []state.Instance
+	// hostList lists the hosts and listed the runners; they are replaced whole.
+	hostList   []state.Peer
+	runnerList []state.Instance
 	// served and unserved count the callers' requests, late those served after their objective.
 	served, unserved, late int
 	// refused are the refusals that callers got.
@@ -42,9 +42,9 @@
 	misdirected int
 }
 
-type advisedHost struct {
+type simHost struct {
 	*Dispatcher
-	f      *advisedFleet
+	f      *simFleet
 	name   string
 	domain string
 	clock  *clocktest.Machine
@@ -52,33 +52,33 @@
 	advice *backpressure.Registry
 	book   *occupancy.Book
 	gate   *occupancy.Gate
-	// island is the part of the network that the host reaches; hosts of other parts aren't.
+	// partition is the part of the network that the host reaches; hosts of other parts aren't.
 	// Runners are reached from all. It is changed under the fleet's lock.
-	island int
-	gone   bool
-	// updating is held while the list is put in force.
-	updating sync.Mutex
+	partition int
+	down      bool
+	// updateMu is held while the list is put in force.
+	updateMu sync.Mutex
 }
 
-// advisedRunner is one runner. What it asks is changed under the fleet's lock.
-type advisedRunner struct {
+// simRunner is one runner. What it asks is changed under the fleet's lock.
+type simRunner struct {
 	name   string
 	domain string
 	role   state.Role
 	born   int64
 	// limit is named while limited is set; rest is asked of each that is turned away while
-	// resting is set.
-	limited, leaving, resting bool
-	limit                     float64
-	rest                      time.Duration
-
-	// asked is what was asked, as it changed.
-	asked    []asking
-	arrivals []arrival
+	// rejecting is set.
+	limited, leaving, rejecting bool
+	limit                       float64
+	backoff                     time.Duration
+
+	// limitChanges is what was limitChanges, as it changed.
+	limitChanges []limitChange
+	arrivals     []arrival
 }
 
-// asking is what a run asks from a moment on.
-type asking struct {
+// limitChange is what a run asks from a moment on.
+type limitChange struct {
 	from    time.Time
 	born    int64
 	limited bool
@@ -90,17 +90,17 @@
 	host string
 	born int64
 	at   time.Time
-	// passed is the time by the host's clock, which counts suspensions: so much has passed for
+	// hostTime is the time by the host's clock, which counts suspensions: so much has hostTime for
 	// the runner, too, since it asked that host for rest.
-	passed time.Time
-	// toldLimit and toldLeaving are when the runner first told that host that it names a limit,
-	// and that it leaves. restedAt and restUntil are the rest that it had asked that host for
+	hostTime time.Time
+	// limitToldAt and leavingToldAt are when the runner first told that host that it names a limit,
+	// and that it leaves. backoffFrom and backoffUntil are the rest that it had asked that host for
 	// before; zero if there is none.
-	toldLimit, toldLeaving, restedAt, restUntil time.Time
-	turnedAway                                  bool
+	limitToldAt, leavingToldAt, backoffFrom, backoffUntil time.Time
+	rejected                                              bool
 }
 
-func (r *advisedRunner) instance() state.Instance {
+func (r *simRunner) instance() state.Instance {
 	service := "model"
 	if r.role == "" {
 		service = "plain"
@@ -108,16 +108,16 @@
 	return state.Instance{ID: state.InstanceID{Name: r.name, Born: r.born}, Service: service, Addr: r.name + ":1", FailureDomain: r.domain, Role: r.role, Slots: engineSlots}
 }
 
-// domains are the failure domains of an advisedFleet.
-const domains = 3
+// domainCount are the failure domainCount of an advisedFleet.
+const domainCount = 3
 
-// newAdvisedFleet has eight engines that read, four that generate and three runners of a
+// newSimFleet has eight engines that read, four that generate and three runners of a
 // plain service.
-func newAdvisedFleet(t *testing.T, hosts int) *advisedFleet {
+func newSimFleet(t *testing.T, hosts int) *simFleet {
 	t.Helper()
-	f := &advisedFleet{t: t}
+	f := &simFleet{t: t}
 	for n := range 15 {
-		r := &advisedRunner{name: fmt.Sprint("p", n), role: state.RolePrefill, born: 1, domain: fmt.Sprint("d", n%domains)}
+		r := &simRunner{name: fmt.Sprint("p", n), role: state.RolePrefill, born: 1, domain: fmt.Sprint("d", n%domainCount)}
 		switch {
 		case n < 4:
 			r.name, r.role = fmt.Sprint("d", n), state.RoleDecode
@@ -127,29 +127,29 @@
 		f.runners = append(f.runners, r)
 	}
 	for n := range hosts {
-		f.hosts = append(f.hosts, f.newHost(fmt.Sprint("h", n), fmt.Sprint("d", n%domains)))
+		f.hosts = append(f.hosts, f.newHost(fmt.Sprint("h", n), fmt.Sprint("d", n%domainCount)))
 	}
-	f.listHosts()
-	f.list()
+	f.updateHostList()
+	f.updateRunnerList()
 	return f
 }
 
-func (f *advisedFleet) newHost(name, domain string) *advisedHost {
+func (f *simFleet) newHost(name, domain string) *simHost {
 	f.t.Helper()
 	clock := &clocktest.Machine{}
-	h := &advisedHost{f: f, name: name, domain: domain, clock: clock}
-	h.advice = newAdvice(f.t, clock, h.tell, h.update)
+	h := &simHost{f: f, name: name, domain: domain, clock: clock}
+	h.advice = newAdvice(f.t, clock, h.broadcast, h.applyRunnerList)
 	h.fleet = placement.NewFleet(placement.Options{Clock: clock, FailureDomain: domain, Advice: h.advice})
 	var err error
 	h.book = occupancy.NewBook(clock, slog.New(slog.DiscardHandler))
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
-		Book: h.book, Peers: advisedPeers{h}, Self: name, Hosts: f.listedHosts, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Book: h.book, Peers: simPeers{h}, Self: name, Hosts: f.currentHosts, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	h.Dispatcher, err = New(Options{
-		Upstream: &advisedUpstream{h}, Placer: h.fleet, Gate: h.gate, Budget: anyBudget{}, Observer: noObserver{}, Advice: h.advice,
+		Upstream: &simUpstream{h}, Placer: h.fleet, Gate: h.gate, Budget: anyBudget{}, Observer: noObserver{}, Advice: h.advice,
 		Outliers: &silentRunners{}, Crashes: &brokenWork{}, Quarantine: noQuarantine{}, Clock: clock, Log: slog.New(slog.DiscardHandler), SplitTokens: 600,
 	})
 	if err != nil {
@@ -168,40 +168,40 @@
 // Advised implements backpressure.Observer.
 func (noObserver) Advised(string, backpressure.Kind) {}
 
-// listHosts lists the hosts that are there.
-func (f *advisedFleet) listHosts() {
+// updateHostList lists the hosts that are there.
+func (f *simFleet) updateHostList() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.peers = nil
+	f.hostList = nil
 	for _, h := range f.hosts {
-		if !h.gone {
-			f.peers = append(f.peers, state.Peer{Addr: h.name, FailureDomain: h.domain})
+		if !h.down {
+			f.hostList = append(f.hostList, state.Peer{Addr: h.name, FailureDomain: h.domain})
 		}
 	}
 }
 
-// list puts the present runners in the hosts' lists; none is listed as leaving, however long
+// updateRunnerList puts the present runners in the hosts' lists; none is listed as leaving, however long
 // ago it said so.
-func (f *advisedFleet) list() {
+func (f *simFleet) updateRunnerList() {
 	f.mu.Lock()
 	var list []state.Instance
 	for _, r := range f.runners {
 		list = append(list, r.instance())
 	}
-	f.listed = list
+	f.runnerList = list
 	f.mu.Unlock()
 	for _, h := range f.hosts {
-		h.update()
+		h.applyRunnerList()
 		h.advice.Listed(list)
 	}
 }
 
-// update puts the list in force at a host, which counts those as draining that said so.
-func (h *advisedHost) update() {
-	h.updating.Lock()
-	defer h.updating.Unlock()
+// applyRunnerList puts the list in force at a host, which counts those as draining that said so.
+func (h *simHost) applyRunnerList() {
+	h.updateMu.Lock()
+	defer h.updateMu.Unlock()
 	h.f.mu.Lock()
-	list := slices.Clone(h.f.listed)
+	list := slices.Clone(h.f.runnerList)
 	h.f.mu.Unlock()
 	for i := range list {
 		list[i].Draining = h.advice.Leaving(list[i].ID)
@@ -209,8 +209,8 @@
 	h.fleet.Update(list)
 }
 
-// set changes what runners ask.
-func (f *advisedFleet) set(change func(r *advisedRunner), names ...string) {
+// setAdvice changes what runners ask.
+func (f *simFleet) setAdvice(change func(r *simRunner), names ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, r := range f.runners {
@@ -220,7 +220,7 @@
 	}
 }
 
-func (f *advisedFleet) runner(name string) *advisedRunner {
+func (f *simFleet) runner(name string) *simRunner {
 	for _, r := range f.runners {
 		if r.name == name {
 			return r
@@ -230,27 +230,27 @@
 	return nil
 }
 
-// advisedUpstream is a host's way to the runners.
-type advisedUpstream struct{ h *advisedHost }
+// simUpstream is a host's way to the runners.
+type simUpstream struct{ h *simHost }
 
-var _ Upstream = (*advisedUpstream)(nil)
+var _ Upstream = (*simUpstream)(nil)
 
-// wayTime is that of a request to a runner, and of the answer back.
-const wayTime = time.Millisecond
+// runnerDelay is that of a request to a runner, and of the answer back.
+const runnerDelay = time.Millisecond
 
-func (u *advisedUpstream) Send(ctx context.Context, a *Attempt) (Response, error) {
+func (u *simUpstream) Send(ctx context.Context, a *Attempt) (Response, error) {
 	h, f := u.h, u.h.f
-	time.Sleep(2 * wayTime) // a connection is made
+	time.Sleep(2 * runnerDelay) // a connection is made
 	if err := a.Permit(); err != nil {
 		return nil, &SendError{Withheld: true, Cause: err}
 	}
 	sentAt := h.clock.Now()
-	time.Sleep(wayTime)
+	time.Sleep(runnerDelay)
 	r := f.runner(a.Instance.ID.Name)
 	f.mu.Lock()
-	advice, misdirected := f.arrive(r, h, a)
+	advice, misdirected := f.receive(r, h, a)
 	f.mu.Unlock()
-	time.Sleep(wayTime)
+	time.Sleep(runnerDelay)
 	if misdirected {
 		return &crashResponse{head: &Head{Status: statusMisdirected, NotRun: true}}, nil
 	}
@@ -267,65 +267,65 @@
 	return &crashResponse{head: &Head{Status: 200, Events: true, Sealed: true}, ctx: ctx, ended: never, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 20 * time.Millisecond}, nil
 }
 
-// arrive notes a request at a runner and returns what the answer asks; f.mu is held.
-func (f *advisedFleet) arrive(r *advisedRunner, h *advisedHost, a *Attempt) (advice backpressure.Advice, misdirected bool) {
+// receive notes a request at a runner and returns what the answer asks; f.mu is held.
+func (f *simFleet) receive(r *simRunner, h *simHost, a *Attempt) (advice backpressure.Advice, misdirected bool) {
 	if r.born != a.Instance.ID.Born {
 		f.misdirected++
 		return advice, true
 	}
 	now := time.Now()
-	arrived := arrival{host: h.name, born: r.born, at: now, passed: h.clock.Now()}
+	arrived := arrival{host: h.name, born: r.born, at: now, hostTime: h.clock.Now()}
 	for _, before := range slices.Backward(r.arrivals) {
 		if before.host == h.name && before.born == r.born {
-			arrived.toldLimit, arrived.toldLeaving = before.toldLimit, before.toldLeaving
-			arrived.restedAt, arrived.restUntil = before.restAfter(r.rest)
+			arrived.limitToldAt, arrived.leavingToldAt = before.limitToldAt, before.leavingToldAt
+			arrived.backoffFrom, arrived.backoffUntil = before.backoffAfter(r.backoff)
 			break
 		}
 	}
 	advice = backpressure.Advice{Limited: r.limited, Limit: r.limit, Leaving: r.leaving}
 	switch {
 	case !r.limited:
-		arrived.toldLimit = time.Time{}
-	case arrived.toldLimit.IsZero():
-		arrived.toldLimit = now
+		arrived.limitToldAt = time.Time{}
+	case arrived.limitToldAt.IsZero():
+		arrived.limitToldAt = now
 	}
-	if r.leaving && arrived.toldLeaving.IsZero() {
-		arrived.toldLeaving = now
+	if r.leaving && arrived.leavingToldAt.IsZero() {
+		arrived.leavingToldAt = now
 	}
-	if r.resting {
-		advice.Rest, arrived.turnedAway = r.rest, true
+	if r.rejecting {
+		advice.Rest, arrived.rejected = r.backoff, true
 	}
 	r.arrivals = append(r.arrivals, arrived)
 	return advice, false
 }
 
-// restAfter is the rest that holds for a host after an arrival.
-func (a arrival) restAfter(rest time.Duration) (from, until time.Time) {
-	if !a.turnedAway || a.passed.Add(rest).Before(a.restUntil) {
-		return a.restedAt, a.restUntil
+// backoffAfter is the rest that holds for a host after an arrival.
+func (a arrival) backoffAfter(rest time.Duration) (from, until time.Time) {
+	if !a.rejected || a.hostTime.Add(rest).Before(a.backoffUntil) {
+		return a.backoffFrom, a.backoffUntil
 	}
-	if a.passed.Before(a.restUntil) {
-		return a.restedAt, a.passed.Add(rest)
+	if a.hostTime.Before(a.backoffUntil) {
+		return a.backoffFrom, a.hostTime.Add(rest)
 	}
-	return a.passed, a.passed.Add(rest)
+	return a.hostTime, a.hostTime.Add(rest)
 }
 
 // Alive implements Upstream.
-func (u *advisedUpstream) Alive(context.Context, *state.Instance) bool { return true }
+func (u *simUpstream) Alive(context.Context, *state.Instance) bool { return true }
 
 // Move implements Upstream.
-func (u *advisedUpstream) Move(context.Context, *state.Instance, string, *state.Instance) (string, error) {
+func (u *simUpstream) Move(context.Context, *state.Instance, string, *state.Instance) (string, error) {
 	return "", errors.New("no run is moved")
 }
 
 // PrefillHandle implements Upstream.
-func (u *advisedUpstream) PrefillHandle(body []byte) (string, error) { return string(body), nil }
+func (u *simUpstream) PrefillHandle(body []byte) (string, error) { return string(body), nil }
 
 // Discard implements Upstream.
-func (u *advisedUpstream) Discard(*KVSource) error { return nil }
+func (u *simUpstream) Discard(*KVSource) error { return nil }
 
-// ask sends a request through a host and notes what became of it.
-func (h *advisedHost) ask(r *Request) {
+// handle sends a request through a host and notes what became of it.
+func (h *simHost) handle(r *Request) {
 	suspended := h.suspended()
 	began := h.clock.Now()
 	r.ArrivedAt, r.Deadline = began, began.Add(2*time.Second)
@@ -340,7 +340,7 @@
 	defer f.mu.Unlock()
 	var refusal *Refusal
 	switch {
-	case h.gone || h.suspended() != suspended:
+	case h.down || h.suspended() != suspended:
 		return // nobody can tell what became of it in time
 	case errors.As(err, &refusal):
 		f.unserved++
@@ -356,19 +356,19 @@
 }
 
 // suspended is how long the host was suspended so far.
-func (h *advisedHost) suspended() time.Duration {
+func (h *simHost) suspended() time.Duration {
 	return time.Until(h.clock.Now()).Round(time.Millisecond)
 }
 
 // load is what callers ask for, in requests a second of all hosts together. Each is drawn at
 // a host by share, which gives the weight of host n; nil weighs all alike.
 type load struct {
-	prompts, questions, calls float64
-	share                     func(n int) float64
+	longPrompts, shortPrompts, calls float64
+	share                            func(n int) float64
 }
 
-// play lets callers ask for so long.
-func (f *advisedFleet) play(rng *rand.Rand, l load, long time.Duration) {
+// runLoad lets callers ask for so long.
+func (f *simFleet) runLoad(rng *rand.Rand, l load, long time.Duration) {
 	var weights []float64
 	total := 0.0
 	for n := range f.hosts {
@@ -379,17 +379,17 @@
 		total += w
 		weights = append(weights, total)
 	}
-	perSecond := l.prompts + l.questions + l.calls
+	perSecond := l.longPrompts + l.shortPrompts + l.calls
 	var callers sync.WaitGroup
 	for end := time.Now().Add(long); time.Now().Before(end); {
 		time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 		at, _ := slices.BinarySearch(weights, rng.Float64()*total)
-		h := f.present(min(at, len(f.hosts)-1))
+		h := f.liveHost(min(at, len(f.hosts)-1))
 		if h == nil {
 			return
 		}
 		r := l.draw(rng.Float64() * perSecond)
-		callers.Go(func() { h.ask(r) })
+		callers.Go(func() { h.handle(r) })
 	}
 	callers.Wait()
 	time.Sleep(settleTime)
@@ -398,12 +398,12 @@
 // settleTime lets hosts tell each other what nobody waits for.
 const settleTime = time.Second
 
-// present is the host of that number, or the next one that isn't gone.
-func (f *advisedFleet) present(n int) *advisedHost {
+// liveHost is the host of that number, or the next one that isn't gone.
+func (f *simFleet) liveHost(n int) *simHost {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for i := range f.hosts {
-		if h := f.hosts[(n+i)%len(f.hosts)]; !h.gone {
+		if h := f.hosts[(n+i)%len(f.hosts)]; !h.down {
 			return h
 		}
 	}
@@ -413,9 +413,9 @@
 // draw makes a request of the kind at a place in the load.
 func (l load) draw(at float64) *Request {
 	switch {
-	case at < l.prompts:
+	case at < l.longPrompts:
 		return modelRequest(2200, true)
-	case at < l.prompts+l.questions:
+	case at < l.longPrompts+l.shortPrompts:
 		return modelRequest(200, false)
 	default:
 		return request(state.RouteSafe, 2, false)
@@ -430,9 +430,9 @@
 	limitFactor = 1.5
 )
 
-// mostIn is the most that a runner got in any window of that length in a span, of the arrivals
+// maxInWindow is the most that a runner got in any window of that length in a span, of the arrivals
 // that count; nil counts all.
-func (r *advisedRunner) mostIn(window time.Duration, from, to time.Time, counts func(arrival) bool) int {
+func (r *simRunner) maxInWindow(window time.Duration, from, to time.Time, counts func(arrival) bool) int {
 	var in []time.Time
 	most := 0
 	for _, a := range r.arrivals {
@@ -448,8 +448,8 @@
 	return most
 }
 
-// between counts what a runner got in a span.
-func (r *advisedRunner) between(from, to time.Time) int {
+// countBetween counts what a runner got in a span.
+func (r *simRunner) countBetween(from, to time.Time) int {
 	n := 0
 	for _, a := range r.arrivals {
 		if !a.at.Before(from) && a.at.Before(to) {
@@ -459,33 +459,33 @@
 	return n
 }
 
-// answerWay is the time in which an answer that asks for rest reaches its host, with what the
+// responseDelay is the time in which an answer that asks for rest reaches its host, with what the
 // host had sent by then.
-const answerWay = 2 * wayTime
+const responseDelay = 2 * runnerDelay
 
-// inRest counts the requests that reached a runner from a host that it had asked for rest, later
+// duringBackoff counts the requests that reached a runner from a host that it had asked for rest, later
 // than the answer's way, and those that it turned away.
-func (r *advisedRunner) inRest() (during, rejected int) {
+func (r *simRunner) duringBackoff() (during, rejected int) {
 	for _, a := range r.arrivals {
-		if a.restedAt.IsZero() {
+		if a.backoffFrom.IsZero() {
 			continue
 		}
-		if a.passed.Sub(a.restedAt) > answerWay && a.passed.Before(a.restUntil) {
+		if a.hostTime.Sub(a.backoffFrom) > responseDelay && a.hostTime.Before(a.backoffUntil) {
 			during++
 		}
-		if a.turnedAway {
+		if a.rejected {
 			rejected++
 		}
 	}
 	return during, rejected
 }
 
-// firstRefusals counts the requests that a runner turned away from a host which couldn't know.
-func (f *advisedFleet) firstRefusals() int {
+// unavoidableRejections counts the requests that a runner turned away from a host which couldn't know.
+func (f *simFleet) unavoidableRejections() int {
 	n := f.misdirected
 	for _, r := range f.runners {
 		for _, a := range r.arrivals {
-			if a.turnedAway && (a.restedAt.IsZero() || a.passed.Sub(a.restedAt) <= answerWay) {
+			if a.rejected && (a.backoffFrom.IsZero() || a.hostTime.Sub(a.backoffFrom) <= responseDelay) {
 				n++
 			}
 		}
@@ -493,20 +493,20 @@
 	return n
 }
 
-// besideTrials counts the requests that reached a runner from a host beside the one that found out
+// rejectedBesideTrials counts the requests that reached a runner from a host beside the one that found out
 // whether a rest was over, and that had to be turned away as well. Before its first rest a host
 // can't know.
-func (r *advisedRunner) besideTrials() int {
+func (r *simRunner) rejectedBesideTrials() int {
 	first := map[string]time.Time{}
 	n := 0
 	for _, a := range r.arrivals {
-		if a.restedAt.IsZero() {
+		if a.backoffFrom.IsZero() {
 			continue
 		}
 		if first[a.host].IsZero() {
-			first[a.host] = a.restedAt
+			first[a.host] = a.backoffFrom
 		}
-		if a.turnedAway && !a.restedAt.Equal(first[a.host]) && a.passed.Sub(a.restedAt) <= answerWay {
+		if a.rejected && !a.backoffFrom.Equal(first[a.host]) && a.hostTime.Sub(a.backoffFrom) <= responseDelay {
 			n++
 		}
 	}
--- a/coordination/forward/advised_peers_test.go
+++ b/coordination/forward/advised_peers_test.go
@@ -11,15 +11,15 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// tell brings a notice to the hosts that are reached.
-func (h *advisedHost) tell(n backpressure.Notice) {
+// broadcast brings a notice to the hosts that are reached.
+func (h *simHost) broadcast(n backpressure.Notice) {
 	f := h.f
 	f.notices.Add(1)
 	time.AfterFunc(noticeTime, func() {
 		f.mu.Lock()
-		var reached []*advisedHost
+		var reached []*simHost
 		for _, to := range f.hosts {
-			if !to.gone && !h.gone && to.island == h.island {
+			if !to.down && !h.down && to.partition == h.partition {
 				reached = append(reached, to)
 			}
 		}
@@ -30,55 +30,55 @@
 	})
 }
 
-// listedHosts is the list of hosts, which doesn't know who is gone or cut off.
-func (f *advisedFleet) listedHosts() []state.Peer {
+// currentHosts is the list of hosts, which doesn't know who is gone or cut off.
+func (f *simFleet) currentHosts() []state.Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.peers
+	return f.hostList
 }
 
-// peerTime is the way to another host.
-const peerTime = time.Millisecond
+// peerDelay is the way to another host.
+const peerDelay = time.Millisecond
 
-// advisedPeers is a host's way to the others.
-type advisedPeers struct{ h *advisedHost }
+// simPeers is a host's way to the others.
+type simPeers struct{ h *simHost }
 
-var _ occupancy.Peers = advisedPeers{}
+var _ occupancy.Peers = simPeers{}
 
-var errNotReached = errors.New("the host isn't reached")
+var errHostUnreachable = errors.New("the host isn't reached")
 
 // reach is the host at an address after the way there, or an error when the caller has waited
 // long enough for one that isn't reached.
-func (p advisedPeers) reach(ctx context.Context, addr string) (*advisedHost, error) {
-	time.Sleep(peerTime)
+func (p simPeers) reach(ctx context.Context, addr string) (*simHost, error) {
+	time.Sleep(peerDelay)
 	f := p.h.f
 	f.mu.Lock()
-	var to *advisedHost
+	var to *simHost
 	for _, h := range f.hosts {
-		if h.name == addr && !h.gone && h.island == p.h.island {
+		if h.name == addr && !h.down && h.partition == p.h.partition {
 			to = h
 		}
 	}
 	f.mu.Unlock()
 	if to == nil {
 		<-ctx.Done()
-		return nil, errNotReached
+		return nil, errHostUnreachable
 	}
 	return to, nil
 }
 
 // Enter implements occupancy.Peers.
-func (p advisedPeers) Enter(ctx context.Context, addr string, a occupancy.Ask) (occupancy.Answer, error) {
+func (p simPeers) Enter(ctx context.Context, addr string, a occupancy.Ask) (occupancy.Answer, error) {
 	to, err := p.reach(ctx, addr)
 	if err != nil {
 		return occupancy.Answer{}, err
 	}
-	defer time.Sleep(peerTime)
+	defer time.Sleep(peerDelay)
 	return to.book.Enter(a), nil
 }
 
 // Remaining implements occupancy.Peers.
-func (p advisedPeers) Remaining(ctx context.Context, addr string, engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress, error) {
+func (p simPeers) Remaining(ctx context.Context, addr string, engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress, error) {
 	to, err := p.reach(ctx, addr)
 	if err != nil {
 		return backlog.Forecast{}, backlog.Unknown, err
@@ -88,7 +88,7 @@
 }
 
 // Leave implements occupancy.Peers.
-func (p advisedPeers) Leave(ctx context.Context, addr string, engine state.InstanceID, id uint64, done bool) error {
+func (p simPeers) Leave(ctx context.Context, addr string, engine state.InstanceID, id uint64, done bool) error {
 	to, err := p.reach(ctx, addr)
 	if err != nil {
 		return err
@@ -98,12 +98,12 @@
 }
 
 // Permit implements occupancy.Peers.
-func (p advisedPeers) Permit(ctx context.Context, addr string, a occupancy.PermitAsk) (occupancy.Permit, error) {
+func (p simPeers) Permit(ctx context.Context, addr string, a occupancy.PermitAsk) (occupancy.Permit, error) {
 	to, err := p.reach(ctx, addr)
 	if err != nil {
 		return occupancy.Permit{}, err
 	}
-	defer time.Sleep(peerTime)
-	p.h.f.asks.Add(1)
+	defer time.Sleep(peerDelay)
+	p.h.f.permitAsks.Add(1)
 	return to.gate.Grant(a), nil
 }
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// onceRequest is a question that may run once.
-func onceRequest() *Request {
+// atMostOnceRequest is a question that may run once.
+func atMostOnceRequest() *Request {
 	r := modelRequest(200, false)
 	r.Generation.Parts = nil
 	r.Route.MaxAttempts = 1
@@ -22,25 +22,25 @@
 
 // A fifth of the engines fall silent at once, while questions that may run once arrive
 // at all of them: none is sent to an engine that doesn't answer, and each is served.
-func TestQuestionsThatRunOnceAreNotSentToDarkEngines(t *testing.T) {
+func TestAtMostOnceRequestsAvoidUnavailableEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const questions = 200
+		const requests = 200
 		var replies []reply
-		for range questions {
+		for range requests {
 			replies = append(replies, generated)
 		}
 		w := newWorld(t, plenty, replies...)
 		w.up.setDark(state.InstanceID{Name: "d2"})
-		for range questions {
-			r := onceRequest()
+		for range requests {
+			r := atMostOnceRequest()
 			answer, err := w.Forward(t.Context(), r)
 			is.NoErr(err)
 			_, err = readAll(answer.Stream)
 			is.NoErr(err)
 			is.True(time.Since(r.ArrivedAt) <= 2*probeTimeout)
 		}
-		is.Equal(len(w.up.attempts), questions)
+		is.Equal(len(w.up.attempts), requests)
 		for _, a := range w.up.attempts {
 			is.True(!w.up.isDark(a.Instance.ID))
 		}
@@ -48,7 +48,7 @@
 }
 
 // An engine that has just answered isn't asked, nor is any for what may be repeated.
-func TestOnlyEnginesThatWereNotHeardAreAsked(t *testing.T) {
+func TestOnlyEnginesWithoutRecentResponseAreProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, generated, generated, generated, generated)
@@ -59,24 +59,24 @@
 			is.NoErr(err)
 		}
 		w.fleet.Update([]state.Instance{*w.fleet.Runner(state.InstanceID{Name: "d1"}).Instance})
-		serve(onceRequest())
+		serve(atMostOnceRequest())
 		is.Equal(len(w.up.asked), 1)
-		serve(onceRequest())
+		serve(atMostOnceRequest())
 		is.Equal(len(w.up.asked), 1)
 		time.Sleep(2 * recentResponse)
-		repeatable := onceRequest()
+		repeatable := atMostOnceRequest()
 		repeatable.Route.Resumable = true
 		serve(repeatable)
 		is.Equal(len(w.up.asked), 1)
 		time.Sleep(2 * recentResponse)
-		serve(onceRequest())
+		serve(atMostOnceRequest())
 		is.Equal(len(w.up.asked), 2)
 	})
 }
 
 // The engine that should generate is silent: another one is asked as soon as the first
 // event is overdue, and the caller has it in time.
-func TestSilentEngineIsLeftBeforeItsCallerDoes(t *testing.T) {
+func TestUnavailableDecodeEngineIsReplacedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, promptRead, reply{hang: true}, generated)
@@ -97,7 +97,7 @@
 
 // The wait follows what first events take: a service whose memory moves slowly is given
 // its time.
-func TestWaitForTheFirstEventFollowsTheService(t *testing.T) {
+func TestFirstEventTimeoutFollowsService(t *testing.T) {
 	is := is.New(t)
 	var l leads
 	for range 100 {
@@ -110,7 +110,7 @@
 }
 
 // A request that may not be sent again is waited for.
-func TestLastAttemptIsNotEndedBySilence(t *testing.T) {
+func TestLastAttemptIsNotCancelledWhenSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, promptRead, reply{status: 200, events: true, body: "id: 1\n\n", after: time.Second})
@@ -124,7 +124,7 @@
 }
 
 // An engine that answers when it is asked is busy, not dark: the request keeps its place.
-func TestBusyEngineIsWaitedFor(t *testing.T) {
+func TestBusyEngineKeepsItsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, promptRead, reply{status: 200, events: true, body: "id: 1\n\n", after: time.Second})
@@ -138,7 +138,7 @@
 
 // A prompt waits at an engine that all hosts are told is silent: it is left at once, not
 // when its reading is overdue, and read elsewhere in time.
-func TestPromptLeavesAnEngineThatIsToldToBeSilent(t *testing.T) {
+func TestPrefillLeavesEngineReportedSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{hang: true}, promptRead, generated)
--- a/coordination/forward/evacuate_test.go
+++ b/coordination/forward/evacuate_test.go
@@ -24,17 +24,17 @@
 
 // An engine is taken back, with a notice of two seconds, while a question that may run once is
 // answered there for longer: the run goes on elsewhere, before the engine is gone.
-func TestRunIsMovedOffALeavingEngine(t *testing.T) {
+func TestRunIsEvacuatedFromDrainingEngine(t *testing.T) {
 	is := is.New(t)
-	var noticed time.Time
-	w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
-		noticed = time.Now()
+	var drainedAt time.Time
+	w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
+		drainedAt = time.Now()
 		w.up.moveHandle = "h9"
-		w.up.noted = func() { is.True(time.Since(noticed) <= 250*time.Millisecond) } // the pause that its caller was promised
+		w.up.noted = func() { is.True(time.Since(drainedAt) <= 250*time.Millisecond) } // the pause that its caller was promised
 		w.drain(first)
-	}, reply{status: 200, events: true, body: begun, stall: time.Minute}, reply{status: 200, events: true, body: rest})
+	}, reply{status: 200, events: true, body: firstEvents, stall: time.Minute}, reply{status: 200, events: true, body: laterEvents})
 	is.NoErr(err)
-	is.Equal(got, begun+rest)
+	is.Equal(got, firstEvents+laterEvents)
 	a := w.up.attempts
 	is.Equal(*a[1].Source, KVSource{Instance: a[0].Instance, Handle: "h9"})
 	is.Equal(a[1].LastEventID, "1")
@@ -50,28 +50,28 @@
 	}{"no room": {err: errors.New("answered 503")}, "no such run": {}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
+			w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
 				w.up.moveHandle, w.up.moveErr = c.handle, c.err
 				w.drain(first)
-			}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
+			}, reply{status: 200, events: true, body: firstEvents, stall: 2 * time.Second})
 			is.NoErr(err)
-			is.Equal(got, begun)
+			is.Equal(got, firstEvents)
 			is.Equal(len(w.up.moved), 1) // tried once
 		})
 	}
 }
 
 // Runs that may be repeated, and engines that stay, are left alone.
-func TestOnlyRunsThatMayNotBeRepeatedAreMoved(t *testing.T) {
+func TestOnlyAtMostOnceRunsAreEvacuated(t *testing.T) {
 	is := is.New(t)
-	w, _, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
+	w, _, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
 		for _, e := range w.fleet.Listed("model") {
 			if e.ID != first {
 				w.drain(e.ID)
 				break
 			}
 		}
-	}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
+	}, reply{status: 200, events: true, body: firstEvents, stall: 2 * time.Second})
 	is.NoErr(err)
 	is.Equal(len(w.up.moved), 0)
 	repeatable := &Attempt{Request: modelRequest(9000, true), Instance: w.up.attempts[0].Instance}
@@ -81,14 +81,14 @@
 
 // A run whose request may not be sent once more isn't stopped: what is left of its engine's time
 // may be enough for it.
-func TestRunIsNotStoppedForAMoveThatIsNotAllowed(t *testing.T) {
+func TestRunIsNotStoppedWithoutMoveBudget(t *testing.T) {
 	is := is.New(t)
-	w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
+	w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
 		w.up.moveHandle = "h9"
 		w.o.Budget = &countingBudget{}
 		w.drain(first)
-	}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
+	}, reply{status: 200, events: true, body: firstEvents, stall: 2 * time.Second})
 	is.NoErr(err)
-	is.Equal(got, begun)
+	is.Equal(got, firstEvents)
 	is.Equal(len(w.up.moved), 0)
 }
--- a/coordination/forward/leaving_test.go
+++ b/coordination/forward/leaving_test.go
@@ -23,21 +23,21 @@
 //
 // Proof: no host's share of requests to the runner changed by its answers; all ended within two
 // seconds of the entry.
-func TestRunnerThatSaysItLeavesGetsNothingMore(t *testing.T) {
+func TestLeavingRunnerGetsNoRequests(t *testing.T) {
 	for _, name := range []string{"s12", "d1", "p4"} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newAdvisedFleet(t, 7)
+				f := newSimFleet(t, 7)
 				rng := rand.New(rand.NewPCG(37, 2))
-				l := load{prompts: 110, questions: 17, calls: 50}
-				f.play(rng, l, 2*time.Second)
-				f.set(func(r *advisedRunner) { r.leaving = true }, name)
+				l := load{longPrompts: 110, shortPrompts: 17, calls: 50}
+				f.runLoad(rng, l, 2*time.Second)
+				f.setAdvice(func(r *simRunner) { r.leaving = true }, name)
 				said := time.Now()
-				f.play(rng, l, 12*time.Second)
-				late := f.runner(name).between(said.Add(leavingWithin), time.Now())
-				t.Logf("%d requests later than %s after it said so; %d served, %d late, %d not", late, leavingWithin, f.served, f.late, f.unserved)
-				is.True(f.runner(name).between(said, time.Now()) > 0) // it was heard
+				f.runLoad(rng, l, 12*time.Second)
+				late := f.runner(name).countBetween(said.Add(leavingDeadline), time.Now())
+				t.Logf("%d requests later than %s after it said so; %d served, %d late, %d not", late, leavingDeadline, f.served, f.late, f.unserved)
+				is.True(f.runner(name).countBetween(said, time.Now()) > 0) // it was heard
 				is.Equal(late, 0)
 				is.Equal(f.unserved, 0)
 			})
@@ -45,13 +45,13 @@
 	}
 }
 
-// leavingWithin is the time in which all hosts must know that a runner leaves, from its first
+// leavingDeadline is the time in which all hosts must know that a runner leaves, from its first
 // answer that says so. Its first answer may take a while.
-const leavingWithin = 300 * time.Millisecond
+const leavingDeadline = 300 * time.Millisecond
 
 // A runner that says so while the connection for a request is made doesn't get it, of any part
 // of a request; nor is it taken for one that doesn't answer.
-func TestLeavingIsSeenBeforeARequestLeaves(t *testing.T) {
+func TestLeavingIsCheckedBeforeSending(t *testing.T) {
 	event := "id: 1\ndata: x\n\n"
 	for name, c := range map[string]struct {
 		request *Request
@@ -95,13 +95,13 @@
 func TestAllRunnersLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newAdvisedFleet(t, 1)
+		f := newSimFleet(t, 1)
 		rng := rand.New(rand.NewPCG(37, 5))
-		f.set(func(r *advisedRunner) { r.leaving = true }, "s12", "s13", "s14")
-		f.play(rng, load{calls: 50}, time.Second)
+		f.setAdvice(func(r *simRunner) { r.leaving = true }, "s12", "s13", "s14")
+		f.runLoad(rng, load{calls: 50}, time.Second)
 		is.True(f.served > 0) // those from whose answers it was learned
 		f.served, f.refused = 0, nil
-		f.play(rng, load{calls: 50}, time.Second)
+		f.runLoad(rng, load{calls: 50}, time.Second)
 		is.Equal(f.served, 0)
 		is.True(len(f.refused) > 20)
 		for _, r := range f.refused {
--- a/coordination/forward/limits_test.go
+++ b/coordination/forward/limits_test.go
@@ -20,22 +20,22 @@
 //
 // Proof: no sending of any host to the two engines changed after the first answer that named the
 // limit, while other engines had room.
-func TestLimitOfARunnerHoldsOverAllHosts(t *testing.T) {
+func TestRunnerLimitHoldsAcrossHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newAdvisedFleet(t, 7)
+		f := newSimFleet(t, 7)
 		rng := rand.New(rand.NewPCG(37, 1))
-		l := load{prompts: 110, questions: 17, calls: 50, share: func(n int) float64 { return float64(1 + n) }}
-		f.play(rng, l, 4*time.Second)
+		l := load{longPrompts: 110, shortPrompts: 17, calls: 50, share: func(n int) float64 { return float64(1 + n) }}
+		f.runLoad(rng, l, 4*time.Second)
 		limits := map[string]float64{"d1": 12.2, "d2": 8}
 		for name, limit := range limits {
-			f.set(func(r *advisedRunner) { r.limited, r.limit = true, limit }, name)
+			f.setAdvice(func(r *simRunner) { r.limited, r.limit = true, limit }, name)
 		}
 		named := time.Now()
-		f.play(rng, l, 12*time.Second)
+		f.runLoad(rng, l, 12*time.Second)
 		for _, name := range []string{"d1", "d2"} {
 			limit := limits[name]
-			got := f.runner(name).mostIn(limitWindow, named.Add(contact), time.Now(), nil)
+			got := f.runner(name).maxInWindow(limitWindow, named.Add(contact), time.Now(), nil)
 			t.Logf("%s names %.1f a second: at most %d in %s", name, limit, got, limitWindow)
 			is.True(float64(got) <= limitFactor*limit*limitWindow.Seconds()+limitSlack)
 		}
@@ -44,50 +44,50 @@
 	})
 }
 
-// alone is a load of one host's callers.
-func alone(n int) float64 {
+// onlyFirstHost is a load of one host's callers.
+func onlyFirstHost(n int) float64 {
 	if n == 0 {
 		return 1
 	}
 	return 0
 }
 
-// uneven gives a few hosts most of the callers.
-func uneven(n int) float64 { return 1 / float64(1+n) }
+// skewedShare gives a few hosts most of the callers.
+func skewedShare(n int) float64 { return 1 / float64(1+n) }
 
 // A limit is used as well as kept, whoever has the callers and however many hosts there are:
 // callers ask for more than all runners of the service take.
-func TestLimitIsUsed(t *testing.T) {
+func TestLimitIsFullyUsed(t *testing.T) {
 	for name, c := range map[string]struct {
 		hosts int
 		limit float64
 		share func(int) float64
 	}{
 		"7 hosts":                    {7, 50, nil},
-		"one host has all callers":   {7, 50, alone},
-		"a few have most":            {83, 50, uneven},
+		"one host has all callers":   {7, 50, onlyFirstHost},
+		"a few have most":            {83, 50, skewedShare},
 		"83 hosts, a low limit":      {83, 8.4, nil},
 		"300 hosts, a low limit":     {300, 8.4, nil},
-		"300 hosts, a few have most": {300, 8.4, uneven},
+		"300 hosts, a few have most": {300, 8.4, skewedShare},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newAdvisedFleet(t, c.hosts)
+				f := newSimFleet(t, c.hosts)
 				rng := rand.New(rand.NewPCG(38, 1))
 				l := load{calls: 80, share: c.share}
-				f.set(func(r *advisedRunner) { r.limited, r.limit = true, 0 }, "s13", "s14")
-				f.set(func(r *advisedRunner) { r.limited, r.limit = true, c.limit }, "s12")
-				f.play(rng, l, 5*time.Second)
-				began, asks := time.Now(), f.asks.Load()
-				f.play(rng, l, 20*time.Second)
+				f.setAdvice(func(r *simRunner) { r.limited, r.limit = true, 0 }, "s13", "s14")
+				f.setAdvice(func(r *simRunner) { r.limited, r.limit = true, c.limit }, "s12")
+				f.runLoad(rng, l, 5*time.Second)
+				began, asks := time.Now(), f.permitAsks.Load()
+				f.runLoad(rng, l, 20*time.Second)
 				s := f.runner("s12")
-				got, most := s.between(began, began.Add(20*time.Second)), s.mostIn(limitWindow, began, time.Now(), nil)
-				t.Logf("%.1f a second of %.1f, at most %d in %s; %.1f asks a second", float64(got)/20, c.limit, most, limitWindow, float64(f.asks.Load()-asks)/20)
+				got, most := s.countBetween(began, began.Add(20*time.Second)), s.maxInWindow(limitWindow, began, time.Now(), nil)
+				t.Logf("%.1f a second of %.1f, at most %d in %s; %.1f asks a second", float64(got)/20, c.limit, most, limitWindow, float64(f.permitAsks.Load()-asks)/20)
 				is.True(float64(got) >= 0.9*c.limit*20)
 				is.True(float64(most) <= limitFactor*c.limit*limitWindow.Seconds()+limitSlack)
 				for _, name := range []string{"s13", "s14"} { // that take nothing
-					is.True(f.runner(name).mostIn(limitWindow, began, time.Now(), nil) <= 1)
+					is.True(f.runner(name).maxInWindow(limitWindow, began, time.Now(), nil) <= 1)
 				}
 				for _, r := range f.refused {
 					is.True(r.NotRun)
--- a/coordination/forward/mixed_test.go
+++ b/coordination/forward/mixed_test.go
@@ -30,7 +30,7 @@
 func TestLatePromptWaitsBehindTheOthersAtAnEngineThatDoesBoth(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, plenty, generated)
-	w.gate.refusal = busyFor(time.Second, true)
+	w.gate.refusal = busyForecasts(time.Second, true)
 	w.gate.given = &backlog.Forecast{Rank: backlog.Classes + 2}
 	w.served(t)
 	is.Equal(len(w.up.attempts), 1)
--- a/coordination/forward/turn_test.go
+++ b/coordination/forward/turn_test.go
@@ -16,7 +16,7 @@
 
 // All caches are cold: a session's first prompt asks several engines whether they keep
 // its parts; those after it go to the one that reads them.
-func TestColdSessionIsReadAtOneEngine(t *testing.T) {
+func TestColdSessionPrefillsAtOneEngine(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, promptRead, generated, promptRead, generated)
 	home := w.fleet.Prefill("model", "b", nil)
@@ -30,7 +30,7 @@
 
 // The session's engine has a long queue: another one reads the prompt and fetches the
 // shared parts.
-func TestPromptIsReadWhereItIsReadSoonest(t *testing.T) {
+func TestPrefillRunsAtEngineThatFinishesFirst(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, promptRead, generated)
 	w.gate.refusal = []backlog.Forecast{
@@ -49,7 +49,7 @@
 }
 
 // A session's engine was replaced: the next one by its order still keeps the parts.
-func TestPartsAreFetchedFromWhoeverKeepsThem(t *testing.T) {
+func TestCachedPrefixIsFetchedFromItsHolder(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, promptRead, generated)
 	w.gate.refusal = []backlog.Forecast{
@@ -63,7 +63,7 @@
 	is.Equal(w.up.attempts[0].FetchFrom, w.gate.asks[1].Engine.Name+":1")
 }
 
-func busyFor(d time.Duration, known bool) []backlog.Forecast {
+func busyForecasts(d time.Duration, known bool) []backlog.Forecast {
 	out := make([]backlog.Forecast, maxPrefillCandidates)
 	for i := range out {
 		out[i] = backlog.Forecast{Wait: d, Finish: d, Known: known}
@@ -73,10 +73,10 @@
 
 // Every engine has more to read than any caller waits for: the request is refused before
 // it costs anybody time.
-func TestHopelessPromptIsRefusedAtOnce(t *testing.T) {
+func TestOverduePromptIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty)
-	w.gate.refusal = busyFor(5*time.Second, true)
+	w.gate.refusal = busyForecasts(5*time.Second, true)
 	_, err := w.Forward(t.Context(), modelRequest(9000, true))
 	var refusal *Refusal
 	is.True(errors.As(err, &refusal))
@@ -86,16 +86,16 @@
 	is.Equal(len(w.up.attempts), 0)
 }
 
-func TestPromptIsTriedWhileNothingIsKnown(t *testing.T) {
+func TestPromptIsTriedWithoutKnownForecast(t *testing.T) {
 	w := newWorld(t, plenty, promptRead, generated)
-	w.gate.refusal = busyFor(5*time.Second, false)
+	w.gate.refusal = busyForecasts(5*time.Second, false)
 	w.served(t)
 }
 
-func TestLatePromptIsReadBehindTheOthers(t *testing.T) {
+func TestLatePromptIsDeferred(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, promptRead, generated)
-	w.gate.refusal = busyFor(time.Second, true)
+	w.gate.refusal = busyForecasts(time.Second, true)
 	w.gate.given = &backlog.Forecast{Rank: backlog.Classes + 1}
 	w.served(t)
 	is.Equal(w.up.attempts[0].Rank, backlog.Classes+1)
@@ -105,7 +105,7 @@
 
 // A prompt that isn't read in its time is given up while its caller still waits, and
 // says nothing of an engine that may be busy with others.
-func TestPromptIsGivenUpBeforeItsCallerLeaves(t *testing.T) {
+func TestPrefillIsAbandonedBeforeCallerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{hang: true})
@@ -127,7 +127,7 @@
 
 // An engine refuses a prompt whose time is over in its queue: it is as sound as before,
 // and nothing is left to be read elsewhere.
-func TestPromptThatIsRefusedAtItsEndSaysNothingOfItsEngine(t *testing.T) {
+func TestRefusalAtDeadlineIsNotAnEngineFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{status: 503, notRun: true, after: 1990 * time.Millisecond})
@@ -145,7 +145,7 @@
 }
 
 // The prompt takes longer than predicted, but its engine has much to read.
-func TestPromptIsLeftWhereItsTurnComes(t *testing.T) {
+func TestOverduePrefillWithProgressKeepsItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{status: 200, body: "h1", after: time.Second}, generated)
@@ -157,7 +157,7 @@
 	})
 }
 
-func TestQuestionTakesAFreeSlotWhereItFindsOne(t *testing.T) {
+func TestShortPromptTakesFreeSlot(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, generated)
 	w.gate.refusal = make([]backlog.Forecast, 1)
@@ -170,7 +170,7 @@
 	is.Equal(w.up.attempts[0].Rank, 0)
 }
 
-func TestQuestionGoesBehindTheOthersWhenAllSlotsAreTaken(t *testing.T) {
+func TestShortPromptIsDeferredWhenNoSlotIsFree(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, generated)
 	w.gate.refusal = make([]backlog.Forecast, maxSlotCandidates)
@@ -182,7 +182,7 @@
 	is.Equal(w.up.attempts[0].Rank, deferredRank)
 }
 
-func TestRanksStayWithinThoseThatEnginesKnow(t *testing.T) {
+func TestRanksStayWithinEngineRange(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
 		priority int
@@ -201,7 +201,7 @@
 
 // A burst of answers fills the generating engines: what was read goes to one with a free
 // slot, so that no answer under way is put back, and to the session's own if none has any.
-func TestWhatWasReadGeneratesWhereASlotIsFree(t *testing.T) {
+func TestDecodeRunsWhereASlotIsFree(t *testing.T) {
 	for name, c := range map[string]struct{ full int }{"some are full": {4}, "all are full": {5}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
