--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -10,41 +10,46 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Advice is what runners ask of this host.
+// Advice holds the backpressure that runners request in their responses.
 type Advice interface {
-	// Limit is how many requests a second a runner takes of all hosts together, if it names
-	// a limit.
+	// Limit is the rate that a runner accepts from all hosts together, in requests per second.
+	// limited is false if the runner names no limit.
 	Limit(id state.InstanceID) (rate float64, limited bool)
-	// Closed notes that a limit leaves nothing for this host until then. The placer doesn't
-	// choose the runner meanwhile.
+	// Closed records that a runner's limit leaves no capacity for this host until the given
+	// time. The placer doesn't choose the runner before then.
 	Closed(id state.InstanceID, until time.Time)
-	// RestsUntil is the end of the rest that a runner asked this host for; zero if there is
-	// none now.
+	// RestsUntil is the end of the backoff that a runner requested from this host; zero if none
+	// is in force.
 	RestsUntil(id state.InstanceID) time.Time
-	// PausedUntil is RestsUntil, or the end of the trial that follows it.
+	// PausedUntil is RestsUntil or, after the backoff, the end of the trial request that
+	// follows it.
 	PausedUntil(id state.InstanceID) time.Time
-	// Unproven reports whether a runner has taken nothing since it asked for rest, and Try asks
-	// to send it something: one request at a time finds out.
+	// Unproven reports whether a runner has accepted no request since it requested a backoff.
+	// Try reports whether a request may be sent to it now: an unproven runner gets one trial
+	// request at a time.
 	Unproven(id state.InstanceID) bool
 	Try(id state.InstanceID) bool
 }
 
 const (
-	// permitValidity is how long after its time a permit may be used. A host that was held up or
-	// suspended longer asks again: others have got what it didn't use.
+	// permitValidity is how long after its scheduled time a permit may be used. A host that was
+	// paused or suspended for longer requests a new one, since the unused capacity has gone to
+	// others.
 	permitValidity = 250 * time.Millisecond
-	// minLimitPause is the shortest time for which a used up limit closes a runner, so that a
-	// request doesn't ask again at once.
+	// minLimitPause is the shortest time for which an exhausted limit closes a runner, so that
+	// a request doesn't retry immediately.
 	minLimitPause = time.Millisecond
-	// answerReserve is kept of an objective for the answer: a short one and its way.
+	// answerReserve is the part of an objective that is kept for a short answer and its
+	// transmission.
 	answerReserve = 50 * time.Millisecond
-	// resumeWait is how long a stream that broke off waits for a runner that takes it.
-	// Callers give one up after two seconds without an event.
+	// resumeWait is how long a broken stream waits for a runner that resumes it. Callers
+	// abandon a stream after two seconds without an event.
 	resumeWait = time.Second
 )
 
-// acquirePermit reports whether a request may be sent to a runner, by the rest that is over and the
-// limit that it names. It waits for the latter so long at most.
+// acquirePermit reports whether a request may be sent to a runner: the runner's backoff is
+// over, and its limit, if there is one, grants a permit within wait. part names the step in the
+// request's record.
 func (d *Dispatcher) acquirePermit(ctx context.Context, i *state.Instance, part string, rec *record, wait time.Duration) bool {
 	if !d.o.Advice.Try(i.ID) {
 		rec.add(i, part, outcomeLimited, 0, nil)
@@ -67,12 +72,13 @@
 	return d.o.Clock.Now().Sub(asked) <= p.Wait+permitValidity
 }
 
-// ErrRunnerClosed is the cause of a SendError that was withheld since its runner takes nothing
-// any more.
+// ErrRunnerClosed is the cause of a SendError for a request that was withheld because its
+// runner leaves or requested a backoff.
 var ErrRunnerClosed = errors.New("the runner leaves or wants rest; choose another")
 
-// send is the only way of an attempt to a runner. The runner is looked at once more when the
-// request is about to leave: a connection may have taken a while, or the host stood still.
+// send is the only path from an attempt to a runner. The runner's state is checked again when
+// the request is about to leave: connecting may have taken a while, or the host may have been
+// paused.
 func (d *Dispatcher) send(ctx context.Context, a *Attempt) (Response, error) {
 	a.Permit = func() error {
 		if !d.o.Placer.Has(a.Instance.ID) || d.inBackoff(a.Instance) {
@@ -83,10 +89,11 @@
 	return d.o.Upstream.Send(ctx, a)
 }
 
-// inBackoff reports whether a runner wants nothing from this host now.
+// inBackoff reports whether a backoff that the runner requested from this host is in force.
 func (d *Dispatcher) inBackoff(i *state.Instance) bool { return !d.o.Advice.RestsUntil(i.ID).IsZero() }
 
-// remainingPart is what a runner does for the request after its prompt was read apart, if it is.
+// remainingPart is the part of the request that a runner still has to do, after the separate
+// prefill if there is one.
 func (d *Dispatcher) remainingPart(r *Request, rec *record) placement.Part {
 	switch {
 	case r.Generation == nil:
@@ -98,8 +105,8 @@
 	}
 }
 
-// pickRunner chooses a runner for the next sending. If all are closed it waits for the first that
-// opens until by at most, and refuses the request otherwise.
+// pickRunner chooses a runner for the next attempt. If all are closed, it waits for the first
+// that opens, until by at the latest, and otherwise refuses the request.
 func (d *Dispatcher) pickRunner(ctx context.Context, r *Request, rec *record, by time.Time) (choice, error) {
 	for {
 		c, err := d.choose(ctx, r, rec)
@@ -118,8 +125,9 @@
 	return choice{Runner: runner, permitted: true}, err
 }
 
-// skipUnproven keeps a request that a runner has turned away from one whose rest has only just
-// ended, while there are others: it would use up its attempts on trials.
+// skipUnproven excludes a runner whose backoff has only just ended, for a request that a runner
+// has already rejected, while there are other runners: such a request would use up its attempts
+// on trials.
 func (d *Dispatcher) skipUnproven(i *state.Instance, rec *record) bool {
 	if !rec.turnedAway || !d.o.Advice.Unproven(i.ID) {
 		return false
@@ -129,8 +137,8 @@
 	return true
 }
 
-// awaitRunner waits for a runner that takes such work, until by at most, and takes the permit
-// that its limit asks for.
+// awaitRunner waits for a runner that accepts such work, until by at the latest, and acquires
+// the permit that the runner's limit requires.
 func (d *Dispatcher) awaitRunner(ctx context.Context, r *Request, rec *record, p placement.Part, by time.Time) (*placement.Runner, error) {
 	for {
 		runner, at := d.o.Placer.Soonest(r.Service, p, rec.tried)
@@ -157,15 +165,16 @@
 	}
 }
 
-// refuseUntil refuses a request that no runner takes before a time; first is the one that does
-// then.
+// refuseUntil refuses a request that no runner accepts before at. first is the runner that
+// accepts it then.
 func (d *Dispatcher) refuseUntil(rec *record, first *state.Instance, at time.Time) error {
 	wait := at.Sub(d.o.Clock.Now())
 	rec.add(first, "wait", outcomeClosed, wait, nil)
 	return &Refusal{Reason: ReasonBackpressure, NotRun: !rec.mayHaveRun, RetryAfter: d.spread(wait)}
 }
 
-// startDeadline is the last moment at which a request that waits for a runner is answered in time.
+// startDeadline is the latest time at which a request that waits for a runner can be sent and
+// still be answered in time.
 func (d *Dispatcher) startDeadline(r *Request) time.Time {
 	if r.Route.Objective <= 0 {
 		return r.Deadline.Add(-answerReserve)
@@ -173,7 +182,7 @@
 	return r.ArrivedAt.Add(r.Route.Objective - answerReserve)
 }
 
-// checkDecodeInTime refuses a request that no engine takes in time after its prompt was read.
+// checkDecodeInTime refuses a request that no engine would decode in time after its prefill.
 func (d *Dispatcher) checkDecodeInTime(r *Request, rec *record) error {
 	runner, at := d.o.Placer.Soonest(r.Service, placement.PartGenerate, rec.tried)
 	if runner == nil || !at.After(d.startDeadline(r)) {
--- a/coordination/forward/advised_fuzz_test.go
+++ b/coordination/forward/advised_fuzz_test.go
@@ -15,17 +15,17 @@
 
 func TestMain(m *testing.M) { fuzztest.Main(m, fuzztest.Defaults{Seed: 37, Checks: 25}) }
 
-// simEvent is one thing that happens to an advisedFleet while callers ask.
+// simEvent is an event in a simFleet that is under load.
 type simEvent struct {
 	kind   string
 	runner string
 	host   int
 	value  float64
-	// runFor is how long callers ask until the next one.
+	// runFor is how long the load runs until the next event.
 	runFor time.Duration
 }
 
-// drawEvents draws a plan.
+// drawEvents draws a sequence of events.
 func drawEvents(rt *rapid.T, hosts int) []simEvent {
 	limits := []float64{0, 0.1, 1, 3, 8.4, 20, 50}
 	runners := []string{"d0", "d1", "p4", "s12", "s13"}
@@ -40,7 +40,7 @@
 	}), 2, 8).Draw(rt, "plan")
 }
 
-// apply makes it happen.
+// apply makes the event happen.
 func (f *simFleet) apply(e simEvent) {
 	switch e.kind {
 	case "limit":
@@ -59,7 +59,7 @@
 		f.changeAdvice(e.runner, func(r *simRunner) { r.rejecting, r.backoff = true, time.Duration(100+50*e.value)*time.Millisecond })
 	case "wake":
 		f.changeAdvice(e.runner, func(r *simRunner) { r.rejecting = false })
-	case "split": // into parts of different sizes
+	case "split": // into partitions of different sizes
 		f.mu.Lock()
 		for n, h := range f.hosts {
 			h.partition = n % (1 + int(e.value))
@@ -81,7 +81,7 @@
 	}
 }
 
-// changeAdvice changes what a runner asks, and notes when.
+// changeAdvice changes a runner's advice and records when its limit changed.
 func (f *simFleet) changeAdvice(name string, change func(r *simRunner)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -90,11 +90,12 @@
 	r.limitChanges = append(r.limitChanges, limitChange{from: time.Now(), born: r.born, limited: r.limited, limit: r.limit})
 }
 
-// limitGrace is how long after a limit was named, or told to a host, requests count.
+// limitGrace is how long after a limit was set, or sent to a host, requests begin to count.
 const limitGrace = 500 * time.Millisecond
 
-// checkLimits returns what broke: more than the bound in some window of one limit. Hosts that
-// are cut off from the others can't know before the runner has told them, and count from then.
+// checkLimits returns the violations: more requests than allowed in some window of one limit.
+// Hosts that are partitioned from others can't know a limit before the runner has sent it to
+// them, and their requests count from then on.
 func (f *simFleet) checkLimits(partitioned bool) []string {
 	var counts func(arrival) bool
 	if partitioned {
@@ -112,15 +113,16 @@
 			}
 			got := r.maxInWindow(limitWindow, a.from.Add(limitGrace), to, counts)
 			if bound := limitFactor*a.limit*limitWindow.Seconds() + limitSlack; float64(got) > bound {
-				out = append(out, fmt.Sprintf("%s names %.1f a second and got %d in %s", r.name, a.limit, got, limitWindow))
+				out = append(out, fmt.Sprintf("%s has a limit of %.1f requests/s and received %d in %s", r.name, a.limit, got, limitWindow))
 			}
 		}
 	}
 	return out
 }
 
-// checkLeaving returns what broke: a request from a host that had been told, longer ago than the
-// bound, that the run leaves, or, where no host was cut off, that came after the first was told.
+// checkLeaving returns the violations: a request from a host that was told, longer ago than
+// leavingDeadline, that the run leaves, or, without partitions, one that long after the first
+// host was told.
 func (f *simFleet) checkLeaving(partitioned bool) []string {
 	var out []string
 	for _, r := range f.runners {
@@ -137,27 +139,27 @@
 				told = first[a.born]
 			}
 			if late := a.at.Sub(told); !told.IsZero() && late > leavingDeadline {
-				out = append(out, fmt.Sprintf("%s got a request of %s %s after it said that it leaves", r.name, a.host, late))
+				out = append(out, fmt.Sprintf("%s received a request from %s %s after it announced that it leaves", r.name, a.host, late))
 			}
 		}
 	}
 	return out
 }
 
-// checkBackoffs returns what broke: a request in a rest.
+// checkBackoffs returns the violations: requests during a backoff.
 func (f *simFleet) checkBackoffs() []string {
 	var out []string
 	for _, r := range f.runners {
 		if n, _ := r.duringBackoff(); n > 0 {
-			out = append(out, fmt.Sprintf("%s got %d requests in rests", r.name, n))
+			out = append(out, fmt.Sprintf("%s received %d requests during backoffs", r.name, n))
 		}
 	}
 	return out
 }
 
-// Whatever happens to hosts, runners and the ways between hosts, no runner gets more than the
-// limit that it names allows, nothing after it said that it leaves and nothing in a rest, and
-// callers are served while other runners have room.
+// Whatever happens to hosts, runners and the network between hosts, no runner receives more
+// than its limit allows, nothing after it announced that it leaves and nothing during a
+// backoff, and callers are served while other runners have capacity.
 func TestHoldsAdviceOfRunners(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		hosts := rapid.SampledFrom([]int{1, 2, 3, 7, 20, 83, 300}).Draw(rt, "hosts")
@@ -179,9 +181,10 @@
 			problems = f.checkLimits(partitioned)
 			problems = append(problems, f.checkLeaving(partitioned)...)
 			problems = append(problems, f.checkBackoffs()...)
-			// A request may be sent to two runners; both may begin to rest, or have restarted, just then.
+			// A request may be sent to two runners; both may begin a backoff, or have
+			// restarted, just then.
 			if f.unserved > f.unavoidableRejections()/2 {
-				problems = append(problems, fmt.Sprintf("%d of %d requests were not served though runners have room: %v", f.unserved, f.served+f.unserved, f.refused))
+				problems = append(problems, fmt.Sprintf("%d of %d requests were not served although runners have capacity: %v", f.unserved, f.served+f.unserved, f.refused))
 			}
 		})
 		if len(problems) > 0 {
--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -20,23 +20,24 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// simFleet is hosts that share runners which ask something in their answers.
+// simFleet simulates hosts that share runners which send backpressure in their responses.
 type simFleet struct {
 	t       *testing.T
 	hosts   []*simHost
 	runners []*simRunner
-	// permitAsks counts the permitAsks for permits between hosts.
+	// permitAsks counts the permit requests between hosts.
 	permitAsks atomic.Int64
-	// notices counts the notices that hosts told all others.
+	// notices counts the notices that hosts broadcast.
 	notices atomic.Int64
 
 	mu sync.Mutex
-	// hostList lists the hosts and listed the runners; they are replaced whole.
+	// hostList lists the hosts and runnerList the runners; each is replaced as a whole.
 	hostList   []state.Peer
 	runnerList []state.Instance
-	// served and unserved count the callers' requests, late those served after their objective.
+	// served and unserved count the callers' requests, and late the served ones that missed
+	// their objective.
 	served, unserved, late int
-	// refused are the refusals that callers got.
+	// refused are the refusals that callers received.
 	refused []*Refusal
 	// misdirected counts requests for an earlier run than the one at the address.
 	misdirected int
@@ -52,32 +53,32 @@
 	advice *backpressure.Registry
 	book   *occupancy.Book
 	gate   *occupancy.Gate
-	// partition is the part of the network that the host reaches; hosts of other parts aren't.
-	// Runners are reached from all. It is changed under the fleet's lock.
+	// partition is the part of the network that the host is in; hosts in other parts are
+	// unreachable. Runners are reachable from all parts. It is changed under the fleet's lock.
 	partition int
 	down      bool
-	// updateMu is held while the list is put in force.
+	// updateMu is held while the runner list is applied.
 	updateMu sync.Mutex
 }
 
-// simRunner is one runner. What it asks is changed under the fleet's lock.
+// simRunner is one runner. Its advice is changed under the fleet's lock.
 type simRunner struct {
 	name   string
 	domain string
 	role   state.Role
 	born   int64
-	// limit is named while limited is set; rest is asked of each that is turned away while
+	// limit is sent while limited is set; backoff is requested in each rejection while
 	// rejecting is set.
 	limited, leaving, rejecting bool
 	limit                       float64
 	backoff                     time.Duration
 
-	// limitChanges is what was limitChanges, as it changed.
+	// limitChanges are the limits that the runner sent, in order.
 	limitChanges []limitChange
 	arrivals     []arrival
 }
 
-// limitChange is what a run asks from a moment on.
+// limitChange is the limit that a run sends from a given time on.
 type limitChange struct {
 	from    time.Time
 	born    int64
@@ -90,12 +91,12 @@
 	host string
 	born int64
 	at   time.Time
-	// hostTime is the time by the host's clock, which counts suspensions: so much has hostTime for
-	// the runner, too, since it asked that host for rest.
+	// hostTime is the arrival by the host's clock, which includes suspensions: as much of a
+	// backoff has passed for the runner since it requested it from that host.
 	hostTime time.Time
-	// limitToldAt and leavingToldAt are when the runner first told that host that it names a limit,
-	// and that it leaves. backoffFrom and backoffUntil are the rest that it had asked that host for
-	// before; zero if there is none.
+	// limitToldAt and leavingToldAt are when the runner first sent that host a limit, and that
+	// it leaves. backoffFrom and backoffUntil are the backoff that it had requested from that
+	// host before; zero if there is none.
 	limitToldAt, leavingToldAt, backoffFrom, backoffUntil time.Time
 	rejected                                              bool
 }
@@ -108,11 +109,11 @@
 	return state.Instance{ID: state.InstanceID{Name: r.name, Born: r.born}, Service: service, Addr: r.name + ":1", FailureDomain: r.domain, Role: r.role, Slots: engineSlots}
 }
 
-// domainCount are the failure domainCount of an advisedFleet.
+// domainCount is the number of failure domains of a simFleet.
 const domainCount = 3
 
-// newSimFleet has eight engines that read, four that generate and three runners of a
-// plain service.
+// newSimFleet has eight prefill engines, four decode engines and three runners of a plain
+// service.
 func newSimFleet(t *testing.T, hosts int) *simFleet {
 	t.Helper()
 	f := &simFleet{t: t}
@@ -158,7 +159,7 @@
 	return h
 }
 
-// noQuarantine holds nothing.
+// noQuarantine quarantines no request.
 type noQuarantine struct{}
 
 func (noQuarantine) Held(quarantine.Digest) *quarantine.Hold { return nil }
@@ -168,7 +169,7 @@
 // Advised implements backpressure.Observer.
 func (noObserver) Advised(string, backpressure.Kind) {}
 
-// updateHostList lists the hosts that are there.
+// updateHostList lists the hosts that are up.
 func (f *simFleet) updateHostList() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -180,8 +181,8 @@
 	}
 }
 
-// updateRunnerList puts the present runners in the hosts' lists; none is listed as leaving, however long
-// ago it said so.
+// updateRunnerList lists the current runners at all hosts. None is listed as draining, however
+// long ago it announced that it leaves.
 func (f *simFleet) updateRunnerList() {
 	f.mu.Lock()
 	var list []state.Instance
@@ -196,7 +197,8 @@
 	}
 }
 
-// applyRunnerList puts the list in force at a host, which counts those as draining that said so.
+// applyRunnerList puts the list in force at a host, which treats runners as draining that
+// announced that they leave.
 func (h *simHost) applyRunnerList() {
 	h.updateMu.Lock()
 	defer h.updateMu.Unlock()
@@ -209,7 +211,7 @@
 	h.fleet.Update(list)
 }
 
-// setAdvice changes what runners ask.
+// setAdvice changes the advice of the named runners.
 func (f *simFleet) setAdvice(change func(r *simRunner), names ...string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -230,17 +232,17 @@
 	return nil
 }
 
-// simUpstream is a host's way to the runners.
+// simUpstream connects a host to the runners.
 type simUpstream struct{ h *simHost }
 
 var _ Upstream = (*simUpstream)(nil)
 
-// runnerDelay is that of a request to a runner, and of the answer back.
+// runnerDelay is the network delay between a host and a runner, one way.
 const runnerDelay = time.Millisecond
 
 func (u *simUpstream) Send(ctx context.Context, a *Attempt) (Response, error) {
 	h, f := u.h, u.h.f
-	time.Sleep(2 * runnerDelay) // a connection is made
+	time.Sleep(2 * runnerDelay) // connection setup
 	if err := a.Permit(); err != nil {
 		return nil, &SendError{Withheld: true, Cause: err}
 	}
@@ -267,7 +269,7 @@
 	return &crashResponse{head: &Head{Status: 200, Events: true, Sealed: true}, ctx: ctx, ended: never, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 20 * time.Millisecond}, nil
 }
 
-// receive notes a request at a runner and returns what the answer asks; f.mu is held.
+// receive records a request at a runner and returns the advice in its response; f.mu is held.
 func (f *simFleet) receive(r *simRunner, h *simHost, a *Attempt) (advice backpressure.Advice, misdirected bool) {
 	if r.born != a.Instance.ID.Born {
 		f.misdirected++
@@ -299,7 +301,7 @@
 	return advice, false
 }
 
-// backoffAfter is the rest that holds for a host after an arrival.
+// backoffAfter is the backoff that holds for a host after an arrival.
 func (a arrival) backoffAfter(rest time.Duration) (from, until time.Time) {
 	if !a.rejected || a.hostTime.Add(rest).Before(a.backoffUntil) {
 		return a.backoffFrom, a.backoffUntil
@@ -324,7 +326,7 @@
 // Discard implements Upstream.
 func (u *simUpstream) Discard(*KVSource) error { return nil }
 
-// handle sends a request through a host and notes what became of it.
+// handle sends a request through a host and counts its result.
 func (h *simHost) handle(r *Request) {
 	suspended := h.suspended()
 	began := h.clock.Now()
@@ -341,7 +343,7 @@
 	var refusal *Refusal
 	switch {
 	case h.down || h.suspended() != suspended:
-		return // nobody can tell what became of it in time
+		return // its duration can't be measured
 	case errors.As(err, &refusal):
 		f.unserved++
 		f.refused = append(f.refused, refusal)
@@ -355,19 +357,19 @@
 	}
 }
 
-// suspended is how long the host was suspended so far.
+// suspended is how long the host has been suspended in total.
 func (h *simHost) suspended() time.Duration {
 	return time.Until(h.clock.Now()).Round(time.Millisecond)
 }
 
-// load is what callers ask for, in requests a second of all hosts together. Each is drawn at
-// a host by share, which gives the weight of host n; nil weighs all alike.
+// load is the rate of the callers' requests, in requests per second over all hosts. The host of
+// each request is drawn by share, which gives the weight of host n; nil weighs all hosts alike.
 type load struct {
 	longPrompts, shortPrompts, calls float64
 	share                            func(n int) float64
 }
 
-// runLoad lets callers ask for so long.
+// runLoad sends the load for the given duration.
 func (f *simFleet) runLoad(rng *rand.Rand, l load, long time.Duration) {
 	var weights []float64
 	total := 0.0
@@ -395,10 +397,10 @@
 	time.Sleep(settleTime)
 }
 
-// settleTime lets hosts tell each other what nobody waits for.
+// settleTime lets messages between hosts arrive that no request waits for.
 const settleTime = time.Second
 
-// liveHost is the host of that number, or the next one that isn't gone.
+// liveHost is host n, or the next one that is up.
 func (f *simFleet) liveHost(n int) *simHost {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -410,7 +412,7 @@
 	return nil
 }
 
-// draw makes a request of the kind at a place in the load.
+// draw creates a request of the kind at a position in the load, in requests per second.
 func (l load) draw(at float64) *Request {
 	switch {
 	case at < l.longPrompts:
@@ -423,15 +425,15 @@
 }
 
 const (
-	// limitWindow and limitSlack are the span in which a limit is judged and what is borne
-	// beyond limitFactor times what it allows.
+	// A runner may receive limitFactor times its limit plus limitSlack requests in each
+	// limitWindow.
 	limitWindow = 4 * time.Second
 	limitSlack  = 5
 	limitFactor = 1.5
 )
 
-// maxInWindow is the most that a runner got in any window of that length in a span, of the arrivals
-// that count; nil counts all.
+// maxInWindow is the most requests that a runner received in any window of that length between
+// from and to, of the arrivals for which counts is true; nil counts all.
 func (r *simRunner) maxInWindow(window time.Duration, from, to time.Time, counts func(arrival) bool) int {
 	var in []time.Time
 	most := 0
@@ -448,7 +450,7 @@
 	return most
 }
 
-// countBetween counts what a runner got in a span.
+// countBetween counts the requests that a runner received from from until before to.
 func (r *simRunner) countBetween(from, to time.Time) int {
 	n := 0
 	for _, a := range r.arrivals {
@@ -459,12 +461,12 @@
 	return n
 }
 
-// responseDelay is the time in which an answer that asks for rest reaches its host, with what the
-// host had sent by then.
+// responseDelay is the time in which a response that requests a backoff reaches its host, and
+// the host's requests that were sent before then reach the runner.
 const responseDelay = 2 * runnerDelay
 
-// duringBackoff counts the requests that reached a runner from a host that it had asked for rest, later
-// than the answer's way, and those that it turned away.
+// duringBackoff counts the requests that reached a runner during a backoff that it had
+// requested from their host, later than responseDelay, and those that it rejected.
 func (r *simRunner) duringBackoff() (during, rejected int) {
 	for _, a := range r.arrivals {
 		if a.backoffFrom.IsZero() {
@@ -480,7 +482,8 @@
 	return during, rejected
 }
 
-// unavoidableRejections counts the requests that a runner turned away from a host which couldn't know.
+// unavoidableRejections counts the requests that runners rejected from hosts that couldn't
+// know.
 func (f *simFleet) unavoidableRejections() int {
 	n := f.misdirected
 	for _, r := range f.runners {
@@ -493,9 +496,9 @@
 	return n
 }
 
-// rejectedBesideTrials counts the requests that reached a runner from a host beside the one that found out
-// whether a rest was over, and that had to be turned away as well. Before its first rest a host
-// can't know.
+// rejectedBesideTrials counts the requests that a runner rejected from a host while that host's
+// trial request after a backoff was in flight. Requests at the first backoff of a host don't
+// count, since it couldn't know.
 func (r *simRunner) rejectedBesideTrials() int {
 	first := map[string]time.Time{}
 	n := 0
--- a/coordination/forward/advised_peers_test.go
+++ b/coordination/forward/advised_peers_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// broadcast brings a notice to the hosts that are reached.
+// broadcast delivers a notice to the hosts that are reachable.
 func (h *simHost) broadcast(n backpressure.Notice) {
 	f := h.f
 	f.notices.Add(1)
@@ -30,25 +30,25 @@
 	})
 }
 
-// currentHosts is the list of hosts, which doesn't know who is gone or cut off.
+// currentHosts is the list of hosts; it doesn't show which are down or partitioned.
 func (f *simFleet) currentHosts() []state.Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.hostList
 }
 
-// peerDelay is the way to another host.
+// peerDelay is the network delay between two hosts, one way.
 const peerDelay = time.Millisecond
 
-// simPeers is a host's way to the others.
+// simPeers connects a host to the others.
 type simPeers struct{ h *simHost }
 
 var _ occupancy.Peers = simPeers{}
 
-var errHostUnreachable = errors.New("the host isn't reached")
+var errHostUnreachable = errors.New("the host is unreachable")
 
-// reach is the host at an address after the way there, or an error when the caller has waited
-// long enough for one that isn't reached.
+// reach returns the host at an address after the network delay there. For an unreachable host
+// it waits until ctx ends and returns an error.
 func (p simPeers) reach(ctx context.Context, addr string) (*simHost, error) {
 	time.Sleep(peerDelay)
 	f := p.h.f
--- a/coordination/forward/alive.go
+++ b/coordination/forward/alive.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// probeTimeout bounds a question to an engine: twenty round trips between failure
-	// domains and a handshake. One that takes longer is dark, as far as can be told.
+	// probeTimeout bounds a probe of an engine: twenty round trips between failure domains and
+	// a handshake. An engine that takes longer counts as unavailable.
 	probeTimeout = 80 * time.Millisecond
-	// recentResponse is how long an engine that answered this host isn't asked again.
+	// recentResponse is how long after a response to this host an engine isn't probed.
 	recentResponse = 200 * time.Millisecond
 )
 
-// runsAtMostOnce reports whether the request is one of an engine and may run once.
+// runsAtMostOnce reports whether the request goes to an engine and must not run twice.
 func (r *Request) runsAtMostOnce() bool {
 	return r.Generation != nil && !r.Route.Repeatable()
 }
 
-// alive reports whether an engine answers.
+// alive probes an engine and reports whether it answers.
 func (d *Dispatcher) alive(ctx context.Context, i *state.Instance) bool {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	return d.o.Upstream.Alive(ctx, i)
 }
 
-// confirmReachable reports whether an attempt may be sent to the runner. A request that may run
-// once is lost if its engine is dark, since nobody knows whether it ran: an engine that
-// hasn't answered this host recently is asked first. The question costs a round trip.
+// confirmReachable reports whether an attempt may be sent to the runner. An at-most-once
+// request is lost if its engine is unavailable, since it can't be known whether it ran; so an
+// engine without a recent response to this host is probed first, which costs a round trip.
 func (d *Dispatcher) confirmReachable(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record) bool {
 	if !a.Request.runsAtMostOnce() || runner.HeardWithin(recentResponse) {
 		return true
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// atMostOnceRequest is a question that may run once.
+// atMostOnceRequest is a request with a short prompt that must not run twice.
 func atMostOnceRequest() *Request {
 	r := modelRequest(200, false)
 	r.Generation.Parts = nil
@@ -20,8 +20,8 @@
 	return r
 }
 
-// A fifth of the engines fall silent at once, while questions that may run once arrive
-// at all of them: none is sent to an engine that doesn't answer, and each is served.
+// One of five engines stops answering while at-most-once requests arrive for all of them: none
+// is sent to that engine, and each is served.
 func TestAtMostOnceRequestsAvoidUnavailableEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -47,7 +47,7 @@
 	})
 }
 
-// An engine that has just answered isn't asked, nor is any for what may be repeated.
+// An engine with a recent response isn't probed, and no engine is for a repeatable request.
 func TestOnlyEnginesWithoutRecentResponseAreProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -74,8 +74,8 @@
 	})
 }
 
-// The engine that should generate is silent: another one is asked as soon as the first
-// event is overdue, and the caller has it in time.
+// The decode engine doesn't answer: another one is tried as soon as the first event is overdue,
+// and the caller gets the event in time.
 func TestUnavailableDecodeEngineIsReplacedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -91,12 +91,12 @@
 		is.True(w.up.attempts[1].Instance.ID != w.up.attempts[2].Instance.ID)
 		is.True(time.Since(r.ArrivedAt) < r.Route.Objective)
 		silent := w.fleet.Decode("model", "", "", nil)
-		is.True(silent.Instance.ID != w.up.attempts[1].Instance.ID) // others are spared it
+		is.True(silent.Instance.ID != w.up.attempts[1].Instance.ID) // later requests avoid it
 	})
 }
 
-// The wait follows what first events take: a service whose memory moves slowly is given
-// its time.
+// The timeout follows the first-event times of each service: one whose KV caches transfer
+// slowly gets more time.
 func TestFirstEventTimeoutFollowsService(t *testing.T) {
 	is := is.New(t)
 	var l leads
@@ -109,7 +109,7 @@
 	is.True(l.most("unknown") >= firstLead+leadSlack)
 }
 
-// A request that may not be sent again is waited for.
+// An attempt that can't be repeated isn't cancelled while its engine sends nothing.
 func TestLastAttemptIsNotCancelledWhenSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -123,7 +123,7 @@
 	})
 }
 
-// An engine that answers when it is asked is busy, not dark: the request keeps its place.
+// An engine that answers a probe is busy, not unavailable: the request keeps its place there.
 func TestBusyEngineKeepsItsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -136,8 +136,8 @@
 	})
 }
 
-// A prompt waits at an engine that all hosts are told is silent: it is left at once, not
-// when its reading is overdue, and read elsewhere in time.
+// A prompt waits at an engine that other hosts report as silent: the prefill is cancelled at
+// once, not when it is overdue, and done elsewhere in time.
 func TestPrefillLeavesEngineReportedSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -158,6 +158,6 @@
 		is.NoErr(err)
 		is.True(w.up.attempts[0].PrefillOnly && w.up.attempts[1].PrefillOnly)
 		is.True(time.Since(r.ArrivedAt) <= checkInterval+probeTimeout)
-		is.Equal(w.silent.ids[0], w.up.attempts[0].Instance.ID) // the host tells of it, too
+		is.Equal(w.silent.ids[0], w.up.attempts[0].Instance.ID) // this host reports it as well
 	})
 }
--- a/coordination/forward/backup.go
+++ b/coordination/forward/backup.go
@@ -12,27 +12,28 @@
 )
 
 const (
-	// resumeReserve is what is left of a promised pause for asking a silent engine and for the
-	// first event of another one.
+	// resumeReserve is the part of a promised pause that is kept for probing a silent engine
+	// and for the first event from another one.
 	resumeReserve = probeTimeout + 20*time.Millisecond
-	// minSilence is the shortest silence after which an engine is asked, above the
-	// steps of busy engines (5 to 60 ms).
+	// minSilence is the shortest silence after which an engine is probed; it is above the step
+	// times of busy engines (5 to 60 ms).
 	minSilence = 80 * time.Millisecond
-	// maxMoves bounds the engines at which a run goes on.
+	// maxMoves bounds how often one run is resumed from a backup.
 	maxMoves = 2
-	// backupPromptsPerSlot is how many mean prompts' memory an engine has for each slot where
-	// backups are made. With less, memory runs out before the slots do: copies push out
-	// what runs, and more streams are late or lost than backups save.
+	// backupPromptsPerSlot is how many prompts of mean size must fit into an engine's memory
+	// for each slot before backups are made. With less, memory runs out before the slots do:
+	// backups evict running requests, and more streams are late or lost than backups save.
 	backupPromptsPerSlot = 2
-	// promptSizeGain is the weight of a prompt in the mean size of a service's.
+	// promptSizeGain is the weight of a prompt in the moving mean of its service's prompt
+	// sizes.
 	promptSizeGain = 0.02
 )
 
-// promptSizes learns the mean size of the prompts of each service, in tokens. The zero value is
-// ready.
+// promptSizes holds the moving mean of each service's prompt sizes, in tokens. The zero value
+// is ready to use.
 type promptSizes struct {
 	mu   sync.Mutex
-	mean map[string]float64
+	mean map[string]float64 // by service
 }
 
 func (s *promptSizes) observe(service string, tokens int) {
@@ -54,14 +55,14 @@
 	return s.mean[service]
 }
 
-// hasBackupMemory reports whether the service's engines have memory to spare.
+// hasBackupMemory reports whether the service's engines have memory to spare for backups.
 func (d *Dispatcher) hasBackupMemory(r *Request) bool {
 	e := r.Engine
 	return e != nil && e.Backups && e.Slots > 0 && float64(e.KVTokens) >= backupPromptsPerSlot*d.sizes.meanTokens(r.Service)*float64(e.Slots)
 }
 
-// backupEngine is the engine to which the memory of a run that may run once is copied, so
-// that the run can go on there when its engine is lost; nil if there is none.
+// backupEngine is the engine to which the KV cache of an at-most-once run is copied, so that
+// the run can resume there if its engine is lost; nil if there is none.
 func (d *Dispatcher) backupEngine(r *Request, at *state.Instance, tried []state.InstanceID) *state.Instance {
 	if !r.runsAtMostOnce() || !d.hasBackupMemory(r) {
 		return nil
@@ -73,25 +74,26 @@
 	return runner.Instance
 }
 
-// maxSilence is how long an engine may send nothing before it is asked.
+// maxSilence is how long an engine may send nothing before it is probed.
 func maxSilence(r *Request) time.Duration { return max(minSilence, r.Route.EventGap-resumeReserve) }
 
-// streamWatch looks after a stream that can go on elsewhere: one whose engine is silent and
-// doesn't answer is cut, so that it does within the pause that its caller was promised.
+// streamWatch watches a stream that can resume elsewhere. The response of an engine that is
+// silent and doesn't answer a probe is cut, so that the stream resumes within the pause that
+// its caller was promised.
 type streamWatch struct {
-	// lastReceived is when the last bytes arrived, in nanoseconds since begun.
+	// lastReceived is when the last bytes arrived, in nanoseconds since startedAt.
 	lastReceived atomic.Int64
-	// unavailable is set once the engine was asked and didn't answer.
+	// unavailable is set once the engine was probed and didn't answer.
 	unavailable atomic.Bool
-	// evacuation is the move of the run off an engine that leaves; nil if it wasn't tried.
+	// evacuation is the move of the run off a draining engine; nil if none was tried.
 	evacuation atomic.Pointer[evacuation]
-	// tried are the engines at which the run doesn't go on.
+	// tried are the engines at which the run must not resume.
 	tried     []state.InstanceID
 	startedAt time.Time
 	cancel    context.CancelFunc
 }
 
-// startWatch begins to look after the present run of the stream, if it can go on elsewhere.
+// startWatch starts to watch the current run of the stream, if it can resume elsewhere.
 func (s *Stream) startWatch() {
 	s.stopWatch()
 	r := s.a.Request
@@ -112,7 +114,7 @@
 	}
 }
 
-// noteReceived tells the watch that bytes arrived.
+// noteReceived records for the watch that bytes arrived.
 func (s *Stream) noteReceived() {
 	if s.watch != nil {
 		s.runner.Heard()
@@ -120,8 +122,8 @@
 	}
 }
 
-// superviseRun asks the engine whenever its run is silent for too long, and cuts the response
-// of one that doesn't answer.
+// superviseRun evacuates the run from a draining engine, probes an engine whose run is silent
+// for too long, and cuts the response of one that doesn't answer.
 func (d *Dispatcher) superviseRun(ctx context.Context, w *streamWatch, a *Attempt, runner *placement.Runner, resp Response) {
 	limit := maxSilence(a.Request)
 	for {
@@ -146,9 +148,10 @@
 	}
 }
 
-// resumeFromBackup lets a run that may run once go on at the engine that has its backup. Its former
-// engine is asked to stop it: one that answers nothing at all is lost with its run, and one
-// that has no such run has ended it. One that says anything else may still be at it.
+// resumeFromBackup resumes an at-most-once run at the engine that has its backup. The former
+// engine is asked to stop the run: an engine that doesn't answer at all is lost with its run,
+// and one that has no such run has ended it. After any other answer the run may still be active
+// there, and isn't resumed.
 func (s *Stream) resumeFromBackup(cause error) bool {
 	r, from, backup := s.a.Request, s.a, s.a.Backup
 	moved, dark := s.awaitEvacuation(), s.watch != nil && s.watch.unavailable.Load()
@@ -175,21 +178,22 @@
 	return s.resumeFromCopy(backup, source)
 }
 
-// mayResume reports whether the request may be sent to one more engine.
+// mayResume reports whether the request may be sent to one more engine, and takes the move from
+// the budget.
 func (s *Stream) mayResume() bool {
 	r := s.a.Request
 	return s.d.held(r, s.rec) == nil && s.d.over(s.ctx, r, s.rec) == nil && payFrom(s.d.o.Budget.AllowMove, r, s.rec)
 }
 
-// resumeAfterMove goes on where the run was moved to.
+// resumeAfterMove resumes the run at the engine that it was moved to.
 func (s *Stream) resumeAfterMove(e *evacuation) bool {
 	s.rec.add(s.a.Instance, "run", outcomeMoved, s.d.o.Clock.Now().Sub(s.started), nil)
-	s.rec.paid++ // before the move
+	s.rec.paid++ // evacuate took it from the budget
 	return s.lastID != "" && s.mayResume() && s.resumeFromCopy(e.to, e.source)
 }
 
-// stopRun asks the former engine to stop its run and returns where its memory is. ended is
-// false if the run may go on there.
+// stopRun asks the former engine to stop the run and returns where its KV cache is. ended is
+// false if the run may still be active there.
 func (s *Stream) stopRun(from *state.Instance, backup *KVSource) (source *KVSource, ended bool) {
 	ctx, cancel := context.WithTimeout(s.ctx, probeTimeout)
 	defer cancel()
@@ -208,7 +212,7 @@
 	}
 }
 
-// resumeFromCopy goes on at an engine from a copy of the run's memory.
+// resumeFromCopy resumes the run at an engine from a copy of its KV cache.
 func (s *Stream) resumeFromCopy(at *state.Instance, source *KVSource) bool {
 	runner := s.d.o.Placer.Runner(at.ID)
 	if runner == nil {
--- a/coordination/forward/backup_test.go
+++ b/coordination/forward/backup_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// backupRequest is a question that may run once, at engines that back runs up.
+// backupRequest is an at-most-once request to engines that copy runs to backups.
 func backupRequest() *Request {
 	r := atMostOnceRequest()
 	r.Engine.Backups, r.Engine.KVTokens = true, 100_000
@@ -19,13 +19,15 @@
 	return r
 }
 
-// firstEvents is the first half of a stream, and laterEvents what a run that goes on sends.
+// firstEvents is what the first run of a stream sends, and laterEvents what a resumed run
+// sends.
 const (
 	firstEvents = "id: 1\ndata: x\n\n"
 	laterEvents = "id: 2\ndata: y\n\n"
 )
 
-// forwardWithBackup forwards a question whose first run sends what the first reply says.
+// forwardWithBackup forwards a backupRequest, whose first run follows the first reply, calls
+// prepare and reads the stream to its end.
 func forwardWithBackup(t *testing.T, prepare func(w *world, first state.InstanceID), replies ...reply) (w *world, got string, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -40,8 +42,8 @@
 	return w, got, err
 }
 
-// An engine falls silent in the middle of answers: each run goes on from its backup within
-// the pause that its caller was promised.
+// An engine becomes unavailable in the middle of a stream: the run resumes from its backup
+// within the pause that its caller was promised.
 func TestRunResumesWhenEngineIsUnavailable(t *testing.T) {
 	is := is.New(t)
 	var silentAt time.Time
@@ -56,10 +58,10 @@
 	is.Equal(a[1].Instance, a[0].Backup)
 	is.Equal(*a[1].Source, KVSource{Instance: a[0].Backup, Handle: "r1"})
 	is.Equal(a[1].LastEventID, "1")
-	is.True(a[1].Backup != nil && a[1].Backup.ID != a[1].Instance.ID) // it may be lost as well
+	is.True(a[1].Backup != nil && a[1].Backup.ID != a[1].Instance.ID) // the second engine may be lost as well
 }
 
-// What the former engine says of the run decides whether and from where it goes on.
+// The former engine's answer about the run decides whether and from where it resumes.
 func TestRunResumesOnlyAfterFormerRunEnded(t *testing.T) {
 	for name, c := range map[string]struct {
 		handle      string
@@ -67,12 +69,12 @@
 		unavailable bool
 		resumes     bool
 	}{
-		"stopped, with its memory":  {handle: "h9", resumes: true},
-		"no such run any more":      {resumes: true},
-		"out of reach":              {unavailable: true, resumes: true},
-		"reset, but it answers":     {err: errSent},
-		"refused, so it may go on":  {err: errors.New("answered 409")},
-		"no connection to ask with": {err: &SendError{Withheld: true, Cause: errors.New("busy")}},
+		"stopped, with its KV cache": {handle: "h9", resumes: true},
+		"no such run any more":       {resumes: true},
+		"unreachable":                {unavailable: true, resumes: true},
+		"reset, but answers probes":  {err: errSent},
+		"refused, so it may run on":  {err: errors.New("answered 409")},
+		"no connection available":    {err: &SendError{Withheld: true, Cause: errors.New("busy")}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -100,12 +102,13 @@
 	}
 }
 
-// The copy isn't there, or its engine is lost too: the stream ends cut, and nothing runs.
+// The backup is missing, or its engine is lost too: the stream ends cut, and nothing more is
+// sent.
 func TestStreamEndsWithoutUsableBackup(t *testing.T) {
 	for name, second := range map[string]reply{
-		"no copy":        {status: 503, notRun: true},
-		"both ends lost": {err: errSent},
-		"another status": {status: 500},
+		"no backup":         {status: 503, notRun: true},
+		"both engines lost": {err: errSent},
+		"another status":    {status: 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -116,7 +119,7 @@
 	}
 }
 
-// An engine that is only slow answers when it is asked, and keeps its run.
+// A slow engine that answers probes keeps its run.
 func TestSlowEngineKeepsItsRun(t *testing.T) {
 	is := is.New(t)
 	w, got, err := forwardWithBackup(t, func(*world, state.InstanceID) {}, reply{status: 200, events: true, body: firstEvents, stall: 2 * time.Second})
@@ -126,7 +129,8 @@
 	is.Equal(len(w.up.moved), 0)
 }
 
-// Before the first event nobody knows whether the run has begun, and it isn't sent again.
+// Before the first event it isn't known whether the run has begun, so the request isn't sent
+// again.
 func TestRunWithoutAnEventIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{status: 200, events: true, readErr: errSent})
@@ -137,7 +141,7 @@
 	is.Equal(len(w.up.attempts), 1)
 }
 
-// Backups cost memory at another engine: runs that may be repeated have none.
+// Backups take memory at another engine, so repeatable runs have none.
 func TestRepeatableRunsHaveNoBackup(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, generated)
@@ -150,8 +154,8 @@
 	is.True(w.up.attempts[0].Backup == nil)
 }
 
-// Where memory runs out before the slots do, copies would push out what runs: there are
-// none. The size of prompts is learnt.
+// Where memory runs out before the slots do, backups would evict running requests, so none are
+// made. The mean prompt size is learned from requests.
 func TestBackupsNeedSpareMemory(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty)
@@ -167,7 +171,7 @@
 	}
 }
 
-// A stream that may be repeated is also left when its engine falls silent in the middle.
+// A repeatable stream also leaves an engine that becomes unavailable in the middle.
 func TestRepeatableStreamLeavesUnavailableEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -186,7 +190,8 @@
 	})
 }
 
-// A runner that is another than was meant is asked for, so that all learn it.
+// A runner that answers "misdirected" is reported, so that all hosts learn that it may have
+// been replaced.
 func TestMisdirectedRequestIsReported(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{status: statusMisdirected, notRun: true})
--- a/coordination/forward/evacuate.go
+++ b/coordination/forward/evacuate.go
@@ -8,31 +8,32 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// evacuation is the moving of a run off an engine that leaves. The fields are set before
-// done is closed.
+// evacuation is the move of a run off a draining engine. Its fields are set before done is
+// closed.
 type evacuation struct {
 	done chan struct{}
-	// to is the engine at which the run goes on and source its memory; nil if it couldn't be
-	// moved.
+	// to is the engine at which the run resumes, and source its KV cache; both are nil if the
+	// run couldn't be moved.
 	to     *state.Instance
 	source *KVSource
 }
 
-// evacuateTimeout bounds the moving of a run: the memory of the longest ones moves within a
-// few milliseconds, and with an engine whose link is slow the run may as well stay until
-// its end.
+// evacuateTimeout bounds the move of a run: the KV caches of the longest runs transfer within a
+// few milliseconds, and a run whose engine has a slow link may as well stay there until it
+// ends.
 const evacuateTimeout = 200 * time.Millisecond
 
-// needsEvacuation reports whether a run that may run once is at an engine that is about to go: it
-// drains for some seconds, or two when it is taken back, and cuts what takes longer. Streams
-// of rostering's questions take four seconds at the mean.
+// needsEvacuation reports whether an at-most-once run is at a draining engine. An engine drains
+// for some seconds, or for two if it is a spot engine that is reclaimed, and cuts runs that
+// take longer. Streams for the rostering application's short prompts take four seconds on
+// average.
 func (d *Dispatcher) needsEvacuation(a *Attempt) bool {
 	return a.Request.runsAtMostOnce() && !d.o.Placer.Has(a.Instance.ID) && d.o.Placer.Runner(a.Instance.ID) != nil
 }
 
-// evacuate stops the run, has its memory copied to another engine and cuts the response, so
-// that the stream goes on there. It is tried once for each run: one that can't be moved, or may
-// not be sent once more, stays where it is, and goes on from its backup if it is cut there.
+// evacuate stops the run, has its KV cache copied to another engine and cuts the response, so
+// that the stream resumes there. It is tried once per run: a run that can't be moved, or must
+// not be sent once more, stays at its engine, and resumes from its backup if it is cut there.
 func (d *Dispatcher) evacuate(ctx context.Context, w *streamWatch, a *Attempt, resp Response) {
 	e := &evacuation{done: make(chan struct{})}
 	if !w.evacuation.CompareAndSwap(nil, e) {
@@ -47,7 +48,7 @@
 	defer cancel()
 	handle, err := d.o.Upstream.Move(ctx, a.Instance, a.Request.ID, runner.Instance)
 	if err != nil || handle == "" {
-		d.o.Log.Info("run not moved off a leaving engine", "request_id", a.Request.ID, "instance", a.Instance.ID, "to", runner.Instance.ID, "cause", moveFailure(err))
+		d.o.Log.Info("run not evacuated from draining engine", "request_id", a.Request.ID, "instance", a.Instance.ID, "to", runner.Instance.ID, "cause", moveFailure(err))
 		return
 	}
 	e.to, e.source = runner.Instance, &KVSource{Instance: a.Instance, Handle: handle}
@@ -61,8 +62,8 @@
 	return err.Error()
 }
 
-// awaitEvacuation returns where the present run was awaitEvacuation to, waiting for a move under way; nil if it
-// wasn't.
+// awaitEvacuation returns the evacuation of the current run, waiting for one under way; nil if
+// the run wasn't moved.
 func (s *Stream) awaitEvacuation() *evacuation {
 	if s.watch == nil {
 		return nil
--- a/coordination/forward/evacuate_test.go
+++ b/coordination/forward/evacuate_test.go
@@ -10,7 +10,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// drain has the list tell that an engine leaves.
+// drain marks an engine as draining in the list of runners.
 func (w *world) drain(id state.InstanceID) {
 	var list []state.Instance
 	for _, service := range []string{"plain", "model"} {
@@ -22,8 +22,8 @@
 	w.fleet.Update(list)
 }
 
-// An engine is taken back, with a notice of two seconds, while a question that may run once is
-// answered there for longer: the run goes on elsewhere, before the engine is gone.
+// A spot engine is reclaimed with a notice of two seconds, while an at-most-once run there
+// takes longer: the run resumes elsewhere before the engine is gone.
 func TestRunIsEvacuatedFromDrainingEngine(t *testing.T) {
 	is := is.New(t)
 	var drainedAt time.Time
@@ -39,15 +39,15 @@
 	is.Equal(*a[1].Source, KVSource{Instance: a[0].Instance, Handle: "h9"})
 	is.Equal(a[1].LastEventID, "1")
 	is.True(w.fleet.Has(a[1].Instance.ID))
-	is.Equal(len(w.broken.work), 0) // it left; nobody broke it
+	is.Equal(len(w.broken.work), 0) // a move isn't a crash
 }
 
-// A run that can't be moved stays at its engine for as long as that is there.
+// A run that can't be moved stays at its engine until that is gone.
 func TestRunThatCannotBeMovedStays(t *testing.T) {
 	for name, c := range map[string]struct {
 		handle string
 		err    error
-	}{"no room": {err: errors.New("answered 503")}, "no such run": {}} {
+	}{"no capacity": {err: errors.New("answered 503")}, "no such run": {}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
@@ -61,7 +61,7 @@
 	}
 }
 
-// Runs that may be repeated, and engines that stay, are left alone.
+// Repeatable runs, and runs at engines that aren't draining, aren't evacuated.
 func TestOnlyAtMostOnceRunsAreEvacuated(t *testing.T) {
 	is := is.New(t)
 	w, _, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
@@ -79,8 +79,8 @@
 	is.True(!w.needsEvacuation(repeatable))
 }
 
-// A run whose request may not be sent once more isn't stopped: what is left of its engine's time
-// may be enough for it.
+// A run whose request must not be sent once more isn't stopped: the remaining drain time of its
+// engine may be enough for it.
 func TestRunIsNotStoppedWithoutMoveBudget(t *testing.T) {
 	is := is.New(t)
 	w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
--- a/coordination/forward/leaving_test.go
+++ b/coordination/forward/leaving_test.go
@@ -13,16 +13,10 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// What was seen: a runner said in each answer that it leaves, and for the twelve seconds until
-// its entry in the list said so too, all hosts went on sending to it. Some callers lost their
-// answer with it.
-//
-// How it came about: the store was away, so that the list called the runner ready.
-//
-// Cause: who leaves was taken from the list alone.
-//
-// Proof: no host's share of requests to the runner changed by its answers; all ended within two
-// seconds of the entry.
+// A runner that says in its responses that it leaves must get no more requests. Hosts that take
+// draining runners from the list alone go on sending until the list shows it: for twelve
+// seconds while the store was unavailable and the list called the runner ready, and some
+// callers lost their answers when the runner ended.
 func TestLeavingRunnerGetsNoRequests(t *testing.T) {
 	for _, name := range []string{"s12", "d1", "p4"} {
 		t.Run(name, func(t *testing.T) {
@@ -36,8 +30,8 @@
 				said := time.Now()
 				f.runLoad(rng, l, 12*time.Second)
 				late := f.runner(name).countBetween(said.Add(leavingDeadline), time.Now())
-				t.Logf("%d requests later than %s after it said so; %d served, %d late, %d not", late, leavingDeadline, f.served, f.late, f.unserved)
-				is.True(f.runner(name).countBetween(said, time.Now()) > 0) // it was heard
+				t.Logf("%d requests more than %s after the announcement; %d served, %d late, %d unserved", late, leavingDeadline, f.served, f.late, f.unserved)
+				is.True(f.runner(name).countBetween(said, time.Now()) > 0) // hosts received the announcement
 				is.Equal(late, 0)
 				is.Equal(f.unserved, 0)
 			})
@@ -45,25 +39,25 @@
 	}
 }
 
-// leavingDeadline is the time in which all hosts must know that a runner leaves, from its first
-// answer that says so. Its first answer may take a while.
+// leavingDeadline is the time within which all hosts must know that a runner leaves, from its
+// first response that says so. It includes the wait for that response.
 const leavingDeadline = 300 * time.Millisecond
 
-// A runner that says so while the connection for a request is made doesn't get it, of any part
-// of a request; nor is it taken for one that doesn't answer.
+// A runner that announces that it leaves while the connection for a request is made doesn't get
+// the request, in any phase of it, and isn't reported as silent.
 func TestLeavingIsCheckedBeforeSending(t *testing.T) {
 	event := "id: 1\ndata: x\n\n"
 	for name, c := range map[string]struct {
 		request *Request
-		// leaves is the sending whose runner says that it leaves.
+		// leaves is the number of the connection whose runner announces that it leaves.
 		leaves  int
 		replies []reply
 	}{
-		"a call":              {request(state.RouteSafe, 2, false), 1, []reply{{status: 200}}},
-		"a question":          {modelRequest(200, false), 1, []reply{{status: 200, events: true, body: event}}},
-		"a prompt":            {modelRequest(2000, false), 1, []reply{{status: 200, body: "h"}, {status: 200, events: true, body: event}}},
-		"after a prompt":      {modelRequest(2000, false), 2, []reply{{status: 200, body: "h"}, {status: 200, events: true, body: event}}},
-		"a stream goes on at": {modelRequest(200, true), 2, []reply{{status: 200, events: true, body: event, readErr: io.ErrUnexpectedEOF}, {status: 200, events: true, body: event}}},
+		"call":                 {request(state.RouteSafe, 2, false), 1, []reply{{status: 200}}},
+		"short prompt":         {modelRequest(200, false), 1, []reply{{status: 200, events: true, body: event}}},
+		"prefill":              {modelRequest(2000, false), 1, []reply{{status: 200, body: "h"}, {status: 200, events: true, body: event}}},
+		"decode after prefill": {modelRequest(2000, false), 2, []reply{{status: 200, body: "h"}, {status: 200, events: true, body: event}}},
+		"resumed stream":       {modelRequest(200, true), 2, []reply{{status: 200, events: true, body: event, readErr: io.ErrUnexpectedEOF}, {status: 200, events: true, body: event}}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -91,7 +85,7 @@
 	}
 }
 
-// When all runners of a service say that they leave, callers are told at once that nothing ran.
+// When all runners of a service leave, callers are refused at once with "not run".
 func TestAllRunnersLeave(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -99,7 +93,7 @@
 		rng := rand.New(rand.NewPCG(37, 5))
 		f.setAdvice(func(r *simRunner) { r.leaving = true }, "s12", "s13", "s14")
 		f.runLoad(rng, load{calls: 50}, time.Second)
-		is.True(f.served > 0) // those from whose answers it was learned
+		is.True(f.served > 0) // the requests whose responses announced it
 		f.served, f.refused = 0, nil
 		f.runLoad(rng, load{calls: 50}, time.Second)
 		is.Equal(f.served, 0)
--- a/coordination/forward/limits_test.go
+++ b/coordination/forward/limits_test.go
@@ -9,17 +9,11 @@
 	"github.com/matryer/is"
 )
 
-// What was seen: two of the four engines that generate named a limit in each answer, 12 and 8
-// requests a second from all hosts together, and went on getting 30 and 20: 129 and 79 in 4 s.
-//
-// How it came about: all engines answered everything in time, so that nothing the hosts looked
-// at changed. One host alone sent one of them more than its whole limit.
-//
-// Cause: no host read what the runners said of a limit, of any kind of answer; and had each
-// kept it for itself, seven hosts would have sent seven times as much.
-//
-// Proof: no sending of any host to the two engines changed after the first answer that named the
-// limit, while other engines had room.
+// A limit that a runner names in its responses must hold over all hosts together. Hosts that
+// ignore the limit, or each apply it to their own requests only, overload the runner: two of
+// four decode engines with limits of 12 and 8 requests a second got 30 and 20, and one host
+// alone sent one of them more than its whole limit. The engines answered everything in time, so
+// that nothing else made hosts send less.
 func TestRunnerLimitHoldsAcrossHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -36,15 +30,15 @@
 		for _, name := range []string{"d1", "d2"} {
 			limit := limits[name]
 			got := f.runner(name).maxInWindow(limitWindow, named.Add(contact), time.Now(), nil)
-			t.Logf("%s names %.1f a second: at most %d in %s", name, limit, got, limitWindow)
+			t.Logf("%s has a limit of %.1f requests/s: at most %d in %s", name, limit, got, limitWindow)
 			is.True(float64(got) <= limitFactor*limit*limitWindow.Seconds()+limitSlack)
 		}
-		t.Logf("%d served, %d of them late, %d not", f.served, f.late, f.unserved)
-		is.Equal(f.unserved, 0) // two other engines have room
+		t.Logf("%d served, %d of them late, %d unserved", f.served, f.late, f.unserved)
+		is.Equal(f.unserved, 0) // two other engines have capacity
 	})
 }
 
-// onlyFirstHost is a load of one host's callers.
+// onlyFirstHost gives all load to the first host.
 func onlyFirstHost(n int) float64 {
 	if n == 0 {
 		return 1
@@ -52,11 +46,11 @@
 	return 0
 }
 
-// skewedShare gives a few hosts most of the callers.
+// skewedShare gives most of the load to a few hosts.
 func skewedShare(n int) float64 { return 1 / float64(1+n) }
 
-// A limit is used as well as kept, whoever has the callers and however many hosts there are:
-// callers ask for more than all runners of the service take.
+// A limit is used up as well as obeyed, for any distribution of callers and number of hosts.
+// Callers send more than all runners of the service accept.
 func TestLimitIsFullyUsed(t *testing.T) {
 	for name, c := range map[string]struct {
 		hosts int
@@ -83,10 +77,10 @@
 				f.runLoad(rng, l, 20*time.Second)
 				s := f.runner("s12")
 				got, most := s.countBetween(began, began.Add(20*time.Second)), s.maxInWindow(limitWindow, began, time.Now(), nil)
-				t.Logf("%.1f a second of %.1f, at most %d in %s; %.1f asks a second", float64(got)/20, c.limit, most, limitWindow, float64(f.permitAsks.Load()-asks)/20)
+				t.Logf("%.1f of %.1f requests/s, at most %d in %s; %.1f permit requests/s", float64(got)/20, c.limit, most, limitWindow, float64(f.permitAsks.Load()-asks)/20)
 				is.True(float64(got) >= 0.9*c.limit*20)
 				is.True(float64(most) <= limitFactor*c.limit*limitWindow.Seconds()+limitSlack)
-				for _, name := range []string{"s13", "s14"} { // that take nothing
+				for _, name := range []string{"s13", "s14"} { // with a limit of 0
 					is.True(f.runner(name).maxInWindow(limitWindow, began, time.Now(), nil) <= 1)
 				}
 				for _, r := range f.refused {
--- a/coordination/forward/offer.go
+++ b/coordination/forward/offer.go
@@ -17,25 +17,26 @@
 )
 
 const (
-	// maxPrefillCandidates bounds the engines whose counts are asked for one prompt: with two
-	// thirds of them full, four in five prompts find room at one of four.
+	// maxPrefillCandidates bounds the engines whose owners are queried for one prompt: with two
+	// thirds of the engines full, four in five prompts find one with capacity among four.
 	maxPrefillCandidates = 4
-	// shortQueueWait is the predicted wait with which an engine is taken without asking
-	// others: twenty round trips to an owner of another failure domain (2 ms each).
+	// shortQueueWait is the predicted queue wait up to which an engine is taken without
+	// querying others: twenty round trips to an owner in another failure domain (2 ms each).
 	shortQueueWait = 40 * time.Millisecond
-	// unboundedWait puts no bound on a forecast.
+	// unboundedWait accepts any predicted queue wait.
 	unboundedWait = math.MaxInt32 * time.Millisecond
 )
 
-// candidate is what an engine's owner predicted.
+// candidate is an engine with its owner's answer: the forecast for the prompt, and the place
+// there if one was given.
 type candidate struct {
 	runner *placement.Runner
 	occupancy.Verdict
 }
 
-// cost is what choosing the engine costs if it fetches parts from source: the time
-// until the prompt is read, and once more that of the reading itself, by which those
-// that come after wait longer.
+// cost is the cost of choosing the engine if it fetches parts of the prompt from source: the
+// time until the prefill ends, plus the compute time once more, by which later prompts in the
+// queue are delayed.
 func (o candidate) cost(r *Request, p coldPrompt, source candidate) time.Duration {
 	f := o.Forecast
 	saved := time.Duration(0)
@@ -46,10 +47,11 @@
 	return 2*(f.Finish-saved) - f.Wait
 }
 
-// reservePrefill finds the engine at which the prompt is read soonest: the session's own if
-// hardly anything waits there and all shared parts are kept, else the best of those that
-// are asked. What another of them keeps is fetched. A prompt that would be read after
-// its caller has left is refused.
+// reservePrefill reserves a place at an engine for the prompt's prefill. Candidates are queried
+// in the session's order; the first with a short queue and all shared parts cached is taken.
+// Otherwise the one of least cost is taken, and fetches the shared parts that another candidate
+// has cached. A prompt whose prefill would end after its caller has left is refused. The
+// reservation has no runner if there is no engine to query.
 func (d *Dispatcher) reservePrefill(ctx context.Context, r *Request, rec *record, tried []state.InstanceID) (reservation, error) {
 	p := newColdPrompt(r.Generation)
 	limit := d.prefillTarget(r).Sub(d.o.Clock.Now())
@@ -91,25 +93,28 @@
 	return newReservation(best, from), nil
 }
 
-// refuseIfOverdue refuses a prompt that would be read after its caller has left, and tells the
-// caller when it would be read in time.
+// refuseIfOverdue returns a refusal if the prefill is predicted to end after the caller has
+// left. The refusal says after which time a retry is predicted to succeed. A forecast that
+// rests on this host's own count or on too few samples refuses nothing.
 func (d *Dispatcher) refuseIfOverdue(r *Request, rec *record, best candidate) error {
 	left := d.readLeft(r)
 	if best.Own || !best.Forecast.Known || best.Forecast.Finish < left {
 		return nil
 	}
-	d.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "request is hopeless", slog.String("request_id", r.ID),
+	d.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "request refused: predicted prefill exceeds the caller's remaining time", slog.String("request_id", r.ID),
 		slog.Any("instance", best.runner.Instance.ID), slog.Duration("predicted", best.Forecast.Finish),
 		slog.Duration("left", left))
 	return d.giveUp(r, rec, max(best.Forecast.Finish-r.Route.Objective, shortQueueWait))
 }
 
-// prefillTarget is when a prompt should be read so that the first event is in time.
+// prefillTarget is the time by which the prefill must end for the first event to meet the
+// route's objective.
 func (d *Dispatcher) prefillTarget(r *Request) time.Time {
 	return r.ArrivedAt.Add(r.Route.Objective - d.leads.of(r.Service))
 }
 
-// firstEventDeadline is when the first event is of no use any more: its caller has left.
+// firstEventDeadline is the time from which the first event is useless: its caller has
+// disconnected or the request's deadline has passed.
 func (d *Dispatcher) firstEventDeadline(r *Request) time.Time {
 	if r.Route.CallerSilence <= 0 {
 		return r.Deadline
@@ -120,7 +125,7 @@
 	return r.Deadline
 }
 
-// coldPrompt is a coldPrompt's work at an engine that keeps nothing of it.
+// coldPrompt is the prefill work of a prompt at an engine that has cached none of it.
 type coldPrompt backlog.Work
 
 func newColdPrompt(g *Generation) coldPrompt {
@@ -131,7 +136,7 @@
 	return p
 }
 
-// sharedTokens is the size of the parts before the prompt's own.
+// sharedTokens is the number of tokens in the parts before the prompt's own.
 func (p coldPrompt) sharedTokens() int {
 	out := 0
 	for _, part := range p.Shared {
@@ -140,10 +145,12 @@
 	return out
 }
 
-// crossDomainFactor is how much longer memory moves between failure domains.
+// crossDomainFactor is how many times longer a KV cache transfer takes between failure domains
+// than within one.
 const crossDomainFactor = 2
 
-// localTransferTime is the time in which the memory of tokens moves within a failure domain.
+// localTransferTime is the time to transfer the KV cache of tokens within a failure domain; 0
+// if the link speed is unknown.
 func localTransferTime(r *Request, tokens int) time.Duration {
 	if r.Engine == nil || r.Engine.LinkBits <= 0 {
 		return 0
@@ -152,7 +159,7 @@
 	return time.Duration(bits / r.Engine.LinkBits * float64(time.Second))
 }
 
-// transferTime is the time in which the memory of tokens moves from one engine to another.
+// transferTime is the time to transfer the KV cache of tokens from one engine to another.
 func transferTime(r *Request, tokens int, from, to *placement.Runner) time.Duration {
 	took := localTransferTime(r, tokens)
 	if from.Instance.FailureDomain != to.Instance.FailureDomain {
@@ -161,7 +168,8 @@
 	return took
 }
 
-// prefillAsk asks for a place at which the prompt is read.
+// prefillAsk returns the request for a prefill place at an engine. wait is the longest queue
+// wait that is accepted, and limit the time left until prefillTarget.
 func (d *Dispatcher) prefillAsk(r *Request, at *placement.Runner, w backlog.Work, wait, limit time.Duration) occupancy.Ask {
 	reading := &occupancy.Reading{Service: r.Service, Work: w, MaxWait: wait, Limit: limit}
 	if r.Engine != nil {
--- a/coordination/forward/patience.go
+++ b/coordination/forward/patience.go
@@ -11,19 +11,20 @@
 )
 
 const (
-	// overdueErrors is how many mean errors a reading may take longer than predicted
-	// before its engine is asked after: of errors that fall off exponentially one in
+	// overdueErrors is the number of mean prediction errors by which a prefill may exceed its
+	// forecast before its progress is checked: with exponentially distributed errors, one in
 	// twenty is larger.
 	overdueErrors = 3
-	// overdueSlack covers what no prediction knows of: a host that is held up for a
-	// tenth of a second, a packet that is sent again.
+	// overdueSlack covers delays that no forecast includes, such as a host that is paused for a
+	// tenth of a second or a retransmitted packet.
 	overdueSlack = 200 * time.Millisecond
-	// checkInterval is how often a reading that takes longer is asked after.
+	// checkInterval is the longest time between two checks of an engine's availability, and the
+	// time between two checks of an overdue prefill's progress.
 	checkInterval = 250 * time.Millisecond
 )
 
-// prefillWatch ends the wait for a reading at an engine that ends nothing, and any wait
-// while the caller can still be told.
+// prefillWatch cancels a prefill whose engine makes no progress, and any prefill while there is
+// still time to send its caller a refusal.
 type prefillWatch struct {
 	d      *Dispatcher
 	r      *Request
@@ -31,13 +32,15 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	wg     conc.WaitGroup
-	// unknownBefore is set once the owner knew nothing of the reading.
+	// unknownBefore is set once the owner didn't know of the prefill.
 	unknownBefore bool
-	// unavailable is set if the engine ended nothing for too long.
+	// unavailable is set if other hosts report the engine as silent, or if it has completed
+	// nothing for too long.
 	unavailable atomic.Bool
 }
 
-// watchPrefill begins the wait for a reading. It is to be ended.
+// watchPrefill starts to watch a prefill, which must run with the returned context. The caller
+// must call stop.
 func (d *Dispatcher) watchPrefill(ctx context.Context, r *Request, t reservation) (context.Context, *prefillWatch) {
 	ctx, cancel := context.WithCancel(ctx)
 	p := &prefillWatch{d: d, r: r, t: t, cancel: cancel, ctx: ctx}
@@ -45,7 +48,7 @@
 	return ctx, p
 }
 
-// run looks after the reading until the wait is over.
+// run checks the prefill until it is cancelled or has ended.
 func (p *prefillWatch) run() {
 	next := p.d.readLeft(p.r)
 	if f := p.t.forecast; f.Known {
@@ -74,8 +77,8 @@
 	}
 }
 
-// makesProgress reports whether the reading may still end. What an owner that was lost
-// can't tell is taken for granted once.
+// makesProgress reports whether the prefill may still complete. An owner that doesn't know of
+// the prefill, as after the former owner was lost, is taken to report progress once.
 func (p *prefillWatch) makesProgress() bool {
 	_, progress := p.t.place.Remaining(p.ctx)
 	switch progress {
@@ -91,12 +94,12 @@
 	}
 }
 
-// overdueAfter is how long a reading takes at most, as far as is foreseen.
+// overdueAfter is the time from which a prefill with this forecast is overdue.
 func overdueAfter(f backlog.Forecast) time.Duration {
 	return f.Finish + time.Duration(overdueErrors*f.Error*float64(f.Finish)) + overdueSlack
 }
 
-// stop ends the wait.
+// stop ends the watch and waits for its goroutine.
 func (p *prefillWatch) stop() {
 	p.cancel()
 	p.wg.Wait()
--- a/coordination/forward/resting_test.go
+++ b/coordination/forward/resting_test.go
@@ -13,16 +13,10 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// What was seen: engines turned requests away and asked for three seconds of rest; single hosts
-// sent them three and four requests in that time. Prompts that went there first were late at the
-// engine that read them in the end.
-//
-// How it came about: a host passes an engine that refused over for a tenth of a second, and for
-// up to one second when it goes on refusing.
-//
-// Cause: how long a runner wants nothing was not read from its answer.
-//
-// Proof: the pauses of all hosts followed their own schedule, whatever the engines asked for.
+// A runner that rejects a request and asks for a backoff must get no requests until it is over.
+// Hosts that follow their own schedule instead, which avoids an engine for 0.1 s after a
+// rejection and up to 1 s after several, sent such engines three and four requests within a
+// backoff of three seconds, and the prompts that tried them first were late.
 func TestRunnerInBackoffGetsNoRequests(t *testing.T) {
 	for _, name := range []string{"s12", "d1", "p4"} {
 		t.Run(name, func(t *testing.T) {
@@ -35,8 +29,8 @@
 				f.setAdvice(func(r *simRunner) { r.rejecting, r.backoff = true, 3*time.Second }, name)
 				f.runLoad(rng, l, 10*time.Second)
 				during, turnedAway := f.runner(name).duringBackoff()
-				t.Logf("%d requests in a rest, %d turned away; %d served, %d late, %d not", during, turnedAway, f.served, f.late, f.unserved)
-				is.True(turnedAway > 0) // it did ask
+				t.Logf("%d requests during the backoff, %d rejected; %d served, %d late, %d unserved", during, turnedAway, f.served, f.late, f.unserved)
+				is.True(turnedAway > 0) // the backoff was requested
 				is.Equal(during, 0)
 				is.Equal(f.unserved, 0)
 				f.setAdvice(func(r *simRunner) { r.rejecting = false }, name)
@@ -48,16 +42,16 @@
 	}
 }
 
-// receiveAdvice has the runners of these names receiveAdvice for something by an answer.
+// receiveAdvice delivers a response with the advice from each of the named runners.
 func (w *world) receiveAdvice(a backpressure.Advice, names ...string) {
 	for _, name := range names {
 		w.advice.Heard(&state.Instance{ID: state.InstanceID{Name: name}, Service: "s"}, time.Now(), a, true)
 	}
 }
 
-// When no runner takes a request now, one that can be served in time waits for the first that
-// does; any other is refused at once, as not run, with the time at which it could be. No prompt
-// is read that no engine generates in time.
+// When no runner accepts a request now, a request that can be served in time waits for the
+// first runner that does; any other is refused at once, as not run, with the time after which
+// it could be. No prompt is prefilled that no engine decodes in time.
 func TestRequestsWithoutAvailableRunner(t *testing.T) {
 	plain := []string{"s1", "s2", "s3", "s4", "s5"}
 	generating := []string{"d1", "d2", "d3", "d4", "d5"}
@@ -69,17 +63,17 @@
 		runners []string
 		advice  backpressure.Advice
 		replies []reply
-		// reason is "" for those that are served, after so long at least.
+		// reason is "" for requests that are served, which takes at least after.
 		reason Reason
 		after  time.Duration
 	}{
-		"calls wait for a short rest":       {request(state.RouteSafe, 2, false), plain, backoff(100 * time.Millisecond), []reply{{status: 200}}, "", 100 * time.Millisecond},
-		"one that may run once as well":     {request(state.RouteUnsafe, 1, false), plain, backoff(100 * time.Millisecond), []reply{{status: 200}}, "", 100 * time.Millisecond},
-		"questions wait for a short rest":   {modelRequest(200, false), generating, backoff(100 * time.Millisecond), event, "", 100 * time.Millisecond},
-		"calls don't wait for a long rest":  {request(state.RouteSafe, 2, false), plain, backoff(3 * time.Second), nil, ReasonBackpressure, 3 * time.Second},
-		"nothing is read in vain":           {modelRequest(2000, false), generating, backoff(3 * time.Second), nil, ReasonBackpressure, 3 * time.Second},
-		"prompts are read where generated":  {modelRequest(2000, false), reading, backoff(3 * time.Second), event, "", 0},
-		"one runner that is open is enough": {request(state.RouteSafe, 2, false), plain[1:], backoff(3 * time.Second), []reply{{status: 200}}, "", 0},
+		"call waits for a short backoff":                  {request(state.RouteSafe, 2, false), plain, backoff(100 * time.Millisecond), []reply{{status: 200}}, "", 100 * time.Millisecond},
+		"at-most-once call waits as well":                 {request(state.RouteUnsafe, 1, false), plain, backoff(100 * time.Millisecond), []reply{{status: 200}}, "", 100 * time.Millisecond},
+		"short prompt waits for a short backoff":          {modelRequest(200, false), generating, backoff(100 * time.Millisecond), event, "", 100 * time.Millisecond},
+		"call doesn't wait for a long backoff":            {request(state.RouteSafe, 2, false), plain, backoff(3 * time.Second), nil, ReasonBackpressure, 3 * time.Second},
+		"no prefill without an engine to decode":          {modelRequest(2000, false), generating, backoff(3 * time.Second), nil, ReasonBackpressure, 3 * time.Second},
+		"decode engine prefills if others are in backoff": {modelRequest(2000, false), reading, backoff(3 * time.Second), event, "", 0},
+		"one open runner is enough":                       {request(state.RouteSafe, 2, false), plain[1:], backoff(3 * time.Second), []reply{{status: 200}}, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -111,8 +105,8 @@
 	}
 }
 
-// A refusal that asks for rest says nothing of the runner's soundness: it is back when the rest
-// is over, however often it asked.
+// A rejection with a backoff isn't a failure of the runner: the runner is used again when the
+// backoff is over, however often it requested one.
 func TestBackoffIsNotAFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -128,8 +122,8 @@
 	})
 }
 
-// Many requests wait for the same rest of all runners of a service: when it ends one goes first,
-// the others follow once that is answered, and nobody asks in vain meanwhile.
+// Many requests wait for the same backoff of all runners of a service: when it ends, one is
+// sent as a trial, the others follow once it is answered, and none is rejected meanwhile.
 func TestRequestsWaitingForOneBackoff(t *testing.T) {
 	for _, hosts := range []int{1, 7} {
 		synctest.Test(t, func(t *testing.T) {
@@ -147,14 +141,15 @@
 				is.Equal(during, 0)
 				is.Equal(f.runner(name).rejectedBesideTrials(), 0)
 			}
-			t.Logf("%d served, %d late, %d refused while they rested, %d after", f.served, f.late, refused, f.unserved-refused)
+			t.Logf("%d served, %d late, %d refused during the backoff, %d after it", f.served, f.late, refused, f.unserved-refused)
 			is.Equal(f.late, 0)
 			is.Equal(f.unserved, refused)
 		})
 	}
 }
 
-// The line of a request that was refused since all runners are closed names the first to open.
+// The log line of a request that is refused because all runners are closed names the first one
+// to open.
 func TestRefusalRecordsFirstAvailableRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coordination/forward/turn.go
+++ b/coordination/forward/turn.go
@@ -10,44 +10,46 @@
 	"github.com/thymerack/thymerack/coordination/placement"
 )
 
-// ReservationKind is how a part of a model request got its place among the others.
+// ReservationKind is how a phase of a model request was queued at its engine.
 type ReservationKind string
 
-// The turns.
+// The kinds of reservation.
 const (
-	// ReservationShared work has a place among that of all hosts which its engine is
-	// predicted to do in time.
+	// ReservationShared is counted over all hosts, and predicted to be served in time.
 	ReservationShared ReservationKind = "counted"
-	// ReservationLocal work is counted at this host alone; the owner of the engine's count
-	// could not be asked.
+	// ReservationLocal is counted at this host only: the owner of the engine's count could not
+	// be reached.
 	ReservationLocal ReservationKind = "own"
-	// ReservationDeferred work is predicted to be late or found all slots taken, and is put
-	// behind the others.
+	// ReservationDeferred is predicted to be late or found no free slot, and is queued behind
+	// other work.
 	ReservationDeferred ReservationKind = "deferred"
 )
 
-// Phase is a part of a model request.
+// Phase is a phase of a model request that reserves a place at an engine.
 type Phase string
 
-// The parts of a model request that take turns.
+// The phases of a model request.
 const (
-	// PhasePrefill is the reading of a long prompt at an engine of its own.
+	// PhasePrefill is the prefill of a long prompt.
 	PhasePrefill Phase = "read"
-	// PhaseGenerate is a request with a short prompt, read where it generates.
+	// PhaseGenerate is a request with a short prompt, whose prefill and decode run at one
+	// engine.
 	PhaseGenerate Phase = "generate"
 )
 
-// reservation is a prompt's reservation at an engine.
+// reservation is a place for a phase of a request at an engine.
 type reservation struct {
 	kind ReservationKind
-	// runner is the engine to read at, or nil if there is none; prefixSource is one that
-	// keeps shared parts which runner lacks, or nil.
+	// runner is the reserved engine, or nil if there is none; prefixSource is an engine that
+	// has cached shared parts which runner lacks, or nil.
 	runner, prefixSource *placement.Runner
-	place                *occupancy.Place
-	forecast             backlog.Forecast
+	// place is nil if no owner gave one.
+	place    *occupancy.Place
+	forecast backlog.Forecast
 }
 
-// release counts the prompt out; done says that it was read.
+// release gives the place back. done reports that the prefill completed, so that its duration
+// is a valid sample of the engine's load.
 func (t reservation) release(done bool) {
 	if done {
 		t.place.Done()
@@ -67,17 +69,17 @@
 	return t
 }
 
-// choice is a runner for one sending, with its place there if it has one.
+// choice is a runner for one attempt, with its reservation if it has one.
 type choice struct {
 	*placement.Runner
 	reservation reservation
-	// forPrefill is set if the place is for reading the prompt and ends with that.
+	// forPrefill is set if the reservation covers the prefill only, and ends with it.
 	forPrefill bool
-	// permitted is set if the runner's limit was asked already.
+	// permitted is set if the runner's rate limit has already granted a permit.
 	permitted bool
 }
 
-// rank is the order of the sending at its runner.
+// rank is the attempt's rank in the queue of its runner.
 func (c choice) rank(r *Request) int {
 	rank := min(max(0, r.Priority()), defaultRank)
 	switch {
@@ -90,27 +92,28 @@
 	}
 }
 
-// The ranks that engines know; a lower one goes first.
+// The ranks that engines accept are 0 to maxRank; a lower rank is served first.
 const (
-	// defaultRank is that of requests which name none, deferredRank the first behind it.
+	// defaultRank is the rank of requests that name none, and deferredRank the first one behind
+	// it.
 	defaultRank  = 5
 	deferredRank = defaultRank + 1
 	maxRank      = 9
 )
 
-// begin counts the sending in.
+// begin counts the attempt as in flight at its runner.
 func (c choice) begin() *inFlight {
 	return &inFlight{done: c.Runner.Begin(), reservation: c.reservation, forPrefill: c.forPrefill}
 }
 
-// release ends the place of a choice that isn't used; it may have none.
+// release gives back the place of a choice that isn't used, if it has one.
 func (c choice) release() {
 	if c.Runner != nil {
 		c.reservation.release(false)
 	}
 }
 
-// fetchFrom is the address of the engine that keeps shared parts; "" if none is known.
+// fetchFrom is the address of the engine that has cached shared parts; "" if none is known.
 func (c choice) fetchFrom() string {
 	if c.reservation.prefixSource == nil {
 		return ""
@@ -118,29 +121,33 @@
 	return c.reservation.prefixSource.Instance.Addr
 }
 
-// inFlight is one inFlight that is counted in at its runner and at its place.
+// inFlight is an attempt that is counted at its runner and holds its reservation.
 type inFlight struct {
+	// done removes the attempt from the runner's count.
 	done        func()
 	reservation reservation
-	forPrefill  bool
-	once        sync.Once
+	// forPrefill is that of the choice.
+	forPrefill bool
+	// once guards the release of the reservation.
+	once sync.Once
 }
 
-// markAnswered notes the first part of the answer.
+// markAnswered ends a reservation for the prefill: the first part of the answer has arrived.
 func (s *inFlight) markAnswered() {
 	if s.forPrefill {
 		s.once.Do(func() { s.reservation.release(true) })
 	}
 }
 
-// end counts the sending out. It may be called twice.
+// end removes the attempt from the runner's count and releases the reservation. It may be
+// called twice.
 func (s *inFlight) end() {
 	s.done()
 	s.once.Do(func() { s.reservation.release(false) })
 }
 
-// chooseMixedEngine looks for an engine that reads a long prompt in time and generates
-// as well, as takeTurn does for engines that only read.
+// chooseMixedEngine chooses an engine that prefills a long prompt in time and decodes it as
+// well, by the same rules as reservePrefill for engines that only prefill.
 func (d *Dispatcher) chooseMixedEngine(ctx context.Context, r *Request, rec *record) (choice, error) {
 	t, err := d.reservePrefill(ctx, r, rec, rec.tried)
 	if err != nil {
@@ -150,10 +157,10 @@
 	return choice{Runner: t.runner, reservation: t, forPrefill: true}, nil
 }
 
-// chooseDecodeEngine looks for an engine with a free slot to generate after a prompt that was read
-// apart, beginning with the session's. A full engine would put back an answer of a less
-// urgent route in the middle to make room, which then pauses for some hundred milliseconds.
-// When all that are asked are full the session's own gets it all the same.
+// chooseDecodeEngine chooses an engine with a free slot to decode after a separate prefill, in
+// the session's order. A full engine would preempt a running stream of a less urgent route to
+// make room, which pauses that stream for some hundred milliseconds. If all queried engines are
+// full, the session's engine is chosen without a place.
 func (d *Dispatcher) chooseDecodeEngine(ctx context.Context, r *Request, rec *record) choice {
 	free, full := d.findFreeSlot(ctx, r, rec, r.Generation.Session(), generateNear(r, rec.cached))
 	switch {
@@ -166,9 +173,9 @@
 	}
 }
 
-// chooseShortPromptEngine looks for an engine with a free slot for a request that generates at
-// length. When all that are asked are full it goes behind the others at the first,
-// where it starts once nothing newer wants the slot.
+// chooseShortPromptEngine chooses an engine with a free slot for a request with a short prompt.
+// If all queried engines are full, the request is deferred at the first one, where it starts
+// once no newer request takes the slot.
 func (d *Dispatcher) chooseShortPromptEngine(ctx context.Context, r *Request, rec *record) choice {
 	free, full := d.findFreeSlot(ctx, r, rec, "", "")
 	for _, runner := range full {
@@ -184,9 +191,9 @@
 	}
 }
 
-// findFreeSlot asks engines that generate for a free slot, in the session's order and those of
-// the failure domain near first. free has a place unless none was found, and full are the
-// engines that had none, as they were asked.
+// findFreeSlot queries decode engines for a free slot, in the session's order and those of the
+// failure domain near first. free has a place unless none was found; full are the engines
+// without a free slot, in the order of the queries.
 func (d *Dispatcher) findFreeSlot(ctx context.Context, r *Request, rec *record, session, near string) (free candidate, full []*placement.Runner) {
 	excluded := slices.Clone(rec.tried)
 	for range maxSlotCandidates {
@@ -204,10 +211,11 @@
 	return candidate{}, full
 }
 
-// maxSlotCandidates bounds the engines that are asked for a free slot: with two thirds of them
-// full, one request in sixty finds none free at ten.
+// maxSlotCandidates bounds the engines that are queried for a free slot: with two thirds of
+// them full, one request in sixty finds no free slot among ten.
 const maxSlotCandidates = 10
 
+// generateChoice returns the choice of a runner for PhaseGenerate and records its reservation.
 func (d *Dispatcher) generateChoice(runner *placement.Runner, t reservation, rec *record) choice {
 	d.noteReservation(rec, PhaseGenerate, t.kind)
 	return choice{Runner: runner, reservation: t}
--- a/coordination/forward/turn_test.go
+++ b/coordination/forward/turn_test.go
@@ -14,8 +14,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// All caches are cold: a session's first prompt asks several engines whether they keep
-// its parts; those after it go to the one that reads them.
+// With all caches cold, a session's first prompt queries several engines for its parts; later
+// prompts go to the engine that prefilled it.
 func TestColdSessionPrefillsAtOneEngine(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, promptRead, generated, promptRead, generated)
@@ -28,7 +28,7 @@
 	is.Equal(w.up.attempts[2].Instance.ID, home.Instance.ID)
 }
 
-// The session's engine has a long queue: another one reads the prompt and fetches the
+// The session's engine has a long queue: another engine prefills the prompt and fetches the
 // shared parts.
 func TestPrefillRunsAtEngineThatFinishesFirst(t *testing.T) {
 	is := is.New(t)
@@ -48,7 +48,8 @@
 	is.True(w.gate.asks[4].Reading.Late)
 }
 
-// A session's engine was replaced: the next one by its order still keeps the parts.
+// The session's engine was replaced: the next one in the session's order still has the parts
+// cached.
 func TestCachedPrefixIsFetchedFromItsHolder(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, promptRead, generated)
@@ -71,8 +72,8 @@
 	return out
 }
 
-// Every engine has more to read than any caller waits for: the request is refused before
-// it costs anybody time.
+// Every engine's queue is longer than any caller waits: the request is refused before it takes
+// up capacity.
 func TestOverduePromptIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty)
@@ -82,7 +83,7 @@
 	is.True(errors.As(err, &refusal))
 	is.True(refusal.NotRun)
 	is.Equal(refusal.Reason, ReasonOverload)
-	is.True(refusal.RetryAfter >= 4*time.Second) // when it would be read in time
+	is.True(refusal.RetryAfter >= 4*time.Second) // when the prefill would be in time
 	is.Equal(len(w.up.attempts), 0)
 }
 
@@ -99,12 +100,12 @@
 	w.gate.given = &backlog.Forecast{Rank: backlog.Classes + 1}
 	w.served(t)
 	is.Equal(w.up.attempts[0].Rank, backlog.Classes+1)
-	is.Equal(w.up.attempts[1].Rank, 0) // what was read generates in its turn
+	is.Equal(w.up.attempts[1].Rank, 0) // the decode isn't deferred
 	is.Equal(newReservation(candidate{Verdict: occupancy.Verdict{Answer: occupancy.Answer{Forecast: *w.gate.given}}}, nil).kind, ReservationDeferred)
 }
 
-// A prompt that isn't read in its time is given up while its caller still waits, and
-// says nothing of an engine that may be busy with others.
+// A prefill that isn't done in time is cancelled while its caller still waits. It isn't counted
+// as a failure of the engine, which may be busy with other prompts.
 func TestPrefillIsAbandonedBeforeCallerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -125,8 +126,8 @@
 	})
 }
 
-// An engine refuses a prompt whose time is over in its queue: it is as sound as before,
-// and nothing is left to be read elsewhere.
+// An engine rejects a prompt whose deadline passed in its queue: this isn't counted as a
+// failure of the engine, and no time is left for another attempt.
 func TestRefusalAtDeadlineIsNotAnEngineFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -144,13 +145,14 @@
 	})
 }
 
-// The prompt takes longer than predicted, but its engine has much to read.
+// The prefill takes longer than its forecast, but the engine's owner reports that it is still
+// under way.
 func TestOverduePrefillWithProgressKeepsItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{status: 200, body: "h1", after: time.Second}, generated)
 		w.gate.given = &backlog.Forecast{Known: true, Finish: 10 * time.Millisecond}
-		r := modelRequest(200_000, true) // 4 s of reading by the book
+		r := modelRequest(200_000, true) // 4 s of prefill by the book's estimate
 		_, err := w.Forward(t.Context(), r)
 		is.NoErr(err)
 		is.Equal(len(w.up.attempts), 2)
@@ -199,8 +201,9 @@
 	is.True(2*backlog.Classes-1 <= maxRank)
 }
 
-// A burst of answers fills the generating engines: what was read goes to one with a free
-// slot, so that no answer under way is put back, and to the session's own if none has any.
+// Running streams fill the decode engines: after a separate prefill, the decode goes to an
+// engine with a free slot, so that no stream is preempted, and to the session's engine if no
+// slot is free.
 func TestDecodeRunsWhereASlotIsFree(t *testing.T) {
 	for name, c := range map[string]struct{ full int }{"some are full": {4}, "all are full": {5}} {
 		t.Run(name, func(t *testing.T) {
