--- a/coordination/forward/advised_fuzz_test.go
+++ b/coordination/forward/advised_fuzz_test.go
@@ -17,6 +17,7 @@
 
 // simEvent is an event in a simFleet that is under load.
 type simEvent struct {
+	// kind says what happens, and which of runner, host and value it concerns; see apply.
 	kind   string
 	runner string
 	host   int
--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -43,6 +43,7 @@
 	misdirected int
 }
 
+// simHost is a host with its own clock, view of the runners and part of the shared counts.
 type simHost struct {
 	*Dispatcher
 	f      *simFleet
@@ -302,14 +303,14 @@
 }
 
 // backoffAfter is the backoff that holds for a host after an arrival.
-func (a arrival) backoffAfter(rest time.Duration) (from, until time.Time) {
-	if !a.rejected || a.hostTime.Add(rest).Before(a.backoffUntil) {
+func (a arrival) backoffAfter(backoff time.Duration) (from, until time.Time) {
+	if !a.rejected || a.hostTime.Add(backoff).Before(a.backoffUntil) {
 		return a.backoffFrom, a.backoffUntil
 	}
 	if a.hostTime.Before(a.backoffUntil) {
-		return a.backoffFrom, a.hostTime.Add(rest)
+		return a.backoffFrom, a.hostTime.Add(backoff)
 	}
-	return a.hostTime, a.hostTime.Add(rest)
+	return a.hostTime, a.hostTime.Add(backoff)
 }
 
 // Alive implements Upstream.
@@ -370,7 +371,7 @@
 }
 
 // runLoad sends the load for the given duration.
-func (f *simFleet) runLoad(rng *rand.Rand, l load, long time.Duration) {
+func (f *simFleet) runLoad(rng *rand.Rand, l load, duration time.Duration) {
 	var weights []float64
 	total := 0.0
 	for n := range f.hosts {
@@ -383,7 +384,7 @@
 	}
 	perSecond := l.longPrompts + l.shortPrompts + l.calls
 	var callers sync.WaitGroup
-	for end := time.Now().Add(long); time.Now().Before(end); {
+	for end := time.Now().Add(duration); time.Now().Before(end); {
 		time.Sleep(time.Duration(rng.ExpFloat64() / perSecond * float64(time.Second)))
 		at, _ := slices.BinarySearch(weights, rng.Float64()*total)
 		h := f.liveHost(min(at, len(f.hosts)-1))
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -90,8 +90,8 @@
 		is.NoErr(err)
 		is.True(w.up.attempts[1].Instance.ID != w.up.attempts[2].Instance.ID)
 		is.True(time.Since(r.ArrivedAt) < r.Route.Objective)
-		silent := w.fleet.Decode("model", "", "", nil)
-		is.True(silent.Instance.ID != w.up.attempts[1].Instance.ID) // later requests avoid it
+		next := w.fleet.Decode("model", "", "", nil)
+		is.True(next.Instance.ID != w.up.attempts[1].Instance.ID) // later requests avoid it
 	})
 }
 
--- a/coordination/forward/backup.go
+++ b/coordination/forward/backup.go
@@ -101,8 +101,8 @@
 	if s.a.Backup == nil && !mayRepeat {
 		return
 	}
-	ctx, stop := context.WithCancel(s.ctx)
-	w := &streamWatch{startedAt: s.d.o.Clock.Now(), cancel: stop, tried: slices.Clone(s.rec.tried)}
+	ctx, cancel := context.WithCancel(s.ctx)
+	w := &streamWatch{startedAt: s.d.o.Clock.Now(), cancel: cancel, tried: slices.Clone(s.rec.tried)}
 	s.watch = w
 	go s.d.superviseRun(ctx, w, s.a, s.runner, s.resp)
 }
@@ -154,7 +154,7 @@
 // there, and isn't resumed.
 func (s *Stream) resumeFromBackup(cause error) bool {
 	r, from, backup := s.a.Request, s.a, s.a.Backup
-	moved, dark := s.awaitEvacuation(), s.watch != nil && s.watch.unavailable.Load()
+	moved, unavailable := s.awaitEvacuation(), s.watch != nil && s.watch.unavailable.Load()
 	s.drop()
 	if moved != nil {
 		return s.resumeAfterMove(moved)
@@ -169,7 +169,7 @@
 	}
 	s.moves++
 	source := &KVSource{Instance: backup, Handle: r.ID}
-	if !dark {
+	if !unavailable {
 		var ended bool
 		if source, ended = s.stopRun(from.Instance, source); !ended {
 			return false
--- a/coordination/forward/leaving_test.go
+++ b/coordination/forward/leaving_test.go
@@ -13,10 +13,9 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// A runner that says in its responses that it leaves must get no more requests. Hosts that take
-// draining runners from the list alone go on sending until the list shows it: for twelve
-// seconds while the store was unavailable and the list called the runner ready, and some
-// callers lost their answers when the runner ended.
+// A runner that says in its responses that it leaves must get no more requests. Hosts that
+// relied on the list alone kept sending to it for twelve seconds: the store was unavailable, so
+// the list still showed the runner as ready, and some callers lost their answers with it.
 func TestLeavingRunnerGetsNoRequests(t *testing.T) {
 	for _, name := range []string{"s12", "d1", "p4"} {
 		t.Run(name, func(t *testing.T) {
@@ -27,11 +26,11 @@
 				l := load{longPrompts: 110, shortPrompts: 17, calls: 50}
 				f.runLoad(rng, l, 2*time.Second)
 				f.setAdvice(func(r *simRunner) { r.leaving = true }, name)
-				said := time.Now()
+				leavingAt := time.Now()
 				f.runLoad(rng, l, 12*time.Second)
-				late := f.runner(name).countBetween(said.Add(leavingDeadline), time.Now())
+				late := f.runner(name).countBetween(leavingAt.Add(leavingDeadline), time.Now())
 				t.Logf("%d requests more than %s after the announcement; %d served, %d late, %d unserved", late, leavingDeadline, f.served, f.late, f.unserved)
-				is.True(f.runner(name).countBetween(said, time.Now()) > 0) // hosts received the announcement
+				is.True(f.runner(name).countBetween(leavingAt, time.Now()) > 0) // hosts received the announcement
 				is.Equal(late, 0)
 				is.Equal(f.unserved, 0)
 			})
@@ -64,11 +63,11 @@
 				is := is.New(t)
 				w := newWorld(t, plenty, c.replies...)
 				connections := 0
-				var left state.InstanceID
+				var leavingID state.InstanceID
 				w.up.connected = func(a *Attempt) {
 					if connections++; connections == c.leaves {
-						left = a.Instance.ID
-						w.drain(left)
+						leavingID = a.Instance.ID
+						w.drain(leavingID)
 					}
 				}
 				answer, err := w.Forward(t.Context(), c.request)
@@ -77,9 +76,9 @@
 					_, err = readAll(answer.Stream)
 					is.NoErr(err)
 				}
-				is.True(!slices.ContainsFunc(w.up.attempts, func(a Attempt) bool { return a.Instance.ID == left }))
+				is.True(!slices.ContainsFunc(w.up.attempts, func(a Attempt) bool { return a.Instance.ID == leavingID }))
 				is.Equal(len(w.up.attempts), len(c.replies))
-				is.True(!slices.Contains(w.silent.ids, left))
+				is.True(!slices.Contains(w.silent.ids, leavingID))
 			})
 		})
 	}
--- a/coordination/forward/limits_test.go
+++ b/coordination/forward/limits_test.go
@@ -25,11 +25,11 @@
 		for name, limit := range limits {
 			f.setAdvice(func(r *simRunner) { r.limited, r.limit = true, limit }, name)
 		}
-		named := time.Now()
+		limitedAt := time.Now()
 		f.runLoad(rng, l, 12*time.Second)
 		for _, name := range []string{"d1", "d2"} {
 			limit := limits[name]
-			got := f.runner(name).maxInWindow(limitWindow, named.Add(contact), time.Now(), nil)
+			got := f.runner(name).maxInWindow(limitWindow, limitedAt.Add(contact), time.Now(), nil)
 			t.Logf("%s has a limit of %.1f requests/s: at most %d in %s", name, limit, got, limitWindow)
 			is.True(float64(got) <= limitFactor*limit*limitWindow.Seconds()+limitSlack)
 		}
--- a/coordination/forward/offer.go
+++ b/coordination/forward/offer.go
@@ -37,12 +37,12 @@
 // cost is the cost of choosing the engine if it fetches parts of the prompt from source: the
 // time until the prefill ends, plus the compute time once more, by which later prompts in the
 // queue are delayed.
-func (o candidate) cost(r *Request, p coldPrompt, source candidate) time.Duration {
-	f := o.Forecast
+func (c candidate) cost(r *Request, p coldPrompt, source candidate) time.Duration {
+	f := c.Forecast
 	saved := time.Duration(0)
 	if missing := p.sharedTokens() - f.Coming; source.Forecast.Kept > f.Coming {
 		fetchable := source.Forecast.Kept - f.Coming
-		saved = time.Duration(float64(f.Cold)*float64(fetchable)/float64(missing)) - transferTime(r, fetchable, source.runner, o.runner)
+		saved = time.Duration(float64(f.Cold)*float64(fetchable)/float64(missing)) - transferTime(r, fetchable, source.runner, c.runner)
 	}
 	return 2*(f.Finish-saved) - f.Wait
 }
@@ -55,7 +55,7 @@
 func (d *Dispatcher) reservePrefill(ctx context.Context, r *Request, rec *record, tried []state.InstanceID) (reservation, error) {
 	p := newColdPrompt(r.Generation)
 	limit := d.prefillTarget(r).Sub(d.o.Clock.Now())
-	var offers []candidate
+	var candidates []candidate
 	excluded := slices.Clone(tried)
 	for range maxPrefillCandidates {
 		runner := d.o.Placer.Prefill(r.Service, r.Generation.Session(), excluded)
@@ -64,20 +64,20 @@
 		}
 		ask := d.prefillAsk(r, runner, backlog.Work(p), shortQueueWait, limit)
 		ask.Reading.Warm = true
-		o := candidate{runner, d.o.Gate.Enter(ctx, ask)}
-		if o.Place != nil {
-			return newReservation(o, nil), nil
+		c := candidate{runner, d.o.Gate.Enter(ctx, ask)}
+		if c.Place != nil {
+			return newReservation(c, nil), nil
 		}
-		rec.add(runner.Instance, "place", outcomeFull, o.Forecast.Finish, nil)
-		offers = append(offers, o)
+		rec.add(runner.Instance, "place", outcomeFull, c.Forecast.Finish, nil)
+		candidates = append(candidates, c)
 		excluded = append(excluded, runner.Instance.ID)
 	}
-	if len(offers) == 0 {
+	if len(candidates) == 0 {
 		return reservation{kind: ReservationLocal}, nil
 	}
-	source := slices.MaxFunc(offers, func(a, b candidate) int { return cmp.Compare(a.Forecast.Kept, b.Forecast.Kept) })
-	best := slices.MinFunc(offers, func(a, b candidate) int { return cmp.Compare(a.cost(r, p, source), b.cost(r, p, source)) })
-	if err := d.refuseIfOverdue(r, rec, best); err != nil {
+	source := slices.MaxFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.Forecast.Kept, b.Forecast.Kept) })
+	best := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.cost(r, p, source), b.cost(r, p, source)) })
+	if err := d.refuseIfCallerTimesOut(r, rec, best); err != nil {
 		return reservation{}, err
 	}
 	work := backlog.Work(p)
@@ -93,10 +93,10 @@
 	return newReservation(best, from), nil
 }
 
-// refuseIfOverdue returns a refusal if the prefill is predicted to end after the caller has
+// refuseIfCallerTimesOut returns a refusal if the prefill is predicted to end after the caller has
 // left. The refusal says after which time a retry is predicted to succeed. A forecast that
 // rests on this host's own count or on too few samples refuses nothing.
-func (d *Dispatcher) refuseIfOverdue(r *Request, rec *record, best candidate) error {
+func (d *Dispatcher) refuseIfCallerTimesOut(r *Request, rec *record, best candidate) error {
 	left := d.readLeft(r)
 	if best.Own || !best.Forecast.Known || best.Forecast.Finish < left {
 		return nil
--- a/coordination/forward/patience.go
+++ b/coordination/forward/patience.go
@@ -26,12 +26,12 @@
 // prefillWatch cancels a prefill whose engine makes no progress, and any prefill while there is
 // still time to send its caller a refusal.
 type prefillWatch struct {
-	d      *Dispatcher
-	r      *Request
-	t      reservation
-	ctx    context.Context
-	cancel context.CancelFunc
-	wg     conc.WaitGroup
+	d           *Dispatcher
+	r           *Request
+	reservation reservation
+	ctx         context.Context
+	cancel      context.CancelFunc
+	wg          conc.WaitGroup
 	// unknownBefore is set once the owner didn't know of the prefill.
 	unknownBefore bool
 	// unavailable is set if other hosts report the engine as silent, or if it has completed
@@ -41,9 +41,9 @@
 
 // watchPrefill starts to watch a prefill, which must run with the returned context. The caller
 // must call stop.
-func (d *Dispatcher) watchPrefill(ctx context.Context, r *Request, t reservation) (context.Context, *prefillWatch) {
+func (d *Dispatcher) watchPrefill(ctx context.Context, r *Request, res reservation) (context.Context, *prefillWatch) {
 	ctx, cancel := context.WithCancel(ctx)
-	p := &prefillWatch{d: d, r: r, t: t, cancel: cancel, ctx: ctx}
+	p := &prefillWatch{d: d, r: r, reservation: res, cancel: cancel, ctx: ctx}
 	p.wg.Go(p.run)
 	return ctx, p
 }
@@ -51,7 +51,7 @@
 // run checks the prefill until it is cancelled or has ended.
 func (p *prefillWatch) run() {
 	next := p.d.readLeft(p.r)
-	if f := p.t.forecast; f.Known {
+	if f := p.reservation.forecast; f.Known {
 		next = min(next, overdueAfter(f))
 	}
 	for {
@@ -60,7 +60,7 @@
 			return
 		}
 		next -= pause
-		if p.t.runner.Silent(p.d.o.Clock.Now()) {
+		if p.reservation.runner.Silent(p.d.o.Clock.Now()) {
 			p.unavailable.Store(true)
 			p.cancel()
 			return
@@ -80,7 +80,7 @@
 // makesProgress reports whether the prefill may still complete. An owner that doesn't know of
 // the prefill, as after the former owner was lost, is taken to report progress once.
 func (p *prefillWatch) makesProgress() bool {
-	_, progress := p.t.place.Remaining(p.ctx)
+	_, progress := p.reservation.place.Remaining(p.ctx)
 	switch progress {
 	case backlog.Underway:
 		return true
--- a/coordination/forward/resting_test.go
+++ b/coordination/forward/resting_test.go
@@ -13,10 +13,10 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// A runner that rejects a request and asks for a backoff must get no requests until it is over.
-// Hosts that follow their own schedule instead, which avoids an engine for 0.1 s after a
-// rejection and up to 1 s after several, sent such engines three and four requests within a
-// backoff of three seconds, and the prompts that tried them first were late.
+// A runner that rejects a request and asks for a backoff must get no requests until the backoff
+// is over. Hosts that followed their own schedule instead, which avoids an engine for 0.1 s
+// after a rejection and up to 1 s after several, sent such engines three and four requests
+// within a backoff of three seconds, and the prompts that tried them first were late.
 func TestRunnerInBackoffGetsNoRequests(t *testing.T) {
 	for _, name := range []string{"s12", "d1", "p4"} {
 		t.Run(name, func(t *testing.T) {
@@ -28,15 +28,15 @@
 				f.runLoad(rng, l, 2*time.Second)
 				f.setAdvice(func(r *simRunner) { r.rejecting, r.backoff = true, 3*time.Second }, name)
 				f.runLoad(rng, l, 10*time.Second)
-				during, turnedAway := f.runner(name).duringBackoff()
-				t.Logf("%d requests during the backoff, %d rejected; %d served, %d late, %d unserved", during, turnedAway, f.served, f.late, f.unserved)
-				is.True(turnedAway > 0) // the backoff was requested
+				during, rejected := f.runner(name).duringBackoff()
+				t.Logf("%d requests during the backoff, %d rejected; %d served, %d late, %d unserved", during, rejected, f.served, f.late, f.unserved)
+				is.True(rejected > 0) // the backoff was requested
 				is.Equal(during, 0)
 				is.Equal(f.unserved, 0)
 				f.setAdvice(func(r *simRunner) { r.rejecting = false }, name)
-				back := time.Now()
+				resumedAt := time.Now()
 				f.runLoad(rng, l, 5*time.Second)
-				is.True(f.runner(name).countBetween(back, time.Now()) > 20) // it is used again
+				is.True(f.runner(name).countBetween(resumedAt, time.Now()) > 20) // it is used again
 			})
 		})
 	}
@@ -53,9 +53,9 @@
 // first runner that does; any other is refused at once, as not run, with the time after which
 // it could be. No prompt is prefilled that no engine decodes in time.
 func TestRequestsWithoutAvailableRunner(t *testing.T) {
-	plain := []string{"s1", "s2", "s3", "s4", "s5"}
-	generating := []string{"d1", "d2", "d3", "d4", "d5"}
-	reading := []string{"p1", "p2", "p3", "p4", "p5"}
+	plainRunners := []string{"s1", "s2", "s3", "s4", "s5"}
+	decodeEngines := []string{"d1", "d2", "d3", "d4", "d5"}
+	prefillEngines := []string{"p1", "p2", "p3", "p4", "p5"}
 	event := []reply{{status: 200, events: true, body: "id: 1\n\n"}}
 	backoff := func(d time.Duration) backpressure.Advice { return backpressure.Advice{Rest: d} }
 	for name, c := range map[string]struct {
@@ -67,13 +67,13 @@
 		reason Reason
 		after  time.Duration
 	}{
-		"call waits for a short backoff":                  {request(state.RouteSafe, 2, false), plain, backoff(100 * time.Millisecond), []reply{{status: 200}}, "", 100 * time.Millisecond},
-		"at-most-once call waits as well":                 {request(state.RouteUnsafe, 1, false), plain, backoff(100 * time.Millisecond), []reply{{status: 200}}, "", 100 * time.Millisecond},
-		"short prompt waits for a short backoff":          {modelRequest(200, false), generating, backoff(100 * time.Millisecond), event, "", 100 * time.Millisecond},
-		"call doesn't wait for a long backoff":            {request(state.RouteSafe, 2, false), plain, backoff(3 * time.Second), nil, ReasonBackpressure, 3 * time.Second},
-		"no prefill without an engine to decode":          {modelRequest(2000, false), generating, backoff(3 * time.Second), nil, ReasonBackpressure, 3 * time.Second},
-		"decode engine prefills if others are in backoff": {modelRequest(2000, false), reading, backoff(3 * time.Second), event, "", 0},
-		"one open runner is enough":                       {request(state.RouteSafe, 2, false), plain[1:], backoff(3 * time.Second), []reply{{status: 200}}, "", 0},
+		"call waits for a short backoff":                  {request(state.RouteSafe, 2, false), plainRunners, backoff(100 * time.Millisecond), []reply{{status: 200}}, "", 100 * time.Millisecond},
+		"at-most-once call waits as well":                 {request(state.RouteUnsafe, 1, false), plainRunners, backoff(100 * time.Millisecond), []reply{{status: 200}}, "", 100 * time.Millisecond},
+		"short prompt waits for a short backoff":          {modelRequest(200, false), decodeEngines, backoff(100 * time.Millisecond), event, "", 100 * time.Millisecond},
+		"call doesn't wait for a long backoff":            {request(state.RouteSafe, 2, false), plainRunners, backoff(3 * time.Second), nil, ReasonBackpressure, 3 * time.Second},
+		"no prefill without an engine to decode":          {modelRequest(2000, false), decodeEngines, backoff(3 * time.Second), nil, ReasonBackpressure, 3 * time.Second},
+		"decode engine prefills if others are in backoff": {modelRequest(2000, false), prefillEngines, backoff(3 * time.Second), event, "", 0},
+		"one open runner is enough":                       {request(state.RouteSafe, 2, false), plainRunners[1:], backoff(3 * time.Second), []reply{{status: 200}}, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/coordination/forward/turn.go
+++ b/coordination/forward/turn.go
@@ -50,23 +50,23 @@
 
 // release gives the place back. done reports that the prefill completed, so that its duration
 // is a valid sample of the engine's load.
-func (t reservation) release(done bool) {
+func (res reservation) release(done bool) {
 	if done {
-		t.place.Done()
+		res.place.Done()
 		return
 	}
-	t.place.Cancel()
+	res.place.Cancel()
 }
 
-func newReservation(o candidate, source *placement.Runner) reservation {
-	t := reservation{kind: ReservationShared, runner: o.runner, prefixSource: source, place: o.Place, forecast: o.Forecast}
+func newReservation(c candidate, source *placement.Runner) reservation {
+	res := reservation{kind: ReservationShared, runner: c.runner, prefixSource: source, place: c.Place, forecast: c.Forecast}
 	switch {
-	case o.Own:
-		t.kind = ReservationLocal
-	case o.Forecast.Rank >= backlog.Classes:
-		t.kind = ReservationDeferred
+	case c.Own:
+		res.kind = ReservationLocal
+	case c.Forecast.Rank >= backlog.Classes:
+		res.kind = ReservationDeferred
 	}
-	return t
+	return res
 }
 
 // choice is a runner for one attempt, with its reservation if it has one.
@@ -149,12 +149,12 @@
 // chooseMixedEngine chooses an engine that prefills a long prompt in time and decodes it as
 // well, by the same rules as reservePrefill for engines that only prefill.
 func (d *Dispatcher) chooseMixedEngine(ctx context.Context, r *Request, rec *record) (choice, error) {
-	t, err := d.reservePrefill(ctx, r, rec, rec.tried)
+	res, err := d.reservePrefill(ctx, r, rec, rec.tried)
 	if err != nil {
 		return choice{}, err
 	}
-	d.noteReservation(rec, PhasePrefill, t.kind)
-	return choice{Runner: t.runner, reservation: t, forPrefill: true}, nil
+	d.noteReservation(rec, PhasePrefill, res.kind)
+	return choice{Runner: res.runner, reservation: res, forPrefill: true}, nil
 }
 
 // chooseDecodeEngine chooses an engine with a free slot to decode after a separate prefill, in
@@ -216,12 +216,12 @@
 const maxSlotCandidates = 10
 
 // generateChoice returns the choice of a runner for PhaseGenerate and records its reservation.
-func (d *Dispatcher) generateChoice(runner *placement.Runner, t reservation, rec *record) choice {
-	d.noteReservation(rec, PhaseGenerate, t.kind)
-	return choice{Runner: runner, reservation: t}
+func (d *Dispatcher) generateChoice(runner *placement.Runner, res reservation, rec *record) choice {
+	d.noteReservation(rec, PhaseGenerate, res.kind)
+	return choice{Runner: runner, reservation: res}
 }
 
-func (d *Dispatcher) noteReservation(rec *record, w Phase, t ReservationKind) {
-	rec.turn = t
-	d.o.Observer.Turn(w, t)
+func (d *Dispatcher) noteReservation(rec *record, phase Phase, kind ReservationKind) {
+	rec.turn = kind
+	d.o.Observer.Turn(phase, kind)
 }
--- a/coordination/forward/turn_test.go
+++ b/coordination/forward/turn_test.go
@@ -74,7 +74,7 @@
 
 // Every engine's queue is longer than any caller waits: the request is refused before it takes
 // up capacity.
-func TestOverduePromptIsRefusedAtOnce(t *testing.T) {
+func TestPromptBeyondCallerTimeoutIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty)
 	w.gate.refusal = busyForecasts(5*time.Second, true)
