--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -59,7 +59,7 @@
 	if !limited {
 		return true
 	}
-	asked := d.o.Clock.Now()
+	requestedAt := d.o.Clock.Now()
 	p := d.o.Gate.Permit(ctx, occupancy.PermitAsk{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
 	if !p.Granted {
 		d.o.Advice.Closed(i.ID, d.o.Clock.Now().Add(max(p.Wait, minLimitPause)))
@@ -69,7 +69,7 @@
 	if p.Wait > 0 && d.o.Clock.Sleep(ctx, p.Wait) != nil {
 		return false
 	}
-	return d.o.Clock.Now().Sub(asked) <= p.Wait+permitValidity
+	return d.o.Clock.Now().Sub(requestedAt) <= p.Wait+permitValidity
 }
 
 // ErrRunnerClosed is the cause of a SendError for a request that was withheld because its
--- a/coordination/forward/offer.go
+++ b/coordination/forward/offer.go
@@ -94,14 +94,15 @@
 }
 
 // refuseIfCallerTimesOut returns a refusal if the prefill is predicted to end after the caller has
-// left. The refusal says after which time a retry is predicted to succeed. A forecast that
-// rests on this host's own count or on too few samples refuses nothing.
+// left, and the request can't have run. The refusal says after which time a retry is predicted
+// to succeed. A forecast that rests on this host's own count or on too few samples refuses
+// nothing.
 func (d *Dispatcher) refuseIfCallerTimesOut(r *Request, rec *record, best candidate) error {
 	left := d.readLeft(r)
 	if best.Own || !best.Forecast.Known || best.Forecast.Finish < left {
 		return nil
 	}
-	d.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "request refused: predicted prefill exceeds the caller's remaining time", slog.String("request_id", r.ID),
+	d.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "predicted prefill exceeds the caller's remaining time", slog.String("request_id", r.ID),
 		slog.Any("instance", best.runner.Instance.ID), slog.Duration("predicted", best.Forecast.Finish),
 		slog.Duration("left", left))
 	return d.giveUp(r, rec, max(best.Forecast.Finish-r.Route.Objective, shortQueueWait))
