--- a/coordination/forward/limits_test.go
+++ b/coordination/forward/limits_test.go
@@ -10,10 +10,11 @@
 )
 
 // A limit that a runner names in its responses must hold over all hosts together. Hosts that
-// ignore the limit, or each apply it to their own requests only, overload the runner: two of
-// four decode engines with limits of 12 and 8 requests a second got 30 and 20, and one host
-// alone sent one of them more than its whole limit. The engines answered everything in time, so
-// that nothing else made hosts send less.
+// ignored it overloaded two of four decode engines: with limits of 12 and 8 requests a second
+// they got 30 and 20 (129 and 79 in 4 s), and one host alone sent one of them more than its
+// whole limit. The engines answered everything in time, so that nothing else made hosts send
+// less. If each host applied the limit to its own requests only, seven hosts would send seven
+// times as much.
 func TestRunnerLimitHoldsAcrossHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coordination/forward/prefill_watch.go
+++ b/coordination/forward/prefill_watch.go
@@ -18,8 +18,9 @@
 	// overdueSlack covers delays that no forecast includes, such as a host that is paused for a
 	// tenth of a second or a retransmitted packet.
 	overdueSlack = 200 * time.Millisecond
-	// checkInterval is the longest time between two checks of an engine's availability, and the
-	// time between two checks of an overdue prefill's progress.
+	// checkInterval is the longest time between two checks of an engine's availability during a
+	// prefill and between two checks of an overdue prefill's progress, and the shortest between
+	// two probes of an engine whose first event is overdue.
 	checkInterval = 250 * time.Millisecond
 )
 
