--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -10,42 +10,47 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Advice is what runners ask of this host.
+// Advice holds the backpressure that runners request in their responses.
 type Advice interface {
-	// Limit is how many requests a second a runner takes of all hosts together, if it names
-	// a limit.
+	// Limit is the rate that a runner accepts from all hosts together, in requests per second.
+	// limited is false if the runner names no limit.
 	Limit(id state.InstanceID) (rate float64, limited bool)
-	// Closed notes that a limit leaves nothing for this host until then. The placer doesn't
-	// choose the runner meanwhile.
+	// Closed records that a runner's limit leaves no capacity for this host until the given
+	// time. The placer doesn't choose the runner before then.
 	Closed(id state.InstanceID, until time.Time)
-	// RestsUntil is the end of the rest that a runner asked this host for; zero if there is
-	// none now.
+	// RestsUntil is the end of the backoff that a runner requested from this host; zero if none
+	// is in force.
 	RestsUntil(id state.InstanceID) time.Time
-	// PausedUntil is RestsUntil, or the end of the trial that follows it.
+	// PausedUntil is RestsUntil or, after the backoff, the end of the trial request that
+	// follows it.
 	PausedUntil(id state.InstanceID) time.Time
-	// Unproven reports whether a runner has taken nothing since it asked for rest, and Try asks
-	// to send it something: one request at a time finds out.
+	// Unproven reports whether a runner has accepted no request since it requested a backoff.
+	// Try reports whether a request may be sent to it now: an unproven runner gets one trial
+	// request at a time.
 	Unproven(id state.InstanceID) bool
 	Try(id state.InstanceID) bool
 }
 
 const (
-	// permitFor is how long after its time a permit may be used. A host that was held up or
-	// suspended longer asks again: others have got what it didn't use.
-	permitFor = 250 * time.Millisecond
-	// leastClosed is the shortest time for which a used up limit closes a runner, so that a
-	// request doesn't ask again at once.
-	leastClosed = time.Millisecond
-	// answerTime is kept of an objective for the answer: a short one and its way.
-	answerTime = 50 * time.Millisecond
-	// resumeWait is how long a stream that broke off waits for a runner that takes it.
-	// Callers give one up after two seconds without an event.
+	// permitValidity is how long after its scheduled time a permit may be used. A host that was
+	// paused or suspended for longer requests a new one, since the unused capacity has gone to
+	// others.
+	permitValidity = 250 * time.Millisecond
+	// minLimitPause is the shortest time for which an exhausted limit closes a runner, so that
+	// a request doesn't retry immediately.
+	minLimitPause = time.Millisecond
+	// answerReserve is the part of an objective that is kept for a short answer and its
+	// transmission.
+	answerReserve = 50 * time.Millisecond
+	// resumeWait is how long a broken stream waits for a runner that resumes it. Callers
+	// abandon a stream after two seconds without an event.
 	resumeWait = time.Second
 )
 
-// permitted reports whether a request may be sent to a runner, by the rest that is over and the
-// limit that it names. It waits for the latter so long at most.
-func (d *Dispatcher) permitted(ctx context.Context, i *state.Instance, part string, rec *record, wait time.Duration) bool {
+// acquirePermit reports whether a request may be sent to a runner: the runner's backoff is
+// over, and its limit, if there is one, grants a permit within wait. part names the step in the
+// request's record.
+func (d *Dispatcher) acquirePermit(ctx context.Context, i *state.Instance, part string, rec *record, wait time.Duration) bool {
 	if !d.o.Advice.Try(i.ID) {
 		rec.addStep(i, part, outcomeLimited, 0, nil)
 		return false
@@ -54,40 +59,42 @@
 	if !limited {
 		return true
 	}
-	asked := d.o.Clock.Now()
+	requestedAt := d.o.Clock.Now()
 	p := d.o.Gate.Permit(ctx, occupancy.PermitAsk{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
 	if !p.Granted {
-		d.o.Advice.Closed(i.ID, d.o.Clock.Now().Add(max(p.Wait, leastClosed)))
+		d.o.Advice.Closed(i.ID, d.o.Clock.Now().Add(max(p.Wait, minLimitPause)))
 		rec.addStep(i, part, outcomeLimited, 0, nil)
 		return false
 	}
 	if p.Wait > 0 && d.o.Clock.Sleep(ctx, p.Wait) != nil {
 		return false
 	}
-	return d.o.Clock.Now().Sub(asked) <= p.Wait+permitFor
+	return d.o.Clock.Now().Sub(requestedAt) <= p.Wait+permitValidity
 }
 
-// ErrRunnerCloses is the cause of a SendError that was withheld since its runner takes nothing
-// any more.
-var ErrRunnerCloses = errors.New("the runner leaves or wants rest; choose another")
+// ErrRunnerClosed is the cause of a SendError for a request that was withheld because its
+// runner leaves or requested a backoff.
+var ErrRunnerClosed = errors.New("the runner leaves or wants rest; choose another")
 
-// send is the only way of an attempt to a runner. The runner is looked at once more when the
-// request is about to leave: a connection may have taken a while, or the host stood still.
+// send is the only path from an attempt to a runner. The runner's state is checked again when
+// the request is about to leave: connecting may have taken a while, or the host may have been
+// paused.
 func (d *Dispatcher) send(ctx context.Context, a *Attempt) (Response, error) {
 	a.Permit = func() error {
-		if !d.o.Placer.Has(a.Instance.ID) || d.rests(a.Instance) {
-			return ErrRunnerCloses
+		if !d.o.Placer.Has(a.Instance.ID) || d.inBackoff(a.Instance) {
+			return ErrRunnerClosed
 		}
 		return nil
 	}
 	return d.o.Upstream.Send(ctx, a)
 }
 
-// rests reports whether a runner wants nothing from this host now.
-func (d *Dispatcher) rests(i *state.Instance) bool { return !d.o.Advice.RestsUntil(i.ID).IsZero() }
+// inBackoff reports whether a backoff that the runner requested from this host is in force.
+func (d *Dispatcher) inBackoff(i *state.Instance) bool { return !d.o.Advice.RestsUntil(i.ID).IsZero() }
 
-// part is what a runner does for the request after its prompt was read apart, if it is.
-func (d *Dispatcher) part(r *Request, rec *record) placement.Part {
+// remainingPart is the part of the request that a runner still has to do, after the separate
+// prefill if there is one.
+func (d *Dispatcher) remainingPart(r *Request, rec *record) placement.Part {
 	switch {
 	case r.Generation == nil:
 		return placement.PartCall
@@ -98,9 +105,9 @@
 	}
 }
 
-// pick chooses a runner for the next sending. If all are closed it waits for the first that
-// opens until by at most, and refuses the request otherwise.
-func (d *Dispatcher) pick(ctx context.Context, r *Request, rec *record, by time.Time) (choice, error) {
+// pickRunner chooses a runner for the next attempt. If all are closed, it waits for the first
+// that opens, until by at the latest, and otherwise refuses the request.
+func (d *Dispatcher) pickRunner(ctx context.Context, r *Request, rec *record, by time.Time) (choice, error) {
 	for {
 		c, err := d.choose(ctx, r, rec)
 		if err != nil {
@@ -109,18 +116,19 @@
 		if c.Runner == nil && !rec.restoreSkipped() {
 			break
 		}
-		if c.Runner != nil && !d.passOver(c.Runner.Instance, rec) {
+		if c.Runner != nil && !d.skipUnproven(c.Runner.Instance, rec) {
 			return c, nil
 		}
-		c.giveBack()
+		c.release()
 	}
-	runner, err := d.awaitOpening(ctx, r, rec, d.part(r, rec), by)
+	runner, err := d.awaitRunner(ctx, r, rec, d.remainingPart(r, rec), by)
 	return choice{Runner: runner, permitted: true}, err
 }
 
-// passOver keeps a request that a runner has turned away from one whose rest has only just
-// ended, while there are others: it would use up its attempts on trials.
-func (d *Dispatcher) passOver(i *state.Instance, rec *record) bool {
+// skipUnproven excludes a runner whose backoff has only just ended, for a request that a runner
+// has already rejected, while there are other runners: such a request would use up its attempts
+// on trials.
+func (d *Dispatcher) skipUnproven(i *state.Instance, rec *record) bool {
 	if !rec.refused || !d.o.Advice.Unproven(i.ID) {
 		return false
 	}
@@ -129,9 +137,9 @@
 	return true
 }
 
-// awaitOpening waits for a runner that takes such work, until by at most, and takes the permit
-// that its limit asks for.
-func (d *Dispatcher) awaitOpening(ctx context.Context, r *Request, rec *record, p placement.Part, by time.Time) (*placement.Runner, error) {
+// awaitRunner waits for a runner that accepts such work, until by at the latest, and acquires
+// the permit that the runner's limit requires.
+func (d *Dispatcher) awaitRunner(ctx context.Context, r *Request, rec *record, p placement.Part, by time.Time) (*placement.Runner, error) {
 	for {
 		runner, at := d.o.Placer.Soonest(r.Service, p, rec.tried)
 		if runner == nil {
@@ -151,32 +159,33 @@
 			}
 			continue
 		}
-		if d.permitted(ctx, runner.Instance, "wait", rec, by.Sub(d.o.Clock.Now())) {
+		if d.acquirePermit(ctx, runner.Instance, "wait", rec, by.Sub(d.o.Clock.Now())) {
 			return runner, nil
 		}
 	}
 }
 
-// refuseUntil refuses a request that no runner takes before a time; first is the one that does
-// then.
+// refuseUntil refuses a request that no runner accepts before at. first is the runner that
+// accepts it then.
 func (d *Dispatcher) refuseUntil(rec *record, first *state.Instance, at time.Time) error {
 	wait := at.Sub(d.o.Clock.Now())
 	rec.addStep(first, "wait", outcomeClosed, wait, nil)
 	return &Refusal{Reason: ReasonBackpressure, NotRun: !rec.mayHaveRun, RetryAfter: d.addJitter(wait)}
 }
 
-// usefulBy is the last moment at which a request that waits for a runner is answered in time.
-func (d *Dispatcher) usefulBy(r *Request) time.Time {
+// startDeadline is the latest time at which a request that waits for a runner can be sent and
+// still be answered in time.
+func (d *Dispatcher) startDeadline(r *Request) time.Time {
 	if r.Route.Objective <= 0 {
-		return r.Deadline.Add(-answerTime)
+		return r.Deadline.Add(-answerReserve)
 	}
-	return r.ArrivedAt.Add(r.Route.Objective - answerTime)
+	return r.ArrivedAt.Add(r.Route.Objective - answerReserve)
 }
 
-// generates refuses a request that no engine takes in time after its prompt was read.
-func (d *Dispatcher) generates(r *Request, rec *record) error {
+// checkDecodeInTime refuses a request that no engine would decode in time after its prefill.
+func (d *Dispatcher) checkDecodeInTime(r *Request, rec *record) error {
 	runner, at := d.o.Placer.Soonest(r.Service, placement.PartGenerate, rec.tried)
-	if runner == nil || !at.After(d.usefulBy(r)) {
+	if runner == nil || !at.After(d.startDeadline(r)) {
 		return nil
 	}
 	return d.refuseUntil(rec, runner.Instance, at)
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// onceRequest is a question that may run once.
-func onceRequest() *Request {
+// atMostOnceRequest is a request with a short prompt that must not run twice.
+func atMostOnceRequest() *Request {
 	r := modelRequest(200, false)
 	r.Generation.Parts = nil
 	r.Route.MaxAttempts = 1
@@ -20,35 +20,35 @@
 	return r
 }
 
-// A fifth of the engines fall silent at once, while questions that may run once arrive
-// at all of them: none is sent to an engine that doesn't answer, and each is served.
-func TestQuestionsThatRunOnceAreNotSentToDarkEngines(t *testing.T) {
+// One of five engines stops answering while at-most-once requests arrive for all of them: none
+// is sent to that engine, and each is served.
+func TestAtMostOnceRequestsAvoidUnavailableEngines(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		const questions = 200
+		const requests = 200
 		var replies []reply
-		for range questions {
+		for range requests {
 			replies = append(replies, generated)
 		}
 		w := newWorld(t, plenty, replies...)
 		w.up.setUnresponsive(state.InstanceID{Name: "d2"})
-		for range questions {
-			r := onceRequest()
+		for range requests {
+			r := atMostOnceRequest()
 			answer, err := w.Forward(t.Context(), r)
 			is.NoErr(err)
 			_, err = readAll(answer.Stream)
 			is.NoErr(err)
-			is.True(time.Since(r.ArrivedAt) <= 2*askTimeout)
+			is.True(time.Since(r.ArrivedAt) <= 2*probeTimeout)
 		}
-		is.Equal(len(w.up.attempts), questions)
+		is.Equal(len(w.up.attempts), requests)
 		for _, a := range w.up.attempts {
 			is.True(!w.up.isUnresponsive(a.Instance.ID))
 		}
 	})
 }
 
-// An engine that has just answered isn't asked, nor is any for what may be repeated.
-func TestOnlyEnginesThatWereNotHeardAreAsked(t *testing.T) {
+// An engine with a recent response isn't probed, and no engine is for a repeatable request.
+func TestOnlyEnginesWithoutRecentResponseAreProbed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, generated, generated, generated, generated)
@@ -59,24 +59,24 @@
 			is.NoErr(err)
 		}
 		w.fleet.Update([]state.Instance{*w.fleet.Runner(state.InstanceID{Name: "d1"}).Instance})
-		serve(onceRequest())
+		serve(atMostOnceRequest())
 		is.Equal(len(w.up.probed), 1)
-		serve(onceRequest())
+		serve(atMostOnceRequest())
 		is.Equal(len(w.up.probed), 1)
-		time.Sleep(2 * heardWithin)
-		repeatable := onceRequest()
+		time.Sleep(2 * recentResponse)
+		repeatable := atMostOnceRequest()
 		repeatable.Route.Resumable = true
 		serve(repeatable)
 		is.Equal(len(w.up.probed), 1)
-		time.Sleep(2 * heardWithin)
-		serve(onceRequest())
+		time.Sleep(2 * recentResponse)
+		serve(atMostOnceRequest())
 		is.Equal(len(w.up.probed), 2)
 	})
 }
 
-// The engine that should generate is silent: another one is asked as soon as the first
-// event is overdue, and the caller has it in time.
-func TestSilentEngineIsLeftBeforeItsCallerDoes(t *testing.T) {
+// The decode engine doesn't answer: another one is tried as soon as the first event is overdue,
+// and the caller gets the event in time.
+func TestUnavailableDecodeEngineIsReplacedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, prefilled, reply{hang: true}, generated)
@@ -90,14 +90,14 @@
 		is.NoErr(err)
 		is.True(w.up.attempts[1].Instance.ID != w.up.attempts[2].Instance.ID)
 		is.True(time.Since(r.ArrivedAt) < r.Route.Objective)
-		silent := w.fleet.Decode("model", "", "", nil)
-		is.True(silent.Instance.ID != w.up.attempts[1].Instance.ID) // others are spared it
+		next := w.fleet.Decode("model", "", "", nil)
+		is.True(next.Instance.ID != w.up.attempts[1].Instance.ID) // later requests avoid it
 	})
 }
 
-// The wait follows what first events take: a service whose memory moves slowly is given
-// its time.
-func TestWaitForTheFirstEventFollowsTheService(t *testing.T) {
+// The timeout follows the first-event times of each service: one whose KV caches transfer
+// slowly gets more time.
+func TestFirstEventTimeoutFollowsService(t *testing.T) {
 	is := is.New(t)
 	var l firstEventDelays
 	for range 100 {
@@ -109,8 +109,8 @@
 	is.True(l.timeout("unknown") >= initialDelay+delaySlack)
 }
 
-// A request that may not be sent again is waited for.
-func TestLastAttemptIsNotEndedBySilence(t *testing.T) {
+// An attempt that can't be repeated isn't cancelled while its engine sends nothing.
+func TestLastAttemptIsNotCancelledWhenSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, prefilled, reply{status: 200, events: true, body: "id: 1\n\n", delay: time.Second})
@@ -123,8 +123,8 @@
 	})
 }
 
-// An engine that answers when it is asked is busy, not dark: the request keeps its place.
-func TestBusyEngineIsWaitedFor(t *testing.T) {
+// An engine that answers a probe is busy, not unavailable: the request keeps its place there.
+func TestBusyEngineKeepsItsRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, prefilled, reply{status: 200, events: true, body: "id: 1\n\n", delay: time.Second})
@@ -136,9 +136,9 @@
 	})
 }
 
-// A prompt waits at an engine that all hosts are told is silent: it is left at once, not
-// when its reading is overdue, and read elsewhere in time.
-func TestPromptLeavesAnEngineThatIsToldToBeSilent(t *testing.T) {
+// A prompt waits at an engine that other hosts report as silent: the prefill is cancelled at
+// once, not when it is overdue, and done elsewhere in time.
+func TestPrefillLeavesEngineReportedSilent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{hang: true}, prefilled, generated)
@@ -157,7 +157,7 @@
 		_, err = readAll(answer.Stream)
 		is.NoErr(err)
 		is.True(w.up.attempts[0].PrefillOnly && w.up.attempts[1].PrefillOnly)
-		is.True(time.Since(r.ArrivedAt) <= lookEvery+askTimeout)
-		is.Equal(w.outliers.silent[0], w.up.attempts[0].Instance.ID) // the host tells of it, too
+		is.True(time.Since(r.ArrivedAt) <= checkInterval+probeTimeout)
+		is.Equal(w.outliers.silent[0], w.up.attempts[0].Instance.ID) // this host reports it as well
 	})
 }
--- a/coordination/forward/backup_test.go
+++ b/coordination/forward/backup_test.go
@@ -11,26 +11,28 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// backedUp is a question that may run once, at engines that back runs up.
-func backedUp() *Request {
-	r := onceRequest()
+// backupRequest is an at-most-once request to engines that copy runs to backups.
+func backupRequest() *Request {
+	r := atMostOnceRequest()
 	r.Engine.Backups, r.Engine.KVTokens = true, 100_000
 	r.Route.EventGap = 250 * time.Millisecond
 	return r
 }
 
-// begun is the first half of a stream, and rest what a run that goes on sends.
+// firstEvents is what the first run of a stream sends, and laterEvents what a resumed run
+// sends.
 const (
-	begun = "id: 1\ndata: x\n\n"
-	rest  = "id: 2\ndata: y\n\n"
+	firstEvents = "id: 1\ndata: x\n\n"
+	laterEvents = "id: 2\ndata: y\n\n"
 )
 
-// inBackedWorld forwards a question whose first run sends what the first reply says.
-func inBackedWorld(t *testing.T, prepare func(w *world, first state.InstanceID), replies ...reply) (w *world, got string, err error) {
+// forwardWithBackup forwards a backupRequest, whose first run follows the first reply, calls
+// prepare and reads the stream to its end.
+func forwardWithBackup(t *testing.T, prepare func(w *world, first state.InstanceID), replies ...reply) (w *world, got string, err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		w = newWorld(t, plenty, replies...)
-		answer, failed := w.Forward(t.Context(), backedUp())
+		answer, failed := w.Forward(t.Context(), backupRequest())
 		if failed != nil {
 			t.Fatal(failed)
 		}
@@ -40,55 +42,55 @@
 	return w, got, err
 }
 
-// An engine falls silent in the middle of answers: each run goes on from its backup within
-// the pause that its caller was promised.
-func TestRunGoesOnWhenItsEngineFallsSilent(t *testing.T) {
+// An engine becomes unavailable in the middle of a stream: the run resumes from its backup
+// within the pause that its caller was promised.
+func TestRunResumesWhenEngineIsUnavailable(t *testing.T) {
 	is := is.New(t)
-	var fell time.Time
-	w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
-		fell = time.Now()
+	var silentAt time.Time
+	w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
+		silentAt = time.Now()
 		w.up.setUnresponsive(first)
-		w.up.onSend = func() { is.True(time.Since(fell) <= 250*time.Millisecond+askTimeout) }
-	}, reply{status: 200, events: true, body: begun, stall: time.Minute}, reply{status: 200, events: true, body: rest})
+		w.up.onSend = func() { is.True(time.Since(silentAt) <= 250*time.Millisecond+probeTimeout) }
+	}, reply{status: 200, events: true, body: firstEvents, stall: time.Minute}, reply{status: 200, events: true, body: laterEvents})
 	is.NoErr(err)
-	is.Equal(got, begun+rest)
+	is.Equal(got, firstEvents+laterEvents)
 	a := w.up.attempts
 	is.Equal(a[1].Instance, a[0].Backup)
 	is.Equal(*a[1].Source, KVSource{Instance: a[0].Backup, Handle: "r1"})
 	is.Equal(a[1].LastEventID, "1")
-	is.True(a[1].Backup != nil && a[1].Backup.ID != a[1].Instance.ID) // it may be lost as well
+	is.True(a[1].Backup != nil && a[1].Backup.ID != a[1].Instance.ID) // the second engine may be lost as well
 }
 
-// What the former engine says of the run decides whether and from where it goes on.
-func TestRunGoesOnOnlyOnceTheFormerOneHasEnded(t *testing.T) {
+// The former engine's answer about the run decides whether and from where it resumes.
+func TestRunResumesOnlyAfterFormerRunEnded(t *testing.T) {
 	for name, c := range map[string]struct {
-		handle string
-		err    error
-		dark   bool
-		goesOn bool
+		handle      string
+		err         error
+		unavailable bool
+		resumes     bool
 	}{
-		"stopped, with its memory":  {handle: "h9", goesOn: true},
-		"no such run any more":      {goesOn: true},
-		"out of reach":              {dark: true, goesOn: true},
-		"reset, but it answers":     {err: errSent},
-		"refused, so it may go on":  {err: errors.New("answered 409")},
-		"no connection to ask with": {err: &SendError{Withheld: true, Cause: errors.New("busy")}},
+		"stopped, with its KV cache": {handle: "h9", resumes: true},
+		"no such run any more":       {resumes: true},
+		"unreachable":                {unavailable: true, resumes: true},
+		"reset, but answers probes":  {err: errSent},
+		"refused, so it may run on":  {err: errors.New("answered 409")},
+		"no connection available":    {err: &SendError{Withheld: true, Cause: errors.New("busy")}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
+			w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
 				w.up.moveHandle, w.up.moveErr = c.handle, c.err
-				if c.dark {
+				if c.unavailable {
 					w.up.setUnresponsive(first)
 				}
-			}, reply{status: 200, events: true, body: begun, readErr: errSent}, reply{status: 200, events: true, body: rest})
-			if !c.goesOn {
+			}, reply{status: 200, events: true, body: firstEvents, readErr: errSent}, reply{status: 200, events: true, body: laterEvents})
+			if !c.resumes {
 				is.Equal(err, ErrStreamInterrupted)
 				is.Equal(len(w.up.attempts), 1)
 				return
 			}
 			is.NoErr(err)
-			is.Equal(got, begun+rest)
+			is.Equal(got, firstEvents+laterEvents)
 			a := w.up.attempts
 			want := KVSource{Instance: a[0].Backup, Handle: "r1"}
 			if c.handle != "" {
@@ -100,48 +102,50 @@
 	}
 }
 
-// The copy isn't there, or its engine is lost too: the stream ends cut, and nothing runs.
-func TestRunWithoutItsCopyEnds(t *testing.T) {
+// The backup is missing, or its engine is lost too: the stream ends cut, and nothing more is
+// sent.
+func TestStreamEndsWithoutUsableBackup(t *testing.T) {
 	for name, second := range map[string]reply{
-		"no copy":        {status: 503, notRun: true},
-		"both ends lost": {err: errSent},
-		"another status": {status: 500},
+		"no backup":         {status: 503, notRun: true},
+		"both engines lost": {err: errSent},
+		"another status":    {status: 500},
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w, _, err := inBackedWorld(t, func(*world, state.InstanceID) {}, reply{status: 200, events: true, body: begun, readErr: errSent}, second)
+			w, _, err := forwardWithBackup(t, func(*world, state.InstanceID) {}, reply{status: 200, events: true, body: firstEvents, readErr: errSent}, second)
 			is.Equal(err, ErrStreamInterrupted)
 			is.Equal(len(w.up.attempts), 2)
 		})
 	}
 }
 
-// An engine that is only slow answers when it is asked, and keeps its run.
+// A slow engine that answers probes keeps its run.
 func TestSlowEngineKeepsItsRun(t *testing.T) {
 	is := is.New(t)
-	w, got, err := inBackedWorld(t, func(*world, state.InstanceID) {}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
+	w, got, err := forwardWithBackup(t, func(*world, state.InstanceID) {}, reply{status: 200, events: true, body: firstEvents, stall: 2 * time.Second})
 	is.NoErr(err)
-	is.Equal(got, begun)
+	is.Equal(got, firstEvents)
 	is.Equal(len(w.up.attempts), 1)
 	is.Equal(len(w.up.moveRequests), 0)
 }
 
-// Before the first event nobody knows whether the run has begun, and it isn't sent again.
+// Before the first event it isn't known whether the run has begun, so the request isn't sent
+// again.
 func TestRunWithoutAnEventIsNotSentAgain(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{status: 200, events: true, readErr: errSent})
-	_, err := w.Forward(t.Context(), backedUp())
+	_, err := w.Forward(t.Context(), backupRequest())
 	var refusal *Refusal
 	is.True(errors.As(err, &refusal))
 	is.True(!refusal.NotRun)
 	is.Equal(len(w.up.attempts), 1)
 }
 
-// Backups cost memory at another engine: runs that may be repeated have none.
+// Backups take memory at another engine, so repeatable runs have none.
 func TestRepeatableRunsHaveNoBackup(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, generated)
-	r := backedUp()
+	r := backupRequest()
 	r.Route.Resumable = true
 	answer, err := w.Forward(t.Context(), r)
 	is.NoErr(err)
@@ -150,47 +154,48 @@
 	is.True(w.up.attempts[0].Backup == nil)
 }
 
-// Where memory runs out before the slots do, copies would push out what runs: there are
-// none. The size of prompts is learnt.
-func TestBackupsNeedMemoryToSpare(t *testing.T) {
+// Where memory runs out before the slots do, backups would evict running requests, so none are
+// made. The mean prompt size is learned from requests.
+func TestBackupsNeedSpareMemory(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty)
-	r := backedUp() // 16 slots, 100,000 tokens: 3,125 for each slot and backup
+	r := backupRequest() // 16 slots, 100,000 tokens: 3,125 for each slot and backup
 	for _, c := range []struct {
-		tokens int
-		room   bool
+		tokens    int
+		hasBackup bool
 	}{{200, true}, {9000, false}, {200, true}} {
 		for range 300 {
-			w.sizes.note(r.Service, c.tokens)
+			w.sizes.observe(r.Service, c.tokens)
 		}
-		is.Equal(w.backupFor(r, w.fleet.Runners("model")[0].Instance, nil) != nil, c.room)
+		is.Equal(w.backupEngine(r, w.fleet.Runners("model")[0].Instance, nil) != nil, c.hasBackup)
 	}
 }
 
-// A stream that may be repeated is also left when its engine falls silent in the middle.
-func TestRepeatableStreamLeavesADarkEngine(t *testing.T) {
+// A repeatable stream also leaves an engine that becomes unavailable in the middle.
+func TestRepeatableStreamLeavesUnavailableEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, plenty, prefilled, reply{status: 200, events: true, body: begun, stall: time.Minute}, reply{status: 200, events: true, body: rest})
+		w := newWorld(t, plenty, prefilled, reply{status: 200, events: true, body: firstEvents, stall: time.Minute}, reply{status: 200, events: true, body: laterEvents})
 		r := modelRequest(9000, true)
 		r.Route.EventGap = 250 * time.Millisecond
 		answer, err := w.Forward(t.Context(), r)
 		is.NoErr(err)
 		w.up.setUnresponsive(w.up.attempts[1].Instance.ID)
-		fell := time.Now()
+		silentAt := time.Now()
 		got, err := readAll(answer.Stream)
 		is.NoErr(err)
-		is.Equal(got, begun+rest)
-		is.True(time.Since(fell) <= r.Route.EventGap)
+		is.Equal(got, firstEvents+laterEvents)
+		is.True(time.Since(silentAt) <= r.Route.EventGap)
 		is.Equal(w.outliers.silent[0], w.up.attempts[1].Instance.ID)
 	})
 }
 
-// A runner that is another than was meant is asked for, so that all learn it.
+// A runner that answers "misdirected" is reported, so that all hosts learn that it may have
+// been replaced.
 func TestMisdirectedRequestIsReported(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, reply{status: statusMisdirected, notRun: true})
-	_, err := w.Forward(t.Context(), onceRequest())
+	_, err := w.Forward(t.Context(), atMostOnceRequest())
 	is.True(err != nil)
 	is.Equal(w.outliers.silent, []state.InstanceID{w.up.attempts[0].Instance.ID})
 }
--- a/coordination/forward/evacuate_test.go
+++ b/coordination/forward/evacuate_test.go
@@ -10,7 +10,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// drain has the list tell that an engine leaves.
+// drain marks an engine as draining in the list of runners.
 func (w *world) drain(id state.InstanceID) {
 	var list []state.Instance
 	for _, service := range []string{"plain", "model"} {
@@ -22,73 +22,73 @@
 	w.fleet.Update(list)
 }
 
-// An engine is taken back, with a notice of two seconds, while a question that may run once is
-// answered there for longer: the run goes on elsewhere, before the engine is gone.
-func TestRunIsMovedOffALeavingEngine(t *testing.T) {
+// A spot engine is reclaimed with a notice of two seconds, while an at-most-once run there
+// takes longer: the run resumes elsewhere before the engine is gone.
+func TestRunIsEvacuatedFromDrainingEngine(t *testing.T) {
 	is := is.New(t)
-	var noticed time.Time
-	w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
-		noticed = time.Now()
+	var drainedAt time.Time
+	w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
+		drainedAt = time.Now()
 		w.up.moveHandle = "h9"
-		w.up.onSend = func() { is.True(time.Since(noticed) <= 250*time.Millisecond) } // the pause that its caller was promised
+		w.up.onSend = func() { is.True(time.Since(drainedAt) <= 250*time.Millisecond) } // the pause that its caller was promised
 		w.drain(first)
-	}, reply{status: 200, events: true, body: begun, stall: time.Minute}, reply{status: 200, events: true, body: rest})
+	}, reply{status: 200, events: true, body: firstEvents, stall: time.Minute}, reply{status: 200, events: true, body: laterEvents})
 	is.NoErr(err)
-	is.Equal(got, begun+rest)
+	is.Equal(got, firstEvents+laterEvents)
 	a := w.up.attempts
 	is.Equal(*a[1].Source, KVSource{Instance: a[0].Instance, Handle: "h9"})
 	is.Equal(a[1].LastEventID, "1")
 	is.True(w.fleet.Has(a[1].Instance.ID))
-	is.Equal(len(w.crashes.suspects), 0) // it left; nobody broke it
+	is.Equal(len(w.crashes.suspects), 0) // a move isn't a crash
 }
 
-// A run that can't be moved stays at its engine for as long as that is there.
+// A run that can't be moved stays at its engine until that is gone.
 func TestRunThatCannotBeMovedStays(t *testing.T) {
 	for name, c := range map[string]struct {
 		handle string
 		err    error
-	}{"no room": {err: errors.New("answered 503")}, "no such run": {}} {
+	}{"no capacity": {err: errors.New("answered 503")}, "no such run": {}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
+			w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
 				w.up.moveHandle, w.up.moveErr = c.handle, c.err
 				w.drain(first)
-			}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
+			}, reply{status: 200, events: true, body: firstEvents, stall: 2 * time.Second})
 			is.NoErr(err)
-			is.Equal(got, begun)
+			is.Equal(got, firstEvents)
 			is.Equal(len(w.up.moveRequests), 1) // tried once
 		})
 	}
 }
 
-// Runs that may be repeated, and engines that stay, are left alone.
-func TestOnlyRunsThatMayNotBeRepeatedAreMoved(t *testing.T) {
+// Repeatable runs, and runs at engines that aren't draining, aren't evacuated.
+func TestOnlyAtMostOnceRunsAreEvacuated(t *testing.T) {
 	is := is.New(t)
-	w, _, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
+	w, _, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
 		for _, e := range w.fleet.Listed("model") {
 			if e.ID != first {
 				w.drain(e.ID)
 				break
 			}
 		}
-	}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
+	}, reply{status: 200, events: true, body: firstEvents, stall: 2 * time.Second})
 	is.NoErr(err)
 	is.Equal(len(w.up.moveRequests), 0)
 	repeatable := &Attempt{Request: modelRequest(9000, true), Instance: w.up.attempts[0].Instance}
 	w.drain(repeatable.Instance.ID)
-	is.True(!w.leaves(repeatable))
+	is.True(!w.needsEvacuation(repeatable))
 }
 
-// A run whose request may not be sent once more isn't stopped: what is left of its engine's time
-// may be enough for it.
-func TestRunIsNotStoppedForAMoveThatIsNotAllowed(t *testing.T) {
+// A run whose request must not be sent once more isn't stopped: the remaining drain time of its
+// engine may be enough for it.
+func TestRunIsNotStoppedWithoutMoveBudget(t *testing.T) {
 	is := is.New(t)
-	w, got, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
+	w, got, err := forwardWithBackup(t, func(w *world, first state.InstanceID) {
 		w.up.moveHandle = "h9"
 		w.o.Budget = &countingBudget{}
 		w.drain(first)
-	}, reply{status: 200, events: true, body: begun, stall: 2 * time.Second})
+	}, reply{status: 200, events: true, body: firstEvents, stall: 2 * time.Second})
 	is.NoErr(err)
-	is.Equal(got, begun)
+	is.Equal(got, firstEvents)
 	is.Equal(len(w.up.moveRequests), 0)
 }
--- a/coordination/forward/firstevent.go
+++ b/coordination/forward/firstevent.go
@@ -101,7 +101,7 @@
 				f.timedOut.Store(true)
 				f.cancel()
 			}
-			timeout = max(timeout, lookEvery)
+			timeout = max(timeout, checkInterval)
 		}
 	}()
 	return ctx, f
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -48,7 +48,7 @@
 // Observer collects the dispatcher's metrics.
 type Observer interface {
 	// Admitted counts how a phase of a model request was admitted to an engine.
-	Admitted(w Work, t Turn)
+	Admitted(w Phase, t ReservationKind)
 	// PrefillDone records the duration of a prefill, queueing included, and its forecast.
 	PrefillDone(service string, predicted, took time.Duration)
 	// RequestHeld counts a request that the quarantine kept from the runners.
@@ -109,7 +109,7 @@
 type Dispatcher struct {
 	o           Options
 	firstEvents firstEventDelays
-	sizes       sizes
+	sizes       promptSizes
 }
 
 // New validates the options.
@@ -142,7 +142,7 @@
 	}
 	d.o.Budget.Seen(r.Service)
 	if r.Generation != nil {
-		d.sizes.note(r.Service, r.Generation.PromptTokens)
+		d.sizes.observe(r.Service, r.Generation.PromptTokens)
 	}
 	answer, err := d.serve(ctx, r, rec)
 	if err != nil && rec.failure != nil {
@@ -209,12 +209,12 @@
 		if err := d.checkDeadline(ctx, r, rec); err != nil {
 			return nil, err
 		}
-		c, err := d.pick(ctx, r, rec, d.usefulBy(r))
+		c, err := d.pickRunner(ctx, r, rec, d.startDeadline(r))
 		if err != nil {
 			return nil, err
 		}
 		if err := d.checkBeforeSend(ctx, r, rec); err != nil {
-			c.giveBack()
+			c.release()
 			return nil, err
 		}
 		a := &Attempt{Request: r, Instance: c.Instance, Source: source, LastEventID: r.LastEventID, Rank: c.rank(r), FetchFrom: c.fetchFrom()}
@@ -305,11 +305,11 @@
 	case r.Generation == nil:
 		return choice{Runner: d.o.Placer.Call(r.Service, rec.tried)}, nil
 	case rec.separatePrefill:
-		return d.takeSlot(ctx, r, rec), nil
+		return d.chooseDecodeEngine(ctx, r, rec), nil
 	case d.hasLongPrompt(r):
-		return d.takeReadingPlace(ctx, r, rec)
+		return d.chooseMixedEngine(ctx, r, rec)
 	default:
-		return d.takePlace(ctx, r, rec), nil
+		return d.chooseShortPromptEngine(ctx, r, rec), nil
 	}
 }
 
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -195,7 +195,7 @@
 
 type noObserver struct{}
 
-func (noObserver) Admitted(Work, Turn) {}
+func (noObserver) Admitted(Phase, ReservationKind) {}
 
 func (noObserver) PrefillDone(string, time.Duration, time.Duration) {}
 
--- a/coordination/forward/prefill.go
+++ b/coordination/forward/prefill.go
@@ -23,28 +23,28 @@
 		if d.checkDeadline(ctx, r, rec) != nil || !d.chargeRetries(r, rec) {
 			return nil, nil
 		}
-		if err := d.generates(r, rec); err != nil {
+		if err := d.checkDecodeInTime(r, rec); err != nil {
 			return nil, err
 		}
-		t, err := d.takeTurn(ctx, r, rec, tried)
+		t, err := d.reservePrefill(ctx, r, rec, tried)
 		if err != nil {
 			return nil, err
 		}
-		d.noteTurn(rec, WorkRead, t.kind)
+		d.noteReservation(rec, PhasePrefill, t.kind)
 		if t.runner == nil {
 			return nil, nil
 		}
-		if !d.permitted(ctx, t.runner.Instance, "prefill", rec, 0) {
-			t.end(false)
+		if !d.acquirePermit(ctx, t.runner.Instance, "prefill", rec, 0) {
+			t.release(false)
 			continue
 		}
 		if err := d.checkBeforeSend(ctx, r, rec); err != nil {
-			t.end(false)
+			t.release(false)
 			return nil, err
 		}
 		tried = append(tried, t.runner.Instance.ID)
 		source := d.prefillAt(ctx, r, t, rec)
-		t.end(source != nil)
+		t.release(source != nil)
 		if source != nil {
 			return source, nil
 		}
@@ -58,7 +58,7 @@
 // prefillTimeLeft returns the time in which the prefill must end for the caller to be still
 // there at the first event.
 func (d *Dispatcher) prefillTimeLeft(r *Request) time.Duration {
-	return d.answerBy(r).Sub(d.o.Clock.Now()) - d.firstEvents.mean(r.Service) - refusalMargin
+	return d.firstEventDeadline(r).Sub(d.o.Clock.Now()) - d.firstEvents.mean(r.Service) - refusalMargin
 }
 
 // refusalMargin is reserved for a refusal to reach a caller that is about to leave: 3 ms one way
@@ -87,7 +87,7 @@
 const maxPrefillAttempts = 2
 
 // prefillAt has the chosen engine compute the prompt, and returns nil if it doesn't.
-func (d *Dispatcher) prefillAt(ctx context.Context, r *Request, t turn, rec *record) *KVSource {
+func (d *Dispatcher) prefillAt(ctx context.Context, r *Request, t reservation, rec *record) *KVSource {
 	const operation = "prefill"
 	runner := t.runner
 	rec.predicted = t.forecast.Finish
@@ -97,8 +97,8 @@
 	}
 	a := &Attempt{Request: r, Instance: runner.Instance, TimeLeft: d.timeLeft(r), PrefillOnly: true, Rank: t.forecast.Rank, FetchFrom: d.prefixSource(r, t)}
 	requestCtx := ctx
-	ctx, p := d.patience(ctx, r, t)
-	defer p.end()
+	ctx, p := d.watchPrefill(ctx, r, t)
+	defer p.stop()
 	started := d.o.Clock.Now()
 	done := runner.Begin()
 	defer done()
@@ -117,7 +117,7 @@
 		}
 		// A prefill doesn't run the request, so that a lost response breaks no guarantee. An engine
 		// that completes other prompts isn't at fault for one that isn't computed in time.
-		if (ctx.Err() == nil || p.dark.Load()) && !sendErr.Withheld {
+		if (ctx.Err() == nil || p.unavailable.Load()) && !sendErr.Withheld {
 			runner.Broken()
 			d.o.Outliers.Silent(runner.Instance.ID)
 			if sendErr.Sent {
@@ -155,7 +155,7 @@
 // engine that has the prompt's KV cache, if transferring the cache between domains takes longer
 // than sending the request there; "" for the host's own domain.
 func decodeDomain(r *Request, source *KVSource) string {
-	if source == nil || moveTime(r, r.Generation.PromptTokens)*(farMove-1) < domainRoundTrip {
+	if source == nil || localTransferTime(r, r.Generation.PromptTokens)*(crossDomainFactor-1) < domainRoundTrip {
 		return ""
 	}
 	return source.Instance.FailureDomain
@@ -168,9 +168,9 @@
 // prefixSource returns the address of an engine that may have cached shared parts of the prompt
 // which the chosen engine lacks: the one that is known to have them, or else the one that
 // generates for the session; "" if there is none.
-func (d *Dispatcher) prefixSource(r *Request, t turn) string {
-	if t.source != nil {
-		return t.source.Instance.Addr
+func (d *Dispatcher) prefixSource(r *Request, t reservation) string {
+	if t.prefixSource != nil {
+		return t.prefixSource.Instance.Addr
 	}
 	decoder := d.o.Placer.Decode(r.Service, r.Generation.Session(), t.runner.Instance.FailureDomain, nil)
 	if decoder == nil {
--- a/coordination/forward/record.go
+++ b/coordination/forward/record.go
@@ -91,7 +91,7 @@
 	// generates the answer.
 	separatePrefill bool
 	// turn is how a model request was admitted to its engine; "" for calls.
-	turn Turn
+	turn ReservationKind
 	// promptKV is where a decode engine can fetch the KV cache of the prompt, or nil.
 	promptKV *KVSource
 }
--- /dev/null
+++ b/coordination/forward/reservation.go
@@ -0,0 +1,227 @@
+package forward
+
+import (
+	"context"
+	"slices"
+	"sync"
+
+	"github.com/thymerack/thymerack/coordination/backlog"
+	"github.com/thymerack/thymerack/coordination/occupancy"
+	"github.com/thymerack/thymerack/coordination/placement"
+)
+
+// ReservationKind is how a phase of a model request was queued at its engine.
+type ReservationKind string
+
+// The kinds of reservation.
+const (
+	// ReservationShared is counted over all hosts, and predicted to be served in time.
+	ReservationShared ReservationKind = "counted"
+	// ReservationLocal is counted at this host only: the owner of the engine's count could not
+	// be reached.
+	ReservationLocal ReservationKind = "own"
+	// ReservationDeferred is predicted to be late or found no free slot, and is queued behind
+	// other work.
+	ReservationDeferred ReservationKind = "deferred"
+)
+
+// Phase is a phase of a model request that reserves a place at an engine.
+type Phase string
+
+// The phases of a model request.
+const (
+	// PhasePrefill is the prefill of a long prompt.
+	PhasePrefill Phase = "read"
+	// PhaseGenerate is a request with a short prompt, whose prefill and decode run at one
+	// engine.
+	PhaseGenerate Phase = "generate"
+)
+
+// reservation is a place for a phase of a request at an engine.
+type reservation struct {
+	kind ReservationKind
+	// runner is the reserved engine, or nil if there is none; prefixSource is an engine that
+	// has cached shared parts which runner lacks, or nil.
+	runner, prefixSource *placement.Runner
+	// place is nil if no owner gave one.
+	place    *occupancy.Place
+	forecast backlog.Forecast
+}
+
+// release gives the place back. done reports that the prefill completed, so that its duration
+// is a valid sample of the engine's load.
+func (res reservation) release(done bool) {
+	if done {
+		res.place.Done()
+		return
+	}
+	res.place.Cancel()
+}
+
+func newReservation(c candidate, source *placement.Runner) reservation {
+	res := reservation{kind: ReservationShared, runner: c.runner, prefixSource: source, place: c.Place, forecast: c.Forecast}
+	switch {
+	case c.Own:
+		res.kind = ReservationLocal
+	case c.Forecast.Rank >= backlog.Classes:
+		res.kind = ReservationDeferred
+	}
+	return res
+}
+
+// choice is a runner for one attempt, with its reservation if it has one.
+type choice struct {
+	*placement.Runner
+	reservation reservation
+	// forPrefill is set if the reservation covers the prefill only, and ends with it.
+	forPrefill bool
+	// permitted is set if the runner's rate limit has already granted a permit.
+	permitted bool
+}
+
+// rank is the attempt's rank in the queue of its runner.
+func (c choice) rank(r *Request) int {
+	rank := min(max(0, r.Priority()), defaultRank)
+	switch {
+	case c.forPrefill:
+		return c.reservation.forecast.Rank
+	case c.reservation.kind == ReservationDeferred:
+		return min(deferredRank+rank, maxRank)
+	default:
+		return rank
+	}
+}
+
+// The ranks that engines accept are 0 to maxRank; a lower rank is served first.
+const (
+	// defaultRank is the rank of requests that name none, and deferredRank the first one behind
+	// it.
+	defaultRank  = 5
+	deferredRank = defaultRank + 1
+	maxRank      = 9
+)
+
+// begin counts the attempt as in flight at its runner.
+func (c choice) begin() *inFlight {
+	return &inFlight{done: c.Runner.Begin(), reservation: c.reservation, forPrefill: c.forPrefill}
+}
+
+// release gives back the place of a choice that isn't used, if it has one.
+func (c choice) release() {
+	if c.Runner != nil {
+		c.reservation.release(false)
+	}
+}
+
+// fetchFrom is the address of the engine that has cached shared parts; "" if none is known.
+func (c choice) fetchFrom() string {
+	if c.reservation.prefixSource == nil {
+		return ""
+	}
+	return c.reservation.prefixSource.Instance.Addr
+}
+
+// inFlight is an attempt that is counted at its runner and holds its reservation.
+type inFlight struct {
+	// done removes the attempt from the runner's count.
+	done        func()
+	reservation reservation
+	// forPrefill is that of the choice.
+	forPrefill bool
+	// once guards the release of the reservation.
+	once sync.Once
+}
+
+// markAnswered ends a reservation for the prefill: the first part of the answer has arrived.
+func (s *inFlight) markAnswered() {
+	if s.forPrefill {
+		s.once.Do(func() { s.reservation.release(true) })
+	}
+}
+
+// end removes the attempt from the runner's count and releases the reservation. It may be
+// called twice.
+func (s *inFlight) end() {
+	s.done()
+	s.once.Do(func() { s.reservation.release(false) })
+}
+
+// chooseMixedEngine chooses an engine that prefills a long prompt in time and decodes it as
+// well, by the same rules as reservePrefill for engines that only prefill.
+func (d *Dispatcher) chooseMixedEngine(ctx context.Context, r *Request, rec *record) (choice, error) {
+	res, err := d.reservePrefill(ctx, r, rec, rec.tried)
+	if err != nil {
+		return choice{}, err
+	}
+	d.noteReservation(rec, PhasePrefill, res.kind)
+	return choice{Runner: res.runner, reservation: res, forPrefill: true}, nil
+}
+
+// chooseDecodeEngine chooses an engine with a free slot to decode after a separate prefill, in
+// the session's order. A full engine would preempt a running stream of a less urgent route to
+// make room, which pauses that stream for some hundred milliseconds. If all queried engines are
+// full, the session's engine is chosen without a place.
+func (d *Dispatcher) chooseDecodeEngine(ctx context.Context, r *Request, rec *record) choice {
+	free, full := d.findFreeSlot(ctx, r, rec, r.Generation.Session(), decodeDomain(r, rec.promptKV))
+	switch {
+	case free.Place != nil:
+		return choice{Runner: free.runner, reservation: reservation{kind: ReservationShared, runner: free.runner, place: free.Place}}
+	case len(full) > 0:
+		return choice{Runner: full[0]}
+	default:
+		return choice{}
+	}
+}
+
+// chooseShortPromptEngine chooses an engine with a free slot for a request with a short prompt.
+// If all queried engines are full, the request is deferred at the first one, where it starts
+// once no newer request takes the slot.
+func (d *Dispatcher) chooseShortPromptEngine(ctx context.Context, r *Request, rec *record) choice {
+	free, full := d.findFreeSlot(ctx, r, rec, "", "")
+	for _, runner := range full {
+		rec.addStep(runner.Instance, "place", outcomeFull, 0, nil)
+	}
+	switch {
+	case free.Place != nil:
+		return d.generateChoice(free.runner, newReservation(free, nil), rec)
+	case len(full) > 0:
+		return d.generateChoice(full[0], reservation{kind: ReservationDeferred}, rec)
+	default:
+		return choice{}
+	}
+}
+
+// findFreeSlot queries decode engines for a free slot, in the session's order and those of the
+// failure domain near first. free has a place unless none was found; full are the engines
+// without a free slot, in the order of the queries.
+func (d *Dispatcher) findFreeSlot(ctx context.Context, r *Request, rec *record, session, near string) (free candidate, full []*placement.Runner) {
+	excluded := slices.Clone(rec.tried)
+	for range maxSlotCandidates {
+		runner := d.o.Placer.Decode(r.Service, session, near, excluded)
+		if runner == nil {
+			break
+		}
+		v := d.o.Gate.Enter(ctx, occupancy.Ask{Engine: runner.Instance.ID, Most: max(1, runner.Instance.Slots), Keep: d.timeLeft(r)})
+		if v.Place != nil {
+			return candidate{runner, v}, full
+		}
+		full = append(full, runner)
+		excluded = append(excluded, runner.Instance.ID)
+	}
+	return candidate{}, full
+}
+
+// maxSlotCandidates bounds the engines that are queried for a free slot: with two thirds of
+// them full, one request in sixty finds no free slot among ten.
+const maxSlotCandidates = 10
+
+// generateChoice returns the choice of a runner for PhaseGenerate and records its reservation.
+func (d *Dispatcher) generateChoice(runner *placement.Runner, res reservation, rec *record) choice {
+	d.noteReservation(rec, PhaseGenerate, res.kind)
+	return choice{Runner: runner, reservation: res}
+}
+
+func (d *Dispatcher) noteReservation(rec *record, phase Phase, kind ReservationKind) {
+	rec.turn = kind
+	d.o.Observer.Admitted(phase, kind)
+}
--- a/coordination/forward/turn_test.go
+++ b/coordination/forward/reservation_test.go
@@ -14,23 +14,23 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// All caches are cold: a session's first prompt asks several engines whether they keep
-// its parts; those after it go to the one that reads them.
-func TestColdSessionIsReadAtOneEngine(t *testing.T) {
+// With all caches cold, a session's first prompt queries several engines for its parts; later
+// prompts go to the engine that prefilled it.
+func TestColdSessionPrefillsAtOneEngine(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated, prefilled, generated)
 	home := w.fleet.Prefill("model", "b", nil)
 	w.mustServe(t)
-	is.Equal(w.prefillAsks(), maxAsked+1)
+	is.Equal(w.prefillAsks(), maxPrefillCandidates+1)
 	is.Equal(w.up.attempts[0].Instance.ID, home.Instance.ID)
 	w.mustServe(t)
-	is.Equal(w.prefillAsks(), maxAsked+2)
+	is.Equal(w.prefillAsks(), maxPrefillCandidates+2)
 	is.Equal(w.up.attempts[2].Instance.ID, home.Instance.ID)
 }
 
-// The session's engine has a long queue: another one reads the prompt and fetches the
+// The session's engine has a long queue: another engine prefills the prompt and fetches the
 // shared parts.
-func TestPromptIsReadWhereItIsReadSoonest(t *testing.T) {
+func TestPrefillRunsAtEngineThatFinishesFirst(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = []backlog.Forecast{
@@ -48,8 +48,9 @@
 	is.True(w.gate.asks[4].Reading.Late)
 }
 
-// A session's engine was replaced: the next one by its order still keeps the parts.
-func TestPartsAreFetchedFromWhoeverKeepsThem(t *testing.T) {
+// The session's engine was replaced: the next one in the session's order still has the parts
+// cached.
+func TestCachedPrefixIsFetchedFromItsHolder(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = []backlog.Forecast{
@@ -63,49 +64,49 @@
 	is.Equal(w.up.attempts[0].FetchFrom, w.gate.asks[1].Engine.Name+":1")
 }
 
-func busyFor(d time.Duration, known bool) []backlog.Forecast {
-	out := make([]backlog.Forecast, maxAsked)
+func busyForecasts(d time.Duration, known bool) []backlog.Forecast {
+	out := make([]backlog.Forecast, maxPrefillCandidates)
 	for i := range out {
 		out[i] = backlog.Forecast{Wait: d, Finish: d, Known: known}
 	}
 	return out
 }
 
-// Every engine has more to read than any caller waits for: the request is refused before
-// it costs anybody time.
-func TestHopelessPromptIsRefusedAtOnce(t *testing.T) {
+// Every engine's queue is longer than any caller waits: the request is refused before it takes
+// up capacity.
+func TestPromptBeyondCallerTimeoutIsRefusedAtOnce(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty)
-	w.gate.refusal = busyFor(5*time.Second, true)
+	w.gate.refusal = busyForecasts(5*time.Second, true)
 	_, err := w.Forward(t.Context(), modelRequest(9000, true))
 	var refusal *Refusal
 	is.True(errors.As(err, &refusal))
 	is.True(refusal.NotRun)
 	is.Equal(refusal.Reason, ReasonOverload)
-	is.True(refusal.RetryAfter >= 4*time.Second) // when it would be read in time
+	is.True(refusal.RetryAfter >= 4*time.Second) // when the prefill would be in time
 	is.Equal(len(w.up.attempts), 0)
 }
 
-func TestPromptIsTriedWhileNothingIsKnown(t *testing.T) {
+func TestPromptIsTriedWithoutKnownForecast(t *testing.T) {
 	w := newWorld(t, plenty, prefilled, generated)
-	w.gate.refusal = busyFor(5*time.Second, false)
+	w.gate.refusal = busyForecasts(5*time.Second, false)
 	w.mustServe(t)
 }
 
-func TestLatePromptIsReadBehindTheOthers(t *testing.T) {
+func TestLatePromptIsDeferred(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated)
-	w.gate.refusal = busyFor(time.Second, true)
+	w.gate.refusal = busyForecasts(time.Second, true)
 	w.gate.given = &backlog.Forecast{Rank: backlog.Classes + 1}
 	w.mustServe(t)
 	is.Equal(w.up.attempts[0].Rank, backlog.Classes+1)
-	is.Equal(w.up.attempts[1].Rank, 0) // what was read generates in its turn
-	is.Equal(turnAt(offer{Verdict: occupancy.Verdict{Answer: occupancy.Answer{Forecast: *w.gate.given}}}, nil).kind, TurnDeferred)
+	is.Equal(w.up.attempts[1].Rank, 0) // the decode isn't deferred
+	is.Equal(newReservation(candidate{Verdict: occupancy.Verdict{Answer: occupancy.Answer{Forecast: *w.gate.given}}}, nil).kind, ReservationDeferred)
 }
 
-// A prompt that isn't read in its time is given up while its caller still waits, and
-// says nothing of an engine that may be busy with others.
-func TestPromptIsGivenUpBeforeItsCallerLeaves(t *testing.T) {
+// A prefill that isn't done in time is cancelled while its caller still waits. It isn't counted
+// as a failure of the engine, which may be busy with other prompts.
+func TestPrefillIsAbandonedBeforeCallerTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{hang: true})
@@ -125,9 +126,9 @@
 	})
 }
 
-// An engine refuses a prompt whose time is over in its queue: it is as sound as before,
-// and nothing is left to be read elsewhere.
-func TestPromptThatIsRefusedAtItsEndSaysNothingOfItsEngine(t *testing.T) {
+// An engine rejects a prompt whose deadline passed in its queue: this isn't counted as a
+// failure of the engine, and no time is left for another attempt.
+func TestRefusalAtDeadlineIsNotAnEngineFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{status: 503, notRun: true, delay: 1990 * time.Millisecond})
@@ -144,20 +145,21 @@
 	})
 }
 
-// The prompt takes longer than predicted, but its engine has much to read.
-func TestPromptIsLeftWhereItsTurnComes(t *testing.T) {
+// The prefill takes longer than its forecast, but the engine's owner reports that it is still
+// under way.
+func TestOverduePrefillWithProgressKeepsItsPlace(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{status: 200, body: "h1", delay: time.Second}, generated)
 		w.gate.given = &backlog.Forecast{Known: true, Finish: 10 * time.Millisecond}
-		r := modelRequest(200_000, true) // 4 s of reading by the book
+		r := modelRequest(200_000, true) // 4 s of prefill by the book's estimate
 		_, err := w.Forward(t.Context(), r)
 		is.NoErr(err)
 		is.Equal(len(w.up.attempts), 2)
 	})
 }
 
-func TestQuestionTakesAFreeSlotWhereItFindsOne(t *testing.T) {
+func TestShortPromptTakesFreeSlot(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, generated)
 	w.gate.refusal = make([]backlog.Forecast, 1)
@@ -170,10 +172,10 @@
 	is.Equal(w.up.attempts[0].Rank, 0)
 }
 
-func TestQuestionGoesBehindTheOthersWhenAllSlotsAreTaken(t *testing.T) {
+func TestShortPromptIsDeferredWhenNoSlotIsFree(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, generated)
-	w.gate.refusal = make([]backlog.Forecast, maxPlacesAsked)
+	w.gate.refusal = make([]backlog.Forecast, maxSlotCandidates)
 	answer, err := w.Forward(t.Context(), modelRequest(500, true))
 	is.NoErr(err)
 	_, err = readAll(answer.Stream)
@@ -182,26 +184,27 @@
 	is.Equal(w.up.attempts[0].Rank, deferredRank)
 }
 
-func TestRanksStayWithinThoseThatEnginesKnow(t *testing.T) {
+func TestRanksStayWithinEngineRange(t *testing.T) {
 	is := is.New(t)
 	for _, c := range []struct {
 		priority int
-		kind     Turn
+		kind     ReservationKind
 		rank     int
 	}{
-		{-1, TurnCounted, 0}, {0, TurnCounted, 0}, {2, TurnCounted, 2}, {7, TurnCounted, usualRank},
-		{0, TurnDeferred, deferredRank}, {2, TurnDeferred, deferredRank + 2}, {9, TurnDeferred, lowestRank},
+		{-1, ReservationShared, 0}, {0, ReservationShared, 0}, {2, ReservationShared, 2}, {7, ReservationShared, defaultRank},
+		{0, ReservationDeferred, deferredRank}, {2, ReservationDeferred, deferredRank + 2}, {9, ReservationDeferred, maxRank},
 	} {
 		r := modelRequest(500, true)
 		r.Route.Priority = c.priority
-		is.Equal(choice{turn: turn{kind: c.kind}}.rank(r), c.rank)
+		is.Equal(choice{reservation: reservation{kind: c.kind}}.rank(r), c.rank)
 	}
-	is.True(2*backlog.Classes-1 <= lowestRank)
+	is.True(2*backlog.Classes-1 <= maxRank)
 }
 
-// A burst of answers fills the generating engines: what was read goes to one with a free
-// slot, so that no answer under way is put back, and to the session's own if none has any.
-func TestWhatWasReadGeneratesWhereASlotIsFree(t *testing.T) {
+// Running streams fill the decode engines: after a separate prefill, the decode goes to an
+// engine with a free slot, so that no stream is preempted, and to the session's engine if no
+// slot is free.
+func TestDecodeRunsWhereASlotIsFree(t *testing.T) {
 	for name, c := range map[string]struct{ full int }{"some are full": {4}, "all are full": {5}} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
--- a/coordination/forward/stream.go
+++ b/coordination/forward/stream.go
@@ -19,13 +19,13 @@
 	rec    *record
 	runner *placement.Runner
 	resp   Response
-	sent   *sending
+	sent   *inFlight
 	// firstWatch is stopped once the stream is open; its cancel releases the context of the first
 	// attempt.
 	firstWatch *firstEventWatch
 	// watch supervises a run that can continue at another engine; nil for other runs. failovers
 	// counts how often the run continued from a backup.
-	watch     *watch
+	watch     *streamWatch
 	failovers int
 
 	started time.Time
@@ -61,7 +61,7 @@
 
 // openStream waits for the first event, so that an attempt that breaks off before it can be
 // retried.
-func (d *Dispatcher) openStream(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, resp Response, sent *sending, started time.Time, firstWatch *firstEventWatch) (*Answer, outcome) {
+func (d *Dispatcher) openStream(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record, resp Response, sent *inFlight, started time.Time, firstWatch *firstEventWatch) (*Answer, outcome) {
 	s := &Stream{d: d, ctx: ctx, firstWatch: firstWatch, a: a, rec: rec, runner: runner, resp: resp, sent: sent, started: started, lastID: a.LastEventID}
 	var err error
 	if !resp.Head().Signed {
@@ -84,7 +84,7 @@
 	}
 	d.noteStarted(a.Request, rec, d.o.Clock.Now())
 	runner.Answered(took)
-	sent.answered()
+	sent.markAnswered()
 	if a.Source != nil {
 		d.firstEvents.observe(a.Request.Service, took)
 	}
@@ -135,7 +135,7 @@
 	}
 	n, err := s.resp.Read(s.buf[len(s.buf):cap(s.buf)])
 	if n > 0 {
-		s.noteHeard()
+		s.noteReceived()
 	}
 	before := len(s.buf)
 	s.buf = s.buf[:before+n]
@@ -174,8 +174,8 @@
 
 // resume continues a stream that broke off, and reports whether it could.
 func (s *Stream) resume(cause error) bool {
-	if s.a.Request.runsOnce() {
-		return s.goOn(cause)
+	if s.a.Request.runsAtMostOnce() {
+		return s.resumeFromBackup(cause)
 	}
 	return s.resumeElsewhere(cause)
 }
@@ -188,12 +188,12 @@
 	s.noteBrokenRun()
 	s.rec.addStep(s.a.Instance, "run", outcomeUnknown, s.d.o.Clock.Now().Sub(s.started), cause)
 	for s.d.checkDeadline(s.ctx, r, s.rec) == nil && s.d.takeRetry(r, s.rec) {
-		c, err := s.d.pick(s.ctx, r, s.rec, s.d.o.Clock.Now().Add(resumeWait))
+		c, err := s.d.pickRunner(s.ctx, r, s.rec, s.d.o.Clock.Now().Add(resumeWait))
 		if err != nil {
 			return false
 		}
 		if s.d.checkBeforeSend(s.ctx, r, s.rec) != nil {
-			c.giveBack()
+			c.release()
 			return false
 		}
 		if s.resumeAt(c) {
@@ -218,7 +218,7 @@
 // runner accepted it.
 func (s *Stream) resumeWith(a *Attempt, c choice) bool {
 	runner, sent := c.Runner, c.begin()
-	if !c.permitted && !s.d.permitted(s.ctx, a.Instance, "resume", s.rec, resumeWait) {
+	if !c.permitted && !s.d.acquirePermit(s.ctx, a.Instance, "resume", s.rec, resumeWait) {
 		sent.end()
 		return false
 	}
@@ -241,7 +241,7 @@
 		s.rec.addStep(a.Instance, "resume", outcomeNotRun, took, &statusError{head.Status})
 		return false
 	}
-	sent.answered()
+	sent.markAnswered()
 	s.a, s.runner, s.resp, s.sent, s.started = a, runner, resp, sent, started
 	s.buf, s.ready, s.eof, s.closed = nil, 0, false, false
 	s.startWatch()
