--- a/coordination/backpressure/advice.go
+++ b/coordination/backpressure/advice.go
@@ -15,9 +15,9 @@
 	Limit   float64
 	// Leaving says that the runner is about to go.
 	Leaving bool
-	// Rest is how long the runner, which turned a request away, wants nothing from this
+	// Backoff is how long the runner, which turned a request away, wants nothing from this
 	// host; 0 for none.
-	Rest time.Duration
+	Backoff time.Duration
 	// Unreadable are the fields that were there and can't be used.
 	Unreadable []Field
 }
@@ -27,7 +27,7 @@
 
 // asks reports whether the answer says anything.
 func (a Advice) asks() bool {
-	return a.Limited || a.Leaving || a.Rest > 0 || len(a.Unreadable) > 0
+	return a.Limited || a.Leaving || a.Backoff > 0 || len(a.Unreadable) > 0
 }
 
 // Kind is what an advice is counted by.
@@ -38,6 +38,6 @@
 	KindLimit      Kind = "limit"
 	KindLifted     Kind = "lifted"
 	KindLeaving    Kind = "leaving"
-	KindRest       Kind = "rest"
+	KindBackoff    Kind = "rest"
 	KindUnreadable Kind = "unreadable"
 )
--- a/coordination/backpressure/registry.go
+++ b/coordination/backpressure/registry.go
@@ -148,8 +148,8 @@
 		tell = append(tell, Notice{i.ID, i.Service, KindLeaving, 0})
 	}
 	switch until := known.restUntil.Load(); {
-	case a.Rest > 0:
-		r.rests(i, known, now, a.Rest)
+	case a.Backoff > 0:
+		r.rests(i, known, now, a.Backoff)
 	case ofRequest && until != nil && sentAt.After(*until):
 		known.unproven.Store(false)
 	}
@@ -280,7 +280,7 @@
 	known.restUntil.Store(&until)
 	known.trialUntil.Store(nil)
 	known.unproven.Store(true)
-	r.o.Observer.Advised(i.Service, KindRest)
+	r.o.Observer.Advised(i.Service, KindBackoff)
 	if before == nil || now.After(*before) {
 		r.o.Log.Info("runner asks for rest", "instance", i.ID, "service", i.Service, "for", rest)
 	}
--- a/coordination/backpressure/registry_test.go
+++ b/coordination/backpressure/registry_test.go
@@ -56,9 +56,9 @@
 		w := newWorld(t)
 		i := instance("a", 1)
 		for range 3 {
-			w.hear(i, Advice{Limited: true, Limit: 8.4, Leaving: true, Rest: time.Second, Unreadable: []Field{{"limit", "x"}}})
+			w.hear(i, Advice{Limited: true, Limit: 8.4, Leaving: true, Backoff: time.Second, Unreadable: []Field{{"limit", "x"}}})
 		}
-		is.Equal(w.Count(), Counts{Limited: 1, Leaving: 1, Resting: 1})
+		is.Equal(w.Count(), Counts{Limited: 1, Leaving: 1, BackingOff: 1})
 		for _, line := range []string{"runner names a limit", "runner says that it leaves", "runner asks for rest", "not readable"} {
 			is.Equal(strings.Count(w.log.String(), line), 1)
 		}
@@ -98,15 +98,15 @@
 		is := is.New(t)
 		w := newWorld(t)
 		i := instance("a", 1)
-		w.hear(i, Advice{Rest: 3 * time.Second})
+		w.hear(i, Advice{Backoff: 3 * time.Second})
 		time.Sleep(time.Second)
-		w.hear(i, Advice{Rest: time.Second})
+		w.hear(i, Advice{Backoff: time.Second})
 		time.Sleep(1500 * time.Millisecond)
-		is.Equal(w.Count().Resting, 1)
-		is.Equal(w.OpensAt(i.ID), w.RestsUntil(i.ID))
-		is.True(w.RestsUntil(i.ID).After(time.Now().Add(499 * time.Millisecond)))
+		is.Equal(w.Count().BackingOff, 1)
+		is.Equal(w.OpensAt(i.ID), w.BackoffUntil(i.ID))
+		is.True(w.BackoffUntil(i.ID).After(time.Now().Add(499 * time.Millisecond)))
 		time.Sleep(time.Second)
-		is.Equal(w.Count().Resting, 0)
+		is.Equal(w.Count().BackingOff, 0)
 	})
 }
 
@@ -155,7 +155,7 @@
 		w := newWorld(t)
 		i := instance("a", 1)
 		for range 41 { // in 4 s
-			w.hear(i, Advice{Limited: true, Limit: 8.4, Rest: time.Second})
+			w.hear(i, Advice{Limited: true, Limit: 8.4, Backoff: time.Second})
 			time.Sleep(100 * time.Millisecond)
 		}
 		limit := Notice{i.ID, "s", KindLimit, 8.4}
@@ -208,23 +208,23 @@
 		is := is.New(t)
 		w := newWorld(t)
 		i := instance("a", 1)
-		is.True(w.Try(i.ID)) // it never rested
-		w.hear(i, Advice{Rest: time.Second})
-		is.True(w.Unproven(i.ID))
+		is.True(w.AllowTrial(i.ID)) // it never rested
+		w.hear(i, Advice{Backoff: time.Second})
+		is.True(w.AwaitsTrial(i.ID))
 		time.Sleep(2 * time.Second)
 		is.True(w.OpensAt(i.ID).IsZero())
 		sentAt := time.Now()
-		is.True(w.Try(i.ID))
-		is.True(!w.Try(i.ID))
+		is.True(w.AllowTrial(i.ID))
+		is.True(!w.AllowTrial(i.ID))
 		is.True(!w.OpensAt(i.ID).IsZero()) // it isn't chosen meanwhile
 		time.Sleep(trialFor)
-		is.True(w.Try(i.ID)) // the first one was lost
+		is.True(w.AllowTrial(i.ID)) // the first one was lost
 		w.Heard(i, sentAt.Add(-2*time.Second), Advice{}, true)
-		is.True(w.Unproven(i.ID)) // asked for before the rest
+		is.True(w.AwaitsTrial(i.ID)) // asked for before the rest
 		w.Heard(i, sentAt, Advice{}, true)
-		is.True(!w.Unproven(i.ID))
+		is.True(!w.AwaitsTrial(i.ID))
 		is.True(w.OpensAt(i.ID).IsZero())
-		is.True(w.Try(i.ID))
-		is.True(w.Try(i.ID))
+		is.True(w.AllowTrial(i.ID))
+		is.True(w.AllowTrial(i.ID))
 	})
 }
--- a/coordination/backpressure/view.go
+++ b/coordination/backpressure/view.go
@@ -25,8 +25,8 @@
 	return l.rate, true
 }
 
-// Closed notes that the limit of a run leaves nothing for this host until then.
-func (r *Registry) Closed(id state.InstanceID, until time.Time) {
+// CloseUntil notes that the limit of a run leaves nothing for this host until then.
+func (r *Registry) CloseUntil(id state.InstanceID, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	known := r.run(id)
@@ -55,8 +55,8 @@
 	return at
 }
 
-// RestsUntil is the end of the rest that a run asked this host for; zero if it wants none now.
-func (r *Registry) RestsUntil(id state.InstanceID) time.Time {
+// BackoffUntil is the end of the rest that a run asked this host for; zero if it wants none now.
+func (r *Registry) BackoffUntil(id state.InstanceID) time.Time {
 	known := r.run(id)
 	if known == nil {
 		return time.Time{}
@@ -64,7 +64,7 @@
 	return known.restsUntil(r.o.Clock.Now())
 }
 
-// PausedUntil is RestsUntil, or the end of the trial after a rest while a request of this host is
+// PausedUntil is BackoffUntil, or the end of the trial after a rest while a request of this host is
 // on its way to the run.
 func (r *Registry) PausedUntil(id state.InstanceID) time.Time {
 	known := r.run(id)
@@ -81,15 +81,15 @@
 	return k.restsUntil(now)
 }
 
-// Unproven reports whether a run asked for rest and took nothing of this host since.
-func (r *Registry) Unproven(id state.InstanceID) bool {
+// AwaitsTrial reports whether a run asked for rest and took nothing of this host since.
+func (r *Registry) AwaitsTrial(id state.InstanceID) bool {
 	known := r.run(id)
 	return known != nil && known.unproven.Load()
 }
 
-// Try asks to send a request to a run. After a rest one request is let through to find out
+// AllowTrial asks to send a request to a run. After a rest one request is let through to find out
 // whether the runner takes work again; those that waited for it don't all come at once.
-func (r *Registry) Try(id state.InstanceID) bool {
+func (r *Registry) AllowTrial(id state.InstanceID) bool {
 	known := r.run(id)
 	if known == nil || !known.unproven.Load() {
 		return true
@@ -111,7 +111,7 @@
 }
 
 // Counts are the runs that ask something at present.
-type Counts struct{ Limited, Leaving, Resting int }
+type Counts struct{ Limited, Leaving, BackingOff int }
 
 // Count counts them.
 func (r *Registry) Count() Counts {
@@ -125,7 +125,7 @@
 			out.Leaving++
 		}
 		if !known.restsUntil(now).IsZero() {
-			out.Resting++
+			out.BackingOff++
 		}
 	}
 	return out
--- a/coordination/crash/crash.go
+++ b/coordination/crash/crash.go
@@ -90,8 +90,8 @@
 	return &Detector{o: o, ctx: ctx, runs: map[state.InstanceID]*inquiry{}}, nil
 }
 
-// Broke notes that work broke off at a runner without its end. It doesn't wait.
-func (d *Detector) Broke(i *state.Instance, s quarantine.Suspect) {
+// ReportBroken notes that work broke off at a runner without its end. It doesn't wait.
+func (d *Detector) ReportBroken(i *state.Instance, s quarantine.Suspect) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if q := d.runs[i.ID]; q != nil {
--- a/coordination/crash/crash_test.go
+++ b/coordination/crash/crash_test.go
@@ -88,13 +88,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, Ended)
-		w.Broke(runner, work(1, false))
-		w.Broke(runner, work(2, true))
+		w.ReportBroken(runner, work(1, false))
+		w.ReportBroken(runner, work(2, true))
 		time.Sleep(gather + time.Millisecond)
 		is.Equal(len(w.reported()), 1)
 		is.Equal(w.reported()[0].Suspects, []quarantine.Suspect{work(1, false), work(2, true)})
 		is.True(!w.reported()[0].Late)
-		w.Broke(runner, work(3, false)) // its connection ended later
+		w.ReportBroken(runner, work(3, false)) // its connection ended later
 		time.Sleep(lateFor)
 		is.Equal(len(w.reported()), 2)
 		is.Equal(w.reported()[1].Suspects, []quarantine.Suspect{work(3, false)})
@@ -121,7 +121,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(t, c.fate)
-				w.Broke(runner, work(1, false))
+				w.ReportBroken(runner, work(1, false))
 				time.Sleep(time.Second)
 				if c.then != nil {
 					w.set(func() { c.then(w) })
@@ -140,7 +140,7 @@
 		is := is.New(t)
 		w := newWorld(t, Ended)
 		w.listed = false
-		w.Broke(runner, work(1, false))
+		w.ReportBroken(runner, work(1, false))
 		time.Sleep(askFor)
 		is.Equal(len(w.reported()), 0)
 		is.Equal(read(w, &w.probes), 0)
--- a/coordination/dispatch/call.go
+++ b/coordination/dispatch/call.go
@@ -70,7 +70,7 @@
 func (d *Dispatcher) left(r *Request) time.Duration { return r.Deadline.Sub(d.o.Clock.Now()) }
 
 func (d *Dispatcher) callRepeatable(ctx context.Context, r *Request, c upstream.Call) (upstream.Answer, error) {
-	d.o.Retries.Seen(r.Service)
+	d.o.Retries.CountRequest(r.Service)
 	limited, stop := d.untilDeadline(ctx, r)
 	defer stop()
 	var failed []string
--- a/coordination/dispatch/crashfleet_test.go
+++ b/coordination/dispatch/crashfleet_test.go
@@ -50,8 +50,8 @@
 	table *quarantine.Table
 }
 
-// Broke implements dispatch.Crashes: the engine has ended, which all hosts hear.
-func (h *crashHost) Broke(u state.Upstream, s quarantine.Suspect) {
+// ReportBroken implements dispatch.Crashes: the engine has ended, which all hosts hear.
+func (h *crashHost) ReportBroken(u state.Upstream, s quarantine.Suspect) {
 	h.f.mu.Lock()
 	h.f.ended++
 	run := state.InstanceID{Name: fmt.Sprint(h.name, u.Name), Born: int64(h.f.ended)}
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -135,8 +135,8 @@
 
 // Retries limits further attempts to a share of the traffic.
 type Retries interface {
-	// Seen counts a first attempt; Allow asks for a further one.
-	Seen(service string)
+	// CountRequest counts a first attempt; Allow asks for a further one.
+	CountRequest(service string)
 	Allow(service string) bool
 	// Backoff is the pause before the given further attempt, counted from 1.
 	Backoff(attempt int) time.Duration
--- a/coordination/dispatch/generate.go
+++ b/coordination/dispatch/generate.go
@@ -95,7 +95,7 @@
 }
 
 func (g *generation) run(ctx context.Context) error {
-	g.d.o.Retries.Seen(g.r.Service)
+	g.d.o.Retries.CountRequest(g.r.Service)
 	for {
 		before := len(g.sink.Given())
 		err := g.turn(ctx)
--- a/coordination/dispatch/harness_test.go
+++ b/coordination/dispatch/harness_test.go
@@ -53,7 +53,7 @@
 // nothingCrashes holds nothing.
 type nothingCrashes struct{}
 
-func (nothingCrashes) Broke(state.Upstream, quarantine.Suspect) {}
+func (nothingCrashes) ReportBroken(state.Upstream, quarantine.Suspect) {}
 
 func (nothingCrashes) Held(quarantine.Digest) *quarantine.Hold { return nil }
 
@@ -227,7 +227,7 @@
 // freeRetries allows every retry.
 type freeRetries struct{}
 
-func (freeRetries) Seen(string)               {}
+func (freeRetries) CountRequest(string)       {}
 func (freeRetries) Allow(string) bool         { return true }
 func (freeRetries) Backoff(int) time.Duration { return backoff }
 
--- a/coordination/dispatch/quarantine.go
+++ b/coordination/dispatch/quarantine.go
@@ -12,8 +12,8 @@
 
 // Crashes is told of work that broke off at an upstream without its end.
 type Crashes interface {
-	// Broke doesn't wait.
-	Broke(u state.Upstream, s quarantine.Suspect)
+	// ReportBroken doesn't wait.
+	ReportBroken(u state.Upstream, s quarantine.Suspect)
 }
 
 // Quarantine knows the requests that crash what runs them.
@@ -48,7 +48,7 @@
 	if ctx.Err() != nil || errors.Is(err, errLate) || (errors.As(err, &failed) && (!failed.MaybeSent || failed.Refused)) {
 		return
 	}
-	d.o.Crashes.Broke(e.Runner.Upstream, quarantine.Suspect{
+	d.o.Crashes.ReportBroken(e.Runner.Upstream, quarantine.Suspect{
 		Digest: r.Digest, RequestID: r.ID, SentAt: e.started,
 		Settled: answering && d.since(e.started) >= quarantine.SettledAfter,
 	})
--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -15,18 +15,18 @@
 	// Limit is how many requests a second a runner takes of all hosts together, if it names
 	// a limit.
 	Limit(id state.InstanceID) (rate float64, limited bool)
-	// Closed notes that a limit leaves nothing for this host until then. The placer doesn't
+	// CloseUntil notes that a limit leaves nothing for this host until then. The placer doesn't
 	// choose the runner meanwhile.
-	Closed(id state.InstanceID, until time.Time)
-	// RestsUntil is the end of the rest that a runner asked this host for; zero if there is
+	CloseUntil(id state.InstanceID, until time.Time)
+	// BackoffUntil is the end of the rest that a runner asked this host for; zero if there is
 	// none now.
-	RestsUntil(id state.InstanceID) time.Time
-	// PausedUntil is RestsUntil, or the end of the trial that follows it.
+	BackoffUntil(id state.InstanceID) time.Time
+	// PausedUntil is BackoffUntil, or the end of the trial that follows it.
 	PausedUntil(id state.InstanceID) time.Time
-	// Unproven reports whether a runner has taken nothing since it asked for rest, and Try asks
+	// AwaitsTrial reports whether a runner has taken nothing since it asked for rest, and AllowTrial asks
 	// to send it something: one request at a time finds out.
-	Unproven(id state.InstanceID) bool
-	Try(id state.InstanceID) bool
+	AwaitsTrial(id state.InstanceID) bool
+	AllowTrial(id state.InstanceID) bool
 }
 
 const (
@@ -46,7 +46,7 @@
 // permitted reports whether a request may be sent to a runner, by the rest that is over and the
 // limit that it names. It waits for the latter so long at most.
 func (d *Dispatcher) permitted(ctx context.Context, i *state.Instance, part string, rec *record, wait time.Duration) bool {
-	if !d.o.Advice.Try(i.ID) {
+	if !d.o.Advice.AllowTrial(i.ID) {
 		rec.add(i, part, outcomeLimited, 0, nil)
 		return false
 	}
@@ -57,7 +57,7 @@
 	asked := d.o.Clock.Now()
 	p := d.o.Gate.Permit(ctx, occupancy.PermitAsk{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
 	if !p.Granted {
-		d.o.Advice.Closed(i.ID, d.o.Clock.Now().Add(max(p.Wait, leastClosed)))
+		d.o.Advice.CloseUntil(i.ID, d.o.Clock.Now().Add(max(p.Wait, leastClosed)))
 		rec.add(i, part, outcomeLimited, 0, nil)
 		return false
 	}
@@ -84,7 +84,7 @@
 }
 
 // rests reports whether a runner wants nothing from this host now.
-func (d *Dispatcher) rests(i *state.Instance) bool { return !d.o.Advice.RestsUntil(i.ID).IsZero() }
+func (d *Dispatcher) rests(i *state.Instance) bool { return !d.o.Advice.BackoffUntil(i.ID).IsZero() }
 
 // part is what a runner does for the request after its prompt was read apart, if it is.
 func (d *Dispatcher) part(r *Request, rec *record) placement.Part {
@@ -121,7 +121,7 @@
 // passOver keeps a request that a runner has turned away from one whose rest has only just
 // ended, while there are others: it would use up its attempts on trials.
 func (d *Dispatcher) passOver(i *state.Instance, rec *record) bool {
-	if !rec.turnedAway || !d.o.Advice.Unproven(i.ID) {
+	if !rec.turnedAway || !d.o.Advice.AwaitsTrial(i.ID) {
 		return false
 	}
 	rec.exclude(i)
--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -257,7 +257,7 @@
 	h.advice.Heard(a.Instance, sentAt, advice, true)
 	never := make(chan struct{})
 	switch {
-	case advice.Rest > 0:
+	case advice.Backoff > 0:
 		return &crashResponse{head: &Head{Status: 503, NotRun: true}}, nil
 	case a.PrefillOnly:
 		return &crashResponse{head: &Head{Status: 200}, ctx: ctx, ended: never, events: []string{"handle"}, pause: 10 * time.Millisecond}, nil
@@ -293,7 +293,7 @@
 		arrived.toldLeaving = now
 	}
 	if r.resting {
-		advice.Rest, arrived.turnedAway = r.rest, true
+		advice.Backoff, arrived.turnedAway = r.rest, true
 	}
 	r.arrivals = append(r.arrivals, arrived)
 	return advice, false
--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -113,7 +113,7 @@
 func (d *Dispatcher) noteBroken(ctx context.Context, runner *placement.Runner) {
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		runner.Broken()
-		d.o.Outliers.Silent(runner.Instance.ID)
+		d.o.Outliers.ReportSilent(runner.Instance.ID)
 	}
 }
 
@@ -131,7 +131,7 @@
 	if ctx.Err() != nil || (took < movedWithin && rec.broke()) {
 		return
 	}
-	d.o.Crashes.Broke(runner.Instance, quarantine.Suspect{
+	d.o.Crashes.ReportBroken(runner.Instance, quarantine.Suspect{
 		Digest: rec.digest, RequestID: r.ID, SentAt: d.o.Clock.Now().Add(-took), Settled: answering && took >= quarantine.SettledAfter,
 	})
 }
@@ -145,7 +145,7 @@
 	}
 	runner.Refused()
 	if head.Status == statusMisdirected {
-		d.o.Outliers.Silent(runner.Instance.ID)
+		d.o.Outliers.ReportSilent(runner.Instance.ID)
 	}
 }
 
--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -147,7 +147,7 @@
 // anyBudget allows every repeat.
 type anyBudget struct{}
 
-func (anyBudget) Seen(string) {}
+func (anyBudget) CountRequest(string) {}
 
 func (anyBudget) Allow(string) bool     { return true }
 func (anyBudget) AllowMove(string) bool { return true }
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -33,8 +33,8 @@
 
 // Budget limits further sendings over all hosts.
 type Budget interface {
-	// Seen counts a request of the service; Allow takes a further sending.
-	Seen(service string)
+	// CountRequest counts a request of the service; Allow takes a further sending.
+	CountRequest(service string)
 	Allow(service string) bool
 	// AllowMove takes the sending of a run that goes on at another engine.
 	AllowMove(service string) bool
@@ -63,14 +63,14 @@
 
 // Outliers is told of runners that don't answer.
 type Outliers interface {
-	// Silent doesn't wait.
-	Silent(id state.InstanceID)
+	// ReportSilent doesn't wait.
+	ReportSilent(id state.InstanceID)
 }
 
 // Crashes is told of work that broke off at a runner without its end.
 type Crashes interface {
-	// Broke doesn't wait.
-	Broke(i *state.Instance, w quarantine.Suspect)
+	// ReportBroken doesn't wait.
+	ReportBroken(i *state.Instance, w quarantine.Suspect)
 }
 
 // Quarantine knows the requests that crash what runs them.
@@ -135,7 +135,7 @@
 		d.log(ctx, r, rec, 0, err)
 		return nil, err
 	}
-	d.o.Budget.Seen(r.Service)
+	d.o.Budget.CountRequest(r.Service)
 	if r.Generation != nil {
 		d.sizes.note(r.Service, r.Generation.PromptTokens)
 	}
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -174,7 +174,7 @@
 // countingBudget allows a number of repeats.
 type countingBudget struct{ left int }
 
-func (b *countingBudget) Seen(string) {}
+func (b *countingBudget) CountRequest(string) {}
 
 func (b *countingBudget) AllowMove(service string) bool { return b.Allow(service) }
 
@@ -250,8 +250,8 @@
 	ids []state.InstanceID
 }
 
-// Silent implements Outliers.
-func (s *silentRunners) Silent(id state.InstanceID) {
+// ReportSilent implements Outliers.
+func (s *silentRunners) ReportSilent(id state.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.ids = append(s.ids, id)
@@ -282,8 +282,8 @@
 	work []quarantine.Suspect
 }
 
-// Broke implements Crashes.
-func (b *brokenWork) Broke(_ *state.Instance, w quarantine.Suspect) {
+// ReportBroken implements Crashes.
+func (b *brokenWork) ReportBroken(_ *state.Instance, w quarantine.Suspect) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.work = append(b.work, w)
--- a/coordination/forward/resting_test.go
+++ b/coordination/forward/resting_test.go
@@ -63,7 +63,7 @@
 	generating := []string{"d1", "d2", "d3", "d4", "d5"}
 	reading := []string{"p1", "p2", "p3", "p4", "p5"}
 	event := []reply{{status: 200, events: true, body: "id: 1\n\n"}}
-	rest := func(d time.Duration) backpressure.Advice { return backpressure.Advice{Rest: d} }
+	rest := func(d time.Duration) backpressure.Advice { return backpressure.Advice{Backoff: d} }
 	for name, c := range map[string]struct {
 		request *Request
 		who     []string
@@ -118,7 +118,7 @@
 		is := is.New(t)
 		w := newWorld(t, plenty)
 		for range 5 {
-			w.ask(backpressure.Advice{Rest: 100 * time.Millisecond}, "s1")
+			w.ask(backpressure.Advice{Backoff: 100 * time.Millisecond}, "s1")
 			w.noteRefused(w.fleet.Runner(state.InstanceID{Name: "s1"}), &Head{Status: 503, NotRun: true})
 			time.Sleep(time.Second)
 		}
@@ -159,8 +159,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty)
-		w.ask(backpressure.Advice{Rest: 9 * time.Second}, "s1", "s2", "s4", "s5")
-		w.ask(backpressure.Advice{Rest: 3 * time.Second}, "s3")
+		w.ask(backpressure.Advice{Backoff: 9 * time.Second}, "s1", "s2", "s4", "s5")
+		w.ask(backpressure.Advice{Backoff: 3 * time.Second}, "s3")
 		rec := &record{}
 		_, err := w.pick(t.Context(), request(state.RouteSafe, 2, false), rec, time.Now().Add(time.Second))
 		is.True(err != nil)
--- a/coordination/forward/split.go
+++ b/coordination/forward/split.go
@@ -119,7 +119,7 @@
 		// a prompt isn't read in its time says nothing of an engine that reads others.
 		if (ctx.Err() == nil || p.dark.Load()) && !failed.Withheld {
 			runner.Broken()
-			d.o.Outliers.Silent(runner.Instance.ID)
+			d.o.Outliers.ReportSilent(runner.Instance.ID)
 			if failed.Sent {
 				d.noteWork(outer, r, runner, rec, took, false)
 			}
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -87,8 +87,8 @@
 	return &Detector{o: o, ctx: ctx, reported: map[state.InstanceID]time.Time{}, watched: map[state.InstanceID]bool{}}, nil
 }
 
-// Silent notes that this host hears nothing of a runner. It doesn't wait.
-func (d *Detector) Silent(id state.InstanceID) {
+// ReportSilent notes that this host hears nothing of a runner. It doesn't wait.
+func (d *Detector) ReportSilent(id state.InstanceID) {
 	owner := d.o.Owner(id)
 	if owner == "" || !d.mayReport(id) {
 		return
--- a/coordination/outlier/outlier_test.go
+++ b/coordination/outlier/outlier_test.go
@@ -89,7 +89,7 @@
 		w := newWorld(t, 10, owner, "h")
 		w.set(runner(1), true)
 		began := time.Now()
-		w.hosts["h"].Silent(runner(1))
+		w.hosts["h"].ReportSilent(runner(1))
 		time.Sleep(4 * time.Second)
 		w.set(runner(1), false)
 		time.Sleep(time.Second)
@@ -113,7 +113,7 @@
 		w := newWorld(t, 10, owner, "h")
 		w.cut["h"] = true
 		for i := range 10 {
-			w.hosts["h"].Silent(runner(i))
+			w.hosts["h"].ReportSilent(runner(i))
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -129,7 +129,7 @@
 		w := newWorld(t, 10, owner, "h")
 		w.cut[owner] = true
 		for i := range 10 {
-			w.hosts["h"].Silent(runner(i))
+			w.hosts["h"].ReportSilent(runner(i))
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
@@ -147,8 +147,8 @@
 		is := is.New(t)
 		w := newWorld(t, 10, owner, "h", "i")
 		for range 100 {
-			w.hosts["h"].Silent(runner(1)) // its answers are lost, but it is there
-			w.hosts["i"].Silent(runner(1))
+			w.hosts["h"].ReportSilent(runner(1)) // its answers are lost, but it is there
+			w.hosts["i"].ReportSilent(runner(1))
 			time.Sleep(10 * time.Millisecond)
 		}
 		synctest.Wait()
@@ -163,7 +163,7 @@
 		is := is.New(t)
 		w := newWorld(t, 0, owner)
 		w.set(runner(1), true)
-		w.hosts[owner].Silent(runner(1))
+		w.hosts[owner].ReportSilent(runner(1))
 		time.Sleep(time.Second)
 		synctest.Wait()
 		is.Equal(w.asked, 1)
--- a/coordination/replay/call.go
+++ b/coordination/replay/call.go
@@ -56,7 +56,7 @@
 	f := c.host.fleet
 	c.deadline = f.loop.Now().Add(c.class.Deadline)
 	c.expected = c.host.outputs.Expected(c.request.Customer, c.request.Class, c.class.MaxTokens)
-	c.host.budget.Seen(service)
+	c.host.budget.CountRequest(service)
 	f.loop.after(c.class.Deadline, c.leave)
 	q := c.query(route.PartWhole)
 	c.work = snapshot.Work{
--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -71,8 +71,8 @@
 	return &Budget{o: o, buckets: map[string]*bucket{}}, nil
 }
 
-// Seen counts one request of the service (not a retry) and saves its share.
-func (b *Budget) Seen(service string) {
+// CountRequest counts one request of the service (not a retry) and saves its share.
+func (b *Budget) CountRequest(service string) {
 	share := b.o.Share(service)
 	if share <= 0 {
 		share = b.o.DefaultShare
--- a/coordination/retry/repeats.go
+++ b/coordination/retry/repeats.go
@@ -14,10 +14,10 @@
 // allowed, as when they wait for a place.
 func NewRepeats(steady *Budget, window *WindowBudget) *Repeats { return &Repeats{steady, window} }
 
-// Seen notes a request of the service.
-func (r *Repeats) Seen(service string) {
-	r.steady.Seen(service)
-	r.window.Seen(service)
+// CountRequest notes a request of the service.
+func (r *Repeats) CountRequest(service string) {
+	r.steady.CountRequest(service)
+	r.window.CountRequest(service)
 }
 
 // Allow takes an ordinary repeat.
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -61,7 +61,7 @@
 			is := is.New(t)
 			b, _ := newBudget(t, BudgetOptions{Share: func(string) float64 { return tt.share }})
 			for range tt.requests {
-				b.Seen("llm")
+				b.CountRequest("llm")
 			}
 			n := allowed(b, "llm")
 			is.True(n >= tt.want-1 && n <= tt.want) // adding up a tenth rounds
@@ -76,7 +76,7 @@
 	const seconds, rate = 60, 100
 	for range seconds * rate { // every request fails and asks for a retry
 		clock.now = clock.now.Add(time.Second / rate)
-		b.Seen("llm")
+		b.CountRequest("llm")
 		if b.Allow("llm") {
 			retries++
 		}
@@ -98,7 +98,7 @@
 	is := is.New(t)
 	b, _ := newBudget(t, BudgetOptions{MaxServices: 8})
 	for i := range 1000 {
-		b.Seen(fmt.Sprint("service-", i))
+		b.CountRequest(fmt.Sprint("service-", i))
 	}
 	is.True(len(b.buckets) <= 9) // one is shared by those beyond the bound
 }
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -50,8 +50,8 @@
 	return &WindowBudget{o: o, services: map[string]*counts{}}, nil
 }
 
-// Seen notes a request of the service.
-func (b *WindowBudget) Seen(service string) {
+// CountRequest notes a request of the service.
+func (b *WindowBudget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.counts(service)
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -37,7 +37,7 @@
 		is := is.New(t)
 		b := newWindow(t, 1.7)
 		for range 60 {
-			b.Seen("llm")
+			b.CountRequest("llm")
 			time.Sleep(testWindow / 60)
 		}
 		allowed := 0
@@ -67,7 +67,7 @@
 				if rng.IntN(200) == 0 {
 					rate = 1 + rng.IntN(50)
 				}
-				b.Seen("llm")
+				b.CountRequest("llm")
 				requests = append(requests, time.Now())
 				for range rng.IntN(4) {
 					if b.Allow("llm") {
@@ -114,7 +114,7 @@
 		b := NewRepeats(steady, newWindow(t, 1.7))
 		ordinary := 0
 		for range 300 {
-			b.Seen("llm")
+			b.CountRequest("llm")
 			for b.Allow("llm") {
 				ordinary++
 			}
@@ -123,7 +123,7 @@
 		is.True(float64(ordinary) <= testShare*300+1.7/2*5+1) // never what a burst of them saved up
 		b, quiet := NewRepeats(steady, newWindow(t, 1.7)), 0
 		for range 60 {
-			b.Seen("llm")
+			b.CountRequest("llm")
 			time.Sleep(testWindow / 60)
 		}
 		for b.AllowMove("llm") {
--- a/coordination/route/router.go
+++ b/coordination/route/router.go
@@ -36,9 +36,9 @@
 	Seed uint64
 	// Breakers is optional.
 	Breakers Breakers
-	// RestsUntil is the end of the rest that a runner asked for; zero if it wants none.
+	// BackoffUntil is the end of the rest that a runner asked for; zero if it wants none.
 	// Optional.
-	RestsUntil func(r *snapshot.Runner) time.Time
+	BackoffUntil func(r *snapshot.Runner) time.Time
 	// Scorers are added to the built-in ones, for example an operator's policy.
 	Scorers []Scorer
 	// CacheEntries bounds the index of prompt prefixes; default 32768.
@@ -83,7 +83,7 @@
 	}
 	o.setDefaults()
 	r := &Router{
-		clock: o.Clock, seed: o.Seed, breaker: breakerReady{o.Breakers}, awake: awake{o.RestsUntil}, retry: o.RetryAfter,
+		clock: o.Clock, seed: o.Seed, breaker: breakerReady{o.Breakers}, awake: awake{o.BackoffUntil}, retry: o.RetryAfter,
 		defaults: o.Defaults, cache: newCacheIndex(o.CacheEntries),
 	}
 	r.engine = append([]Scorer{cachedPrefix{o.LoadBound}, predictedTime{}, considerate{o.DelayShare}, nearDomain{o.FarPenalty}}, o.Scorers...)
--- a/coordination/route/router_test.go
+++ b/coordination/route/router_test.go
@@ -281,7 +281,7 @@
 func TestRunnersAtRestAreNotChosen(t *testing.T) {
 	is := is.New(t)
 	rest := map[string]time.Duration{"engine-0000": 3 * time.Second, "engine-0001": 2 * time.Second}
-	r, err := New(Options{Clock: fixedClock{}, Seed: 1, RestsUntil: func(n *snapshot.Runner) time.Time {
+	r, err := New(Options{Clock: fixedClock{}, Seed: 1, BackoffUntil: func(n *snapshot.Runner) time.Time {
 		if d := rest[n.Name]; d > 0 {
 			return epoch.Add(d)
 		}
--- a/ctl/show.go
+++ b/ctl/show.go
@@ -89,8 +89,8 @@
 		return "unhealthy"
 	case u.Breaker != "closed":
 		return "breaker " + u.Breaker
-	case u.RestMillis > 0:
-		return fmt.Sprintf("rests %d ms", u.RestMillis)
+	case u.BackoffMillis > 0:
+		return fmt.Sprintf("rests %d ms", u.BackoffMillis)
 	}
 	return "ok"
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -155,18 +155,18 @@
 	if err != nil {
 		return err
 	}
-	d.upstream, err = upstreams.New(upstreams.Options{Rest: d.rests})
+	d.upstream, err = upstreams.New(upstreams.Options{Backoff: d.rests})
 	return err
 }
 
 // rests notes that a run of an upstream wants no work of this host for so long. Limits, and that
 // it leaves, are no part of what upstreams say in their answers: the list tells of the latter.
 func (d *Daemon) rests(u state.Upstream, rest time.Duration) {
-	d.advice.Heard(runOf(u), d.clock.Now(), backpressure.Advice{Rest: rest}, true)
+	d.advice.Heard(runOf(u), d.clock.Now(), backpressure.Advice{Backoff: rest}, true)
 }
 
 func (d *Daemon) restsUntil(r *snapshot.Runner) time.Time {
-	return d.advice.RestsUntil(runOf(r.Upstream).ID)
+	return d.advice.BackoffUntil(runOf(r.Upstream).ID)
 }
 
 // newRand returns a random source of its own for one component.
--- a/daemon/decisions.go
+++ b/daemon/decisions.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r, err := route.New(route.Options{Clock: d.clock, Seed: d.rnd.Uint64(), Breakers: breakers, RestsUntil: d.restsUntil, Scorers: []route.Scorer{policy.NewScorer(&d.policies.holder)}})
+	r, err := route.New(route.Options{Clock: d.clock, Seed: d.rnd.Uint64(), Breakers: breakers, BackoffUntil: d.restsUntil, Scorers: []route.Scorer{policy.NewScorer(&d.policies.holder)}})
 	if err != nil {
 		return nil, err
 	}
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -91,9 +91,9 @@
 // brokenWork implements dispatch.Crashes.
 type brokenWork struct{ d *Daemon }
 
-// Broke implements dispatch.Crashes.
-func (b brokenWork) Broke(u state.Upstream, s quarantine.Suspect) {
-	b.d.crashes.Broke(runOf(u), s)
+// ReportBroken implements dispatch.Crashes.
+func (b brokenWork) ReportBroken(u state.Upstream, s quarantine.Suspect) {
+	b.d.crashes.ReportBroken(runOf(u), s)
 }
 
 // runOf is a run of an upstream, which is told apart by its incarnation.
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -130,7 +130,7 @@
 	h.metrics.gauge("thymerack_quarantined", func() float64 { return float64(h.quarantine.Size()) })
 	h.metrics.gauge(`thymerack_runners_asking{what="limit"}`, func() float64 { return float64(h.advice.Count().Limited) })
 	h.metrics.gauge(`thymerack_runners_asking{what="leaving"}`, func() float64 { return float64(h.advice.Count().Leaving) })
-	h.metrics.gauge(`thymerack_runners_asking{what="rest"}`, func() float64 { return float64(h.advice.Count().Resting) })
+	h.metrics.gauge(`thymerack_runners_asking{what="rest"}`, func() float64 { return float64(h.advice.Count().BackingOff) })
 	h.metrics.gauge("thymerack_log_lines_dropped_total", func() float64 { return float64(h.o.LinesDropped()) })
 }
 
--- a/protocol/operatorapi/operatorapi.go
+++ b/protocol/operatorapi/operatorapi.go
@@ -66,8 +66,8 @@
 	Unhealthy bool             `json:"unhealthy"`
 	// Breaker is closed, half-open or open.
 	Breaker string `json:"breaker"`
-	// RestMillis is how much longer it wants nothing of this host; 0 for no rest.
-	RestMillis int64 `json:"rest_ms"`
+	// BackoffMillis is how much longer it wants nothing of this host; 0 for no rest.
+	BackoffMillis int64 `json:"rest_ms"`
 	// InFlight is this host's, PeersInFlight the other hosts' requests there.
 	InFlight             int64 `json:"in_flight"`
 	PeersInFlight        int64 `json:"peers_in_flight"`
--- a/transport/upstreams/errors.go
+++ b/transport/upstreams/errors.go
@@ -87,8 +87,8 @@
 // refused tells for how long an upstream that refused work wants none.
 func (c *Client) refused(u state.Upstream, err *upstream.SendError) *upstream.SendError {
 	var answered *StatusError
-	if c.opts.Rest != nil && err.Refused && errors.As(err.Cause, &answered) && answered.RetryAfter > 0 {
-		c.opts.Rest(u, answered.RetryAfter)
+	if c.opts.Backoff != nil && err.Refused && errors.As(err.Cause, &answered) && answered.RetryAfter > 0 {
+		c.opts.Backoff(u, answered.RetryAfter)
 	}
 	return err
 }
--- a/transport/upstreams/options.go
+++ b/transport/upstreams/options.go
@@ -67,9 +67,9 @@
 	MaxEventBytes int
 	// MaxControlBytes bounds every other answer.
 	MaxControlBytes int
-	// Rest is told when an upstream refuses work and says for how long it wants none; nil
+	// Backoff is told when an upstream refuses work and says for how long it wants none; nil
 	// if nobody asks.
-	Rest func(u state.Upstream, rest time.Duration)
+	Backoff func(u state.Upstream, rest time.Duration)
 	// Dial replaces the TCP dialler; nil means TCP.
 	Dial httpclient.DialFunc
 }
--- a/transport/upstreams/services_test.go
+++ b/transport/upstreams/services_test.go
@@ -79,7 +79,7 @@
 	for attempt, refused := range map[string]bool{"": true, "a1": true, "a2": false} {
 		is := is.New(t)
 		rests := time.Duration(0)
-		_, c := serveWith(t, Options{Rest: func(_ state.Upstream, d time.Duration) { rests += d }}, func(ctx *fasthttp.RequestCtx) {
+		_, c := serveWith(t, Options{Backoff: func(_ state.Upstream, d time.Duration) { rests += d }}, func(ctx *fasthttp.RequestCtx) {
 			if attempt != "" {
 				ctx.Response.Header.Set(engineapi.HeaderAttempt, attempt)
 			}
