--- a/coordination/backpressure/registry.go
+++ b/coordination/backpressure/registry.go
@@ -38,15 +38,15 @@
 
 // Observer counts advices.
 type Observer interface {
-	Advised(service string, k Kind)
+	ObserveAdvice(service string, k Kind)
 }
 
 // Notice is what a run asks of all hosts, told by one that heard it.
 type Notice struct {
 	Instance state.InstanceID
 	Service  string
-	// What is KindLimit, with the limit, KindLifted or KindLeaving.
-	What  Kind
+	// Kind is KindLimit, with the limit, KindLifted or KindLeaving.
+	Kind  Kind
 	Limit float64
 }
 
@@ -55,10 +55,10 @@
 	Clock    state.Clock
 	Log      *slog.Logger
 	Observer Observer
-	// Tell tells all hosts; this one may hear it too. It must not wait.
-	Tell func(Notice)
-	// Left is called when it becomes known that a run leaves. It may ask the registry.
-	Left func()
+	// Broadcast tells all hosts; this one may hear it too. It must not wait.
+	Broadcast func(Notice)
+	// OnLeaving is called when it becomes known that a run leaves. It may ask the registry.
+	OnLeaving func()
 }
 
 // Registry is what this host knows of the runners' advices. It is safe for concurrent use, and
@@ -100,7 +100,7 @@
 
 // New validates the options.
 func New(o Options) (*Registry, error) {
-	if o.Clock == nil || o.Log == nil || o.Observer == nil || o.Tell == nil || o.Left == nil {
+	if o.Clock == nil || o.Log == nil || o.Observer == nil || o.Broadcast == nil || o.OnLeaving == nil {
 		return nil, errors.New("backpressure: a field of Options is nil; set all of them")
 	}
 	r := &Registry{o: o}
@@ -108,20 +108,20 @@
 	return r, nil
 }
 
-// Heard takes what an answer of a run asks. sentAt is when its request left this host. An
+// Record takes what an answer of a run asks. sentAt is when its request left this host. An
 // answer to a call of the system's own that names no limit doesn't lift one: only requests are
 // what a limit counts.
-func (r *Registry) Heard(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) {
+func (r *Registry) Record(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) {
 	if !a.asks() && r.run(i.ID) == nil {
 		return
 	}
 	left := false
 	for _, n := range r.heard(i, sentAt, a, ofRequest) {
-		r.o.Tell(n)
-		left = left || n.What == KindLeaving
+		r.o.Broadcast(n)
+		left = left || n.Kind == KindLeaving
 	}
 	if left {
-		r.o.Left()
+		r.o.OnLeaving()
 	}
 }
 
@@ -170,10 +170,10 @@
 	return true
 }
 
-// Take takes what another host heard. What this one has just heard itself goes before it.
-func (r *Registry) Take(n Notice) {
+// HandleNotice takes what another host heard. What this one has just heard itself goes before it.
+func (r *Registry) HandleNotice(n Notice) {
 	if r.take(n) {
-		r.o.Left()
+		r.o.OnLeaving()
 	}
 }
 
@@ -185,7 +185,7 @@
 	known := r.entry(n.Instance, n.Service, now)
 	before := known.limit.Load()
 	own := before != nil && now.Sub(before.ownAt) < ownWord
-	switch n.What {
+	switch n.Kind {
 	case KindLimit:
 		known.toldAt = now
 		if !own {
@@ -249,14 +249,14 @@
 		attrs = append(attrs, "before", before.rate)
 	}
 	r.o.Log.Info("runner names a limit", attrs...)
-	r.o.Observer.Advised(known.service, KindLimit)
+	r.o.Observer.ObserveAdvice(known.service, KindLimit)
 }
 
 // lift ends a limit that isn't named any more.
 func (r *Registry) lift(id state.InstanceID, known *run) {
 	before := known.limit.Swap(nil)
 	r.o.Log.Info("runner names no limit any more", "instance", id, "service", known.service, "before", before.rate, "heard_last", r.o.Clock.Now().Sub(before.heardAt))
-	r.o.Observer.Advised(known.service, KindLifted)
+	r.o.Observer.ObserveAdvice(known.service, KindLifted)
 }
 
 // leaves notes that a run leaves, and reports whether that is news. It has no way back: a
@@ -266,7 +266,7 @@
 		return false
 	}
 	r.o.Log.Info("runner says that it leaves", "instance", id, "service", known.service, "heard_of", by)
-	r.o.Observer.Advised(known.service, KindLeaving)
+	r.o.Observer.ObserveAdvice(known.service, KindLeaving)
 	return true
 }
 
@@ -280,7 +280,7 @@
 	known.restUntil.Store(&until)
 	known.trialUntil.Store(nil)
 	known.unproven.Store(true)
-	r.o.Observer.Advised(i.Service, KindBackoff)
+	r.o.Observer.ObserveAdvice(i.Service, KindBackoff)
 	if before == nil || now.After(*before) {
 		r.o.Log.Info("runner asks for rest", "instance", i.ID, "service", i.Service, "for", rest)
 	}
@@ -288,7 +288,7 @@
 
 func (r *Registry) unreadable(i *state.Instance, known *run, now time.Time, fields []Field) {
 	for _, f := range fields {
-		r.o.Observer.Advised(i.Service, KindUnreadable)
+		r.o.Observer.ObserveAdvice(i.Service, KindUnreadable)
 		if known.unreadableAt.IsZero() || now.Sub(known.unreadableAt) >= unreadableEvery {
 			known.unreadableAt = now
 			r.o.Log.Warn("advice of a runner not readable; what was known of it holds, see its version", "instance", i.ID, "service", i.Service, "field", f.Name, "value", f.Value)
@@ -296,8 +296,8 @@
 	}
 }
 
-// Listed takes the runs of the present list, and forgets those that it has lacked for long.
-func (r *Registry) Listed(list []state.Instance) {
+// UpdateListed takes the runs of the present list, and forgets those that it has lacked for long.
+func (r *Registry) UpdateListed(list []state.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(*r.runs.Load()) == 0 {
--- a/coordination/backpressure/registry_test.go
+++ b/coordination/backpressure/registry_test.go
@@ -18,8 +18,8 @@
 // counts counts advices by kind.
 type counts map[Kind]int
 
-// Advised implements Observer.
-func (c counts) Advised(_ string, k Kind) { c[k]++ }
+// ObserveAdvice implements Observer.
+func (c counts) ObserveAdvice(_ string, k Kind) { c[k]++ }
 
 // world is a registry with what it logs and counts.
 type world struct {
@@ -34,7 +34,7 @@
 	t.Helper()
 	w := &world{log: &bytes.Buffer{}, counts: counts{}}
 	var err error
-	w.Registry, err = New(Options{Clock: clocktest.Bubble{}, Log: slog.New(slog.NewTextHandler(w.log, nil)), Observer: w.counts, Tell: func(n Notice) { w.told = append(w.told, n) }, Left: func() { w.left++ }})
+	w.Registry, err = New(Options{Clock: clocktest.Bubble{}, Log: slog.New(slog.NewTextHandler(w.log, nil)), Observer: w.counts, Broadcast: func(n Notice) { w.told = append(w.told, n) }, OnLeaving: func() { w.left++ }})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,7 +42,7 @@
 }
 
 // hear takes an answer to a request that was sent just now.
-func (w *world) hear(i *state.Instance, a Advice) { w.Heard(i, time.Now(), a, true) }
+func (w *world) hear(i *state.Instance, a Advice) { w.Record(i, time.Now(), a, true) }
 
 func instance(name string, born int64) *state.Instance {
 	return &state.Instance{ID: state.InstanceID{Name: name, Born: born}, Service: "s"}
@@ -81,9 +81,9 @@
 		time.Sleep(time.Second)
 		w.hear(i, Advice{Limited: true, Limit: 8})
 		time.Sleep(time.Second)
-		w.Heard(i, early, Advice{}, true)
+		w.Record(i, early, Advice{}, true)
 		is.Equal(w.Count().Limited, 1)
-		w.Heard(i, time.Now(), Advice{}, false) // a call of the system's own
+		w.Record(i, time.Now(), Advice{}, false) // a call of the system's own
 		is.Equal(w.Count().Limited, 1)
 		w.hear(i, Advice{Unreadable: []Field{{"limit", "-"}}})
 		is.Equal(w.Count().Limited, 1)
@@ -131,14 +131,14 @@
 		w.hear(i, Advice{Leaving: true})
 		for range 5 {
 			time.Sleep(keepUnlisted / 2)
-			w.Listed([]state.Instance{*i})
+			w.UpdateListed([]state.Instance{*i})
 		}
-		w.Listed(nil)
+		w.UpdateListed(nil)
 		time.Sleep(keepUnlisted / 2)
-		w.Listed(nil)
+		w.UpdateListed(nil)
 		is.True(w.Leaving(i.ID))
 		time.Sleep(keepUnlisted)
-		w.Listed(nil)
+		w.UpdateListed(nil)
 		is.True(!w.Leaving(i.ID))
 		for n := range mostRuns + 10 {
 			w.hear(instance(fmt.Sprint("run-", n), 1), Advice{Leaving: true})
@@ -180,24 +180,24 @@
 		is := is.New(t)
 		w := newWorld(t)
 		i := instance("a", 1)
-		w.Take(Notice{i.ID, "s", KindLimit, 8})
+		w.HandleNotice(Notice{i.ID, "s", KindLimit, 8})
 		rate, limited := w.Limit(i.ID)
 		is.True(limited)
 		is.Equal(rate, 8.0)
 		time.Sleep(time.Second)
 		w.hear(i, Advice{Limited: true, Limit: 9})
 		w.told = nil
-		w.Take(Notice{i.ID, "s", KindLimit, 8})
-		w.Take(Notice{i.ID, "s", KindLifted, 0})
+		w.HandleNotice(Notice{i.ID, "s", KindLimit, 8})
+		w.HandleNotice(Notice{i.ID, "s", KindLifted, 0})
 		rate, _ = w.Limit(i.ID)
 		is.Equal(rate, 9.0) // its own word
 		time.Sleep(time.Second)
-		w.Take(Notice{i.ID, "s", KindLifted, 0})
+		w.HandleNotice(Notice{i.ID, "s", KindLifted, 0})
 		_, limited = w.Limit(i.ID)
 		is.True(!limited)
-		w.Take(Notice{i.ID, "s", KindLeaving, 0})
+		w.HandleNotice(Notice{i.ID, "s", KindLeaving, 0})
 		is.True(w.Leaving(i.ID))
-		w.Take(Notice{i.ID, "s", "something new", 0})
+		w.HandleNotice(Notice{i.ID, "s", "something new", 0})
 		is.Equal(len(w.told), 0)
 	})
 }
@@ -219,9 +219,9 @@
 		is.True(!w.OpensAt(i.ID).IsZero()) // it isn't chosen meanwhile
 		time.Sleep(trialFor)
 		is.True(w.AllowTrial(i.ID)) // the first one was lost
-		w.Heard(i, sentAt.Add(-2*time.Second), Advice{}, true)
+		w.Record(i, sentAt.Add(-2*time.Second), Advice{}, true)
 		is.True(w.AwaitsTrial(i.ID)) // asked for before the rest
-		w.Heard(i, sentAt, Advice{}, true)
+		w.Record(i, sentAt, Advice{}, true)
 		is.True(!w.AwaitsTrial(i.ID))
 		is.True(w.OpensAt(i.ID).IsZero())
 		is.True(w.AllowTrial(i.ID))
--- a/coordination/crash/crash.go
+++ b/coordination/crash/crash.go
@@ -30,13 +30,13 @@
 	lateFor = 2 * time.Second
 )
 
-// Fate is what became of a run of a runner.
-type Fate int
+// RunStatus is what became of a run of a runner.
+type RunStatus int
 
 // The fates of a run.
 const (
 	// Silent runs say nothing: they may be cut off, stand still or be gone.
-	Silent Fate = iota
+	Silent RunStatus = iota
 	// Alive runs answer.
 	Alive
 	// Ended runs are over: nobody listens at their address, or another run does.
@@ -54,12 +54,12 @@
 // Options configure a Detector. All fields are required.
 type Options struct {
 	// Probe asks a run whether it is there.
-	Probe func(ctx context.Context, i *state.Instance) Fate
+	Probe func(ctx context.Context, i *state.Instance) RunStatus
 	// Listed reports whether the list has the run, and not as one that leaves. Replaced
 	// reports whether the list has another run at its address.
 	Listed, Replaced func(i *state.Instance) bool
-	// Crashed is called with each crash, and again with work that is found later.
-	Crashed func(Report)
+	// OnCrash is called with each crash, and again with work that is found later.
+	OnCrash func(Report)
 	Clock   state.Clock
 	Log     *slog.Logger
 }
@@ -84,7 +84,7 @@
 
 // New validates the options. Questions end with ctx.
 func New(ctx context.Context, o Options) (*Detector, error) {
-	if o.Probe == nil || o.Listed == nil || o.Replaced == nil || o.Crashed == nil || o.Clock == nil || o.Log == nil {
+	if o.Probe == nil || o.Listed == nil || o.Replaced == nil || o.OnCrash == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("crash: a field of Options is missing; set all of them")
 	}
 	return &Detector{o: o, ctx: ctx, runs: map[state.InstanceID]*inquiry{}}, nil
@@ -127,7 +127,7 @@
 }
 
 // fate asks until the run answers or is known to have ended.
-func (d *Detector) fate(i *state.Instance) Fate {
+func (d *Detector) fate(i *state.Instance) RunStatus {
 	for began := d.o.Clock.Now(); d.o.Clock.Now().Sub(began) < askFor; {
 		if d.o.Replaced(i) {
 			return Ended
@@ -142,7 +142,7 @@
 	return Silent
 }
 
-func (d *Detector) probe(i *state.Instance) Fate {
+func (d *Detector) probe(i *state.Instance) RunStatus {
 	ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
 	defer cancel()
 	return d.o.Probe(ctx, i)
@@ -158,7 +158,7 @@
 		return
 	}
 	d.o.Log.Info("runner crashed", "instance", q.instance.ID, "service", q.instance.Service, "late", late, "requests", len(suspects), "suspects", describe(suspects))
-	d.o.Crashed(Report{Instance: q.instance, Suspects: suspects, Late: late})
+	d.o.OnCrash(Report{Instance: q.instance, Suspects: suspects, Late: late})
 }
 
 func (d *Detector) forget(q *inquiry) {
--- a/coordination/crash/crash_test.go
+++ b/coordination/crash/crash_test.go
@@ -20,7 +20,7 @@
 type world struct {
 	*Detector
 	mu       sync.Mutex
-	fate     Fate
+	fate     RunStatus
 	listed   bool
 	replaced bool
 	probes   int
@@ -29,14 +29,14 @@
 
 var runner = &state.Instance{ID: state.InstanceID{Name: "r", Born: 1}, Service: "model", Addr: "r:1"}
 
-func newWorld(t *testing.T, fate Fate) *world {
+func newWorld(t *testing.T, fate RunStatus) *world {
 	t.Helper()
 	w := &world{fate: fate, listed: true}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var err error
 	w.Detector, err = New(ctx, Options{
-		Probe: func(ctx context.Context, _ *state.Instance) Fate {
+		Probe: func(ctx context.Context, _ *state.Instance) RunStatus {
 			w.mu.Lock()
 			w.probes++
 			f := w.fate
@@ -48,7 +48,7 @@
 		},
 		Listed:   func(*state.Instance) bool { return read(w, &w.listed) },
 		Replaced: func(*state.Instance) bool { return read(w, &w.replaced) },
-		Crashed: func(r Report) {
+		OnCrash: func(r Report) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
 			w.reports = append(w.reports, r)
@@ -107,7 +107,7 @@
 
 func TestOtherEndsAreNoCrash(t *testing.T) {
 	for name, c := range map[string]struct {
-		fate    Fate
+		fate    RunStatus
 		then    func(w *world) // after a second
 		crashes int
 	}{
--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -165,8 +165,8 @@
 
 func (noQuarantine) Answered(quarantine.Digest) {}
 
-// Advised implements backpressure.Observer.
-func (noObserver) Advised(string, backpressure.Kind) {}
+// ObserveAdvice implements backpressure.Observer.
+func (noObserver) ObserveAdvice(string, backpressure.Kind) {}
 
 // listHosts lists the hosts that are there.
 func (f *advisedFleet) listHosts() {
@@ -192,7 +192,7 @@
 	f.mu.Unlock()
 	for _, h := range f.hosts {
 		h.update()
-		h.advice.Listed(list)
+		h.advice.UpdateListed(list)
 	}
 }
 
@@ -254,7 +254,7 @@
 	if misdirected {
 		return &crashResponse{head: &Head{Status: statusMisdirected, NotRun: true}}, nil
 	}
-	h.advice.Heard(a.Instance, sentAt, advice, true)
+	h.advice.Record(a.Instance, sentAt, advice, true)
 	never := make(chan struct{})
 	switch {
 	case advice.Backoff > 0:
--- a/coordination/forward/advised_peers_test.go
+++ b/coordination/forward/advised_peers_test.go
@@ -25,7 +25,7 @@
 		}
 		f.mu.Unlock()
 		for _, to := range reached {
-			to.advice.Take(n)
+			to.advice.HandleNotice(n)
 		}
 	})
 }
--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -128,7 +128,7 @@
 		Probe:    up.probe,
 		Listed:   func(i *state.Instance) bool { return h.fleet.Has(i.ID) },
 		Replaced: h.fleet.Replaced,
-		Crashed:  func(r crash.Report) { h.Note(r.Instance.ID, time.Now(), r.Suspects) },
+		OnCrash:  func(r crash.Report) { h.Note(r.Instance.ID, time.Now(), r.Suspects) },
 		Clock:    clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
@@ -255,7 +255,7 @@
 	return &crashResponse{head: &Head{Status: 200, Events: true, Sealed: true}, ctx: ctx, ended: ended, events: []string{"id: 1\n\n", "id: 2\n\n"}, pause: 20 * time.Millisecond}, nil
 }
 
-func (u *crashUpstream) probe(_ context.Context, i *state.Instance) crash.Fate {
+func (u *crashUpstream) probe(_ context.Context, i *state.Instance) crash.RunStatus {
 	f, e := u.h.f, u.h.f.engine(i.ID.Name)
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -335,7 +335,7 @@
 
 func newAdvice(t *testing.T, clock state.Clock, tell func(backpressure.Notice), left func()) *backpressure.Registry {
 	t.Helper()
-	advice, err := backpressure.New(backpressure.Options{Clock: clock, Log: slog.New(slog.DiscardHandler), Observer: noObserver{}, Tell: tell, Left: left})
+	advice, err := backpressure.New(backpressure.Options{Clock: clock, Log: slog.New(slog.DiscardHandler), Observer: noObserver{}, Broadcast: tell, OnLeaving: left})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/coordination/forward/resting_test.go
+++ b/coordination/forward/resting_test.go
@@ -51,7 +51,7 @@
 // ask has the runners of these names ask for something by an answer.
 func (w *world) ask(a backpressure.Advice, names ...string) {
 	for _, name := range names {
-		w.advice.Heard(&state.Instance{ID: state.InstanceID{Name: name}, Service: "s"}, time.Now(), a, true)
+		w.advice.Record(&state.Instance{ID: state.InstanceID{Name: name}, Service: "s"}, time.Now(), a, true)
 	}
 }
 
--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -33,8 +33,8 @@
 	mostSilent = 0.25
 )
 
-// Listed is a host as its entry in the list says.
-type Listed struct {
+// Entry is a host as its entry in the list says.
+type Entry struct {
 	state.Peer
 	// Name and Version are the entry's.
 	Name    string
@@ -49,24 +49,24 @@
 	PingVia(ctx context.Context, helper, addr string) error
 }
 
-// Options configure a Looker. All fields are required.
+// Options configure a Monitor. All fields are required.
 type Options struct {
 	Self state.Peer
 	// Hosts lists all hosts, this one too.
-	Hosts func() []Listed
-	// LooksAfter reports whether this host looks after the one at addr, of its domain.
-	LooksAfter func(addr string) bool
-	// HeardAt is when a host asked this one for something; zero if never.
-	HeardAt func(addr string) time.Time
-	Peers   Peers
+	Hosts func() []Entry
+	// Monitors reports whether this host looks after the one at addr, of its domain.
+	Monitors func(addr string) bool
+	// LastContact is when a host asked this one for something; zero if never.
+	LastContact func(addr string) time.Time
+	Peers       Peers
 	// Remove takes an entry of that version out of the list.
-	Remove func(ctx context.Context, h Listed) error
+	Remove func(ctx context.Context, h Entry) error
 	Clock  state.Clock
 	Log    *slog.Logger
 }
 
-// Looker looks after the hosts of one domain. It is not safe for concurrent use.
-type Looker struct {
+// Monitor looks after the hosts of one domain. It is not safe for concurrent use.
+type Monitor struct {
 	o Options
 	// silent counts the rounds in a row in which nothing was heard of an entry.
 	silent map[entryID]int
@@ -79,34 +79,34 @@
 }
 
 // New validates the options.
-func New(o Options) (*Looker, error) {
-	if o.Self.Addr == "" || o.Hosts == nil || o.LooksAfter == nil || o.HeardAt == nil || o.Peers == nil || o.Remove == nil || o.Clock == nil || o.Log == nil {
+func New(o Options) (*Monitor, error) {
+	if o.Self.Addr == "" || o.Hosts == nil || o.Monitors == nil || o.LastContact == nil || o.Peers == nil || o.Remove == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("liveness: a field of Options is missing; set all of them")
 	}
-	return &Looker{o: o, silent: map[entryID]int{}}, nil
+	return &Monitor{o: o, silent: map[entryID]int{}}, nil
 }
 
 // Run looks in rounds until ctx ends.
-func (l *Looker) Run(ctx context.Context) {
+func (l *Monitor) Run(ctx context.Context) {
 	for l.o.Clock.Sleep(ctx, lookEvery) == nil {
 		l.round(ctx)
 	}
 }
 
 // round looks for hosts that can't be heard.
-func (l *Looker) round(ctx context.Context) {
-	var domain, own []Listed
+func (l *Monitor) round(ctx context.Context) {
+	var domain, own []Entry
 	for _, h := range l.o.Hosts() {
 		if h.FailureDomain != l.o.Self.FailureDomain || h.Addr == l.o.Self.Addr {
 			continue
 		}
 		domain = append(domain, h)
-		if l.o.LooksAfter(h.Addr) {
+		if l.o.Monitors(h.Addr) {
 			own = append(own, h)
 		}
 	}
 	silent := map[entryID]int{}
-	var gone []Listed
+	var gone []Entry
 	for _, h := range own {
 		if l.heard(ctx, h, domain) {
 			continue
@@ -131,8 +131,8 @@
 }
 
 // heard reports whether a host has been heard recently, or answers.
-func (l *Looker) heard(ctx context.Context, h Listed, domain []Listed) bool {
-	if l.o.Clock.Now().Sub(l.o.HeardAt(h.Addr)) < heardWithin {
+func (l *Monitor) heard(ctx context.Context, h Entry, domain []Entry) bool {
+	if l.o.Clock.Now().Sub(l.o.LastContact(h.Addr)) < heardWithin {
 		return true
 	}
 	if l.ping(ctx, h.Addr) {
@@ -147,23 +147,23 @@
 	return l.o.Peers.PingVia(ctx, helper, h.Addr) == nil
 }
 
-func (l *Looker) ping(ctx context.Context, addr string) bool {
+func (l *Monitor) ping(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	return l.o.Peers.Ping(ctx, addr) == nil
 }
 
 // helper is a host of the domain that was heard recently; "" if there is none.
-func (l *Looker) helper(of Listed, domain []Listed) string {
+func (l *Monitor) helper(of Entry, domain []Entry) string {
 	for _, h := range domain {
-		if h.Addr != of.Addr && l.o.Clock.Now().Sub(l.o.HeardAt(h.Addr)) < heardWithin {
+		if h.Addr != of.Addr && l.o.Clock.Now().Sub(l.o.LastContact(h.Addr)) < heardWithin {
 			return h.Addr
 		}
 	}
 	return ""
 }
 
-func (l *Looker) remove(ctx context.Context, h Listed) {
+func (l *Monitor) remove(ctx context.Context, h Entry) {
 	if err := l.o.Remove(ctx, h); err != nil {
 		l.o.Log.Info("host that is gone not removed", "name", h.Name, "cause", err.Error())
 		return
--- a/coordination/liveness/liveness_test.go
+++ b/coordination/liveness/liveness_test.go
@@ -17,7 +17,7 @@
 
 // domain is the hosts around one looker, h0.
 type domain struct {
-	hosts []Listed
+	hosts []Entry
 	// gone hosts answer nobody; far ones don't answer the looker alone; quiet ones answer,
 	// but follow another relay.
 	gone, far, quiet map[string]bool
@@ -29,9 +29,9 @@
 func newDomain(n int) *domain {
 	d := &domain{gone: map[string]bool{}, far: map[string]bool{}, quiet: map[string]bool{}, looks: true}
 	for i := range n {
-		d.hosts = append(d.hosts, Listed{Peer: state.Peer{Addr: fmt.Sprint("h", i), FailureDomain: "d"}, Name: fmt.Sprint("n", i), Version: uint64(i + 1)})
+		d.hosts = append(d.hosts, Entry{Peer: state.Peer{Addr: fmt.Sprint("h", i), FailureDomain: "d"}, Name: fmt.Sprint("n", i), Version: uint64(i + 1)})
 	}
-	d.hosts = append(d.hosts, Listed{Peer: state.Peer{Addr: "other", FailureDomain: "e"}, Name: "other", Version: 99})
+	d.hosts = append(d.hosts, Entry{Peer: state.Peer{Addr: "other", FailureDomain: "e"}, Name: "other", Version: 99})
 	d.gone["other"] = true // another domain's looker sees to it
 	return d
 }
@@ -64,11 +64,11 @@
 	return time.Now()
 }
 
-func (d *domain) remove(_ context.Context, h Listed) error {
+func (d *domain) remove(_ context.Context, h Entry) error {
 	d.removed = append(d.removed, h.Name)
 	for i, other := range d.hosts {
 		if other.Name == h.Name && other.Version == h.Version {
-			d.hosts = append(append([]Listed(nil), d.hosts[:i]...), d.hosts[i+1:]...)
+			d.hosts = append(append([]Entry(nil), d.hosts[:i]...), d.hosts[i+1:]...)
 			return nil
 		}
 	}
@@ -76,17 +76,17 @@
 }
 
 // look runs the looker for a time.
-func (d *domain) look(t *testing.T, l *Looker, span time.Duration) {
+func (d *domain) look(t *testing.T, l *Monitor, span time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
 	l.Run(ctx)
 }
 
-func (d *domain) looker(t *testing.T) *Looker {
+func (d *domain) looker(t *testing.T) *Monitor {
 	t.Helper()
 	l, err := New(Options{
-		Self: d.hosts[0].Peer, Hosts: func() []Listed { return d.hosts }, LooksAfter: func(string) bool { return d.looks }, HeardAt: d.heardAt,
+		Self: d.hosts[0].Peer, Hosts: func() []Entry { return d.hosts }, Monitors: func(string) bool { return d.looks }, LastContact: d.heardAt,
 		Peers: d, Remove: d.remove, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
@@ -95,7 +95,7 @@
 	return l
 }
 
-func inDomain(t *testing.T, n int, play func(is *is.I, d *domain, l *Looker)) {
+func inDomain(t *testing.T, n int, play func(is *is.I, d *domain, l *Monitor)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		d := newDomain(n)
@@ -104,7 +104,7 @@
 }
 
 func TestHostsThatAreGoneAreRemovedInSeconds(t *testing.T) {
-	inDomain(t, 60, func(is *is.I, d *domain, l *Looker) {
+	inDomain(t, 60, func(is *is.I, d *domain, l *Monitor) {
 		d.gone["h7"], d.gone["h30"] = true, true
 		d.look(t, l, 8*time.Second)
 		is.Equal(len(d.removed), 0) // they may be restarting
@@ -125,7 +125,7 @@
 		"another host looks": func(d *domain) { d.gone["h3"], d.looks = true, false },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inDomain(t, 60, func(is *is.I, d *domain, l *Looker) {
+			inDomain(t, 60, func(is *is.I, d *domain, l *Monitor) {
 				c(d)
 				d.look(t, l, time.Minute)
 				is.Equal(len(d.removed), 0)
@@ -137,7 +137,7 @@
 // A host that is frozen or restarts for some seconds is not removed, and one that lists
 // itself again begins anew.
 func TestSilenceMustLast(t *testing.T) {
-	inDomain(t, 60, func(is *is.I, d *domain, l *Looker) {
+	inDomain(t, 60, func(is *is.I, d *domain, l *Monitor) {
 		for range 5 {
 			d.gone["h5"] = true
 			d.look(t, l, 6*time.Second)
@@ -154,7 +154,7 @@
 
 // Hosts that ask for news cost no question of their own.
 func TestHostsThatAreHeardAreNotAsked(t *testing.T) {
-	inDomain(t, 60, func(is *is.I, d *domain, l *Looker) {
+	inDomain(t, 60, func(is *is.I, d *domain, l *Monitor) {
 		d.look(t, l, time.Minute)
 		is.Equal(d.pings, 0)
 	})
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -41,7 +41,7 @@
 	Instance state.InstanceID
 	// Silent runners are to be avoided for so long; one that isn't answers again.
 	Silent bool
-	For    time.Duration
+	TTL    time.Duration
 }
 
 // Peers reaches other hosts.
@@ -94,7 +94,7 @@
 		return
 	}
 	if owner == d.o.Self {
-		d.Take(id)
+		d.HandleReport(id)
 		return
 	}
 	go func() {
@@ -123,8 +123,8 @@
 	return true
 }
 
-// Take notes a report of a runner that this host owns, and asks the runner.
-func (d *Detector) Take(id state.InstanceID) {
+// HandleReport notes a report of a runner that this host owns, and asks the runner.
+func (d *Detector) HandleReport(id state.InstanceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if _, already := d.watched[id]; already || d.ctx.Err() != nil {
@@ -145,7 +145,7 @@
 		if d.ctx.Err() != nil || !d.mayTell(id) {
 			return
 		}
-		d.o.Publish(Verdict{Instance: id, Silent: true, For: holdFor})
+		d.o.Publish(Verdict{Instance: id, Silent: true, TTL: holdFor})
 		if d.o.Clock.Sleep(d.ctx, askEvery) != nil {
 			return
 		}
--- a/coordination/outlier/outlier_test.go
+++ b/coordination/outlier/outlier_test.go
@@ -51,7 +51,7 @@
 
 // Report implements Peers.
 func (w *world) Report(_ context.Context, addr string, id state.InstanceID) error {
-	w.hosts[addr].Take(id)
+	w.hosts[addr].HandleReport(id)
 	return nil
 }
 
@@ -99,7 +99,7 @@
 		last := len(w.told) - 1
 		for i, v := range w.told[:last] {
 			is.True(v.Silent)
-			is.True(i == 0 || w.at[i].Sub(w.at[i-1]) < w.told[i-1].For/2) // never lapses in between
+			is.True(i == 0 || w.at[i].Sub(w.at[i-1]) < w.told[i-1].TTL/2) // never lapses in between
 		}
 		is.True(!w.told[last].Silent)
 		is.Equal(w.told[last].Instance, runner(1))
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -46,11 +46,11 @@
 	MinInterval time.Duration
 	// Timeout bounds one probe.
 	Timeout time.Duration
-	// FailuresToLeave is the number of consecutive failures after which a
+	// FailureThreshold is the number of consecutive failures after which a
 	// runner gets no new work.
-	FailuresToLeave int
-	// Parallel bounds the probes under way.
-	Parallel int
+	FailureThreshold int
+	// MaxConcurrent bounds the probes under way.
+	MaxConcurrent int
 }
 
 // Prober probes the runners of the present view.
@@ -76,8 +76,8 @@
 	if o.Keeper == nil || o.Checker == nil || o.Clock == nil || o.Requests == nil {
 		return nil, errors.New("probe: Keeper, Checker, Clock and Requests are required; set them")
 	}
-	if o.PerSecond <= 0 || o.PerRequest < 0 || o.MinInterval <= 0 || o.Timeout <= 0 || o.FailuresToLeave < 1 || o.Parallel < 1 {
-		return nil, errors.New("probe: PerSecond, MinInterval, Timeout, FailuresToLeave and Parallel must be positive")
+	if o.PerSecond <= 0 || o.PerRequest < 0 || o.MinInterval <= 0 || o.Timeout <= 0 || o.FailureThreshold < 1 || o.MaxConcurrent < 1 {
+		return nil, errors.New("probe: PerSecond, MinInterval, Timeout, FailureThreshold and MaxConcurrent must be positive")
 	}
 	return &Prober{o: o, known: map[string]*record{}}, nil
 }
@@ -97,7 +97,7 @@
 	p.refill()
 	chosen := p.choose()
 	outcomes := make([]outcome, len(chosen))
-	probes := pool.New().WithMaxGoroutines(p.o.Parallel)
+	probes := pool.New().WithMaxGoroutines(p.o.MaxConcurrent)
 	for i, u := range chosen {
 		probes.Go(func() { outcomes[i] = p.probe(ctx, u) })
 	}
@@ -114,7 +114,7 @@
 	}
 	p.tokens += p.o.PerRequest * float64(requests-p.requests)
 	p.refilled, p.requests = now, requests
-	limit := max(p.o.PerSecond, float64(p.o.Parallel))
+	limit := max(p.o.PerSecond, float64(p.o.MaxConcurrent))
 	p.tokens = min(p.tokens, limit)
 }
 
@@ -217,7 +217,7 @@
 		r.at = now
 		if o.err != nil {
 			r.failures++
-			if r.failures >= p.o.FailuresToLeave {
+			if r.failures >= p.o.FailureThreshold {
 				p.o.Keeper.SetHealth(o.upstream.Name, false)
 			}
 			continue
--- a/coordination/probe/probe_test.go
+++ b/coordination/probe/probe_test.go
@@ -58,7 +58,7 @@
 	t.Helper()
 	p, err := New(Options{
 		Keeper: k, Checker: c, Clock: clocktest.Bubble{}, PerSecond: 8, PerRequest: 3, Requests: requests,
-		MinInterval: 250 * time.Millisecond, Timeout: time.Second, FailuresToLeave: 2, Parallel: 32,
+		MinInterval: 250 * time.Millisecond, Timeout: time.Second, FailureThreshold: 2, MaxConcurrent: 32,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/coordination/retry/breaker.go
+++ b/coordination/retry/breaker.go
@@ -13,8 +13,8 @@
 
 // BreakerOptions configure Breakers. Zero values stand for the defaults.
 type BreakerOptions struct {
-	// Failures in a row that open a breaker; default 5.
-	Failures uint32
+	// ConsecutiveFailures in a row that open a breaker; default 5.
+	ConsecutiveFailures uint32
 	// FailureShare of the last interval's attempts that opens it, once there
 	// are MinAttempts of them; defaults 0.5 and 20.
 	FailureShare float64
@@ -73,8 +73,8 @@
 	if o.FailureShare < 0 || o.FailureShare > 1 {
 		return nil, fmt.Errorf("retry: BreakerOptions.FailureShare is outside 0 to 1; use 0.5 for half of the attempts")
 	}
-	if o.Failures == 0 {
-		o.Failures = 5
+	if o.ConsecutiveFailures == 0 {
+		o.ConsecutiveFailures = 5
 	}
 	if o.FailureShare == 0 {
 		o.FailureShare = 0.5
@@ -186,7 +186,7 @@
 }
 
 func (b *Breakers) trips(c gobreaker.Counts) bool {
-	if c.ConsecutiveFailures >= b.o.Failures {
+	if c.ConsecutiveFailures >= b.o.ConsecutiveFailures {
 		return true
 	}
 	return c.Requests >= b.o.MinAttempts && float64(c.TotalFailures) >= b.o.FailureShare*float64(c.Requests)
--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -96,8 +96,8 @@
 	return true
 }
 
-// Left returns the retries saved up by the service.
-func (b *Budget) Left(service string) float64 {
+// Available returns the retries saved up by the service.
+func (b *Budget) Available(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.bucket(service).tokens
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -106,7 +106,7 @@
 func TestBreakerOpensAndLetsATrialThrough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b, err := NewBreakers(BreakerOptions{Failures: 3, OpenFor: 2 * time.Second})
+		b, err := NewBreakers(BreakerOptions{ConsecutiveFailures: 3, OpenFor: 2 * time.Second})
 		is.NoErr(err)
 		attempt := func(ok bool) error {
 			done, err := b.Begin("e1")
@@ -139,7 +139,7 @@
 func TestBreakerOpensOnAShareOfFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b, err := NewBreakers(BreakerOptions{Failures: 100, FailureShare: 0.5, MinAttempts: 10})
+		b, err := NewBreakers(BreakerOptions{ConsecutiveFailures: 100, FailureShare: 0.5, MinAttempts: 10})
 		is.NoErr(err)
 		for i := range 10 {
 			done, err := b.Begin("e1")
@@ -156,7 +156,7 @@
 
 func TestBreakersAreBoundedAndForget(t *testing.T) {
 	is := is.New(t)
-	b, err := NewBreakers(BreakerOptions{MaxUpstreams: 4, Failures: 1})
+	b, err := NewBreakers(BreakerOptions{MaxUpstreams: 4, ConsecutiveFailures: 1})
 	is.NoErr(err)
 	for i := range 100 {
 		done, err := b.Begin(fmt.Sprint("e", i))
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -77,8 +77,8 @@
 	return true
 }
 
-// Note counts a repeat that another budget has allowed.
-func (b *WindowBudget) Note(service string) {
+// Record counts a repeat that another budget has allowed.
+func (b *WindowBudget) Record(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	c := b.counts(service)
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -111,7 +111,7 @@
 		is := is.New(t)
 		steady, err := NewBudget(BudgetOptions{Clock: clocktest.Bubble{}, Share: func(string) float64 { return testShare }, Slack: func() float64 { return 1.7 }, SlackWindow: testWindow})
 		is.NoErr(err)
-		b := NewRepeats(steady, newWindow(t, 1.7))
+		b := NewLimiter(steady, newWindow(t, 1.7))
 		ordinary := 0
 		for range 300 {
 			b.CountRequest("llm")
@@ -121,7 +121,7 @@
 			time.Sleep(testWindow / 60)
 		}
 		is.True(float64(ordinary) <= testShare*300+1.7/2*5+1) // never what a burst of them saved up
-		b, quiet := NewRepeats(steady, newWindow(t, 1.7)), 0
+		b, quiet := NewLimiter(steady, newWindow(t, 1.7)), 0
 		for range 60 {
 			b.CountRequest("llm")
 			time.Sleep(testWindow / 60)
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -150,7 +150,7 @@
 		return err
 	}
 	d.advice, err = backpressure.New(backpressure.Options{
-		Clock: d.clock, Log: d.log, Observer: d.metrics, Tell: func(backpressure.Notice) {}, Left: func() {},
+		Clock: d.clock, Log: d.log, Observer: d.metrics, Broadcast: func(backpressure.Notice) {}, OnLeaving: func() {},
 	})
 	if err != nil {
 		return err
@@ -162,7 +162,7 @@
 // rests notes that a run of an upstream wants no work of this host for so long. Limits, and that
 // it leaves, are no part of what upstreams say in their answers: the list tells of the latter.
 func (d *Daemon) rests(u state.Upstream, rest time.Duration) {
-	d.advice.Heard(runOf(u), d.clock.Now(), backpressure.Advice{Backoff: rest}, true)
+	d.advice.Record(runOf(u), d.clock.Now(), backpressure.Advice{Backoff: rest}, true)
 }
 
 func (d *Daemon) restsUntil(r *snapshot.Runner) time.Time {
@@ -275,7 +275,7 @@
 	d.prober, err = probe.New(probe.Options{
 		Keeper: d.keeper, Checker: d.upstream, Clock: d.clock,
 		PerSecond: s.Probes.PerSecond, PerRequest: s.Probes.PerRequest, Requests: func() uint64 { return d.front.Requests() },
-		MinInterval: s.Probes.MinInterval, Timeout: s.Probes.Timeout, FailuresToLeave: probeFailures, Parallel: probesAtOnce,
+		MinInterval: s.Probes.MinInterval, Timeout: s.Probes.Timeout, FailureThreshold: probeFailures, MaxConcurrent: probesAtOnce,
 	})
 	if err != nil {
 		return err
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -43,7 +43,7 @@
 	d.endCrashes = end
 	d.crashes, err = crash.New(ctx, crash.Options{
 		Probe: d.probeRun, Listed: d.listsRun, Replaced: d.replacesRun, Clock: d.clock, Log: d.log,
-		Crashed: func(r crash.Report) { d.quarantine.Note(r.Instance.ID, d.clock.Now(), r.Suspects) },
+		OnCrash: func(r crash.Report) { d.quarantine.Note(r.Instance.ID, d.clock.Now(), r.Suspects) },
 	})
 	if err != nil {
 		return err
@@ -142,7 +142,7 @@
 }
 
 // probeRun asks an upstream whether it is there.
-func (d *Daemon) probeRun(ctx context.Context, i *state.Instance) crash.Fate {
+func (d *Daemon) probeRun(ctx context.Context, i *state.Instance) crash.RunStatus {
 	u, listed := d.listedRun(i)
 	if !listed {
 		return crash.Silent
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -81,7 +81,7 @@
 	// fanout brings the copies of the store up to date, from the store or from peers.
 	fanout *fanout.Node
 	// looker takes hosts that are gone out of the list.
-	looker *liveness.Looker
+	looker *liveness.Monitor
 	// outliers finds runners that don't answer, until ended.
 	outliers *outlier.Detector
 	// crashes finds runners that crashed, until ended.
@@ -203,7 +203,7 @@
 
 func (h *Host) buildLists() error {
 	var err error
-	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Tell: h.tellAdvice, Left: func() { h.instances.Left() }})
+	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Broadcast: h.tellAdvice, OnLeaving: func() { h.instances.Left() }})
 	if err != nil {
 		return err
 	}
@@ -252,7 +252,7 @@
 // tellAdvice tells all hosts what a runner asks of them.
 func (h *Host) tellAdvice(n backpressure.Notice) {
 	if err := advices.Publish(context.Background(), h.fanout, n); err != nil {
-		h.log.Error("what a runner asks not told", "instance", n.Instance, "what", string(n.What), "cause", err.Error())
+		h.log.Error("what a runner asks not told", "instance", n.Instance, "what", string(n.Kind), "cause", err.Error())
 	}
 }
 
@@ -260,12 +260,12 @@
 func (h *Host) publish(instances []state.Instance) {
 	h.fleet.Update(instances)
 	h.pool.Retain(h.fleet.Has)
-	h.advice.Listed(instances)
+	h.advice.UpdateListed(instances)
 }
 
 func (h *Host) buildPool() error {
 	var err error
-	h.pool, err = runners.New(runners.Options{Codec: platform.Codec{}, ConnLimit: h.connLimit, MaxHeaderBytes: maxHeaderBytes, Heard: h.advice.Heard})
+	h.pool, err = runners.New(runners.Options{Codec: platform.Codec{}, ConnLimit: h.connLimit, MaxHeaderBytes: maxHeaderBytes, Heard: h.advice.Record})
 	return err
 }
 
--- a/daemon/routed/measures.go
+++ b/daemon/routed/measures.go
@@ -125,8 +125,8 @@
 	m.set.GetOrCreateCounter("thymerack_unusable_entries_total").Inc()
 }
 
-// Advised implements backpressure.Observer.
-func (m *measures) Advised(service string, k backpressure.Kind) {
+// ObserveAdvice implements backpressure.Observer.
+func (m *measures) ObserveAdvice(service string, k backpressure.Kind) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_runner_advice_total{service=%q,kind=%q}`, service, k)).Inc()
 }
 
--- a/daemon/routed/members.go
+++ b/daemon/routed/members.go
@@ -42,7 +42,7 @@
 	seeds  atomic.Pointer[[]string]
 	listed atomic.Pointer[[]state.Peer]
 	// entries are the same hosts with their entries' names and versions.
-	entries atomic.Pointer[[]liveness.Listed]
+	entries atomic.Pointer[[]liveness.Entry]
 	// registered is set while this host's entry is believed to be in the list.
 	registered atomic.Bool
 	// writtenAt is the store's revision from which on the list must have the entry.
@@ -54,7 +54,7 @@
 func newMembers(s *platform.Store, settings platform.Settings, log *slog.Logger) *members {
 	m := &members{store: s, s: settings, log: log, unreadable: map[string]uint64{}}
 	m.listed.Store(&[]state.Peer{})
-	m.entries.Store(&[]liveness.Listed{})
+	m.entries.Store(&[]liveness.Entry{})
 	m.reload(settings.Seeds)
 	return m
 }
@@ -167,7 +167,7 @@
 
 // remove takes the entry of a host that is gone out of the list, unless it was written
 // again since.
-func (m *members) remove(ctx context.Context, h liveness.Listed) error {
+func (m *members) remove(ctx context.Context, h liveness.Entry) error {
 	return m.store.Delete(ctx, kindHosts, h.Name, h.Version)
 }
 
@@ -184,7 +184,7 @@
 
 // changed takes a new copy of the list.
 func (m *members) changed(c follow.Copy) {
-	hosts, entries := []state.Peer{}, []liveness.Listed{}
+	hosts, entries := []state.Peer{}, []liveness.Entry{}
 	found := false
 	for _, o := range c.Objects {
 		var e member
@@ -194,7 +194,7 @@
 		}
 		found = found || o.Name == m.s.Host
 		hosts = append(hosts, state.Peer(e))
-		entries = append(entries, liveness.Listed{Peer: state.Peer(e), Name: o.Name, Version: o.Version})
+		entries = append(entries, liveness.Entry{Peer: state.Peer(e), Name: o.Name, Version: o.Version})
 	}
 	before := len(m.All())
 	m.listed.Store(&hosts)
--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -52,8 +52,8 @@
 	pingers := pings.Peers{Client: h.peers}
 	pings.Register(h.peerServer, pingers)
 	h.looker, err = liveness.New(liveness.Options{
-		Self: h.members.self(), Hosts: func() []liveness.Listed { return *h.members.entries.Load() },
-		LooksAfter: h.fanout.LooksAfter, HeardAt: h.fanout.HeardAt, Peers: pingers, Remove: h.members.remove, Clock: h.clock, Log: h.log,
+		Self: h.members.self(), Hosts: func() []liveness.Entry { return *h.members.entries.Load() },
+		Monitors: h.fanout.LooksAfter, LastContact: h.fanout.HeardAt, Peers: pingers, Remove: h.members.remove, Clock: h.clock, Log: h.log,
 	})
 	if err != nil {
 		return err
@@ -70,7 +70,7 @@
 func (h *Host) buildGate() error {
 	book := occupancy.NewBook(h.clock, h.log)
 	roles.Subscribe(h.fanout, h.fleet.Expect, h.log)
-	advices.Subscribe(h.fanout, h.advice.Take, h.log)
+	advices.Subscribe(h.fanout, h.advice.HandleNotice, h.log)
 	var err error
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
 		Book: book, Peers: places.Peers{Client: h.peers}, Self: h.members.addr(h.s.IP), Hosts: h.members.All,
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	outliers.Register(h.peerServer, h.outliers.Take)
+	outliers.Register(h.peerServer, h.outliers.HandleReport)
 	outliers.Subscribe(h.fanout, h.judge, h.log)
 	return h.buildQuarantine(ctx)
 }
@@ -131,10 +131,10 @@
 func (h *Host) buildCrashes(ctx context.Context) error {
 	var err error
 	h.crashes, err = crash.New(ctx, crash.Options{
-		Probe:    func(ctx context.Context, i *state.Instance) crash.Fate { return h.pool.Probe(ctx, i) },
+		Probe:    func(ctx context.Context, i *state.Instance) crash.RunStatus { return h.pool.Probe(ctx, i) },
 		Listed:   func(i *state.Instance) bool { return h.fleet.Has(i.ID) },
 		Replaced: h.fleet.Replaced,
-		Crashed: func(r crash.Report) {
+		OnCrash: func(r crash.Report) {
 			h.metrics.crashed(r)
 			h.quarantine.Note(r.Instance.ID, h.clock.Now(), r.Suspects)
 		},
@@ -146,7 +146,7 @@
 // judge takes the word of the hosts on a runner.
 func (h *Host) judge(v outlier.Verdict) {
 	if v.Silent {
-		h.fleet.Judge(v.Instance, v.For)
+		h.fleet.Judge(v.Instance, v.TTL)
 		return
 	}
 	h.fleet.Judge(v.Instance, 0)
--- a/daemon/routed/repeats.go
+++ b/daemon/routed/repeats.go
@@ -3,7 +3,7 @@
 import "github.com/thymerack/thymerack/coordination/retry"
 
 // newRepeats makes this host's share of the repeats that all hosts may send.
-func (h *Host) newRepeats() (*retry.Repeats, error) {
+func (h *Host) newRepeats() (*retry.Limiter, error) {
 	share := limitShare * h.s.Bounds.RetryRatio
 	steady, err := retry.NewBudget(retry.BudgetOptions{
 		Clock: h.clock, Share: func(string) float64 { return share }, DefaultShare: share,
@@ -18,7 +18,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return retry.NewRepeats(steady, window), nil
+	return retry.NewLimiter(steady, window), nil
 }
 
 // retrySlack is this host's share of the repeats that all hosts may send in a
--- a/transport/advices/advices.go
+++ b/transport/advices/advices.go
@@ -28,7 +28,7 @@
 
 // Publish tells all hosts. One that isn't reached learns of it by answers of its own.
 func Publish(ctx context.Context, n *fanout.Node, told backpressure.Notice) error {
-	body, err := msgpack.Marshal(notice{told.Instance.Name, told.Instance.Born, told.Service, string(told.What), told.Limit})
+	body, err := msgpack.Marshal(notice{told.Instance.Name, told.Instance.Born, told.Service, string(told.Kind), told.Limit})
 	if err != nil {
 		return err
 	}
@@ -44,6 +44,6 @@
 			log.Warn("notice of what a runner asks not readable; run the same version on all hosts", "limit", m.Limit, "cause", err)
 			return
 		}
-		take(backpressure.Notice{Instance: state.InstanceID{Name: m.Name, Born: m.Born}, Service: m.Service, What: backpressure.Kind(m.What), Limit: m.Limit})
+		take(backpressure.Notice{Instance: state.InstanceID{Name: m.Name, Born: m.Born}, Service: m.Service, Kind: backpressure.Kind(m.What), Limit: m.Limit})
 	})
 }
--- a/transport/advices/advices_test.go
+++ b/transport/advices/advices_test.go
@@ -17,7 +17,7 @@
 func TestAdviceIsTold(t *testing.T) {
 	is := is.New(t)
 	n := fanouttest.Alone(t)
-	want := backpressure.Notice{Instance: state.InstanceID{Name: "i", Born: 1_790_000_000_123}, Service: "s", What: backpressure.KindLimit, Limit: 8.4}
+	want := backpressure.Notice{Instance: state.InstanceID{Name: "i", Born: 1_790_000_000_123}, Service: "s", Kind: backpressure.KindLimit, Limit: 8.4}
 	heard := 0
 	Subscribe(n, func(got backpressure.Notice) {
 		heard++
--- a/transport/measure/measure.go
+++ b/transport/measure/measure.go
@@ -91,8 +91,8 @@
 	s.set.GetOrCreateCounter(fmt.Sprintf("thymerack_refused_total{reason=%q}", reason)).Inc()
 }
 
-// Advised implements backpressure.Observer.
-func (s *Set) Advised(service string, k backpressure.Kind) {
+// ObserveAdvice implements backpressure.Observer.
+func (s *Set) ObserveAdvice(service string, k backpressure.Kind) {
 	s.set.GetOrCreateCounter(fmt.Sprintf("thymerack_runner_advice_total{service=%q,kind=%q}", service, k)).Inc()
 }
 
--- a/transport/outliers/outliers.go
+++ b/transport/outliers/outliers.go
@@ -60,7 +60,7 @@
 
 // Publish tells all hosts.
 func Publish(ctx context.Context, n *fanout.Node, v outlier.Verdict) error {
-	body, err := msgpack.Marshal(verdict{Name: v.Instance.Name, Born: v.Instance.Born, Silent: v.Silent, ForMS: v.For.Milliseconds()})
+	body, err := msgpack.Marshal(verdict{Name: v.Instance.Name, Born: v.Instance.Born, Silent: v.Silent, ForMS: v.TTL.Milliseconds()})
 	if err != nil {
 		return err
 	}
@@ -77,6 +77,6 @@
 			return
 		}
 		span := time.Duration(min(max(0, m.ForMS), longest.Milliseconds())) * time.Millisecond
-		take(outlier.Verdict{Instance: state.InstanceID{Name: m.Name, Born: m.Born}, Silent: m.Silent, For: span})
+		take(outlier.Verdict{Instance: state.InstanceID{Name: m.Name, Born: m.Born}, Silent: m.Silent, TTL: span})
 	})
 }
--- a/transport/runners/pool.go
+++ b/transport/runners/pool.go
@@ -202,7 +202,7 @@
 
 // Probe asks a run whether it is there. It has ended if nobody listens at its address, or
 // if another run answers there.
-func (p *Pool) Probe(ctx context.Context, i *state.Instance) crash.Fate {
+func (p *Pool) Probe(ctx context.Context, i *state.Instance) crash.RunStatus {
 	req, resp := &fasthttp.Request{}, &fasthttp.Response{}
 	p.o.Codec.EncodeProbe(i.ID, req)
 	err := p.Do(ctx, i, req, resp, moveTimeout)
--- a/transport/runners/pool_test.go
+++ b/transport/runners/pool_test.go
@@ -317,7 +317,7 @@
 	_ = nobody.Close()
 	for name, c := range map[string]struct {
 		addr string
-		want crash.Fate
+		want crash.RunStatus
 	}{
 		"answers":                  {newRunner(t, answer("200 OK")).addr, crash.Alive},
 		"another run answers":      {newRunner(t, answer("421 Misdirected")).addr, crash.Ended},
