--- a/coordination/backpressure/advice.go
+++ b/coordination/backpressure/advice.go
@@ -25,8 +25,8 @@
 // Field is a part of an advice, with what the runner wrote.
 type Field struct{ Name, Value string }
 
-// asks reports whether the answer says anything.
-func (a Advice) asks() bool {
+// nonEmpty reports whether the answer says anything.
+func (a Advice) nonEmpty() bool {
 	return a.Limited || a.Leaving || a.Backoff > 0 || len(a.Unreadable) > 0
 }
 
--- a/coordination/backpressure/registry.go
+++ b/coordination/backpressure/registry.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// keepUnlisted is how long what a run asked is kept once the list lacks it: entries of
+	// unlistedTTL is how long what a run asked is kept once the list lacks it: entries of
 	// living runners are missing for some seconds around an outage of the store.
-	keepUnlisted = time.Minute
-	// mostRuns bounds the runs that are kept: twice the largest fleet, for a release that
+	unlistedTTL = time.Minute
+	// maxRuns bounds the runs that are kept: twice the largest fleet, for a release that
 	// replaces all of it.
-	mostRuns = 4096
-	// tellEvery bounds how often a host tells the others of one run's limit, and renewEvery is
+	maxRuns = 4096
+	// minBroadcastInterval bounds how often a host tells the others of one run's limit, and renewEvery is
 	// how often what holds on is told again, to hosts that start or missed it.
-	tellEvery  = 250 * time.Millisecond
-	renewEvery = 2 * time.Second
-	// ownWord is how long this host's own hearing of a limit outweighs the others' word:
+	minBroadcastInterval = 250 * time.Millisecond
+	renewInterval        = 2 * time.Second
+	// ownPrecedence is how long this host's own hearing of a limit outweighs the others' word:
 	// about the time in which they come to it.
-	ownWord = 300 * time.Millisecond
-	// restSpread is the part of a rest by which it is taken longer at most, so that hosts that
+	ownPrecedence = 300 * time.Millisecond
+	// backoffJitter is the part of a rest by which it is taken longer at most, so that hosts that
 	// were turned away together don't come back together.
-	restSpread = 0.1
-	// trialFor is how long the first request after a rest keeps the runner from others of this
+	backoffJitter = 0.1
+	// trialTimeout is how long the first request after a rest keeps the runner from others of this
 	// host, if it isn't answered before.
-	trialFor = 250 * time.Millisecond
-	// unreadableEvery bounds the log lines on what a run writes and nobody can read.
-	unreadableEvery = 10 * time.Second
+	trialTimeout = 250 * time.Millisecond
+	// unreadableLogInterval bounds the log lines on what a run writes and nobody can read.
+	unreadableLogInterval = 10 * time.Second
 )
 
 // Observer counts advices.
@@ -68,32 +68,32 @@
 
 	mu sync.Mutex // held by writers
 	// runs has the runs that ever asked something; it is replaced whole.
-	runs atomic.Pointer[map[state.InstanceID]*run]
+	runs atomic.Pointer[map[state.InstanceID]*runState]
 }
 
-// run is what one run of a runner has asked. Its fields are replaced under the registry's lock.
-type run struct {
+// runState is what one runState of a runner has asked. Its fields are replaced under the registry's lock.
+type runState struct {
 	service string
 	limit   atomic.Pointer[limit]
-	// restUntil is zero if none was asked for.
-	restUntil atomic.Pointer[time.Time]
-	// unproven is set from a rest on until a request sent after it was taken; trialUntil is
+	// backoffUntil is zero if none was asked for.
+	backoffUntil atomic.Pointer[time.Time]
+	// needsTrial is set from a rest on until a request sent after it was taken; trialUntil is
 	// while one of this host is on its way to find out.
-	unproven   atomic.Bool
+	needsTrial atomic.Bool
 	trialUntil atomic.Pointer[time.Time]
 	leaving    atomic.Bool
 
-	// listedAt is when the run was known to be listed, toldAt when all hosts were told of its
-	// limit and unreadableAt when it last wrote what can't be read.
-	listedAt, toldAt, unreadableAt time.Time
+	// listedAt is when the run was known to be listed, broadcastAt when all hosts were told of its
+	// limit and unreadableLoggedAt when it last wrote what can't be read.
+	listedAt, broadcastAt, unreadableLoggedAt time.Time
 }
 
 // limit is what a run takes of all hosts together.
 type limit struct {
 	rate float64
-	// heardAt is when it was last heard of, and ownAt when an answer to this host last named
+	// learnedAt is when it was last heard of, and answeredAt when an answer to this host last named
 	// it.
-	heardAt, ownAt time.Time
+	learnedAt, answeredAt time.Time
 	// opensAt is when the next request of this host may leave; zero if one may at once.
 	opensAt time.Time
 }
@@ -104,7 +104,7 @@
 		return nil, errors.New("backpressure: a field of Options is nil; set all of them")
 	}
 	r := &Registry{o: o}
-	r.runs.Store(&map[state.InstanceID]*run{})
+	r.runs.Store(&map[state.InstanceID]*runState{})
 	return r, nil
 }
 
@@ -112,185 +112,185 @@
 // answer to a call of the system's own that names no limit doesn't lift one: only requests are
 // what a limit counts.
 func (r *Registry) Record(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) {
-	if !a.asks() && r.run(i.ID) == nil {
+	if !a.nonEmpty() && r.lookup(i.ID) == nil {
 		return
 	}
-	left := false
-	for _, n := range r.heard(i, sentAt, a, ofRequest) {
+	leaving := false
+	for _, n := range r.record(i, sentAt, a, ofRequest) {
 		r.o.Broadcast(n)
-		left = left || n.Kind == KindLeaving
+		leaving = leaving || n.Kind == KindLeaving
 	}
-	if left {
+	if leaving {
 		r.o.OnLeaving()
 	}
 }
 
-// heard takes an advice and returns what all hosts are to be told.
-func (r *Registry) heard(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) (tell []Notice) {
+// record takes an advice and returns what all hosts are to be told.
+func (r *Registry) record(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) (notices []Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.o.Clock.Now()
-	known := r.entry(i.ID, i.Service, now)
-	before := known.limit.Load()
+	run := r.lookupOrCreate(i.ID, i.Service, now)
+	before := run.limit.Load()
 	switch {
 	case a.Limited:
-		r.limited(i.ID, known, limit{rate: a.Limit, heardAt: now, ownAt: now})
-		if known.mayTell(now, before == nil || before.rate != a.Limit) {
-			tell = append(tell, Notice{i.ID, i.Service, KindLimit, a.Limit})
+		r.setLimit(i.ID, run, limit{rate: a.Limit, learnedAt: now, answeredAt: now})
+		if run.shouldBroadcast(now, before == nil || before.rate != a.Limit) {
+			notices = append(notices, Notice{i.ID, i.Service, KindLimit, a.Limit})
 		}
-	case ofRequest && len(a.Unreadable) == 0 && before != nil && sentAt.After(before.heardAt):
+	case ofRequest && len(a.Unreadable) == 0 && before != nil && sentAt.After(before.learnedAt):
 		// Answers overtake each other: only one that was asked for after the limit was last
 		// heard of is known to be newer.
-		r.lift(i.ID, known)
-		tell = append(tell, Notice{i.ID, i.Service, KindLifted, 0})
+		r.clearLimit(i.ID, run)
+		notices = append(notices, Notice{i.ID, i.Service, KindLifted, 0})
 	}
-	if a.Leaving && r.leaves(i.ID, known, "an answer") {
-		tell = append(tell, Notice{i.ID, i.Service, KindLeaving, 0})
+	if a.Leaving && r.setLeaving(i.ID, run, "an answer") {
+		notices = append(notices, Notice{i.ID, i.Service, KindLeaving, 0})
 	}
-	switch until := known.restUntil.Load(); {
+	switch until := run.backoffUntil.Load(); {
 	case a.Backoff > 0:
-		r.rests(i, known, now, a.Backoff)
+		r.setBackoff(i, run, now, a.Backoff)
 	case ofRequest && until != nil && sentAt.After(*until):
-		known.unproven.Store(false)
+		run.needsTrial.Store(false)
 	}
-	r.unreadable(i, known, now, a.Unreadable)
-	return tell
+	r.reportUnreadable(i, run, now, a.Unreadable)
+	return notices
 }
 
-// mayTell reports whether all hosts should be told of the limit now.
-func (k *run) mayTell(now time.Time, changed bool) bool {
-	wait := renewEvery
+// shouldBroadcast reports whether all hosts should be told of the limit now.
+func (s *runState) shouldBroadcast(now time.Time, changed bool) bool {
+	wait := renewInterval
 	if changed {
-		wait = tellEvery
+		wait = minBroadcastInterval
 	}
-	if !k.toldAt.IsZero() && now.Sub(k.toldAt) < wait {
+	if !s.broadcastAt.IsZero() && now.Sub(s.broadcastAt) < wait {
 		return false
 	}
-	k.toldAt = now
+	s.broadcastAt = now
 	return true
 }
 
 // HandleNotice takes what another host heard. What this one has just heard itself goes before it.
 func (r *Registry) HandleNotice(n Notice) {
-	if r.take(n) {
+	if r.applyNotice(n) {
 		r.o.OnLeaving()
 	}
 }
 
-// take takes a notice and reports whether it is news that the run leaves.
-func (r *Registry) take(n Notice) (left bool) {
+// applyNotice takes a notice and reports whether it is news that the run leaves.
+func (r *Registry) applyNotice(n Notice) (newlyLeaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.o.Clock.Now()
-	known := r.entry(n.Instance, n.Service, now)
-	before := known.limit.Load()
-	own := before != nil && now.Sub(before.ownAt) < ownWord
+	run := r.lookupOrCreate(n.Instance, n.Service, now)
+	before := run.limit.Load()
+	own := before != nil && now.Sub(before.answeredAt) < ownPrecedence
 	switch n.Kind {
 	case KindLimit:
-		known.toldAt = now
+		run.broadcastAt = now
 		if !own {
-			r.limited(n.Instance, known, limit{rate: n.Limit, heardAt: now})
+			r.setLimit(n.Instance, run, limit{rate: n.Limit, learnedAt: now})
 		}
 	case KindLifted:
 		if before != nil && !own {
-			r.lift(n.Instance, known)
+			r.clearLimit(n.Instance, run)
 		}
 	case KindLeaving:
-		return r.leaves(n.Instance, known, "another host")
+		return r.setLeaving(n.Instance, run, "another host")
 	}
 	return false
 }
 
-// run is what is known of a run, or nil.
-func (r *Registry) run(id state.InstanceID) *run { return (*r.runs.Load())[id] }
+// lookup is what is known of a lookup, or nil.
+func (r *Registry) lookup(id state.InstanceID) *runState { return (*r.runs.Load())[id] }
 
-// entry is what is known of a run, made if nothing is; r.mu is held.
-func (r *Registry) entry(id state.InstanceID, service string, now time.Time) *run {
-	if known := r.run(id); known != nil {
-		return known
+// lookupOrCreate is what is known of a run, made if nothing is; r.mu is held.
+func (r *Registry) lookupOrCreate(id state.InstanceID, service string, now time.Time) *runState {
+	if run := r.lookup(id); run != nil {
+		return run
 	}
 	runs := maps.Clone(*r.runs.Load())
-	if len(runs) >= mostRuns {
-		delete(runs, oldest(runs))
+	if len(runs) >= maxRuns {
+		delete(runs, leastRecentlyListed(runs))
 	}
-	runs[id] = &run{service: service, listedAt: now}
+	runs[id] = &runState{service: service, listedAt: now}
 	r.runs.Store(&runs)
 	return runs[id]
 }
 
-// oldest is the run that was listed last the longest time ago.
-func oldest(runs map[state.InstanceID]*run) state.InstanceID {
+// leastRecentlyListed is the run that was listed last the longest time ago.
+func leastRecentlyListed(runs map[state.InstanceID]*runState) state.InstanceID {
 	var out state.InstanceID
 	var at time.Time
-	for id, known := range runs {
-		if at.IsZero() || known.listedAt.Before(at) {
-			out, at = id, known.listedAt
+	for id, run := range runs {
+		if at.IsZero() || run.listedAt.Before(at) {
+			out, at = id, run.listedAt
 		}
 	}
 	return out
 }
 
-// limited notes a limit.
-func (r *Registry) limited(id state.InstanceID, known *run, named limit) {
-	before := known.limit.Load()
-	same := before != nil && before.rate == named.rate
+// setLimit notes a limit.
+func (r *Registry) setLimit(id state.InstanceID, run *runState, next limit) {
+	before := run.limit.Load()
+	same := before != nil && before.rate == next.rate
 	if same {
-		named.opensAt = before.opensAt
+		next.opensAt = before.opensAt
 	}
-	if before != nil && named.ownAt.IsZero() {
-		named.ownAt = before.ownAt
+	if before != nil && next.answeredAt.IsZero() {
+		next.answeredAt = before.answeredAt
 	}
-	known.limit.Store(&named)
+	run.limit.Store(&next)
 	if same {
 		return
 	}
-	attrs := []any{"instance", id, "service", known.service, "per_second", named.rate, "own_answer", named.ownAt.Equal(named.heardAt)}
+	attrs := []any{"instance", id, "service", run.service, "per_second", next.rate, "own_answer", next.answeredAt.Equal(next.learnedAt)}
 	if before != nil {
 		attrs = append(attrs, "before", before.rate)
 	}
 	r.o.Log.Info("runner names a limit", attrs...)
-	r.o.Observer.ObserveAdvice(known.service, KindLimit)
+	r.o.Observer.ObserveAdvice(run.service, KindLimit)
 }
 
-// lift ends a limit that isn't named any more.
-func (r *Registry) lift(id state.InstanceID, known *run) {
-	before := known.limit.Swap(nil)
-	r.o.Log.Info("runner names no limit any more", "instance", id, "service", known.service, "before", before.rate, "heard_last", r.o.Clock.Now().Sub(before.heardAt))
-	r.o.Observer.ObserveAdvice(known.service, KindLifted)
+// clearLimit ends a limit that isn't named any more.
+func (r *Registry) clearLimit(id state.InstanceID, run *runState) {
+	before := run.limit.Swap(nil)
+	r.o.Log.Info("runner names no limit any more", "instance", id, "service", run.service, "before", before.rate, "heard_last", r.o.Clock.Now().Sub(before.learnedAt))
+	r.o.Observer.ObserveAdvice(run.service, KindLifted)
 }
 
-// leaves notes that a run leaves, and reports whether that is news. It has no way back: a
+// setLeaving notes that a run setLeaving, and reports whether that is news. It has no way back: a
 // runner that stays starts again.
-func (r *Registry) leaves(id state.InstanceID, known *run, by string) bool {
-	if known.leaving.Swap(true) {
+func (r *Registry) setLeaving(id state.InstanceID, run *runState, source string) bool {
+	if run.leaving.Swap(true) {
 		return false
 	}
-	r.o.Log.Info("runner says that it leaves", "instance", id, "service", known.service, "heard_of", by)
-	r.o.Observer.ObserveAdvice(known.service, KindLeaving)
+	r.o.Log.Info("runner says that it leaves", "instance", id, "service", run.service, "heard_of", source)
+	r.o.Observer.ObserveAdvice(run.service, KindLeaving)
 	return true
 }
 
-// rests notes a rest. A later, shorter one doesn't shorten what was asked before.
-func (r *Registry) rests(i *state.Instance, known *run, now time.Time, rest time.Duration) {
-	until := now.Add(rest + time.Duration(rand.Float64()*restSpread*float64(rest)))
-	before := known.restUntil.Load()
+// setBackoff notes a rest. A later, shorter one doesn't shorten what was asked before.
+func (r *Registry) setBackoff(i *state.Instance, run *runState, now time.Time, backoff time.Duration) {
+	until := now.Add(backoff + time.Duration(rand.Float64()*backoffJitter*float64(backoff)))
+	before := run.backoffUntil.Load()
 	if before != nil && !until.After(*before) {
 		return
 	}
-	known.restUntil.Store(&until)
-	known.trialUntil.Store(nil)
-	known.unproven.Store(true)
+	run.backoffUntil.Store(&until)
+	run.trialUntil.Store(nil)
+	run.needsTrial.Store(true)
 	r.o.Observer.ObserveAdvice(i.Service, KindBackoff)
 	if before == nil || now.After(*before) {
-		r.o.Log.Info("runner asks for rest", "instance", i.ID, "service", i.Service, "for", rest)
+		r.o.Log.Info("runner asks for rest", "instance", i.ID, "service", i.Service, "for", backoff)
 	}
 }
 
-func (r *Registry) unreadable(i *state.Instance, known *run, now time.Time, fields []Field) {
+func (r *Registry) reportUnreadable(i *state.Instance, run *runState, now time.Time, fields []Field) {
 	for _, f := range fields {
 		r.o.Observer.ObserveAdvice(i.Service, KindUnreadable)
-		if known.unreadableAt.IsZero() || now.Sub(known.unreadableAt) >= unreadableEvery {
-			known.unreadableAt = now
+		if run.unreadableLoggedAt.IsZero() || now.Sub(run.unreadableLoggedAt) >= unreadableLogInterval {
+			run.unreadableLoggedAt = now
 			r.o.Log.Warn("advice of a runner not readable; what was known of it holds, see its version", "instance", i.ID, "service", i.Service, "field", f.Name, "value", f.Value)
 		}
 	}
@@ -305,11 +305,11 @@
 	}
 	now := r.o.Clock.Now()
 	for i := range list {
-		if known := r.run(list[i].ID); known != nil {
-			known.listedAt = now
+		if run := r.lookup(list[i].ID); run != nil {
+			run.listedAt = now
 		}
 	}
 	runs := maps.Clone(*r.runs.Load())
-	maps.DeleteFunc(runs, func(_ state.InstanceID, known *run) bool { return now.Sub(known.listedAt) > keepUnlisted })
+	maps.DeleteFunc(runs, func(_ state.InstanceID, run *runState) bool { return now.Sub(run.listedAt) > unlistedTTL })
 	r.runs.Store(&runs)
 }
--- a/coordination/backpressure/view.go
+++ b/coordination/backpressure/view.go
@@ -8,17 +8,17 @@
 
 // Leaving reports whether a run has said that it leaves.
 func (r *Registry) Leaving(id state.InstanceID) bool {
-	known := r.run(id)
-	return known != nil && known.leaving.Load()
+	run := r.lookup(id)
+	return run != nil && run.leaving.Load()
 }
 
 // Limit is how many requests a second a run takes of all hosts together, if it names a limit.
 func (r *Registry) Limit(id state.InstanceID) (rate float64, limited bool) {
-	known := r.run(id)
-	if known == nil {
+	run := r.lookup(id)
+	if run == nil {
 		return 0, false
 	}
-	l := known.limit.Load()
+	l := run.limit.Load()
 	if l == nil {
 		return 0, false
 	}
@@ -29,27 +29,27 @@
 func (r *Registry) CloseUntil(id state.InstanceID, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.run(id)
-	if known == nil {
+	run := r.lookup(id)
+	if run == nil {
 		return
 	}
-	if l := known.limit.Load(); l != nil {
+	if l := run.limit.Load(); l != nil {
 		closed := *l
 		closed.opensAt = until
-		known.limit.Store(&closed)
+		run.limit.Store(&closed)
 	}
 }
 
 // OpensAt is when a run takes a request of this host again, by its limit and the rest that it
 // asked for; zero if it does now, as far as is known here.
 func (r *Registry) OpensAt(id state.InstanceID) time.Time {
-	known := r.run(id)
-	if known == nil {
+	run := r.lookup(id)
+	if run == nil {
 		return time.Time{}
 	}
 	now := r.o.Clock.Now()
-	at := known.pausedUntil(now)
-	if l := known.limit.Load(); l != nil && l.opensAt.After(now) && l.opensAt.After(at) {
+	at := run.pausedUntil(now)
+	if l := run.limit.Load(); l != nil && l.opensAt.After(now) && l.opensAt.After(at) {
 		at = l.opensAt
 	}
 	return at
@@ -57,54 +57,54 @@
 
 // BackoffUntil is the end of the rest that a run asked this host for; zero if it wants none now.
 func (r *Registry) BackoffUntil(id state.InstanceID) time.Time {
-	known := r.run(id)
-	if known == nil {
+	run := r.lookup(id)
+	if run == nil {
 		return time.Time{}
 	}
-	return known.restsUntil(r.o.Clock.Now())
+	return run.currentBackoff(r.o.Clock.Now())
 }
 
 // PausedUntil is BackoffUntil, or the end of the trial after a rest while a request of this host is
 // on its way to the run.
 func (r *Registry) PausedUntil(id state.InstanceID) time.Time {
-	known := r.run(id)
-	if known == nil {
+	run := r.lookup(id)
+	if run == nil {
 		return time.Time{}
 	}
-	return known.pausedUntil(r.o.Clock.Now())
+	return run.pausedUntil(r.o.Clock.Now())
 }
 
-func (k *run) pausedUntil(now time.Time) time.Time {
-	if trial := k.trialUntil.Load(); k.unproven.Load() && trial != nil && trial.After(now) {
+func (s *runState) pausedUntil(now time.Time) time.Time {
+	if trial := s.trialUntil.Load(); s.needsTrial.Load() && trial != nil && trial.After(now) {
 		return *trial
 	}
-	return k.restsUntil(now)
+	return s.currentBackoff(now)
 }
 
 // AwaitsTrial reports whether a run asked for rest and took nothing of this host since.
 func (r *Registry) AwaitsTrial(id state.InstanceID) bool {
-	known := r.run(id)
-	return known != nil && known.unproven.Load()
+	run := r.lookup(id)
+	return run != nil && run.needsTrial.Load()
 }
 
 // AllowTrial asks to send a request to a run. After a rest one request is let through to find out
 // whether the runner takes work again; those that waited for it don't all come at once.
 func (r *Registry) AllowTrial(id state.InstanceID) bool {
-	known := r.run(id)
-	if known == nil || !known.unproven.Load() {
+	run := r.lookup(id)
+	if run == nil || !run.needsTrial.Load() {
 		return true
 	}
 	now := r.o.Clock.Now()
-	before := known.trialUntil.Load()
+	before := run.trialUntil.Load()
 	if before != nil && before.After(now) {
 		return false
 	}
-	until := now.Add(trialFor)
-	return known.trialUntil.CompareAndSwap(before, &until)
+	until := now.Add(trialTimeout)
+	return run.trialUntil.CompareAndSwap(before, &until)
 }
 
-func (k *run) restsUntil(now time.Time) time.Time {
-	if until := k.restUntil.Load(); until != nil && now.Before(*until) {
+func (s *runState) currentBackoff(now time.Time) time.Time {
+	if until := s.backoffUntil.Load(); until != nil && now.Before(*until) {
 		return *until
 	}
 	return time.Time{}
@@ -124,7 +124,7 @@
 		if known.leaving.Load() {
 			out.Leaving++
 		}
-		if !known.restsUntil(now).IsZero() {
+		if !known.currentBackoff(now).IsZero() {
 			out.BackingOff++
 		}
 	}
--- a/coordination/crash/crash.go
+++ b/coordination/crash/crash.go
@@ -14,20 +14,20 @@
 )
 
 const (
-	// askTimeout bounds a question to a runner: thirty round trips between failure domains.
-	askTimeout = 100 * time.Millisecond
-	// askEvery is the pause between two questions to a runner that says nothing: it may be
+	// probeTimeout bounds a question to a runner: thirty round trips between failure domains.
+	probeTimeout = 100 * time.Millisecond
+	// probeInterval is the pause between two questions to a runner that says nothing: it may be
 	// cut off for a moment, or its process may still be ending.
-	askEvery = 200 * time.Millisecond
-	// askFor bounds the questions. A runner that is back by then in the list is known to
+	probeInterval = 200 * time.Millisecond
+	// maxProbeDuration bounds the questions. A runner that is back by then in the list is known to
 	// have ended by that; one that is still silent has left the list.
-	askFor = 15 * time.Second
-	// gather is the pause before a crash is reported, in which the other requests that it
+	maxProbeDuration = 15 * time.Second
+	// reportDelay is the pause before a crash is reported, in which the other requests that it
 	// broke off are noticed: they end within a few milliseconds.
-	gather = 20 * time.Millisecond
-	// lateFor is how long work that breaks off later is added to a crash: a connection's
+	reportDelay = 20 * time.Millisecond
+	// lateWindow is how long work that breaks off later is added to a crash: a connection's
 	// end may be a retransmission or two behind.
-	lateFor = 2 * time.Second
+	lateWindow = 2 * time.Second
 )
 
 // RunStatus is what became of a run of a runner.
@@ -70,11 +70,11 @@
 	ctx context.Context
 
 	mu   sync.Mutex
-	runs map[state.InstanceID]*inquiry
+	open map[state.InstanceID]*investigation
 }
 
-// inquiry is what is asked of one run.
-type inquiry struct {
+// investigation is what is asked of one run.
+type investigation struct {
 	instance *state.Instance
 	// suspects broke off there and weren't reported yet.
 	suspects []quarantine.Suspect
@@ -87,55 +87,55 @@
 	if o.Probe == nil || o.Listed == nil || o.Replaced == nil || o.OnCrash == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("crash: a field of Options is missing; set all of them")
 	}
-	return &Detector{o: o, ctx: ctx, runs: map[state.InstanceID]*inquiry{}}, nil
+	return &Detector{o: o, ctx: ctx, open: map[state.InstanceID]*investigation{}}, nil
 }
 
 // ReportBroken notes that work broke off at a runner without its end. It doesn't wait.
 func (d *Detector) ReportBroken(i *state.Instance, s quarantine.Suspect) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if q := d.runs[i.ID]; q != nil {
-		q.suspects = append(q.suspects, s)
+	if inv := d.open[i.ID]; inv != nil {
+		inv.suspects = append(inv.suspects, s)
 		return
 	}
 	// The platform takes a leaving runner away, whatever runs there.
 	if d.ctx.Err() != nil || !d.o.Listed(i) {
 		return
 	}
-	q := &inquiry{instance: i, suspects: []quarantine.Suspect{s}}
-	d.runs[i.ID] = q
-	go d.inquire(q)
+	inv := &investigation{instance: i, suspects: []quarantine.Suspect{s}}
+	d.open[i.ID] = inv
+	go d.investigate(inv)
 }
 
-// inquire finds out what became of a run, and reports its crash.
-func (d *Detector) inquire(q *inquiry) {
-	defer d.forget(q)
-	if d.fate(q.instance) != Ended {
+// investigate finds out what became of a run, and reports its crash.
+func (d *Detector) investigate(inv *investigation) {
+	defer d.remove(inv)
+	if d.awaitStatus(inv.instance) != Ended {
 		return
 	}
 	d.mu.Lock()
-	q.endedAt = d.o.Clock.Now()
+	inv.endedAt = d.o.Clock.Now()
 	d.mu.Unlock()
-	pause := gather
-	for late := false; d.o.Clock.Now().Sub(q.endedAt) < lateFor; late = true {
+	pause := reportDelay
+	for late := false; d.o.Clock.Now().Sub(inv.endedAt) < lateWindow; late = true {
 		if d.o.Clock.Sleep(d.ctx, pause) != nil {
 			return
 		}
-		d.report(q, late)
-		pause = askEvery
+		d.report(inv, late)
+		pause = probeInterval
 	}
 }
 
-// fate asks until the run answers or is known to have ended.
-func (d *Detector) fate(i *state.Instance) RunStatus {
-	for began := d.o.Clock.Now(); d.o.Clock.Now().Sub(began) < askFor; {
+// awaitStatus asks until the run answers or is known to have ended.
+func (d *Detector) awaitStatus(i *state.Instance) RunStatus {
+	for began := d.o.Clock.Now(); d.o.Clock.Now().Sub(began) < maxProbeDuration; {
 		if d.o.Replaced(i) {
 			return Ended
 		}
-		if f := d.probe(i); f != Silent {
-			return f
+		if status := d.probe(i); status != Silent {
+			return status
 		}
-		if d.o.Clock.Sleep(d.ctx, askEvery) != nil {
+		if d.o.Clock.Sleep(d.ctx, probeInterval) != nil {
 			break
 		}
 	}
@@ -143,44 +143,44 @@
 }
 
 func (d *Detector) probe(i *state.Instance) RunStatus {
-	ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 	defer cancel()
 	return d.o.Probe(ctx, i)
 }
 
 // report passes on the work that wasn't yet.
-func (d *Detector) report(q *inquiry, late bool) {
+func (d *Detector) report(inv *investigation, late bool) {
 	d.mu.Lock()
-	suspects := q.suspects
-	q.suspects = nil
+	suspects := inv.suspects
+	inv.suspects = nil
 	d.mu.Unlock()
 	if len(suspects) == 0 {
 		return
 	}
-	d.o.Log.Info("runner crashed", "instance", q.instance.ID, "service", q.instance.Service, "late", late, "requests", len(suspects), "suspects", describe(suspects))
-	d.o.OnCrash(Report{Instance: q.instance, Suspects: suspects, Late: late})
+	d.o.Log.Info("runner crashed", "instance", inv.instance.ID, "service", inv.instance.Service, "late", late, "requests", len(suspects), "suspects", formatSuspects(suspects))
+	d.o.OnCrash(Report{Instance: inv.instance, Suspects: suspects, Late: late})
 }
 
-func (d *Detector) forget(q *inquiry) {
+func (d *Detector) remove(inv *investigation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.runs, q.instance.ID)
+	delete(d.open, inv.instance.ID)
 }
 
-// mostDescribed bounds the requests that a log line names.
-const mostDescribed = 20
+// maxDescribed bounds the requests that a log line names.
+const maxDescribed = 20
 
-// describe names requests by their ids and digests, those first that had just begun.
-func describe(suspects []quarantine.Suspect) []string {
-	var fresh, settled []string
+// formatSuspects names requests by their ids and digests, those first that had just begun.
+func formatSuspects(suspects []quarantine.Suspect) []string {
+	var recent, settled []string
 	for _, s := range suspects {
 		text := s.RequestID + "=" + s.Digest.String()
 		if s.Settled {
 			settled = append(settled, text+" settled")
 			continue
 		}
-		fresh = append(fresh, text)
+		recent = append(recent, text)
 	}
-	all := append(fresh, settled...)
-	return all[:min(len(all), mostDescribed)]
+	all := append(recent, settled...)
+	return all[:min(len(all), maxDescribed)]
 }
--- a/coordination/crash/crash_test.go
+++ b/coordination/crash/crash_test.go
@@ -16,11 +16,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// world is one runner as a host sees it.
-type world struct {
+// testDetector is one runner as a host sees it.
+type testDetector struct {
 	*Detector
 	mu       sync.Mutex
-	fate     RunStatus
+	status   RunStatus
 	listed   bool
 	replaced bool
 	probes   int
@@ -29,9 +29,9 @@
 
 var runner = &state.Instance{ID: state.InstanceID{Name: "r", Born: 1}, Service: "model", Addr: "r:1"}
 
-func newWorld(t *testing.T, fate RunStatus) *world {
+func newTestDetector(t *testing.T, status RunStatus) *testDetector {
 	t.Helper()
-	w := &world{fate: fate, listed: true}
+	w := &testDetector{status: status, listed: true}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var err error
@@ -39,15 +39,15 @@
 		Probe: func(ctx context.Context, _ *state.Instance) RunStatus {
 			w.mu.Lock()
 			w.probes++
-			f := w.fate
+			status := w.status
 			w.mu.Unlock()
-			if f == Silent {
+			if status == Silent {
 				<-ctx.Done()
 			}
-			return f
+			return status
 		},
-		Listed:   func(*state.Instance) bool { return read(w, &w.listed) },
-		Replaced: func(*state.Instance) bool { return read(w, &w.replaced) },
+		Listed:   func(*state.Instance) bool { return load(w, &w.listed) },
+		Replaced: func(*state.Instance) bool { return load(w, &w.replaced) },
 		OnCrash: func(r Report) {
 			w.mu.Lock()
 			defer w.mu.Unlock()
@@ -61,75 +61,75 @@
 	return w
 }
 
-func read[T any](w *world, what *T) T {
+func load[T any](w *testDetector, field *T) T {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return *what
+	return *field
 }
 
 // reported are the reports so far.
-func (w *world) reported() []Report {
+func (w *testDetector) reported() []Report {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.reports)
 }
 
-func (w *world) set(change func()) {
+func (w *testDetector) set(change func()) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	change()
 }
 
-func work(n byte, settled bool) quarantine.Suspect {
+func suspect(n byte, settled bool) quarantine.Suspect {
 	return quarantine.Suspect{Digest: quarantine.Digest{n}, RequestID: string('a' + rune(n)), Settled: settled}
 }
 
 func TestCrashIsReportedWithAllThatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, Ended)
-		w.ReportBroken(runner, work(1, false))
-		w.ReportBroken(runner, work(2, true))
-		time.Sleep(gather + time.Millisecond)
+		w := newTestDetector(t, Ended)
+		w.ReportBroken(runner, suspect(1, false))
+		w.ReportBroken(runner, suspect(2, true))
+		time.Sleep(reportDelay + time.Millisecond)
 		is.Equal(len(w.reported()), 1)
-		is.Equal(w.reported()[0].Suspects, []quarantine.Suspect{work(1, false), work(2, true)})
+		is.Equal(w.reported()[0].Suspects, []quarantine.Suspect{suspect(1, false), suspect(2, true)})
 		is.True(!w.reported()[0].Late)
-		w.ReportBroken(runner, work(3, false)) // its connection ended later
-		time.Sleep(lateFor)
+		w.ReportBroken(runner, suspect(3, false)) // its connection ended later
+		time.Sleep(lateWindow)
 		is.Equal(len(w.reported()), 2)
-		is.Equal(w.reported()[1].Suspects, []quarantine.Suspect{work(3, false)})
+		is.Equal(w.reported()[1].Suspects, []quarantine.Suspect{suspect(3, false)})
 		is.True(w.reported()[1].Late)
 		synctest.Wait()
-		is.Equal(read(w, &w.probes), 1)
-		is.Equal(len(w.runs), 0) // nothing is kept
+		is.Equal(load(w, &w.probes), 1)
+		is.Equal(len(w.open), 0) // nothing is kept
 	})
 }
 
 func TestOtherEndsAreNoCrash(t *testing.T) {
 	for name, c := range map[string]struct {
-		fate    RunStatus
-		then    func(w *world) // after a second
+		status  RunStatus
+		then    func(w *testDetector) // after a second
 		crashes int
 	}{
 		"an answer was lost":                      {Alive, nil, 0},
-		"cut off for a moment":                    {Silent, func(w *world) { w.fate = Alive }, 0},
+		"cut off for a moment":                    {Silent, func(w *testDetector) { w.status = Alive }, 0},
 		"cut off for long":                        {Silent, nil, 0},
-		"fell silent, and another took its place": {Silent, func(w *world) { w.listed, w.replaced = false, true }, 1},
-		"fell silent before its process was gone": {Silent, func(w *world) { w.fate = Ended }, 1},
+		"fell silent, and another took its place": {Silent, func(w *testDetector) { w.listed, w.replaced = false, true }, 1},
+		"fell silent before its process was gone": {Silent, func(w *testDetector) { w.status = Ended }, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, c.fate)
-				w.ReportBroken(runner, work(1, false))
+				w := newTestDetector(t, c.status)
+				w.ReportBroken(runner, suspect(1, false))
 				time.Sleep(time.Second)
 				if c.then != nil {
 					w.set(func() { c.then(w) })
 				}
-				time.Sleep(askFor + lateFor)
+				time.Sleep(maxProbeDuration + lateWindow)
 				synctest.Wait()
 				is.Equal(len(w.reported()), c.crashes)
-				is.Equal(len(w.runs), 0)
+				is.Equal(len(w.open), 0)
 			})
 		})
 	}
@@ -138,11 +138,11 @@
 func TestLeavingRunnerIsNoCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, Ended)
+		w := newTestDetector(t, Ended)
 		w.listed = false
-		w.ReportBroken(runner, work(1, false))
-		time.Sleep(askFor)
+		w.ReportBroken(runner, suspect(1, false))
+		time.Sleep(maxProbeDuration)
 		is.Equal(len(w.reported()), 0)
-		is.Equal(read(w, &w.probes), 0)
+		is.Equal(load(w, &w.probes), 0)
 	})
 }
--- a/coordination/retry/breaker.go
+++ b/coordination/retry/breaker.go
@@ -99,19 +99,19 @@
 
 // Ready reports whether the upstream's breaker lets an attempt through.
 func (b *Breakers) Ready(upstream string) bool {
-	k := b.known(upstream)
-	return k == nil || k.State() != gobreaker.StateOpen
+	breaker := b.lookup(upstream)
+	return breaker == nil || breaker.State() != gobreaker.StateOpen
 }
 
 // Begin asks for an attempt. The returned function must be called once with
 // whether the upstream did its part (a caller's own cancellation is no failure).
 // It returns an *OpenError when the breaker lets nothing through.
 func (b *Breakers) Begin(upstream string) (done func(ok bool), err error) {
-	k := b.breaker(upstream)
-	if k == nil {
+	breaker := b.lookupOrCreate(upstream)
+	if breaker == nil {
 		return func(bool) {}, nil
 	}
-	end, err := k.Allow()
+	end, err := breaker.Allow()
 	if err != nil {
 		return nil, &OpenError{upstream}
 	}
@@ -140,9 +140,9 @@
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	out := make([]Status, 0, len(b.breakers))
-	for name, k := range b.breakers {
-		c := k.Counts()
-		out = append(out, Status{name, stateOf(k.State()), c.Requests, c.TotalFailures})
+	for name, breaker := range b.breakers {
+		c := breaker.Counts()
+		out = append(out, Status{name, stateOf(breaker.State()), c.Requests, c.TotalFailures})
 	}
 	slices.SortFunc(out, func(x, y Status) int { return strings.Compare(x.Upstream, y.Upstream) })
 	return out
@@ -159,33 +159,33 @@
 	}
 }
 
-func (b *Breakers) known(upstream string) *gobreaker.TwoStepCircuitBreaker[struct{}] {
+func (b *Breakers) lookup(upstream string) *gobreaker.TwoStepCircuitBreaker[struct{}] {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.breakers[upstream]
 }
 
-func (b *Breakers) breaker(upstream string) *gobreaker.TwoStepCircuitBreaker[struct{}] {
-	if k := b.known(upstream); k != nil {
-		return k
+func (b *Breakers) lookupOrCreate(upstream string) *gobreaker.TwoStepCircuitBreaker[struct{}] {
+	if breaker := b.lookup(upstream); breaker != nil {
+		return breaker
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if k := b.breakers[upstream]; k != nil {
-		return k
+	if breaker := b.breakers[upstream]; breaker != nil {
+		return breaker
 	}
 	if len(b.breakers) >= b.o.MaxUpstreams {
 		return nil
 	}
-	k := gobreaker.NewTwoStepCircuitBreaker[struct{}](gobreaker.Settings{
+	breaker := gobreaker.NewTwoStepCircuitBreaker[struct{}](gobreaker.Settings{
 		Name: upstream, MaxRequests: b.o.Trials, Interval: b.o.Interval, Timeout: b.o.OpenFor,
-		ReadyToTrip: b.trips,
+		ReadyToTrip: b.shouldTrip,
 	})
-	b.breakers[upstream] = k
-	return k
+	b.breakers[upstream] = breaker
+	return breaker
 }
 
-func (b *Breakers) trips(c gobreaker.Counts) bool {
+func (b *Breakers) shouldTrip(c gobreaker.Counts) bool {
 	if c.ConsecutiveFailures >= b.o.ConsecutiveFailures {
 		return true
 	}
--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -41,8 +41,8 @@
 
 // bucket holds the retries saved up by one service.
 type bucket struct {
-	tokens float64
-	at     time.Time
+	tokens     float64
+	refilledAt time.Time
 }
 
 // NewBudget returns a budget, or an error that names the wrong option.
@@ -79,8 +79,8 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.bucket(service)
-	k.tokens = min(k.tokens+share, b.burst())
+	k := b.refill(service)
+	k.tokens = min(k.tokens+share, b.capacity())
 }
 
 // Allow reports whether a request of the service may be tried again, and takes
@@ -88,7 +88,7 @@
 func (b *Budget) Allow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.bucket(service)
+	k := b.refill(service)
 	if k.tokens < 1 {
 		return false
 	}
@@ -100,28 +100,28 @@
 func (b *Budget) Available(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.bucket(service).tokens
+	return b.refill(service).tokens
 }
 
-// burst is the most that can be saved up, at least one repeat.
-func (b *Budget) burst() float64 {
+// capacity is the most that can be saved up, at least one repeat.
+func (b *Budget) capacity() float64 {
 	if b.o.Slack == nil {
 		return b.o.Burst
 	}
 	return max(1, b.o.Slack()/2)
 }
 
-// perSecond is what is earned without traffic.
-func (b *Budget) perSecond() float64 {
+// refillRate is what is earned without traffic.
+func (b *Budget) refillRate() float64 {
 	if b.o.Slack == nil {
 		return b.o.MinPerSecond
 	}
 	return b.o.Slack() / 2 / b.o.SlackWindow.Seconds()
 }
 
-// bucket returns the service's bucket with the time's worth added; b.mu is held.
-// A new bucket holds one retry, so that the first request may be repeated.
-func (b *Budget) bucket(service string) *bucket {
+// refill returns the service's refill with the time's worth added; b.mu is held.
+// A new refill holds one retry, so that the first request may be repeated.
+func (b *Budget) refill(service string) *bucket {
 	now := b.o.Clock.Now()
 	k := b.buckets[service]
 	if k == nil && len(b.buckets) >= b.o.MaxServices {
@@ -129,13 +129,13 @@
 		k = b.buckets[service]
 	}
 	if k == nil {
-		k = &bucket{tokens: 1, at: now}
+		k = &bucket{tokens: 1, refilledAt: now}
 		b.buckets[service] = k
 		return k
 	}
-	if passed := now.Sub(k.at); passed > 0 {
-		k.tokens = min(k.tokens+passed.Seconds()*b.perSecond(), b.burst())
-		k.at = now
+	if elapsed := now.Sub(k.refilledAt); elapsed > 0 {
+		k.tokens = min(k.tokens+elapsed.Seconds()*b.refillRate(), b.capacity())
+		k.refilledAt = now
 	}
 	return k
 }
--- a/coordination/retry/delay.go
+++ b/coordination/retry/delay.go
@@ -44,20 +44,20 @@
 	b.Multiplier = delayGrowth
 	b.RandomizationFactor = 0 // the jitter is drawn from the given source
 	b.Reset()
-	return &Delay{from: d, growth: b}
+	return &Delay{source: d, exponential: b}
 }
 
 // Delay is the sequence of delays of one request; it is for one goroutine.
 type Delay struct {
-	from   *Delays
-	growth *backoff.ExponentialBackOff
+	source      *Delays
+	exponential *backoff.ExponentialBackOff
 }
 
 // Next returns the delay before the next attempt, between half and the whole of
 // a value that grows.
 func (d *Delay) Next() time.Duration {
-	full := d.growth.NextBackOff()
-	d.from.mu.Lock()
-	defer d.from.mu.Unlock()
-	return full/2 + time.Duration(d.from.rnd.Int64N(int64(full/2)+1))
+	full := d.exponential.NextBackOff()
+	d.source.mu.Lock()
+	defer d.source.mu.Unlock()
+	return full/2 + time.Duration(d.source.rnd.Int64N(int64(full/2)+1))
 }
--- a/coordination/retry/repeats.go
+++ b/coordination/retry/repeats.go
@@ -5,24 +5,24 @@
 // leaves, by what a window allows. These come together, and each is an answer that is under way.
 // It is safe for concurrent use.
 type Limiter struct {
-	steady *Budget
-	window *WindowBudget
+	ordinary *Budget
+	window   *WindowBudget
 }
 
 // NewLimiter joins two budgets of one host. The window's bound counts both kinds, and must leave
 // room below what the service agreement allows for repeats that arrive later than they were
 // allowed, as when they wait for a place.
-func NewLimiter(steady *Budget, window *WindowBudget) *Limiter { return &Limiter{steady, window} }
+func NewLimiter(ordinary *Budget, window *WindowBudget) *Limiter { return &Limiter{ordinary, window} }
 
 // CountRequest notes a request of the service.
 func (r *Limiter) CountRequest(service string) {
-	r.steady.CountRequest(service)
+	r.ordinary.CountRequest(service)
 	r.window.CountRequest(service)
 }
 
 // Allow takes an ordinary repeat.
 func (r *Limiter) Allow(service string) bool {
-	if !r.steady.Allow(service) {
+	if !r.ordinary.Allow(service) {
 		return false
 	}
 	r.window.Record(service)
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -13,17 +13,17 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// movingClock is set by a test.
-type movingClock struct {
+// manualClock is set by a test.
+type manualClock struct {
 	state.Clock
 	now time.Time
 }
 
-func (c *movingClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
-func newBudget(t *testing.T, o BudgetOptions) (*Budget, *movingClock) {
+func newBudget(t *testing.T, o BudgetOptions) (*Budget, *manualClock) {
 	t.Helper()
-	clock := &movingClock{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
+	clock := &manualClock{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	o.Clock = clock
 	if o.Share == nil {
 		o.Share = func(string) float64 { return 0.1 }
@@ -35,8 +35,8 @@
 	return b, clock
 }
 
-// allowed counts the retries that are allowed in a row.
-func allowed(b *Budget, service string) int {
+// countAllowed counts the retries that are countAllowed in a row.
+func countAllowed(b *Budget, service string) int {
 	n := 0
 	for b.Allow(service) {
 		n++
@@ -63,7 +63,7 @@
 			for range tt.requests {
 				b.CountRequest("llm")
 			}
-			n := allowed(b, "llm")
+			n := countAllowed(b, "llm")
 			is.True(n >= tt.want-1 && n <= tt.want) // adding up a tenth rounds
 		})
 	}
@@ -85,16 +85,16 @@
 	is.True(retries >= seconds*rate/10)
 }
 
-func TestQuietServiceMayRetryOnceASecond(t *testing.T) {
+func TestIdleServiceMayRetryOncePerSecond(t *testing.T) {
 	is := is.New(t)
 	b, clock := newBudget(t, BudgetOptions{})
-	is.Equal(allowed(b, "llm"), 1)
+	is.Equal(countAllowed(b, "llm"), 1)
 	clock.now = clock.now.Add(3 * time.Second)
-	is.Equal(allowed(b, "llm"), 3)
-	is.Equal(allowed(b, "other"), 1) // budgets are apart
+	is.Equal(countAllowed(b, "llm"), 3)
+	is.Equal(countAllowed(b, "other"), 1) // budgets are apart
 }
 
-func TestBudgetIsBounded(t *testing.T) {
+func TestBudgetBoundsItsServices(t *testing.T) {
 	is := is.New(t)
 	b, _ := newBudget(t, BudgetOptions{MaxServices: 8})
 	for i := range 1000 {
@@ -103,7 +103,7 @@
 	is.True(len(b.buckets) <= 9) // one is shared by those beyond the bound
 }
 
-func TestBreakerOpensAndLetsATrialThrough(t *testing.T) {
+func TestBreakerOpensAndAllowsATrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		b, err := NewBreakers(BreakerOptions{ConsecutiveFailures: 3, OpenFor: 2 * time.Second})
@@ -154,7 +154,7 @@
 	})
 }
 
-func TestBreakersAreBoundedAndForget(t *testing.T) {
+func TestBreakersAreBoundedAndRemoved(t *testing.T) {
 	is := is.New(t)
 	b, err := NewBreakers(BreakerOptions{MaxUpstreams: 4, ConsecutiveFailures: 1})
 	is.NoErr(err)
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -8,9 +8,9 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// windowSlots is how many parts a window is counted in: a repeat counts for up to a tenth of
+// slotsPerWindow is how many parts a window is counted in: a repeat counts for up to a tenth of
 // the window longer than it must, a request for up to a tenth shorter.
-const windowSlots = 10
+const slotsPerWindow = 10
 
 // WindowOptions configure a WindowBudget. All fields are required.
 type WindowOptions struct {
@@ -32,48 +32,48 @@
 	o WindowOptions
 
 	mu       sync.Mutex
-	services map[string]*counts
+	services map[string]*windowCounts
 }
 
-// counts are a service's requests and repeats by slot, the newest at the number newest.
-type counts struct {
-	newest   int64
-	requests [windowSlots + 1]float64
-	repeats  [windowSlots + 1]float64
+// windowCounts are a service's requests and repeats by slot, the newest at the number newest.
+type windowCounts struct {
+	newestSlot int64
+	requests   [slotsPerWindow + 1]float64
+	retries    [slotsPerWindow + 1]float64
 }
 
 // NewWindowBudget validates the options.
 func NewWindowBudget(o WindowOptions) (*WindowBudget, error) {
-	if o.Clock == nil || o.Slack == nil || o.Window < windowSlots || o.Share < 0 || o.Share > 1 {
+	if o.Clock == nil || o.Slack == nil || o.Window < slotsPerWindow || o.Share < 0 || o.Share > 1 {
 		return nil, errors.New("retry: a field of WindowOptions is missing or wrong; set all of them, Share from 0 to 1")
 	}
-	return &WindowBudget{o: o, services: map[string]*counts{}}, nil
+	return &WindowBudget{o: o, services: map[string]*windowCounts{}}, nil
 }
 
 // CountRequest notes a request of the service.
 func (b *WindowBudget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.counts(service)
-	c.requests[c.at(c.newest)]++
+	c := b.advance(service)
+	c.requests[c.index(c.newestSlot)]++
 }
 
 // Allow takes a repeat from the service's budget, if there is one left.
 func (b *WindowBudget) Allow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.counts(service)
-	requests, repeats := 0.0, 0.0
-	for i := range c.repeats {
-		repeats += c.repeats[i]
+	c := b.advance(service)
+	requests, retries := 0.0, 0.0
+	for i := range c.retries {
+		retries += c.retries[i]
 		requests += c.requests[i]
 	}
 	// The oldest slot reaches back beyond the window: its repeats count, its requests don't.
-	requests -= c.requests[c.at(c.newest-windowSlots)]
-	if repeats+1 > b.o.Share*requests+b.o.Slack() {
+	requests -= c.requests[c.index(c.newestSlot-slotsPerWindow)]
+	if retries+1 > b.o.Share*requests+b.o.Slack() {
 		return false
 	}
-	c.repeats[c.at(c.newest)]++
+	c.retries[c.index(c.newestSlot)]++
 	return true
 }
 
@@ -81,25 +81,25 @@
 func (b *WindowBudget) Record(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	c := b.counts(service)
-	c.repeats[c.at(c.newest)]++
+	c := b.advance(service)
+	c.retries[c.index(c.newestSlot)]++
 }
 
-// at is the place of a slot.
-func (c *counts) at(slot int64) int { return int(slot % (windowSlots + 1)) }
+// index is the place of a slot.
+func (c *windowCounts) index(slot int64) int { return int(slot % (slotsPerWindow + 1)) }
 
-// counts returns a service's counts with the present slot as the newest. Services are those
+// advance returns a service's advance with the present slot as the newest. Services are those
 // of the configuration, which has few.
-func (b *WindowBudget) counts(service string) *counts {
-	now := b.o.Clock.Now().UnixNano() / int64(b.o.Window/windowSlots)
+func (b *WindowBudget) advance(service string) *windowCounts {
+	now := b.o.Clock.Now().UnixNano() / int64(b.o.Window/slotsPerWindow)
 	c := b.services[service]
 	if c == nil {
-		c = &counts{newest: now}
+		c = &windowCounts{newestSlot: now}
 		b.services[service] = c
 	}
-	for slot := max(c.newest+1, now-windowSlots); slot <= now; slot++ {
-		c.requests[c.at(slot)], c.repeats[c.at(slot)] = 0, 0
+	for slot := max(c.newestSlot+1, now-slotsPerWindow); slot <= now; slot++ {
+		c.requests[c.index(slot)], c.retries[c.index(slot)] = 0, 0
 	}
-	c.newest = max(c.newest, now)
+	c.newestSlot = max(c.newestSlot, now)
 	return c
 }
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -21,7 +21,7 @@
 	testSlack   = 3
 )
 
-func newWindow(t *testing.T, slack float64) *WindowBudget {
+func newWindowBudget(t *testing.T, slack float64) *WindowBudget {
 	t.Helper()
 	b, err := NewWindowBudget(WindowOptions{Clock: clocktest.Bubble{}, Window: testWindow, Share: testShare, Slack: func() float64 { return slack }})
 	if err != nil {
@@ -32,10 +32,10 @@
 
 // A small host of a fleet of 83, with 6 requests a second, loses the engine at which four of its
 // runs are: all of them go on at once.
-func TestRepeatsOfAWindowMayComeAtOnce(t *testing.T) {
+func TestWindowBudgetAllowsABurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := newWindow(t, 1.7)
+		b := newWindowBudget(t, 1.7)
 		for range 60 {
 			b.CountRequest("llm")
 			time.Sleep(testWindow / 60)
@@ -56,12 +56,12 @@
 // In no window of whatever beginning are there more repeats than the slack and its requests
 // allow, or those of the window before it or half before it, as the service agreement counts
 // them, however requests and repeats come.
-func TestNoWindowSeesMoreRepeats(t *testing.T) {
+func TestNoWindowExceedsItsBound(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 4))
-			b := newWindow(t, testSlack)
-			var requests, repeats []time.Time
+			b := newWindowBudget(t, testSlack)
+			var requests, retries []time.Time
 			rate := 1 + rng.IntN(50)
 			for end := time.Now().Add(time.Minute); time.Now().Before(end); {
 				if rng.IntN(200) == 0 {
@@ -71,24 +71,24 @@
 				requests = append(requests, time.Now())
 				for range rng.IntN(4) {
 					if b.Allow("llm") {
-						repeats = append(repeats, time.Now())
+						retries = append(retries, time.Now())
 					}
 				}
 				time.Sleep(time.Duration(rng.IntN(2000/rate)) * time.Millisecond)
 			}
-			for _, from := range repeats {
-				n := float64(within(repeats, from, testWindow))
-				most := max(within(requests, from, testWindow), within(requests, from.Add(-testWindow/2), testWindow), within(requests, from.Add(-testWindow), testWindow))
-				if n > agreedShare*float64(most)+agreedSlack {
-					t.Fatalf("seed %d: %v repeats beside %d requests", seed, n, most)
+			for _, from := range retries {
+				n := float64(countWithin(retries, from, testWindow))
+				maxRequests := max(countWithin(requests, from, testWindow), countWithin(requests, from.Add(-testWindow/2), testWindow), countWithin(requests, from.Add(-testWindow), testWindow))
+				if n > agreedShare*float64(maxRequests)+agreedSlack {
+					t.Fatalf("seed %d: %v repeats beside %d requests", seed, n, maxRequests)
 				}
 			}
 		})
 	}
 }
 
-// within counts the times in a window.
-func within(times []time.Time, from time.Time, window time.Duration) int {
+// countWithin counts the times in a window.
+func countWithin(times []time.Time, from time.Time, window time.Duration) int {
 	n := 0
 	for _, at := range times {
 		if !at.Before(from) && at.Before(from.Add(window)) {
@@ -98,7 +98,7 @@
 	return n
 }
 
-func TestWrongWindowNamesTheRemedy(t *testing.T) {
+func TestMissingWindowOptionsAreRejected(t *testing.T) {
 	_, err := NewWindowBudget(WindowOptions{Clock: clocktest.Bubble{}})
 	is.New(t).True(err != nil)
 }
@@ -106,29 +106,29 @@
 // An overload: each request is refused and asks for repeats all the time. Ordinary repeats stay
 // as steady as their budget earns them, so that they don't make it worse, and what is under way
 // can still be moved at once when its engine is lost.
-func TestOverloadLeavesRoomForMoves(t *testing.T) {
+func TestOverloadLeavesCapacityForMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		steady, err := NewBudget(BudgetOptions{Clock: clocktest.Bubble{}, Share: func(string) float64 { return testShare }, Slack: func() float64 { return 1.7 }, SlackWindow: testWindow})
+		ordinary, err := NewBudget(BudgetOptions{Clock: clocktest.Bubble{}, Share: func(string) float64 { return testShare }, Slack: func() float64 { return 1.7 }, SlackWindow: testWindow})
 		is.NoErr(err)
-		b := NewLimiter(steady, newWindow(t, 1.7))
-		ordinary := 0
+		b := NewLimiter(ordinary, newWindowBudget(t, 1.7))
+		retries := 0
 		for range 300 {
 			b.CountRequest("llm")
 			for b.Allow("llm") {
-				ordinary++
+				retries++
 			}
 			time.Sleep(testWindow / 60)
 		}
-		is.True(float64(ordinary) <= testShare*300+1.7/2*5+1) // never what a burst of them saved up
-		b, quiet := NewLimiter(steady, newWindow(t, 1.7)), 0
+		is.True(float64(retries) <= testShare*300+1.7/2*5+1) // never what a burst of them saved up
+		b, moves := NewLimiter(ordinary, newWindowBudget(t, 1.7)), 0
 		for range 60 {
 			b.CountRequest("llm")
 			time.Sleep(testWindow / 60)
 		}
 		for b.AllowMove("llm") {
-			quiet++
+			moves++
 		}
-		is.True(quiet >= 9)
+		is.True(moves >= 9)
 	})
 }
