--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -18,19 +18,19 @@
 )
 
 const (
-	// lookEvery is the time between two rounds.
-	lookEvery = 2 * time.Second
-	// heardWithin is how long a host counts as alive after it was heard.
-	heardWithin = 3 * time.Second
+	// roundInterval is the time between two rounds.
+	roundInterval = 2 * time.Second
+	// contactTTL is how long a host counts as alive after it was heard.
+	contactTTL = 3 * time.Second
 	// pingTimeout bounds a question, and pingViaTimeout one by way of a helper.
-	pingTimeout    = 500 * time.Millisecond
-	pingViaTimeout = 2 * pingTimeout
-	// suspectRounds is how many rounds in a row a host must be silent: ten seconds and
+	pingTimeout         = 500 * time.Millisecond
+	indirectPingTimeout = 2 * pingTimeout
+	// minSilentRounds is how many rounds in a row a host must be silent: ten seconds and
 	// more, which hosts that are frozen, stopped or restarted mostly don't need.
-	suspectRounds = 5
-	// mostSilent is the share of its hosts that may be silent: a looker that hears less
+	minSilentRounds = 5
+	// maxSilentShare is the share of its hosts that may be silent: a looker that hears less
 	// is more likely to be cut off itself, and removes nobody.
-	mostSilent = 0.25
+	maxSilentShare = 0.25
 )
 
 // Entry is a host as its entry in the list says.
@@ -46,7 +46,7 @@
 	// Ping asks the host at addr whether it is there.
 	Ping(ctx context.Context, addr string) error
 	// PingVia has the host at helper ask the one at addr.
-	PingVia(ctx context.Context, helper, addr string) error
+	PingVia(ctx context.Context, proxy, addr string) error
 }
 
 // Options configure a Monitor. All fields are required.
@@ -68,8 +68,8 @@
 // Monitor looks after the hosts of one domain. It is not safe for concurrent use.
 type Monitor struct {
 	o Options
-	// silent counts the rounds in a row in which nothing was heard of an entry.
-	silent map[entryID]int
+	// silentRounds counts the rounds in a row in which nothing was heard of an entry.
+	silentRounds map[entryID]int
 }
 
 // entryID is one writing of an entry: a host that lists itself again begins anew.
@@ -83,90 +83,90 @@
 	if o.Self.Addr == "" || o.Hosts == nil || o.Monitors == nil || o.LastContact == nil || o.Peers == nil || o.Remove == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("liveness: a field of Options is missing; set all of them")
 	}
-	return &Monitor{o: o, silent: map[entryID]int{}}, nil
+	return &Monitor{o: o, silentRounds: map[entryID]int{}}, nil
 }
 
 // Run looks in rounds until ctx ends.
-func (l *Monitor) Run(ctx context.Context) {
-	for l.o.Clock.Sleep(ctx, lookEvery) == nil {
-		l.round(ctx)
+func (m *Monitor) Run(ctx context.Context) {
+	for m.o.Clock.Sleep(ctx, roundInterval) == nil {
+		m.runRound(ctx)
 	}
 }
 
-// round looks for hosts that can't be heard.
-func (l *Monitor) round(ctx context.Context) {
-	var domain, own []Entry
-	for _, h := range l.o.Hosts() {
-		if h.FailureDomain != l.o.Self.FailureDomain || h.Addr == l.o.Self.Addr {
+// runRound looks for hosts that can't be heard.
+func (m *Monitor) runRound(ctx context.Context) {
+	var domain, monitored []Entry
+	for _, h := range m.o.Hosts() {
+		if h.FailureDomain != m.o.Self.FailureDomain || h.Addr == m.o.Self.Addr {
 			continue
 		}
 		domain = append(domain, h)
-		if l.o.Monitors(h.Addr) {
-			own = append(own, h)
+		if m.o.Monitors(h.Addr) {
+			monitored = append(monitored, h)
 		}
 	}
 	silent := map[entryID]int{}
-	var gone []Entry
-	for _, h := range own {
-		if l.heard(ctx, h, domain) {
+	var expired []Entry
+	for _, h := range monitored {
+		if m.isAlive(ctx, h, domain) {
 			continue
 		}
 		id := entryID{h.Name, h.Version}
-		silent[id] = l.silent[id] + 1
+		silent[id] = m.silentRounds[id] + 1
 		if silent[id] == 1 {
-			l.o.Log.Info("host is silent", "name", h.Name, "addr", h.Addr)
+			m.o.Log.Info("host is silent", "name", h.Name, "addr", h.Addr)
 		}
-		if silent[id] >= suspectRounds {
-			gone = append(gone, h)
+		if silent[id] >= minSilentRounds {
+			expired = append(expired, h)
 		}
 	}
-	l.silent = silent
-	if float64(len(silent)) > max(1, mostSilent*float64(len(own))) {
-		l.o.Log.Warn("too many hosts are silent; none is removed", "silent", len(silent), "hosts", len(own))
+	m.silentRounds = silent
+	if float64(len(silent)) > max(1, maxSilentShare*float64(len(monitored))) {
+		m.o.Log.Warn("too many hosts are silent; none is removed", "silent", len(silent), "hosts", len(monitored))
 		return
 	}
-	for _, h := range gone {
-		l.remove(ctx, h)
+	for _, h := range expired {
+		m.remove(ctx, h)
 	}
 }
 
-// heard reports whether a host has been heard recently, or answers.
-func (l *Monitor) heard(ctx context.Context, h Entry, domain []Entry) bool {
-	if l.o.Clock.Now().Sub(l.o.LastContact(h.Addr)) < heardWithin {
+// isAlive reports whether a host has been isAlive recently, or answers.
+func (m *Monitor) isAlive(ctx context.Context, h Entry, domain []Entry) bool {
+	if m.o.Clock.Now().Sub(m.o.LastContact(h.Addr)) < contactTTL {
 		return true
 	}
-	if l.ping(ctx, h.Addr) {
+	if m.ping(ctx, h.Addr) {
 		return true
 	}
-	helper := l.helper(h, domain)
-	if helper == "" {
+	proxy := m.pickProxy(h, domain)
+	if proxy == "" {
 		return false
 	}
-	ctx, cancel := context.WithTimeout(ctx, pingViaTimeout)
+	ctx, cancel := context.WithTimeout(ctx, indirectPingTimeout)
 	defer cancel()
-	return l.o.Peers.PingVia(ctx, helper, h.Addr) == nil
+	return m.o.Peers.PingVia(ctx, proxy, h.Addr) == nil
 }
 
-func (l *Monitor) ping(ctx context.Context, addr string) bool {
+func (m *Monitor) ping(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	return l.o.Peers.Ping(ctx, addr) == nil
+	return m.o.Peers.Ping(ctx, addr) == nil
 }
 
-// helper is a host of the domain that was heard recently; "" if there is none.
-func (l *Monitor) helper(of Entry, domain []Entry) string {
+// pickProxy is a host of the domain that was heard recently; "" if there is none.
+func (m *Monitor) pickProxy(target Entry, domain []Entry) string {
 	for _, h := range domain {
-		if h.Addr != of.Addr && l.o.Clock.Now().Sub(l.o.LastContact(h.Addr)) < heardWithin {
+		if h.Addr != target.Addr && m.o.Clock.Now().Sub(m.o.LastContact(h.Addr)) < contactTTL {
 			return h.Addr
 		}
 	}
 	return ""
 }
 
-func (l *Monitor) remove(ctx context.Context, h Entry) {
-	if err := l.o.Remove(ctx, h); err != nil {
-		l.o.Log.Info("host that is gone not removed", "name", h.Name, "cause", err.Error())
+func (m *Monitor) remove(ctx context.Context, h Entry) {
+	if err := m.o.Remove(ctx, h); err != nil {
+		m.o.Log.Info("host that is gone not removed", "name", h.Name, "cause", err.Error())
 		return
 	}
-	l.o.Log.Info("host that is gone removed", "name", h.Name, "addr", h.Addr, "version", h.Version, "rounds", suspectRounds)
+	m.o.Log.Info("host that is gone removed", "name", h.Name, "addr", h.Addr, "version", h.Version, "rounds", minSilentRounds)
 }
--- a/coordination/liveness/liveness_test.go
+++ b/coordination/liveness/liveness_test.go
@@ -15,56 +15,56 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// domain is the hosts around one looker, h0.
-type domain struct {
+// testDomain is the hosts around one looker, h0.
+type testDomain struct {
 	hosts []Entry
-	// gone hosts answer nobody; far ones don't answer the looker alone; quiet ones answer,
+	// dead hosts answer nobody; unreachable ones don't answer the looker alone; noContact ones answer,
 	// but follow another relay.
-	gone, far, quiet map[string]bool
-	removed          []string
-	pings            int
-	looks            bool
+	dead, unreachable, noContact map[string]bool
+	removed                      []string
+	pings                        int
+	monitored                    bool
 }
 
-func newDomain(n int) *domain {
-	d := &domain{gone: map[string]bool{}, far: map[string]bool{}, quiet: map[string]bool{}, looks: true}
+func newTestDomain(n int) *testDomain {
+	d := &testDomain{dead: map[string]bool{}, unreachable: map[string]bool{}, noContact: map[string]bool{}, monitored: true}
 	for i := range n {
 		d.hosts = append(d.hosts, Entry{Peer: state.Peer{Addr: fmt.Sprint("h", i), FailureDomain: "d"}, Name: fmt.Sprint("n", i), Version: uint64(i + 1)})
 	}
 	d.hosts = append(d.hosts, Entry{Peer: state.Peer{Addr: "other", FailureDomain: "e"}, Name: "other", Version: 99})
-	d.gone["other"] = true // another domain's looker sees to it
+	d.dead["other"] = true // another domain's looker sees to it
 	return d
 }
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
 // Ping implements Peers.
-func (d *domain) Ping(ctx context.Context, addr string) error {
+func (d *testDomain) Ping(ctx context.Context, addr string) error {
 	d.pings++
-	if d.gone[addr] || d.far[addr] {
+	if d.dead[addr] || d.unreachable[addr] {
 		<-ctx.Done()
-		return errSilent
+		return errNoAnswer
 	}
 	return nil
 }
 
 // PingVia implements Peers.
-func (d *domain) PingVia(ctx context.Context, helper, addr string) error {
-	if d.gone[addr] || d.gone[helper] {
+func (d *testDomain) PingVia(ctx context.Context, proxy, addr string) error {
+	if d.dead[addr] || d.dead[proxy] {
 		<-ctx.Done()
-		return errSilent
+		return errNoAnswer
 	}
 	return nil
 }
 
-func (d *domain) heardAt(addr string) time.Time {
-	if d.gone[addr] || d.far[addr] || d.quiet[addr] {
+func (d *testDomain) lastContact(addr string) time.Time {
+	if d.dead[addr] || d.unreachable[addr] || d.noContact[addr] {
 		return time.Time{}
 	}
 	return time.Now()
 }
 
-func (d *domain) remove(_ context.Context, h Entry) error {
+func (d *testDomain) remove(_ context.Context, h Entry) error {
 	d.removed = append(d.removed, h.Name)
 	for i, other := range d.hosts {
 		if other.Name == h.Name && other.Version == h.Version {
@@ -75,59 +75,59 @@
 	return errors.New("another version")
 }
 
-// look runs the looker for a time.
-func (d *domain) look(t *testing.T, l *Monitor, span time.Duration) {
+// run runs the looker for a time.
+func (d *testDomain) run(t *testing.T, m *Monitor, span time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), span)
 	defer cancel()
-	l.Run(ctx)
+	m.Run(ctx)
 }
 
-func (d *domain) looker(t *testing.T) *Monitor {
+func (d *testDomain) newMonitor(t *testing.T) *Monitor {
 	t.Helper()
-	l, err := New(Options{
-		Self: d.hosts[0].Peer, Hosts: func() []Entry { return d.hosts }, Monitors: func(string) bool { return d.looks }, LastContact: d.heardAt,
+	m, err := New(Options{
+		Self: d.hosts[0].Peer, Hosts: func() []Entry { return d.hosts }, Monitors: func(string) bool { return d.monitored }, LastContact: d.lastContact,
 		Peers: d, Remove: d.remove, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return l
+	return m
 }
 
-func inDomain(t *testing.T, n int, play func(is *is.I, d *domain, l *Monitor)) {
+func runInDomain(t *testing.T, n int, test func(is *is.I, d *testDomain, m *Monitor)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		d := newDomain(n)
-		play(is.New(t), d, d.looker(t))
+		d := newTestDomain(n)
+		test(is.New(t), d, d.newMonitor(t))
 	})
 }
 
 func TestHostsThatAreGoneAreRemovedInSeconds(t *testing.T) {
-	inDomain(t, 60, func(is *is.I, d *domain, l *Monitor) {
-		d.gone["h7"], d.gone["h30"] = true, true
-		d.look(t, l, 8*time.Second)
+	runInDomain(t, 60, func(is *is.I, d *testDomain, m *Monitor) {
+		d.dead["h7"], d.dead["h30"] = true, true
+		d.run(t, m, 8*time.Second)
 		is.Equal(len(d.removed), 0) // they may be restarting
-		d.look(t, l, 30*time.Second)
+		d.run(t, m, 30*time.Second)
 		is.Equal(d.removed, []string{"n7", "n30"})
 	})
 }
 
 func TestHostsThatAreThereStay(t *testing.T) {
-	for name, c := range map[string]func(d *domain){
-		"they follow another relay":       func(d *domain) { d.quiet["h3"], d.quiet["h4"] = true, true },
-		"only the looker is cut off them": func(d *domain) { d.far["h3"] = true },
-		"most are silent, so the looker is cut off": func(d *domain) {
+	for name, c := range map[string]func(d *testDomain){
+		"they follow another relay":       func(d *testDomain) { d.noContact["h3"], d.noContact["h4"] = true, true },
+		"only the looker is cut off them": func(d *testDomain) { d.unreachable["h3"] = true },
+		"most are silent, so the looker is cut off": func(d *testDomain) {
 			for i := range 20 {
-				d.gone[fmt.Sprint("h", i+1)] = true
+				d.dead[fmt.Sprint("h", i+1)] = true
 			}
 		},
-		"another host looks": func(d *domain) { d.gone["h3"], d.looks = true, false },
+		"another host looks": func(d *testDomain) { d.dead["h3"], d.monitored = true, false },
 	} {
 		t.Run(name, func(t *testing.T) {
-			inDomain(t, 60, func(is *is.I, d *domain, l *Monitor) {
+			runInDomain(t, 60, func(is *is.I, d *testDomain, m *Monitor) {
 				c(d)
-				d.look(t, l, time.Minute)
+				d.run(t, m, time.Minute)
 				is.Equal(len(d.removed), 0)
 			})
 		})
@@ -137,25 +137,25 @@
 // A host that is frozen or restarts for some seconds is not removed, and one that lists
 // itself again begins anew.
 func TestSilenceMustLast(t *testing.T) {
-	inDomain(t, 60, func(is *is.I, d *domain, l *Monitor) {
+	runInDomain(t, 60, func(is *is.I, d *testDomain, m *Monitor) {
 		for range 5 {
-			d.gone["h5"] = true
-			d.look(t, l, 6*time.Second)
-			d.gone["h5"] = false
-			d.look(t, l, 4*time.Second)
+			d.dead["h5"] = true
+			d.run(t, m, 6*time.Second)
+			d.dead["h5"] = false
+			d.run(t, m, 4*time.Second)
 		}
-		d.gone["h5"] = true
-		d.look(t, l, 8*time.Second)
+		d.dead["h5"] = true
+		d.run(t, m, 8*time.Second)
 		d.hosts[5].Version = 200
-		d.look(t, l, 8*time.Second)
+		d.run(t, m, 8*time.Second)
 		is.Equal(len(d.removed), 0)
 	})
 }
 
 // Hosts that ask for news cost no question of their own.
 func TestHostsThatAreHeardAreNotAsked(t *testing.T) {
-	inDomain(t, 60, func(is *is.I, d *domain, l *Monitor) {
-		d.look(t, l, time.Minute)
+	runInDomain(t, 60, func(is *is.I, d *testDomain, m *Monitor) {
+		d.run(t, m, time.Minute)
 		is.Equal(d.pings, 0)
 	})
 }
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -17,23 +17,23 @@
 )
 
 const (
-	// reportEvery bounds a host's reports of one runner: one is enough to have it asked.
-	reportEvery = 250 * time.Millisecond
+	// reportInterval bounds a host's reports of one runner: one is enough to have it asked.
+	reportInterval = 250 * time.Millisecond
 	// reportTimeout bounds a report; nobody waits for it.
 	reportTimeout = 500 * time.Millisecond
-	// askTimeout bounds a question to a runner: thirty round trips between failure
+	// probeTimeout bounds a question to a runner: thirty round trips between failure
 	// domains. askEvery is the pause between two while it doesn't answer.
-	askTimeout = 100 * time.Millisecond
-	askEvery   = 200 * time.Millisecond
-	// holdFor is how long a verdict holds unless it is renewed or taken back; it is
+	probeTimeout  = 100 * time.Millisecond
+	probeInterval = 200 * time.Millisecond
+	// verdictTTL is how long a verdict holds unless it is renewed or taken back; it is
 	// renewed with each question, so that two of them may be lost.
-	holdFor = 3 * (askTimeout + askEvery)
-	// watchFor bounds how long an owner asks: by then the list shows the loss of a runner
+	verdictTTL = 3 * (probeTimeout + probeInterval)
+	// maxWatchDuration bounds how long an owner asks: by then the list shows the loss of a runner
 	// that is gone (three heartbeats of 1.2 s).
-	watchFor = 15 * time.Second
-	// mostShare is the share of a service's runners that may be told at once: one that
+	maxWatchDuration = 15 * time.Second
+	// maxSilentShare is the share of a service's runners that may be told at once: one that
 	// finds more of them silent is more likely to be cut off itself.
-	mostShare = 0.5
+	maxSilentShare = 0.5
 )
 
 // Verdict is what an owner tells all hosts of a runner.
@@ -73,8 +73,8 @@
 	o   Options
 	ctx context.Context
 
-	mu       sync.Mutex
-	reported map[state.InstanceID]time.Time
+	mu         sync.Mutex
+	reportedAt map[state.InstanceID]time.Time
 	// watched are the runners that are being asked; true once they are told.
 	watched map[state.InstanceID]bool
 }
@@ -84,13 +84,13 @@
 	if o.Self == "" || o.Owner == nil || o.Peers == nil || o.Alive == nil || o.Siblings == nil || o.Publish == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("outlier: a field of Options is missing; set all of them")
 	}
-	return &Detector{o: o, ctx: ctx, reported: map[state.InstanceID]time.Time{}, watched: map[state.InstanceID]bool{}}, nil
+	return &Detector{o: o, ctx: ctx, reportedAt: map[state.InstanceID]time.Time{}, watched: map[state.InstanceID]bool{}}, nil
 }
 
 // ReportSilent notes that this host hears nothing of a runner. It doesn't wait.
 func (d *Detector) ReportSilent(id state.InstanceID) {
 	owner := d.o.Owner(id)
-	if owner == "" || !d.mayReport(id) {
+	if owner == "" || !d.allowReport(id) {
 		return
 	}
 	if owner == d.o.Self {
@@ -106,20 +106,20 @@
 	}()
 }
 
-// mayReport keeps a host from reporting one runner for each of its requests.
-func (d *Detector) mayReport(id state.InstanceID) bool {
+// allowReport keeps a host from reporting one runner for each of its requests.
+func (d *Detector) allowReport(id state.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.o.Clock.Now()
-	if now.Sub(d.reported[id]) < reportEvery {
+	if now.Sub(d.reportedAt[id]) < reportInterval {
 		return false
 	}
-	for other, at := range d.reported {
-		if now.Sub(at) > watchFor {
-			delete(d.reported, other)
+	for other, at := range d.reportedAt {
+		if now.Sub(at) > maxWatchDuration {
+			delete(d.reportedAt, other)
 		}
 	}
-	d.reported[id] = now
+	d.reportedAt[id] = now
 	return true
 }
 
@@ -136,64 +136,64 @@
 
 // watch asks the runner until it answers, and tells all hosts while it doesn't.
 func (d *Detector) watch(id state.InstanceID) {
-	defer d.forget(id)
+	defer d.unwatch(id)
 	began := d.o.Clock.Now()
-	for d.o.Clock.Now().Sub(began) < watchFor {
-		if d.alive(id) {
+	for d.o.Clock.Now().Sub(began) < maxWatchDuration {
+		if d.probe(id) {
 			break
 		}
-		if d.ctx.Err() != nil || !d.mayTell(id) {
+		if d.ctx.Err() != nil || !d.allowVerdict(id) {
 			return
 		}
-		d.o.Publish(Verdict{Instance: id, Silent: true, TTL: holdFor})
-		if d.o.Clock.Sleep(d.ctx, askEvery) != nil {
+		d.o.Publish(Verdict{Instance: id, Silent: true, TTL: verdictTTL})
+		if d.o.Clock.Sleep(d.ctx, probeInterval) != nil {
 			return
 		}
 	}
-	if d.told(id) {
+	if d.published(id) {
 		d.o.Log.Info("runner answers again", "instance", id, "silent", d.o.Clock.Now().Sub(began))
 		d.o.Publish(Verdict{Instance: id})
 	}
 }
 
-func (d *Detector) alive(id state.InstanceID) bool {
-	ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
+func (d *Detector) probe(id state.InstanceID) bool {
+	ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 	defer cancel()
 	return d.o.Alive(ctx, id)
 }
 
-// mayTell reports whether the runner is still listed and few enough are told.
-func (d *Detector) mayTell(id state.InstanceID) bool {
+// allowVerdict reports whether the runner is still listed and few enough are told.
+func (d *Detector) allowVerdict(id state.InstanceID) bool {
 	siblings := d.o.Siblings(id)
 	if siblings == 0 {
 		return false
 	}
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	told := 0
-	for _, is := range d.watched {
-		if is {
-			told++
+	published := 0
+	for _, silent := range d.watched {
+		if silent {
+			published++
 		}
 	}
-	if !d.watched[id] && float64(told+1) > max(1, mostShare*float64(siblings)) {
-		d.o.Log.Warn("silent runner not told: too many are", "instance", id, "told", told, "siblings", siblings)
+	if !d.watched[id] && float64(published+1) > max(1, maxSilentShare*float64(siblings)) {
+		d.o.Log.Warn("silent runner not told: too many are", "instance", id, "told", published, "siblings", siblings)
 		return false
 	}
 	if !d.watched[id] {
-		d.o.Log.Info("runner is silent", "instance", id, "told", told+1)
+		d.o.Log.Info("runner is silent", "instance", id, "told", published+1)
 	}
 	d.watched[id] = true
 	return true
 }
 
-func (d *Detector) told(id state.InstanceID) bool {
+func (d *Detector) published(id state.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watched[id]
 }
 
-func (d *Detector) forget(id state.InstanceID) {
+func (d *Detector) unwatch(id state.InstanceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.watched, id)
--- a/coordination/outlier/outlier_test.go
+++ b/coordination/outlier/outlier_test.go
@@ -15,94 +15,94 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// world is hosts with a detector each, and runners of one service.
-type world struct {
-	mu      sync.Mutex
-	hosts   map[string]*Detector
-	dark    map[state.InstanceID]bool
-	cut     map[string]bool // hosts that reach no runner
-	runners int
-	told    []Verdict
-	at      []time.Time
-	asked   int
+// cluster is hosts with a detector each, and runners of one service.
+type cluster struct {
+	mu          sync.Mutex
+	hosts       map[string]*Detector
+	silent      map[state.InstanceID]bool
+	cutOff      map[string]bool // hosts that reach no runner
+	runners     int
+	verdicts    []Verdict
+	publishedAt []time.Time
+	probes      int
 }
 
 const owner = "owner"
 
-func newWorld(t *testing.T, runners int, names ...string) *world {
+func newCluster(t *testing.T, runners int, names ...string) *cluster {
 	t.Helper()
-	w := &world{hosts: map[string]*Detector{}, dark: map[state.InstanceID]bool{}, cut: map[string]bool{}, runners: runners}
+	c := &cluster{hosts: map[string]*Detector{}, silent: map[state.InstanceID]bool{}, cutOff: map[string]bool{}, runners: runners}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for _, name := range names {
 		d, err := New(ctx, Options{
-			Self: name, Owner: func(state.InstanceID) string { return owner }, Peers: w, Clock: clocktest.Bubble{},
-			Alive:    func(ctx context.Context, id state.InstanceID) bool { return w.alive(ctx, name, id) },
-			Siblings: func(state.InstanceID) int { return w.runners },
-			Publish:  w.publish, Log: slog.New(slog.DiscardHandler),
+			Self: name, Owner: func(state.InstanceID) string { return owner }, Peers: c, Clock: clocktest.Bubble{},
+			Alive:    func(ctx context.Context, id state.InstanceID) bool { return c.alive(ctx, name, id) },
+			Siblings: func(state.InstanceID) int { return c.runners },
+			Publish:  c.publish, Log: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		w.hosts[name] = d
+		c.hosts[name] = d
 	}
-	return w
+	return c
 }
 
 // Report implements Peers.
-func (w *world) Report(_ context.Context, addr string, id state.InstanceID) error {
-	w.hosts[addr].HandleReport(id)
+func (c *cluster) Report(_ context.Context, addr string, id state.InstanceID) error {
+	c.hosts[addr].HandleReport(id)
 	return nil
 }
 
-func (w *world) alive(ctx context.Context, host string, id state.InstanceID) bool {
-	w.mu.Lock()
-	w.asked++
-	silent := w.dark[id] || w.cut[host]
-	w.mu.Unlock()
+func (c *cluster) alive(ctx context.Context, host string, id state.InstanceID) bool {
+	c.mu.Lock()
+	c.probes++
+	silent := c.silent[id] || c.cutOff[host]
+	c.mu.Unlock()
 	if silent {
 		<-ctx.Done()
 	}
 	return !silent
 }
 
-func (w *world) publish(v Verdict) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.told = append(w.told, v)
-	w.at = append(w.at, time.Now())
+func (c *cluster) publish(v Verdict) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.verdicts = append(c.verdicts, v)
+	c.publishedAt = append(c.publishedAt, time.Now())
 }
 
-func (w *world) set(id state.InstanceID, dark bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.dark[id] = dark
+func (c *cluster) setSilent(id state.InstanceID, silent bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.silent[id] = silent
 }
 
-func runner(i int) state.InstanceID { return state.InstanceID{Name: fmt.Sprint("r", i), Born: 7} }
+func runnerID(i int) state.InstanceID { return state.InstanceID{Name: fmt.Sprint("r", i), Born: 7} }
 
 // The first loss is known to all within 300 ms, holds while the runner is silent, and is
 // taken back when it answers.
 func TestSilentRunnerIsToldUntilItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 10, owner, "h")
-		w.set(runner(1), true)
+		c := newCluster(t, 10, owner, "h")
+		c.setSilent(runnerID(1), true)
 		began := time.Now()
-		w.hosts["h"].ReportSilent(runner(1))
+		c.hosts["h"].ReportSilent(runnerID(1))
 		time.Sleep(4 * time.Second)
-		w.set(runner(1), false)
+		c.setSilent(runnerID(1), false)
 		time.Sleep(time.Second)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		is.True(w.at[0].Sub(began) < 300*time.Millisecond)
-		last := len(w.told) - 1
-		for i, v := range w.told[:last] {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		is.True(c.publishedAt[0].Sub(began) < 300*time.Millisecond)
+		last := len(c.verdicts) - 1
+		for i, v := range c.verdicts[:last] {
 			is.True(v.Silent)
-			is.True(i == 0 || w.at[i].Sub(w.at[i-1]) < w.told[i-1].TTL/2) // never lapses in between
+			is.True(i == 0 || c.publishedAt[i].Sub(c.publishedAt[i-1]) < c.verdicts[i-1].TTL/2) // never lapses in between
 		}
-		is.True(!w.told[last].Silent)
-		is.Equal(w.told[last].Instance, runner(1))
+		is.True(!c.verdicts[last].Silent)
+		is.Equal(c.verdicts[last].Instance, runnerID(1))
 	})
 }
 
@@ -110,15 +110,15 @@
 func TestOneHostsWordIsNotEnough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 10, owner, "h")
-		w.cut["h"] = true
+		c := newCluster(t, 10, owner, "h")
+		c.cutOff["h"] = true
 		for i := range 10 {
-			w.hosts["h"].ReportSilent(runner(i))
+			c.hosts["h"].ReportSilent(runnerID(i))
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		is.Equal(len(w.told), 0)
-		is.Equal(w.asked, 10)
+		is.Equal(len(c.verdicts), 0)
+		is.Equal(c.probes, 10)
 	})
 }
 
@@ -126,18 +126,18 @@
 func TestOwnerThatIsCutOffSparesMostRunners(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 10, owner, "h")
-		w.cut[owner] = true
+		c := newCluster(t, 10, owner, "h")
+		c.cutOff[owner] = true
 		for i := range 10 {
-			w.hosts["h"].ReportSilent(runner(i))
+			c.hosts["h"].ReportSilent(runnerID(i))
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		told := map[state.InstanceID]bool{}
-		for _, v := range w.told {
-			told[v.Instance] = true
+		silent := map[state.InstanceID]bool{}
+		for _, v := range c.verdicts {
+			silent[v.Instance] = true
 		}
-		is.Equal(len(told), 5)
+		is.Equal(len(silent), 5)
 	})
 }
 
@@ -145,15 +145,15 @@
 func TestReportsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 10, owner, "h", "i")
+		c := newCluster(t, 10, owner, "h", "i")
 		for range 100 {
-			w.hosts["h"].ReportSilent(runner(1)) // its answers are lost, but it is there
-			w.hosts["i"].ReportSilent(runner(1))
+			c.hosts["h"].ReportSilent(runnerID(1)) // its answers are lost, but it is there
+			c.hosts["i"].ReportSilent(runnerID(1))
 			time.Sleep(10 * time.Millisecond)
 		}
 		synctest.Wait()
-		is.True(w.asked <= 2*int(time.Second/reportEvery))
-		is.Equal(len(w.told), 0)
+		is.True(c.probes <= 2*int(time.Second/reportInterval))
+		is.Equal(len(c.verdicts), 0)
 	})
 }
 
@@ -161,13 +161,13 @@
 func TestRunnerThatIsGoneIsForgotten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, 0, owner)
-		w.set(runner(1), true)
-		w.hosts[owner].ReportSilent(runner(1))
+		c := newCluster(t, 0, owner)
+		c.setSilent(runnerID(1), true)
+		c.hosts[owner].ReportSilent(runnerID(1))
 		time.Sleep(time.Second)
 		synctest.Wait()
-		is.Equal(w.asked, 1)
-		is.Equal(len(w.told), 0)
-		is.Equal(len(w.hosts[owner].watched), 0)
+		is.Equal(c.probes, 1)
+		is.Equal(len(c.verdicts), 0)
+		is.Equal(len(c.hosts[owner].watched), 0)
 	})
 }
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -23,12 +23,12 @@
 )
 
 const (
-	// tick is the time between two batches of probes. Each batch costs at most
+	// stepInterval is the time between two batches of probes. Each batch costs at most
 	// one new view, however many reports it brings, and waking for it costs an
 	// idle host more than its probes do. Reports are older than this by themselves.
-	tick = 250 * time.Millisecond
-	// eagerness is how much older the knowledge of a runner in use counts.
-	eagerness = 4
+	stepInterval = 250 * time.Millisecond
+	// busyWeight is how much older the knowledge of a runner in use counts.
+	busyWeight = 4
 )
 
 // Options configures a Prober. All fields are required.
@@ -57,18 +57,18 @@
 type Prober struct {
 	o Options
 	// tokens are the probes that may be made now, as of refilled.
-	tokens   float64
-	refilled time.Time
-	requests uint64
-	known    map[string]*record
+	tokens     float64
+	refilledAt time.Time
+	requests   uint64
+	records    map[string]*record
 }
 
 // record is what the prober keeps of one runner.
 type record struct {
 	incarnation string
-	at          time.Time
+	probedAt    time.Time
 	failures    int
-	seen        bool
+	inView      bool
 }
 
 // New validates the options.
@@ -79,14 +79,14 @@
 	if o.PerSecond <= 0 || o.PerRequest < 0 || o.MinInterval <= 0 || o.Timeout <= 0 || o.FailureThreshold < 1 || o.MaxConcurrent < 1 {
 		return nil, errors.New("probe: PerSecond, MinInterval, Timeout, FailureThreshold and MaxConcurrent must be positive")
 	}
-	return &Prober{o: o, known: map[string]*record{}}, nil
+	return &Prober{o: o, records: map[string]*record{}}, nil
 }
 
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) error {
 	for {
 		p.Step(ctx)
-		if err := p.o.Clock.Sleep(ctx, tick); err != nil {
+		if err := p.o.Clock.Sleep(ctx, stepInterval); err != nil {
 			return err
 		}
 	}
@@ -95,85 +95,85 @@
 // Step makes the probes that are due by now.
 func (p *Prober) Step(ctx context.Context) {
 	p.refill()
-	chosen := p.choose()
-	outcomes := make([]outcome, len(chosen))
+	runners := p.selectRunners()
+	outcomes := make([]outcome, len(runners))
 	probes := pool.New().WithMaxGoroutines(p.o.MaxConcurrent)
-	for i, u := range chosen {
+	for i, u := range runners {
 		probes.Go(func() { outcomes[i] = p.probe(ctx, u) })
 	}
 	probes.Wait()
-	p.take(outcomes)
+	p.applyOutcomes(outcomes)
 }
 
 // refill adds what the time and the requests since the last step are worth. What
 // isn't used within a second is lost.
 func (p *Prober) refill() {
 	now, requests := p.o.Clock.Now(), p.o.Requests()
-	if !p.refilled.IsZero() {
-		p.tokens += p.o.PerSecond * now.Sub(p.refilled).Seconds()
+	if !p.refilledAt.IsZero() {
+		p.tokens += p.o.PerSecond * now.Sub(p.refilledAt).Seconds()
 	}
 	p.tokens += p.o.PerRequest * float64(requests-p.requests)
-	p.refilled, p.requests = now, requests
-	limit := max(p.o.PerSecond, float64(p.o.MaxConcurrent))
-	p.tokens = min(p.tokens, limit)
+	p.refilledAt, p.requests = now, requests
+	capacity := max(p.o.PerSecond, float64(p.o.MaxConcurrent))
+	p.tokens = min(p.tokens, capacity)
 }
 
-// due is a runner that may be probed, with how overdue it is.
-type due struct {
-	upstream state.Upstream
-	overdue  time.Duration
+// candidate is a runner that may be probed, with how overdue it is.
+type candidate struct {
+	upstream    state.Upstream
+	weightedAge time.Duration
 }
 
-// choose picks the runners to probe. One that was never probed costs no token:
+// selectRunners picks the runners to probe. One that was never probed costs no token:
 // its first report is worth more than the budget of a second.
-func (p *Prober) choose() []state.Upstream {
+func (p *Prober) selectRunners() []state.Upstream {
 	now := p.o.Clock.Now()
 	view := p.o.Keeper.View()
-	var fresh []state.Upstream
-	var waiting []due
-	for _, r := range p.known {
-		r.seen = false
+	var unprobed []state.Upstream
+	var candidates []candidate
+	for _, rec := range p.records {
+		rec.inView = false
 	}
 	for i := range view.Runners {
-		n := &view.Runners[i]
-		r := p.known[n.Name]
-		if r == nil || r.incarnation != n.Incarnation {
-			r = &record{incarnation: n.Incarnation}
-			p.known[n.Name] = r
+		runner := &view.Runners[i]
+		rec := p.records[runner.Name]
+		if rec == nil || rec.incarnation != runner.Incarnation {
+			rec = &record{incarnation: runner.Incarnation}
+			p.records[runner.Name] = rec
 		}
-		r.seen = true
-		age := now.Sub(r.at)
+		rec.inView = true
+		age := now.Sub(rec.probedAt)
 		switch {
-		case r.at.IsZero():
-			fresh = append(fresh, n.Upstream)
+		case rec.probedAt.IsZero():
+			unprobed = append(unprobed, runner.Upstream)
 		case age < p.o.MinInterval:
-		case r.failures > 0 || n.Unhealthy || n.Track.Load().Requests > 0:
-			waiting = append(waiting, due{n.Upstream, eagerness * age})
+		case rec.failures > 0 || runner.Unhealthy || runner.Track.Load().Requests > 0:
+			candidates = append(candidates, candidate{runner.Upstream, busyWeight * age})
 		default:
-			waiting = append(waiting, due{n.Upstream, age})
+			candidates = append(candidates, candidate{runner.Upstream, age})
 		}
 	}
-	p.forget()
-	return append(fresh, p.spend(waiting)...)
+	p.removeUnlisted()
+	return append(unprobed, p.spendTokens(candidates)...)
 }
 
-// spend takes the most overdue runners for the tokens there are.
-func (p *Prober) spend(waiting []due) []state.Upstream {
-	slices.SortFunc(waiting, func(a, b due) int { return cmp.Compare(b.overdue, a.overdue) })
-	n := min(int(p.tokens), len(waiting))
+// spendTokens takes the most overdue runners for the tokens there are.
+func (p *Prober) spendTokens(candidates []candidate) []state.Upstream {
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.weightedAge, a.weightedAge) })
+	n := min(int(p.tokens), len(candidates))
 	p.tokens -= float64(n)
 	out := make([]state.Upstream, n)
 	for i := range out {
-		out[i] = waiting[i].upstream
+		out[i] = candidates[i].upstream
 	}
 	return out
 }
 
-// forget drops the records of runners that are no longer in the view.
-func (p *Prober) forget() {
-	for name, r := range p.known {
-		if !r.seen {
-			delete(p.known, name)
+// removeUnlisted drops the records of runners that are no longer in the view.
+func (p *Prober) removeUnlisted() {
+	for name, rec := range p.records {
+		if !rec.inView {
+			delete(p.records, name)
 		}
 	}
 }
@@ -185,44 +185,44 @@
 	err      error
 }
 
-// errOtherEngine says that another engine answers at an engine's address.
-var errOtherEngine = errors.New("the report is another engine's; check the address in the platform's list")
+// errEngineMismatch says that another engine answers at an engine's address.
+var errEngineMismatch = errors.New("the report is another engine's; check the address in the platform's list")
 
 func (p *Prober) probe(ctx context.Context, u state.Upstream) outcome {
-	ctx, stop := context.WithCancel(ctx)
-	var watch sync.WaitGroup
-	watch.Go(func() {
+	ctx, cancel := context.WithCancel(ctx)
+	var timer sync.WaitGroup
+	timer.Go(func() {
 		if p.o.Clock.Sleep(ctx, p.o.Timeout) == nil {
-			stop()
+			cancel()
 		}
 	})
-	defer watch.Wait()
-	defer stop()
+	defer timer.Wait()
+	defer cancel()
 	if u.Kind == state.KindService {
 		return outcome{upstream: u, err: p.o.Checker.Check(ctx, u)}
 	}
 	report, err := p.o.Checker.Load(ctx, u)
 	if err == nil && report.Engine != u.Name {
-		err = errOtherEngine
+		err = errEngineMismatch
 	}
 	return outcome{upstream: u, report: report, err: err}
 }
 
-// take hands the outcomes to the keeper. One success brings a runner back.
-func (p *Prober) take(outcomes []outcome) {
+// applyOutcomes hands the outcomes to the keeper. One success brings a runner back.
+func (p *Prober) applyOutcomes(outcomes []outcome) {
 	now := p.o.Clock.Now()
 	var reports []state.LoadReport
 	for _, o := range outcomes {
-		r := p.known[o.upstream.Name]
-		r.at = now
+		rec := p.records[o.upstream.Name]
+		rec.probedAt = now
 		if o.err != nil {
-			r.failures++
-			if r.failures >= p.o.FailureThreshold {
+			rec.failures++
+			if rec.failures >= p.o.FailureThreshold {
 				p.o.Keeper.SetHealth(o.upstream.Name, false)
 			}
 			continue
 		}
-		r.failures = 0
+		rec.failures = 0
 		p.o.Keeper.SetHealth(o.upstream.Name, true)
 		if o.upstream.Kind == state.KindEngine {
 			reports = append(reports, o.report)
--- a/coordination/probe/probe_test.go
+++ b/coordination/probe/probe_test.go
@@ -18,10 +18,10 @@
 
 // fakeChecker answers for every engine; it is asked by several goroutines.
 type fakeChecker struct {
-	mu     sync.Mutex
-	err    error
-	foreig bool
-	calls  map[string]int
+	mu       sync.Mutex
+	err      error
+	mismatch bool
+	calls    map[string]int
 }
 
 func (f *fakeChecker) Check(_ context.Context, u state.Upstream) error {
@@ -34,19 +34,19 @@
 	defer f.mu.Unlock()
 	f.calls[u.Name]++
 	name := u.Name
-	if f.foreig {
+	if f.mismatch {
 		name = "another"
 	}
 	return state.LoadReport{Engine: name, TakenAt: time.Now(), DecodeRunning: 3}, f.err
 }
 
-func (f *fakeChecker) set(err error, foreign bool) {
+func (f *fakeChecker) set(err error, mismatch bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.err, f.foreig = err, foreign
+	f.err, f.mismatch = err, mismatch
 }
 
-func list(engines int) []state.Listed {
+func listedRunners(engines int) []state.Listed {
 	out := []state.Listed{{Name: "s1", Kind: state.ListedService, State: state.ListedLive, Service: "app"}}
 	for i := range engines {
 		out = append(out, state.Listed{Name: fmt.Sprintf("e%d", i), Kind: state.ListedEngine, State: state.ListedLive, Service: "llm"})
@@ -66,8 +66,8 @@
 	return p
 }
 
-// run probes for d of virtual time.
-func run(t *testing.T, p *Prober, d time.Duration) {
+// runFor probes for d of virtual time.
+func runFor(t *testing.T, p *Prober, d time.Duration) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), d)
 	defer stop()
@@ -80,23 +80,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		k := snapshot.NewKeeper()
-		k.SetListed(list(1))
+		k.SetListed(listedRunners(1))
 		c := &fakeChecker{calls: map[string]int{}}
 		p := newProber(t, k, c, noRequests)
 		p.Step(t.Context())
 		is.Equal(k.View().Runner("e0").Load.DecodeRunning, int64(3))
 
 		c.set(errors.New("refused"), false)
-		run(t, p, 3*time.Second)
+		runFor(t, p, 3*time.Second)
 		is.True(!k.View().Runner("s1").TakesWork())
 		is.True(!k.View().Runner("e0").TakesWork())
 
 		c.set(nil, false)
-		run(t, p, time.Second)
+		runFor(t, p, time.Second)
 		is.True(k.View().Runner("s1").TakesWork())
 
 		c.set(nil, true) // another engine answers at its address
-		run(t, p, 3*time.Second)
+		runFor(t, p, 3*time.Second)
 		is.True(!k.View().Runner("e0").TakesWork())
 	})
 }
@@ -106,11 +106,11 @@
 		is := is.New(t)
 		const engines, seconds = 250, 60
 		k := snapshot.NewKeeper()
-		k.SetListed(list(engines))
+		k.SetListed(listedRunners(engines))
 		c := &fakeChecker{calls: map[string]int{}}
 		busy := k.Enter(k.View().Runner("e7"), snapshot.Work{Requests: 1})
 		p := newProber(t, k, c, noRequests)
-		run(t, p, seconds*time.Second)
+		runFor(t, p, seconds*time.Second)
 		total := 0
 		for _, n := range c.calls {
 			total += n
@@ -128,11 +128,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		k := snapshot.NewKeeper()
-		k.SetListed(list(12))
+		k.SetListed(listedRunners(12))
 		c := &fakeChecker{calls: map[string]int{}}
 		start := time.Now()
 		p := newProber(t, k, c, func() uint64 { return uint64(time.Since(start) / (100 * time.Millisecond)) }) // ten a second
-		run(t, p, 10*time.Second)
+		runFor(t, p, 10*time.Second)
 		total := 0
 		for _, n := range c.calls {
 			total += n
