--- a/coordination/backpressure/advice.go
+++ b/coordination/backpressure/advice.go
@@ -1,39 +1,43 @@
-// Package backpressure keeps what runners ask of hosts in their answers: a limit on the
-// requests of all hosts together, a rest for a host that was turned away, and that they leave.
+// Package backpressure keeps the advice that runners give in the headers of their answers:
+// a limit on the request rate of all hosts together, a backoff (Retry-After) for a host
+// whose request was turned away, and the announcement that the runner is leaving.
 //
-// It is kept for each run of a runner: a later run under the same name has asked nothing yet.
-// What a runner asks of all hosts is told to them; a rest concerns the host that got it.
+// Advice belongs to one run of a runner: after a restart under the same name the runner has
+// given none yet. Limits and announcements concern all hosts and are broadcast to them; a
+// backoff concerns only the host that received it.
 package backpressure
 
 import "time"
 
-// Advice is what one answer of a runner asks. The zero value asks nothing.
+// Advice is the advice in one answer of a runner. The zero value contains none.
 type Advice struct {
-	// Limited says that the runner names a limit: Limit requests a second of all hosts
-	// together, 0 or more, for as long as its answers say so.
+	// Limited reports whether the runner sets a limit. Limit is the number of requests per
+	// second, 0 or more, that it accepts from all hosts together. It stays in force while
+	// the answers contain it.
 	Limited bool
 	Limit   float64
-	// Leaving says that the runner is about to go.
+	// Leaving reports that the runner is about to shut down.
 	Leaving bool
-	// Backoff is how long the runner, which turned a request away, wants nothing from this
-	// host; 0 for none.
+	// Backoff is how long this host may send no further request to the runner, which turned
+	// one away; 0 if it asks for none.
 	Backoff time.Duration
-	// Unreadable are the fields that were there and can't be used.
+	// Unreadable lists the header fields that are present but can't be parsed.
 	Unreadable []Field
 }
 
-// Field is a part of an advice, with what the runner wrote.
+// Field is a header field with its value as the runner sent it.
 type Field struct{ Name, Value string }
 
-// nonEmpty reports whether the answer says anything.
+// nonEmpty reports whether the answer contains any advice, unreadable fields included.
 func (a Advice) nonEmpty() bool {
 	return a.Limited || a.Leaving || a.Backoff > 0 || len(a.Unreadable) > 0
 }
 
-// Kind is what an advice is counted by.
+// Kind is a kind of advice, by which advice is counted.
 type Kind string
 
-// The kinds.
+// The kinds of advice, as named in notices and metrics. KindLifted is the end of a limit,
+// KindUnreadable a header field that can't be parsed.
 const (
 	KindLimit      Kind = "limit"
 	KindLifted     Kind = "lifted"
--- a/coordination/backpressure/registry.go
+++ b/coordination/backpressure/registry.go
@@ -13,92 +13,100 @@
 )
 
 const (
-	// unlistedTTL is how long what a run asked is kept once the list lacks it: entries of
-	// living runners are missing for some seconds around an outage of the store.
+	// unlistedTTL is how long the advice of a run is kept after the run was last listed:
+	// entries of live runners are missing from the list for some seconds around an outage
+	// of the store.
 	unlistedTTL = time.Minute
-	// maxRuns bounds the runs that are kept: twice the largest fleet, for a release that
-	// replaces all of it.
+	// maxRuns bounds the runs in the registry: twice the largest fleet, since a release may
+	// replace every run of it.
 	maxRuns = 4096
-	// minBroadcastInterval bounds how often a host tells the others of one run's limit, and renewEvery is
-	// how often what holds on is told again, to hosts that start or missed it.
+	// minBroadcastInterval is the shortest time between two broadcasts of the limit of one
+	// run. An unchanged limit is broadcast again after renewInterval, for hosts that have
+	// started since or missed the broadcast.
 	minBroadcastInterval = 250 * time.Millisecond
 	renewInterval        = 2 * time.Second
-	// ownPrecedence is how long this host's own hearing of a limit outweighs the others' word:
-	// about the time in which they come to it.
+	// ownPrecedence is how long an answer to this host takes precedence over notices of
+	// other hosts: about the time in which the other hosts learn of the same limit.
 	ownPrecedence = 300 * time.Millisecond
-	// backoffJitter is the part of a rest by which it is taken longer at most, so that hosts that
-	// were turned away together don't come back together.
+	// backoffJitter is the largest share of a backoff by which it is prolonged at random,
+	// so that hosts that were turned away together don't return together.
 	backoffJitter = 0.1
-	// trialTimeout is how long the first request after a rest keeps the runner from others of this
-	// host, if it isn't answered before.
+	// trialTimeout is how long the first request after a backoff keeps the other requests
+	// of this host from the runner if it isn't answered earlier.
 	trialTimeout = 250 * time.Millisecond
-	// unreadableLogInterval bounds the log lines on what a run writes and nobody can read.
+	// unreadableLogInterval is the shortest time between two log lines on unreadable fields
+	// of one run.
 	unreadableLogInterval = 10 * time.Second
 )
 
-// Observer counts advices.
+// Observer counts advice.
 type Observer interface {
+	// ObserveAdvice counts advice of kind k that a runner of the service has given.
 	ObserveAdvice(service string, k Kind)
 }
 
-// Notice is what a run asks of all hosts, told by one that heard it.
+// Notice is advice of a run to all hosts, as broadcast by a host that received it.
 type Notice struct {
 	Instance state.InstanceID
 	Service  string
-	// Kind is KindLimit, with the limit, KindLifted or KindLeaving.
+	// Kind is KindLimit, with Limit in requests per second, KindLifted or KindLeaving.
 	Kind  Kind
 	Limit float64
 }
 
-// Options configure a Registry. All fields are required.
+// Options configures a Registry. All fields are required.
 type Options struct {
 	Clock    state.Clock
 	Log      *slog.Logger
 	Observer Observer
-	// Broadcast tells all hosts; this one may hear it too. It must not wait.
+	// Broadcast sends a notice to all hosts, which may include this one. It must not block.
 	Broadcast func(Notice)
-	// OnLeaving is called when it becomes known that a run leaves. It may ask the registry.
+	// OnLeaving is called when a run first becomes known to be leaving. It may call the
+	// registry.
 	OnLeaving func()
 }
 
-// Registry is what this host knows of the runners' advices. It is safe for concurrent use, and
-// reading it takes no lock.
+// Registry holds the advice of the runners that this host knows of. It is safe for
+// concurrent use, and reading it takes no lock.
 type Registry struct {
 	o Options
 
 	mu sync.Mutex // held by writers
-	// runs has the runs that ever asked something; it is replaced whole.
+	// runs contains the runs that have given any advice. Writers replace the whole map.
 	runs atomic.Pointer[map[state.InstanceID]*runState]
 }
 
-// runState is what one runState of a runner has asked. Its fields are replaced under the registry's lock.
+// runState is the advice of one run. Its fields are replaced under the registry's lock,
+// except for trialUntil, which AllowTrial replaces without it.
 type runState struct {
 	service string
 	limit   atomic.Pointer[limit]
-	// backoffUntil is zero if none was asked for.
+	// backoffUntil is the end of the latest backoff; nil if there was none.
 	backoffUntil atomic.Pointer[time.Time]
-	// needsTrial is set from a rest on until a request sent after it was taken; trialUntil is
-	// while one of this host is on its way to find out.
+	// needsTrial is set by a backoff and cleared when the runner accepts a request that was
+	// sent after the backoff ended. trialUntil is the time until which a request of this
+	// host is under way as a trial.
 	needsTrial atomic.Bool
 	trialUntil atomic.Pointer[time.Time]
 	leaving    atomic.Bool
 
-	// listedAt is when the run was known to be listed, broadcastAt when all hosts were told of its
-	// limit and unreadableLoggedAt when it last wrote what can't be read.
+	// listedAt is when the run was last listed, broadcastAt when its limit was last
+	// broadcast by any host, and unreadableLoggedAt when its unreadable fields were last
+	// logged.
 	listedAt, broadcastAt, unreadableLoggedAt time.Time
 }
 
-// limit is what a run takes of all hosts together.
+// limit is the request rate that a run accepts from all hosts together, per second.
 type limit struct {
 	rate float64
-	// learnedAt is when it was last heard of, and answeredAt when an answer to this host last named
-	// it.
+	// learnedAt is when the limit was last confirmed by an answer or a notice, and
+	// answeredAt when an answer to this host last contained it; zero if none has.
 	learnedAt, answeredAt time.Time
-	// opensAt is when the next request of this host may leave; zero if one may at once.
+	// opensAt is when this host may send its next request; zero if it may do so at once.
 	opensAt time.Time
 }
 
-// New validates the options.
+// New returns an error if an option is missing.
 func New(o Options) (*Registry, error) {
 	if o.Clock == nil || o.Log == nil || o.Observer == nil || o.Broadcast == nil || o.OnLeaving == nil {
 		return nil, errors.New("backpressure: a field of Options is nil; set all of them")
@@ -108,9 +116,9 @@
 	return r, nil
 }
 
-// Record takes what an answer of a run asks. sentAt is when its request left this host. An
-// answer to a call of the system's own that names no limit doesn't lift one: only requests are
-// what a limit counts.
+// Record applies the advice in an answer of a run. sentAt is when the request left this
+// host. ofRequest is false for calls of the system's own, such as probes. If the answer to
+// such a call contains no limit, that doesn't lift one, since a limit counts only requests.
 func (r *Registry) Record(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) {
 	if !a.nonEmpty() && r.lookup(i.ID) == nil {
 		return
@@ -125,7 +133,7 @@
 	}
 }
 
-// record takes an advice and returns what all hosts are to be told.
+// record applies the advice and returns the notices to broadcast.
 func (r *Registry) record(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) (notices []Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,8 +147,8 @@
 			notices = append(notices, Notice{i.ID, i.Service, KindLimit, a.Limit})
 		}
 	case ofRequest && len(a.Unreadable) == 0 && before != nil && sentAt.After(before.learnedAt):
-		// Answers overtake each other: only one that was asked for after the limit was last
-		// heard of is known to be newer.
+		// Answers can arrive out of order. Only one whose request was sent after the limit
+		// was last confirmed is known to be newer.
 		r.clearLimit(i.ID, run)
 		notices = append(notices, Notice{i.ID, i.Service, KindLifted, 0})
 	}
@@ -157,7 +165,8 @@
 	return notices
 }
 
-// shouldBroadcast reports whether all hosts should be told of the limit now.
+// shouldBroadcast reports whether the limit is to be broadcast now, and sets broadcastAt if
+// so.
 func (s *runState) shouldBroadcast(now time.Time, changed bool) bool {
 	wait := renewInterval
 	if changed {
@@ -170,14 +179,16 @@
 	return true
 }
 
-// HandleNotice takes what another host heard. What this one has just heard itself goes before it.
+// HandleNotice applies a notice of a host. A limit that a recent answer to this host
+// contained takes precedence over it.
 func (r *Registry) HandleNotice(n Notice) {
 	if r.applyNotice(n) {
 		r.o.OnLeaving()
 	}
 }
 
-// applyNotice takes a notice and reports whether it is news that the run leaves.
+// applyNotice applies a notice and reports whether it is the first to say that the run is
+// leaving. Kinds that it doesn't know, from other versions, are ignored.
 func (r *Registry) applyNotice(n Notice) (newlyLeaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -201,10 +212,10 @@
 	return false
 }
 
-// lookup is what is known of a lookup, or nil.
+// lookup returns the state of a run, or nil if there is none.
 func (r *Registry) lookup(id state.InstanceID) *runState { return (*r.runs.Load())[id] }
 
-// lookupOrCreate is what is known of a run, made if nothing is; r.mu is held.
+// lookupOrCreate returns the state of a run and creates it if there is none; r.mu is held.
 func (r *Registry) lookupOrCreate(id state.InstanceID, service string, now time.Time) *runState {
 	if run := r.lookup(id); run != nil {
 		return run
@@ -218,7 +229,7 @@
 	return runs[id]
 }
 
-// leastRecentlyListed is the run that was listed last the longest time ago.
+// leastRecentlyListed returns the run that has not been listed for the longest time.
 func leastRecentlyListed(runs map[state.InstanceID]*runState) state.InstanceID {
 	var out state.InstanceID
 	var at time.Time
@@ -230,7 +241,8 @@
 	return out
 }
 
-// setLimit notes a limit.
+// setLimit stores a limit. A change of the rate is logged and counted; an unchanged rate
+// keeps opensAt.
 func (r *Registry) setLimit(id state.InstanceID, run *runState, next limit) {
 	before := run.limit.Load()
 	same := before != nil && before.rate == next.rate
@@ -248,29 +260,30 @@
 	if before != nil {
 		attrs = append(attrs, "before", before.rate)
 	}
-	r.o.Log.Info("runner names a limit", attrs...)
+	r.o.Log.Info("runner set a limit", attrs...)
 	r.o.Observer.ObserveAdvice(run.service, KindLimit)
 }
 
-// clearLimit ends a limit that isn't named any more.
+// clearLimit removes a limit that the runner no longer sets.
 func (r *Registry) clearLimit(id state.InstanceID, run *runState) {
 	before := run.limit.Swap(nil)
-	r.o.Log.Info("runner names no limit any more", "instance", id, "service", run.service, "before", before.rate, "heard_last", r.o.Clock.Now().Sub(before.learnedAt))
+	r.o.Log.Info("runner lifted its limit", "instance", id, "service", run.service, "before", before.rate, "heard_last", r.o.Clock.Now().Sub(before.learnedAt))
 	r.o.Observer.ObserveAdvice(run.service, KindLifted)
 }
 
-// setLeaving notes that a run setLeaving, and reports whether that is news. It has no way back: a
-// runner that stays starts again.
+// setLeaving marks a run as leaving and reports whether that is new. The mark is never
+// removed: a runner that stays after all restarts as a new run.
 func (r *Registry) setLeaving(id state.InstanceID, run *runState, source string) bool {
 	if run.leaving.Swap(true) {
 		return false
 	}
-	r.o.Log.Info("runner says that it leaves", "instance", id, "service", run.service, "heard_of", source)
+	r.o.Log.Info("runner is leaving", "instance", id, "service", run.service, "heard_of", source)
 	r.o.Observer.ObserveAdvice(run.service, KindLeaving)
 	return true
 }
 
-// setBackoff notes a rest. A later, shorter one doesn't shorten what was asked before.
+// setBackoff starts a backoff. A later backoff that would end earlier doesn't shorten the
+// present one.
 func (r *Registry) setBackoff(i *state.Instance, run *runState, now time.Time, backoff time.Duration) {
 	until := now.Add(backoff + time.Duration(rand.Float64()*backoffJitter*float64(backoff)))
 	before := run.backoffUntil.Load()
@@ -282,21 +295,23 @@
 	run.needsTrial.Store(true)
 	r.o.Observer.ObserveAdvice(i.Service, KindBackoff)
 	if before == nil || now.After(*before) {
-		r.o.Log.Info("runner asks for rest", "instance", i.ID, "service", i.Service, "for", backoff)
+		r.o.Log.Info("runner asked for a backoff", "instance", i.ID, "service", i.Service, "for", backoff)
 	}
 }
 
+// reportUnreadable counts unreadable fields and logs them at a limited rate.
 func (r *Registry) reportUnreadable(i *state.Instance, run *runState, now time.Time, fields []Field) {
 	for _, f := range fields {
 		r.o.Observer.ObserveAdvice(i.Service, KindUnreadable)
 		if run.unreadableLoggedAt.IsZero() || now.Sub(run.unreadableLoggedAt) >= unreadableLogInterval {
 			run.unreadableLoggedAt = now
-			r.o.Log.Warn("advice of a runner not readable; what was known of it holds, see its version", "instance", i.ID, "service", i.Service, "field", f.Name, "value", f.Value)
+			r.o.Log.Warn("unreadable advice of a runner ignored; earlier advice stays in force, check the runner's version", "instance", i.ID, "service", i.Service, "field", f.Name, "value", f.Value)
 		}
 	}
 }
 
-// UpdateListed takes the runs of the present list, and forgets those that it has lacked for long.
+// UpdateListed takes the current list of instances and removes the runs that have been
+// missing from it for longer than unlistedTTL.
 func (r *Registry) UpdateListed(list []state.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/coordination/backpressure/registry_test.go
+++ b/coordination/backpressure/registry_test.go
@@ -15,13 +15,13 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// countingObserver countingObserver advices by kind.
+// countingObserver counts advice by kind.
 type countingObserver map[Kind]int
 
 // ObserveAdvice implements Observer.
 func (c countingObserver) ObserveAdvice(_ string, k Kind) { c[k]++ }
 
-// testRegistry is a registry with what it logs and counts.
+// testRegistry is a registry with its log output, its counts and its broadcasts.
 type testRegistry struct {
 	*Registry
 	log          *bytes.Buffer
@@ -41,15 +41,15 @@
 	return r
 }
 
-// recordNow takes an answer to a request that was sent just now.
+// recordNow records an answer to a request that was sent at the present time.
 func (r *testRegistry) recordNow(i *state.Instance, a Advice) { r.Record(i, time.Now(), a, true) }
 
 func instance(name string, born int64) *state.Instance {
 	return &state.Instance{ID: state.InstanceID{Name: name, Born: born}, Service: "s"}
 }
 
-// Each change of what a host believes of a runner is a line and a count; what is only said
-// again is neither.
+// Each change in the advice of a runner is logged once and counted once; repeated advice is
+// neither logged nor counted. Unreadable fields are counted each time.
 func TestOnlyChangesAreLoggedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -59,19 +59,20 @@
 			r.recordNow(i, Advice{Limited: true, Limit: 8.4, Leaving: true, Backoff: time.Second, Unreadable: []Field{{"limit", "x"}}})
 		}
 		is.Equal(r.Count(), Counts{Limited: 1, Leaving: 1, BackingOff: 1})
-		for _, line := range []string{"runner names a limit", "runner says that it leaves", "runner asks for rest", "not readable"} {
+		for _, line := range []string{"runner set a limit", "runner is leaving", "runner asked for a backoff", "unreadable advice"} {
 			is.Equal(strings.Count(r.log.String(), line), 1)
 		}
 		is.Equal(r.counts[KindLimit], 1)
 		is.Equal(r.counts[KindUnreadable], 3)
 		time.Sleep(2 * time.Second)
 		r.recordNow(i, Advice{})
-		is.Equal(r.Count(), Counts{Leaving: 1}) // leaving has no end
-		is.Equal(strings.Count(r.log.String(), "names no limit any more"), 1)
+		is.Equal(r.Count(), Counts{Leaving: 1}) // leaving is final
+		is.Equal(strings.Count(r.log.String(), "runner lifted its limit"), 1)
 	})
 }
 
-// Answers overtake each other: one that was asked for before the limit was heard lifts nothing.
+// Answers can arrive out of order: an answer whose request was sent before the limit became
+// known doesn't lift the limit.
 func TestOnlyANewerAnswerLiftsTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -92,7 +93,7 @@
 	})
 }
 
-// A later, shorter rest doesn't shorten what was asked before.
+// A later backoff that would end earlier doesn't shorten the present one.
 func TestShorterBackoffDoesNotReplaceLongerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -110,7 +111,7 @@
 	})
 }
 
-// A later run under the same name has asked nothing.
+// A later run under the same name has given no advice.
 func TestRestartedRunnerHasNoAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -121,8 +122,9 @@
 	})
 }
 
-// What a run asked outlives its entry in the list for a while: entries of living runners go
-// missing around an outage of the store. After that it is forgotten.
+// The advice of a run is kept for a while after its entry is gone from the list, since
+// entries of live runners go missing around an outage of the store. After that it is
+// removed.
 func TestUnlistedRunsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -147,8 +149,8 @@
 	})
 }
 
-// What a runner asks of all hosts is told to them when it changes, and again while it holds; a
-// rest concerns one host.
+// Advice to all hosts is broadcast when it changes, at a limited rate, and again while it
+// stays in force. A backoff concerns one host and isn't broadcast.
 func TestAdviceIsBroadcastOnChangeAndRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -174,7 +176,8 @@
 	})
 }
 
-// Another host's word counts, but for what this host has just heard itself, and isn't told on.
+// Notices of other hosts apply, except that they don't change a limit that a recent answer
+// to this host contained. They aren't broadcast again.
 func TestNoticesOfOtherHostsApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -190,7 +193,7 @@
 		r.HandleNotice(Notice{i.ID, "s", KindLimit, 8})
 		r.HandleNotice(Notice{i.ID, "s", KindLifted, 0})
 		rate, _ = r.Limit(i.ID)
-		is.Equal(rate, 9.0) // its own word
+		is.Equal(rate, 9.0) // from its own answer
 		time.Sleep(time.Second)
 		r.HandleNotice(Notice{i.ID, "s", KindLifted, 0})
 		_, limited = r.Limit(i.ID)
@@ -202,13 +205,13 @@
 	})
 }
 
-// After a rest one request at a time finds out whether the runner takes work again.
+// After a backoff one request at a time tries whether the runner accepts work again.
 func TestOneTrialRequestAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		r := newTestRegistry(t)
 		i := instance("a", 1)
-		is.True(r.AllowTrial(i.ID)) // it never rested
+		is.True(r.AllowTrial(i.ID)) // it has asked for no backoff
 		r.recordNow(i, Advice{Backoff: time.Second})
 		is.True(r.AwaitsTrial(i.ID))
 		time.Sleep(2 * time.Second)
@@ -216,11 +219,11 @@
 		sentAt := time.Now()
 		is.True(r.AllowTrial(i.ID))
 		is.True(!r.AllowTrial(i.ID))
-		is.True(!r.OpensAt(i.ID).IsZero()) // it isn't chosen meanwhile
+		is.True(!r.OpensAt(i.ID).IsZero()) // it isn't chosen during the trial
 		time.Sleep(trialTimeout)
 		is.True(r.AllowTrial(i.ID)) // the first one was lost
 		r.Record(i, sentAt.Add(-2*time.Second), Advice{}, true)
-		is.True(r.AwaitsTrial(i.ID)) // asked for before the rest
+		is.True(r.AwaitsTrial(i.ID)) // sent before the backoff
 		r.Record(i, sentAt, Advice{}, true)
 		is.True(!r.AwaitsTrial(i.ID))
 		is.True(r.OpensAt(i.ID).IsZero())
--- a/coordination/backpressure/view.go
+++ b/coordination/backpressure/view.go
@@ -6,13 +6,14 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Leaving reports whether a run has said that it leaves.
+// Leaving reports whether a run has announced that it is leaving.
 func (r *Registry) Leaving(id state.InstanceID) bool {
 	run := r.lookup(id)
 	return run != nil && run.leaving.Load()
 }
 
-// Limit is how many requests a second a run takes of all hosts together, if it names a limit.
+// Limit returns the number of requests per second that a run accepts from all hosts
+// together; limited is false if it sets no limit.
 func (r *Registry) Limit(id state.InstanceID) (rate float64, limited bool) {
 	run := r.lookup(id)
 	if run == nil {
@@ -25,7 +26,8 @@
 	return l.rate, true
 }
 
-// CloseUntil notes that the limit of a run leaves nothing for this host until then.
+// CloseUntil records that the limit of a run admits no request of this host before the
+// given time.
 func (r *Registry) CloseUntil(id state.InstanceID, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,8 +42,8 @@
 	}
 }
 
-// OpensAt is when a run takes a request of this host again, by its limit and the rest that it
-// asked for; zero if it does now, as far as is known here.
+// OpensAt returns when a run accepts the next request of this host, by its limit and its
+// backoff; zero if it accepts one now, as far as this host knows.
 func (r *Registry) OpensAt(id state.InstanceID) time.Time {
 	run := r.lookup(id)
 	if run == nil {
@@ -55,7 +57,8 @@
 	return at
 }
 
-// BackoffUntil is the end of the rest that a run asked this host for; zero if it wants none now.
+// BackoffUntil returns the end of the backoff that a run asked this host for; zero if there
+// is none now.
 func (r *Registry) BackoffUntil(id state.InstanceID) time.Time {
 	run := r.lookup(id)
 	if run == nil {
@@ -64,8 +67,8 @@
 	return run.currentBackoff(r.o.Clock.Now())
 }
 
-// PausedUntil is BackoffUntil, or the end of the trial after a rest while a request of this host is
-// on its way to the run.
+// PausedUntil returns the end of the trial while the trial request of this host is under
+// way, and otherwise the same as BackoffUntil.
 func (r *Registry) PausedUntil(id state.InstanceID) time.Time {
 	run := r.lookup(id)
 	if run == nil {
@@ -74,6 +77,7 @@
 	return run.pausedUntil(r.o.Clock.Now())
 }
 
+// pausedUntil implements PausedUntil.
 func (s *runState) pausedUntil(now time.Time) time.Time {
 	if trial := s.trialUntil.Load(); s.needsTrial.Load() && trial != nil && trial.After(now) {
 		return *trial
@@ -81,14 +85,16 @@
 	return s.currentBackoff(now)
 }
 
-// AwaitsTrial reports whether a run asked for rest and took nothing of this host since.
+// AwaitsTrial reports whether a run needs a trial: it asked for a backoff and has accepted
+// no request of this host since.
 func (r *Registry) AwaitsTrial(id state.InstanceID) bool {
 	run := r.lookup(id)
 	return run != nil && run.needsTrial.Load()
 }
 
-// AllowTrial asks to send a request to a run. After a rest one request is let through to find out
-// whether the runner takes work again; those that waited for it don't all come at once.
+// AllowTrial reports whether a request may be sent to a run. After a backoff it admits one
+// request at a time as a trial, until the runner accepts one, so that the requests that
+// waited for the end of the backoff aren't all sent at once.
 func (r *Registry) AllowTrial(id state.InstanceID) bool {
 	run := r.lookup(id)
 	if run == nil || !run.needsTrial.Load() {
@@ -103,6 +109,7 @@
 	return run.trialUntil.CompareAndSwap(before, &until)
 }
 
+// currentBackoff returns the end of the backoff; zero if there is none now.
 func (s *runState) currentBackoff(now time.Time) time.Time {
 	if until := s.backoffUntil.Load(); until != nil && now.Before(*until) {
 		return *until
@@ -110,21 +117,22 @@
 	return time.Time{}
 }
 
-// Counts are the runs that ask something at present.
+// Counts is the number of runs that set a limit, are leaving or have this host back off at
+// present.
 type Counts struct{ Limited, Leaving, BackingOff int }
 
-// Count counts them.
+// Count returns the present counts.
 func (r *Registry) Count() Counts {
 	var out Counts
 	now := r.o.Clock.Now()
-	for _, known := range *r.runs.Load() {
-		if known.limit.Load() != nil {
+	for _, run := range *r.runs.Load() {
+		if run.limit.Load() != nil {
 			out.Limited++
 		}
-		if known.leaving.Load() {
+		if run.leaving.Load() {
 			out.Leaving++
 		}
-		if !known.currentBackoff(now).IsZero() {
+		if !run.currentBackoff(now).IsZero() {
 			out.BackingOff++
 		}
 	}
--- a/coordination/crash/crash.go
+++ b/coordination/crash/crash.go
@@ -1,5 +1,6 @@
-// Package crash tells the runners that crashed under this host's requests from those that
-// are cut off, stand still, are slow, leave, or lost one answer.
+// Package crash detects runners that crashed while requests of this host ran there. It
+// distinguishes them from runners that are partitioned, suspended, slow or leaving, or that
+// lost a single answer.
 package crash
 
 import (
@@ -14,75 +15,79 @@
 )
 
 const (
-	// probeTimeout bounds a question to a runner: thirty round trips between failure domains.
+	// probeTimeout bounds one probe of a runner: thirty round trips between failure
+	// domains.
 	probeTimeout = 100 * time.Millisecond
-	// probeInterval is the pause between two questions to a runner that says nothing: it may be
-	// cut off for a moment, or its process may still be ending.
+	// probeInterval is the pause between two probes of a silent runner: it may be
+	// partitioned for a moment, or its process may still be exiting.
 	probeInterval = 200 * time.Millisecond
-	// maxProbeDuration bounds the questions. A runner that is back by then in the list is known to
-	// have ended by that; one that is still silent has left the list.
+	// maxProbeDuration bounds the probing of a run. By then a runner that restarted is
+	// listed with another run, which shows that the first one ended, and a runner that is
+	// still silent is no longer listed.
 	maxProbeDuration = 15 * time.Second
-	// reportDelay is the pause before a crash is reported, in which the other requests that it
-	// broke off are noticed: they end within a few milliseconds.
+	// reportDelay is the pause before a crash is reported, in which the other requests that
+	// the crash broke off are noticed: they end within a few milliseconds.
 	reportDelay = 20 * time.Millisecond
-	// lateWindow is how long work that breaks off later is added to a crash: a connection's
-	// end may be a retransmission or two behind.
+	// lateWindow is how long requests that are found to have broken off later are added to
+	// a crash: the end of a connection may be a retransmission or two late.
 	lateWindow = 2 * time.Second
 )
 
-// RunStatus is what became of a run of a runner.
+// RunStatus is the status of a run of a runner as a probe finds it.
 type RunStatus int
 
-// The fates of a run.
+// The statuses of a run.
 const (
-	// Silent runs say nothing: they may be cut off, stand still or be gone.
+	// Silent means that the run doesn't answer: it may be partitioned, suspended or gone.
 	Silent RunStatus = iota
-	// Alive runs answer.
+	// Alive means that the run answers.
 	Alive
-	// Ended runs are over: nobody listens at their address, or another run does.
+	// Ended means that the run is over: nothing listens at its address, or another run
+	// does.
 	Ended
 )
 
-// Report is a crash of a run with all that this host had there.
+// Report is a crash of a run with the requests of this host that ran there.
 type Report struct {
 	Instance *state.Instance
 	Suspects []quarantine.Suspect
-	// Late says that the crash was reported before, and that this is work found since.
+	// Late reports that the crash was reported before and that Suspects were found since.
 	Late bool
 }
 
-// Options configure a Detector. All fields are required.
+// Options configures a Detector. All fields are required.
 type Options struct {
-	// Probe asks a run whether it is there.
+	// Probe finds out the status of a run. It returns Silent when ctx ends.
 	Probe func(ctx context.Context, i *state.Instance) RunStatus
-	// Listed reports whether the list has the run, and not as one that leaves. Replaced
-	// reports whether the list has another run at its address.
+	// Listed reports whether the run is listed and not leaving, Replaced whether another
+	// run is listed at its address.
 	Listed, Replaced func(i *state.Instance) bool
-	// OnCrash is called with each crash, and again with work that is found later.
+	// OnCrash is called with each crash, and again with requests that are found later.
 	OnCrash func(Report)
 	Clock   state.Clock
 	Log     *slog.Logger
 }
 
-// Detector looks after runners at which work broke off. It is safe for concurrent use.
+// Detector investigates runs at which requests broke off. It is safe for concurrent use.
 type Detector struct {
 	o   Options
 	ctx context.Context
 
-	mu   sync.Mutex
+	mu sync.Mutex
+	// open contains the investigations under way.
 	open map[state.InstanceID]*investigation
 }
 
-// investigation is what is asked of one run.
+// investigation is the state of an investigation of one run.
 type investigation struct {
 	instance *state.Instance
-	// suspects broke off there and weren't reported yet.
+	// suspects are the requests that broke off at the run and haven't been reported yet.
 	suspects []quarantine.Suspect
-	// endedAt is when the run was found to have ended; zero before.
+	// endedAt is when the run was found to have ended; zero until then.
 	endedAt time.Time
 }
 
-// New validates the options. Questions end with ctx.
+// New returns an error if an option is missing. Investigations stop when ctx ends.
 func New(ctx context.Context, o Options) (*Detector, error) {
 	if o.Probe == nil || o.Listed == nil || o.Replaced == nil || o.OnCrash == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("crash: a field of Options is missing; set all of them")
@@ -90,7 +95,8 @@
 	return &Detector{o: o, ctx: ctx, open: map[state.InstanceID]*investigation{}}, nil
 }
 
-// ReportBroken notes that work broke off at a runner without its end. It doesn't wait.
+// ReportBroken records that a request broke off at a runner before its answer was complete,
+// and starts an investigation if there is none of that run. It doesn't block.
 func (d *Detector) ReportBroken(i *state.Instance, s quarantine.Suspect) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -98,7 +104,7 @@
 		inv.suspects = append(inv.suspects, s)
 		return
 	}
-	// The platform takes a leaving runner away, whatever runs there.
+	// The platform stops a leaving runner regardless of the requests that run there.
 	if d.ctx.Err() != nil || !d.o.Listed(i) {
 		return
 	}
@@ -107,7 +113,7 @@
 	go d.investigate(inv)
 }
 
-// investigate finds out what became of a run, and reports its crash.
+// investigate waits for the status of a run and, if the run has ended, reports the crash.
 func (d *Detector) investigate(inv *investigation) {
 	defer d.remove(inv)
 	if d.awaitStatus(inv.instance) != Ended {
@@ -126,7 +132,8 @@
 	}
 }
 
-// awaitStatus asks until the run answers or is known to have ended.
+// awaitStatus probes a run until it answers or is known to have ended, or until
+// maxProbeDuration has passed.
 func (d *Detector) awaitStatus(i *state.Instance) RunStatus {
 	for began := d.o.Clock.Now(); d.o.Clock.Now().Sub(began) < maxProbeDuration; {
 		if d.o.Replaced(i) {
@@ -142,13 +149,14 @@
 	return Silent
 }
 
+// probe probes a run once, within probeTimeout.
 func (d *Detector) probe(i *state.Instance) RunStatus {
 	ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 	defer cancel()
 	return d.o.Probe(ctx, i)
 }
 
-// report passes on the work that wasn't yet.
+// report reports the suspects that haven't been reported yet.
 func (d *Detector) report(inv *investigation, late bool) {
 	d.mu.Lock()
 	suspects := inv.suspects
@@ -161,16 +169,17 @@
 	d.o.OnCrash(Report{Instance: inv.instance, Suspects: suspects, Late: late})
 }
 
+// remove ends an investigation.
 func (d *Detector) remove(inv *investigation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	delete(d.open, inv.instance.ID)
 }
 
-// maxDescribed bounds the requests that a log line names.
+// maxDescribed bounds the requests that a log line lists.
 const maxDescribed = 20
 
-// formatSuspects names requests by their ids and digests, those first that had just begun.
+// formatSuspects returns the requests by id and digest, recently started ones first.
 func formatSuspects(suspects []quarantine.Suspect) []string {
 	var recent, settled []string
 	for _, s := range suspects {
--- a/coordination/crash/crash_test.go
+++ b/coordination/crash/crash_test.go
@@ -16,7 +16,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// testDetector is one runner as a host sees it.
+// testDetector is a detector with one simulated runner.
 type testDetector struct {
 	*Detector
 	mu       sync.Mutex
@@ -61,30 +61,35 @@
 	return d
 }
 
+// load reads a field of d under its lock.
 func load[T any](d *testDetector, field *T) T {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return *field
 }
 
-// reported are the reports so far.
+// reported returns the reports so far.
 func (d *testDetector) reported() []Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return slices.Clone(d.reports)
 }
 
+// set changes fields of d under its lock.
 func (d *testDetector) set(change func()) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	change()
 }
 
+// suspect returns the request number n.
 func suspect(n byte, settled bool) quarantine.Suspect {
 	return quarantine.Suspect{Digest: quarantine.Digest{n}, RequestID: string('a' + rune(n)), Settled: settled}
 }
 
-func TestCrashIsReportedWithAllThatRan(t *testing.T) {
+// A crash is reported once with all requests that broke off at that time, and again with
+// those that are found later.
+func TestCrashReportListsAllBrokenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newTestDetector(t, Ended)
@@ -94,28 +99,29 @@
 		is.Equal(len(d.reported()), 1)
 		is.Equal(d.reported()[0].Suspects, []quarantine.Suspect{suspect(1, false), suspect(2, true)})
 		is.True(!d.reported()[0].Late)
-		d.ReportBroken(runner, suspect(3, false)) // its connection ended later
+		d.ReportBroken(runner, suspect(3, false)) // the end of its connection is noticed later
 		time.Sleep(lateWindow)
 		is.Equal(len(d.reported()), 2)
 		is.Equal(d.reported()[1].Suspects, []quarantine.Suspect{suspect(3, false)})
 		is.True(d.reported()[1].Late)
 		synctest.Wait()
 		is.Equal(load(d, &d.probes), 1)
-		is.Equal(len(d.open), 0) // nothing is kept
+		is.Equal(len(d.open), 0) // the investigation is removed
 	})
 }
 
-func TestOtherEndsAreNoCrash(t *testing.T) {
+// A run is reported as crashed only if it ended, not if it lost an answer or is silent.
+func TestOnlyEndedRunsAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		status  RunStatus
-		then    func(d *testDetector) // after a second
+		then    func(d *testDetector) // called after one second
 		crashes int
 	}{
-		"an answer was lost":                      {Alive, nil, 0},
-		"cut off for a moment":                    {Silent, func(d *testDetector) { d.status = Alive }, 0},
-		"cut off for long":                        {Silent, nil, 0},
-		"fell silent, and another took its place": {Silent, func(d *testDetector) { d.listed, d.replaced = false, true }, 1},
-		"fell silent before its process was gone": {Silent, func(d *testDetector) { d.status = Ended }, 1},
+		"an answer was lost":                   {Alive, nil, 0},
+		"partitioned for a moment":             {Silent, func(d *testDetector) { d.status = Alive }, 0},
+		"partitioned for long":                 {Silent, nil, 0},
+		"silent, then replaced by another run": {Silent, func(d *testDetector) { d.listed, d.replaced = false, true }, 1},
+		"silent, then found to have ended":     {Silent, func(d *testDetector) { d.status = Ended }, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -135,7 +141,8 @@
 	}
 }
 
-func TestLeavingRunnerIsNoCrash(t *testing.T) {
+// A leaving runner is stopped by the platform with whatever runs there; that is no crash.
+func TestLeavingRunnerIsNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		d := newTestDetector(t, Ended)
--- a/coordination/liveness/liveness.go
+++ b/coordination/liveness/liveness.go
@@ -1,11 +1,13 @@
-// Package liveness takes hosts that are gone out of the list of hosts, so that the others'
-// shares of what all have in common don't shrink for ever.
+// Package liveness removes dead hosts from the list of hosts. Shared limits are divided by
+// the number of listed hosts, so a dead entry would reduce the share of each other host for
+// good.
 //
-// The relays of each failure domain look after the others of their domain, each after the
-// hosts that would follow it. Hosts that ask it for news are alive by that; one that
-// hasn't been heard is asked, by the looker itself and, if that fails, by a helper. Only a
-// host that both hear nothing of, again and again, is removed, and one that was merely cut
-// off lists itself again.
+// The relays of each failure domain, which the other hosts of the domain poll for changes,
+// also monitor these hosts: each relay monitors the hosts that would poll it. A host that
+// polls the monitoring host is alive. Any other is pinged, directly and, if that fails,
+// through another host of the domain as a proxy. A host is removed only if both fail in
+// several consecutive rounds; a host that was only partitioned adds itself to the list
+// again.
 package liveness
 
 import (
@@ -20,65 +22,70 @@
 const (
 	// roundInterval is the time between two rounds.
 	roundInterval = 2 * time.Second
-	// contactTTL is how long a host counts as alive after it was heard.
+	// contactTTL is how long a host counts as alive after its last contact.
 	contactTTL = 3 * time.Second
-	// pingTimeout bounds a question, and pingViaTimeout one by way of a helper.
+	// pingTimeout bounds a direct ping, and indirectPingTimeout one through a proxy.
 	pingTimeout         = 500 * time.Millisecond
 	indirectPingTimeout = 2 * pingTimeout
-	// minSilentRounds is how many rounds in a row a host must be silent: ten seconds and
-	// more, which hosts that are frozen, stopped or restarted mostly don't need.
+	// minSilentRounds is the number of consecutive rounds in which a host must be silent to
+	// be removed. They take ten seconds or more, longer than most suspensions and restarts
+	// of a host.
 	minSilentRounds = 5
-	// maxSilentShare is the share of its hosts that may be silent: a looker that hears less
-	// is more likely to be cut off itself, and removes nobody.
+	// maxSilentShare is the largest share of the monitored hosts that may be silent: a
+	// monitor that finds more of them silent is more likely to be partitioned itself, and
+	// removes none.
 	maxSilentShare = 0.25
 )
 
-// Entry is a host as its entry in the list says.
+// Entry is the entry of a host in the list of hosts.
 type Entry struct {
 	state.Peer
-	// Name and Version are the entry's.
+	// Name and Version are those of the stored object.
 	Name    string
 	Version uint64
 }
 
-// Peers reaches other hosts.
+// Peers pings other hosts.
 type Peers interface {
-	// Ping asks the host at addr whether it is there.
+	// Ping returns nil if the host at addr answers.
 	Ping(ctx context.Context, addr string) error
-	// PingVia has the host at helper ask the one at addr.
+	// PingVia returns nil if the host at proxy gets an answer from the host at addr.
 	PingVia(ctx context.Context, proxy, addr string) error
 }
 
-// Options configure a Monitor. All fields are required.
+// Options configures a Monitor. All fields are required.
 type Options struct {
 	Self state.Peer
-	// Hosts lists all hosts, this one too.
+	// Hosts returns the entries of all hosts, this one included.
 	Hosts func() []Entry
-	// Monitors reports whether this host looks after the one at addr, of its domain.
+	// Monitors reports whether this host monitors the host at addr, in the same failure
+	// domain.
 	Monitors func(addr string) bool
-	// LastContact is when a host asked this one for something; zero if never.
+	// LastContact returns when a host last made a request to this one; zero if never.
 	LastContact func(addr string) time.Time
 	Peers       Peers
-	// Remove takes an entry of that version out of the list.
+	// Remove deletes an entry if it still has the same version.
 	Remove func(ctx context.Context, h Entry) error
 	Clock  state.Clock
 	Log    *slog.Logger
 }
 
-// Monitor looks after the hosts of one domain. It is not safe for concurrent use.
+// Monitor monitors hosts of the failure domain of this host. It is not safe for concurrent
+// use.
 type Monitor struct {
 	o Options
-	// silentRounds counts the rounds in a row in which nothing was heard of an entry.
+	// silentRounds is the number of consecutive rounds in which an entry was silent.
 	silentRounds map[entryID]int
 }
 
-// entryID is one writing of an entry: a host that lists itself again begins anew.
+// entryID identifies one version of an entry. The rounds of a host that writes its entry
+// again are counted anew.
 type entryID struct {
 	name    string
 	version uint64
 }
 
-// New validates the options.
+// New returns an error if an option is missing.
 func New(o Options) (*Monitor, error) {
 	if o.Self.Addr == "" || o.Hosts == nil || o.Monitors == nil || o.LastContact == nil || o.Peers == nil || o.Remove == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("liveness: a field of Options is missing; set all of them")
@@ -86,14 +93,15 @@
 	return &Monitor{o: o, silentRounds: map[entryID]int{}}, nil
 }
 
-// Run looks in rounds until ctx ends.
+// Run runs a round every roundInterval until ctx ends.
 func (m *Monitor) Run(ctx context.Context) {
 	for m.o.Clock.Sleep(ctx, roundInterval) == nil {
 		m.runRound(ctx)
 	}
 }
 
-// runRound looks for hosts that can't be heard.
+// runRound checks the monitored hosts and removes those that have been silent in
+// minSilentRounds rounds.
 func (m *Monitor) runRound(ctx context.Context) {
 	var domain, monitored []Entry
 	for _, h := range m.o.Hosts() {
@@ -130,7 +138,7 @@
 	}
 }
 
-// isAlive reports whether a host has been isAlive recently, or answers.
+// isAlive reports whether a host has had contact recently or answers a ping.
 func (m *Monitor) isAlive(ctx context.Context, h Entry, domain []Entry) bool {
 	if m.o.Clock.Now().Sub(m.o.LastContact(h.Addr)) < contactTTL {
 		return true
@@ -147,13 +155,15 @@
 	return m.o.Peers.PingVia(ctx, proxy, h.Addr) == nil
 }
 
+// ping reports whether the host at addr answers within pingTimeout.
 func (m *Monitor) ping(ctx context.Context, addr string) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	return m.o.Peers.Ping(ctx, addr) == nil
 }
 
-// pickProxy is a host of the domain that was heard recently; "" if there is none.
+// pickProxy returns the address of a host of the domain that has had contact recently; ""
+// if there is none.
 func (m *Monitor) pickProxy(target Entry, domain []Entry) string {
 	for _, h := range domain {
 		if h.Addr != target.Addr && m.o.Clock.Now().Sub(m.o.LastContact(h.Addr)) < contactTTL {
@@ -163,10 +173,11 @@
 	return ""
 }
 
+// remove deletes the entry of a dead host and logs it.
 func (m *Monitor) remove(ctx context.Context, h Entry) {
 	if err := m.o.Remove(ctx, h); err != nil {
-		m.o.Log.Info("host that is gone not removed", "name", h.Name, "cause", err.Error())
+		m.o.Log.Info("dead host not removed", "name", h.Name, "cause", err.Error())
 		return
 	}
-	m.o.Log.Info("host that is gone removed", "name", h.Name, "addr", h.Addr, "version", h.Version, "rounds", minSilentRounds)
+	m.o.Log.Info("dead host removed", "name", h.Name, "addr", h.Addr, "version", h.Version, "rounds", minSilentRounds)
 }
--- a/coordination/liveness/liveness_test.go
+++ b/coordination/liveness/liveness_test.go
@@ -15,11 +15,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// testDomain is the hosts around one looker, h0.
+// testDomain is the hosts of a failure domain that host h0 monitors.
 type testDomain struct {
 	hosts []Entry
-	// dead hosts answer nobody; unreachable ones don't answer the looker alone; noContact ones answer,
-	// but follow another relay.
+	// Dead hosts answer no host, unreachable ones don't answer the monitor but other hosts,
+	// and those in noContact answer but follow another relay.
 	dead, unreachable, noContact map[string]bool
 	removed                      []string
 	pings                        int
@@ -32,7 +32,7 @@
 		d.hosts = append(d.hosts, Entry{Peer: state.Peer{Addr: fmt.Sprint("h", i), FailureDomain: "d"}, Name: fmt.Sprint("n", i), Version: uint64(i + 1)})
 	}
 	d.hosts = append(d.hosts, Entry{Peer: state.Peer{Addr: "other", FailureDomain: "e"}, Name: "other", Version: 99})
-	d.dead["other"] = true // another domain's looker sees to it
+	d.dead["other"] = true // monitored in its own domain
 	return d
 }
 
@@ -75,7 +75,7 @@
 	return errors.New("another version")
 }
 
-// run runs the looker for a time.
+// run runs the monitor for the given time.
 func (d *testDomain) run(t *testing.T, m *Monitor, span time.Duration) {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), span)
@@ -103,26 +103,29 @@
 	})
 }
 
-func TestHostsThatAreGoneAreRemovedInSeconds(t *testing.T) {
+// Dead hosts are removed, but not before they have had the time to restart.
+func TestDeadHostsAreRemoved(t *testing.T) {
 	runInDomain(t, 60, func(is *is.I, d *testDomain, m *Monitor) {
 		d.dead["h7"], d.dead["h30"] = true, true
 		d.run(t, m, 8*time.Second)
-		is.Equal(len(d.removed), 0) // they may be restarting
+		is.Equal(len(d.removed), 0) // they may still be restarting
 		d.run(t, m, 30*time.Second)
 		is.Equal(d.removed, []string{"n7", "n30"})
 	})
 }
 
-func TestHostsThatAreThereStay(t *testing.T) {
+// Hosts stay in the list if they answer anyone, if the monitor itself is likely to be
+// partitioned, or if another host monitors them.
+func TestLiveHostsAreNotRemoved(t *testing.T) {
 	for name, c := range map[string]func(d *testDomain){
-		"they follow another relay":       func(d *testDomain) { d.noContact["h3"], d.noContact["h4"] = true, true },
-		"only the looker is cut off them": func(d *testDomain) { d.unreachable["h3"] = true },
-		"most are silent, so the looker is cut off": func(d *testDomain) {
+		"they follow another relay":         func(d *testDomain) { d.noContact["h3"], d.noContact["h4"] = true, true },
+		"only the monitor can't reach them": func(d *testDomain) { d.unreachable["h3"] = true },
+		"too many are silent": func(d *testDomain) {
 			for i := range 20 {
 				d.dead[fmt.Sprint("h", i+1)] = true
 			}
 		},
-		"another host looks": func(d *testDomain) { d.dead["h3"], d.monitored = true, false },
+		"another host monitors them": func(d *testDomain) { d.dead["h3"], d.monitored = true, false },
 	} {
 		t.Run(name, func(t *testing.T) {
 			runInDomain(t, 60, func(is *is.I, d *testDomain, m *Monitor) {
@@ -134,9 +137,9 @@
 	}
 }
 
-// A host that is frozen or restarts for some seconds is not removed, and one that lists
-// itself again begins anew.
-func TestSilenceMustLast(t *testing.T) {
+// A host that is suspended or restarts for some seconds isn't removed, and the rounds of a
+// host that writes its entry again are counted anew.
+func TestShortSilenceDoesNotRemoveHosts(t *testing.T) {
 	runInDomain(t, 60, func(is *is.I, d *testDomain, m *Monitor) {
 		for range 5 {
 			d.dead["h5"] = true
@@ -152,8 +155,8 @@
 	})
 }
 
-// Hosts that ask for news cost no question of their own.
-func TestHostsThatAreHeardAreNotAsked(t *testing.T) {
+// Hosts that poll the monitoring host for changes aren't pinged.
+func TestHostsInContactAreNotPinged(t *testing.T) {
 	runInDomain(t, 60, func(is *is.I, d *testDomain, m *Monitor) {
 		d.run(t, m, time.Minute)
 		is.Equal(d.pings, 0)
--- a/coordination/outlier/outlier.go
+++ b/coordination/outlier/outlier.go
@@ -1,9 +1,11 @@
-// Package outlier finds engines and runners that don't answer, and tells all hosts, so
-// that each of hundreds of hosts needn't lose a request to learn it.
+// Package outlier detects silent runners, that is, runners that don't answer, and
+// broadcasts verdicts on them, so that each of hundreds of hosts doesn't have to lose a
+// request to find out.
 //
-// A host that hears nothing of a runner reports it to one host, the runner's owner. The
-// owner asks the runner itself: only what two hosts have seen is told, and a host that has
-// just heard from the runner keeps to its own word.
+// A host that gets no answer from a runner reports it to one host, the owner of the runner.
+// The owner probes the runner itself, so that a verdict is broadcast only if two hosts have
+// found the runner silent. A host that has just received an answer from the runner ignores
+// the verdict.
 package outlier
 
 import (
@@ -17,69 +19,75 @@
 )
 
 const (
-	// reportInterval bounds a host's reports of one runner: one is enough to have it asked.
+	// reportInterval is the shortest time between two reports of one runner by a host: one
+	// report is enough to have the runner probed.
 	reportInterval = 250 * time.Millisecond
-	// reportTimeout bounds a report; nobody waits for it.
+	// reportTimeout bounds a report. No request waits for it.
 	reportTimeout = 500 * time.Millisecond
-	// probeTimeout bounds a question to a runner: thirty round trips between failure
-	// domains. askEvery is the pause between two while it doesn't answer.
+	// probeTimeout bounds one probe of a runner: thirty round trips between failure
+	// domains. probeInterval is the pause between two probes of a silent runner.
 	probeTimeout  = 100 * time.Millisecond
 	probeInterval = 200 * time.Millisecond
-	// verdictTTL is how long a verdict holds unless it is renewed or taken back; it is
-	// renewed with each question, so that two of them may be lost.
+	// verdictTTL is how long a verdict holds unless it is renewed or withdrawn. It is
+	// renewed after each failed probe, so that two renewals may be lost.
 	verdictTTL = 3 * (probeTimeout + probeInterval)
-	// maxWatchDuration bounds how long an owner asks: by then the list shows the loss of a runner
-	// that is gone (three heartbeats of 1.2 s).
+	// maxWatchDuration bounds how long an owner probes a runner: by then the list no longer
+	// contains a runner that is gone (three heartbeats of 1.2 s).
 	maxWatchDuration = 15 * time.Second
-	// maxSilentShare is the share of a service's runners that may be told at once: one that
-	// finds more of them silent is more likely to be cut off itself.
+	// maxSilentShare bounds the runners, of any service, that an owner declares silent at
+	// the same time, as a share of the runners of the service in question: an owner that
+	// finds more of them silent is more likely to be partitioned itself.
 	maxSilentShare = 0.5
 )
 
-// Verdict is what an owner tells all hosts of a runner.
+// Verdict is an owner's finding on a runner, broadcast to all hosts.
 type Verdict struct {
 	Instance state.InstanceID
-	// Silent runners are to be avoided for so long; one that isn't answers again.
+	// Silent runners are to be avoided for TTL. A verdict with Silent unset withdraws an
+	// earlier one.
 	Silent bool
 	TTL    time.Duration
 }
 
-// Peers reaches other hosts.
+// Peers sends messages to other hosts.
 type Peers interface {
-	// Report tells the owner at addr that this host hears nothing of the runner.
+	// Report reports to the owner at addr that the runner is silent for this host.
 	Report(ctx context.Context, addr string, id state.InstanceID) error
 }
 
-// Options configure a Detector. All fields are required.
+// Options configures a Detector. All fields are required.
 type Options struct {
-	// Self is this host's peer address, and Owner that of a runner's owner; "" if none is
-	// known.
+	// Self is the peer address of this host. Owner returns the peer address of the owner of
+	// a runner; "" if none is known.
 	Self  string
 	Owner func(id state.InstanceID) string
 	Peers Peers
-	// Alive reports whether a runner answers this host.
+	// Alive probes a runner from this host and reports whether it answers.
 	Alive func(ctx context.Context, id state.InstanceID) bool
-	// Siblings is the number of runners of the same service; 0 if the runner isn't listed.
+	// Siblings returns the number of runners of the same service, the runner included; 0 if
+	// it isn't listed.
 	Siblings func(id state.InstanceID) int
-	// Publish tells all hosts.
+	// Publish broadcasts a verdict to all hosts.
 	Publish func(Verdict)
 	Clock   state.Clock
 	Log     *slog.Logger
 }
 
-// Detector reports silent runners, and asks those that this host owns. It is safe for
-// concurrent use.
+// Detector reports silent runners to their owners and probes those that this host owns. It
+// is safe for concurrent use.
 type Detector struct {
 	o   Options
 	ctx context.Context
 
-	mu         sync.Mutex
+	mu sync.Mutex
+	// reportedAt is when this host last reported a runner.
 	reportedAt map[state.InstanceID]time.Time
-	// watched are the runners that are being asked; true once they are told.
+	// watched contains the runners that are being probed; the value is true once a verdict
+	// was published.
 	watched map[state.InstanceID]bool
 }
 
-// New validates the options. Questions end with ctx.
+// New returns an error if an option is missing. Reports and probes stop when ctx ends.
 func New(ctx context.Context, o Options) (*Detector, error) {
 	if o.Self == "" || o.Owner == nil || o.Peers == nil || o.Alive == nil || o.Siblings == nil || o.Publish == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("outlier: a field of Options is missing; set all of them")
@@ -87,7 +95,8 @@
 	return &Detector{o: o, ctx: ctx, reportedAt: map[state.InstanceID]time.Time{}, watched: map[state.InstanceID]bool{}}, nil
 }
 
-// ReportSilent notes that this host hears nothing of a runner. It doesn't wait.
+// ReportSilent reports to the owner of a runner that it is silent for this host. It doesn't
+// block.
 func (d *Detector) ReportSilent(id state.InstanceID) {
 	owner := d.o.Owner(id)
 	if owner == "" || !d.allowReport(id) {
@@ -101,12 +110,13 @@
 		ctx, cancel := context.WithTimeout(d.ctx, reportTimeout)
 		defer cancel()
 		if err := d.o.Peers.Report(ctx, owner, id); err != nil {
-			d.o.Log.Debug("silent runner not reported", "instance", id, "owner", owner, "cause", err.Error())
+			d.o.Log.Debug("report of a silent runner failed", "instance", id, "owner", owner, "cause", err.Error())
 		}
 	}()
 }
 
-// allowReport keeps a host from reporting one runner for each of its requests.
+// allowReport limits the reports of one runner to one per reportInterval, however many
+// requests fail there.
 func (d *Detector) allowReport(id state.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -123,7 +133,8 @@
 	return true
 }
 
-// HandleReport notes a report of a runner that this host owns, and asks the runner.
+// HandleReport handles a report of a runner that this host owns: the runner is probed from
+// now on.
 func (d *Detector) HandleReport(id state.InstanceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -134,7 +145,7 @@
 	go d.watch(id)
 }
 
-// watch asks the runner until it answers, and tells all hosts while it doesn't.
+// watch probes a runner until it answers, and publishes a verdict after each failed probe.
 func (d *Detector) watch(id state.InstanceID) {
 	defer d.unwatch(id)
 	began := d.o.Clock.Now()
@@ -156,13 +167,15 @@
 	}
 }
 
+// probe probes a runner once, within probeTimeout.
 func (d *Detector) probe(id state.InstanceID) bool {
 	ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 	defer cancel()
 	return d.o.Alive(ctx, id)
 }
 
-// allowVerdict reports whether the runner is still listed and few enough are told.
+// allowVerdict reports whether the runner is still listed and few enough are declared
+// silent, and counts the runner among these if so.
 func (d *Detector) allowVerdict(id state.InstanceID) bool {
 	siblings := d.o.Siblings(id)
 	if siblings == 0 {
@@ -177,7 +190,7 @@
 		}
 	}
 	if !d.watched[id] && float64(published+1) > max(1, maxSilentShare*float64(siblings)) {
-		d.o.Log.Warn("silent runner not told: too many are", "instance", id, "told", published, "siblings", siblings)
+		d.o.Log.Warn("verdict on a silent runner withheld: too many runners are silent", "instance", id, "told", published, "siblings", siblings)
 		return false
 	}
 	if !d.watched[id] {
@@ -187,12 +200,14 @@
 	return true
 }
 
+// published reports whether a verdict on the runner was published.
 func (d *Detector) published(id state.InstanceID) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.watched[id]
 }
 
+// unwatch removes a runner from those that are being probed.
 func (d *Detector) unwatch(id state.InstanceID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/coordination/outlier/outlier_test.go
+++ b/coordination/outlier/outlier_test.go
@@ -15,12 +15,12 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// cluster is hosts with a detector each, and runners of one service.
+// cluster is hosts with one detector each, and runners of one service.
 type cluster struct {
 	mu          sync.Mutex
 	hosts       map[string]*Detector
 	silent      map[state.InstanceID]bool
-	cutOff      map[string]bool // hosts that reach no runner
+	partitioned map[string]bool // hosts that can't reach any runner
 	runners     int
 	verdicts    []Verdict
 	publishedAt []time.Time
@@ -31,7 +31,7 @@
 
 func newCluster(t *testing.T, runners int, names ...string) *cluster {
 	t.Helper()
-	c := &cluster{hosts: map[string]*Detector{}, silent: map[state.InstanceID]bool{}, cutOff: map[string]bool{}, runners: runners}
+	c := &cluster{hosts: map[string]*Detector{}, silent: map[state.InstanceID]bool{}, partitioned: map[string]bool{}, runners: runners}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for _, name := range names {
@@ -58,7 +58,7 @@
 func (c *cluster) alive(ctx context.Context, host string, id state.InstanceID) bool {
 	c.mu.Lock()
 	c.probes++
-	silent := c.silent[id] || c.cutOff[host]
+	silent := c.silent[id] || c.partitioned[host]
 	c.mu.Unlock()
 	if silent {
 		<-ctx.Done()
@@ -73,6 +73,7 @@
 	c.publishedAt = append(c.publishedAt, time.Now())
 }
 
+// setSilent sets whether a runner is silent.
 func (c *cluster) setSilent(id state.InstanceID, silent bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -81,9 +82,9 @@
 
 func runnerID(i int) state.InstanceID { return state.InstanceID{Name: fmt.Sprint("r", i), Born: 7} }
 
-// The first loss is known to all within 300 ms, holds while the runner is silent, and is
-// taken back when it answers.
-func TestSilentRunnerIsToldUntilItAnswers(t *testing.T) {
+// The first verdict is published within 300 ms, is renewed while the runner is silent, and
+// is withdrawn when the runner answers.
+func TestVerdictIsRenewedUntilRunnerAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster(t, 10, owner, "h")
@@ -99,19 +100,20 @@
 		last := len(c.verdicts) - 1
 		for i, v := range c.verdicts[:last] {
 			is.True(v.Silent)
-			is.True(i == 0 || c.publishedAt[i].Sub(c.publishedAt[i-1]) < c.verdicts[i-1].TTL/2) // never lapses in between
+			is.True(i == 0 || c.publishedAt[i].Sub(c.publishedAt[i-1]) < c.verdicts[i-1].TTL/2) // renewed well before it expires
 		}
 		is.True(!c.verdicts[last].Silent)
 		is.Equal(c.verdicts[last].Instance, runnerID(1))
 	})
 }
 
-// A host that lies, or is cut off itself, takes no runner from the others.
-func TestOneHostsWordIsNotEnough(t *testing.T) {
+// A host that reports wrongly, or is partitioned itself, doesn't take runners from the
+// others.
+func TestReportOfOneHostIsNotEnough(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster(t, 10, owner, "h")
-		c.cutOff["h"] = true
+		c.partitioned["h"] = true
 		for i := range 10 {
 			c.hosts["h"].ReportSilent(runnerID(i))
 		}
@@ -122,12 +124,13 @@
 	})
 }
 
-// An owner that is cut off finds all its runners silent: most of them aren't told.
-func TestOwnerThatIsCutOffSparesMostRunners(t *testing.T) {
+// An owner that is partitioned finds all its runners silent: it declares at most half of
+// them so.
+func TestPartitionedOwnerLimitsItsVerdicts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster(t, 10, owner, "h")
-		c.cutOff[owner] = true
+		c.partitioned[owner] = true
 		for i := range 10 {
 			c.hosts["h"].ReportSilent(runnerID(i))
 		}
@@ -141,13 +144,13 @@
 	})
 }
 
-// Requests that fail by the hundred cost a question every so often, not one each.
-func TestReportsAreBounded(t *testing.T) {
+// Hundreds of failing requests cause a probe per reportInterval, not one each.
+func TestReportsAndProbesAreRateLimited(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster(t, 10, owner, "h", "i")
 		for range 100 {
-			c.hosts["h"].ReportSilent(runnerID(1)) // its answers are lost, but it is there
+			c.hosts["h"].ReportSilent(runnerID(1)) // the requests fail, but the runner answers probes
 			c.hosts["i"].ReportSilent(runnerID(1))
 			time.Sleep(10 * time.Millisecond)
 		}
@@ -157,8 +160,8 @@
 	})
 }
 
-// A runner that has left the list, or restarted as another run, is asked no more.
-func TestRunnerThatIsGoneIsForgotten(t *testing.T) {
+// A runner that is no longer listed, or restarted as another run, isn't probed again.
+func TestUnlistedRunnerIsNotWatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		c := newCluster(t, 0, owner)
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -1,10 +1,10 @@
-// Package probe asks upstreams how they are: it feeds their lagging load reports
-// and the outcome of health checks to the keeper of views.
+// Package probe collects the load reports and the health of upstreams and passes them to
+// the keeper of views.
 //
-// Probing has a budget for the whole host, a base rate and a share of the
-// requests, so that its cost grows neither with the number of runners nor beyond
-// what the traffic is worth. The budget goes to the runners whose knowledge is
-// oldest, and four times as readily to those in use or in trouble.
+// Probes have a budget for the whole host: a base rate plus a number per request. Their
+// cost therefore neither grows with the number of runners nor exceeds what the traffic
+// justifies. The budget is spent on the runners whose data is oldest; the age counts four
+// times for runners that are in use, failing or unhealthy.
 package probe
 
 import (
@@ -23,11 +23,12 @@
 )
 
 const (
-	// stepInterval is the time between two batches of probes. Each batch costs at most
-	// one new view, however many reports it brings, and waking for it costs an
-	// idle host more than its probes do. Reports are older than this by themselves.
+	// stepInterval is the time between two batches of probes. Each batch costs at most one
+	// new view, however many reports it brings, and on an idle host the wakeup costs more
+	// than the probes. Load reports lag by more than this anyway.
 	stepInterval = 250 * time.Millisecond
-	// busyWeight is how much older the knowledge of a runner in use counts.
+	// busyWeight is the factor for the age of the data on a runner that is in use, failing
+	// or unhealthy.
 	busyWeight = 4
 )
 
@@ -36,34 +37,37 @@
 	Keeper  *snapshot.Keeper
 	Checker upstream.Checker
 	Clock   state.Clock
-	// PerSecond is the base rate of probes, of all runners together.
+	// PerSecond is the base rate in probes per second for all runners together.
 	PerSecond float64
-	// PerRequest are further probes for each request of this host.
+	// PerRequest is the number of additional probes per request of this host.
 	PerRequest float64
-	// Requests counts this host's requests since it started.
+	// Requests returns the number of requests of this host since it started.
 	Requests func() uint64
 	// MinInterval is the shortest time between two probes of one runner.
 	MinInterval time.Duration
 	// Timeout bounds one probe.
 	Timeout time.Duration
-	// FailureThreshold is the number of consecutive failures after which a
-	// runner gets no new work.
+	// FailureThreshold is the number of consecutive failures after which a runner gets no
+	// new work.
 	FailureThreshold int
-	// MaxConcurrent bounds the probes under way.
+	// MaxConcurrent bounds the probes that are under way at the same time.
 	MaxConcurrent int
 }
 
-// Prober probes the runners of the present view.
+// Prober probes the runners of the present view. It is not safe for concurrent use.
 type Prober struct {
 	o Options
-	// tokens are the probes that may be made now, as of refilled.
+	// tokens is the number of probes that may be sent, as of refilledAt, when
+	// Options.Requests returned requests.
 	tokens     float64
 	refilledAt time.Time
 	requests   uint64
 	records    map[string]*record
 }
 
-// record is what the prober keeps of one runner.
+// record is the probe state of one runner. probedAt is zero before its first probe,
+// failures counts consecutive ones, and inView marks the runners of the present view for
+// removeUnlisted.
 type record struct {
 	incarnation string
 	probedAt    time.Time
@@ -71,7 +75,7 @@
 	inView      bool
 }
 
-// New validates the options.
+// New returns an error if an option is missing or out of range.
 func New(o Options) (*Prober, error) {
 	if o.Keeper == nil || o.Checker == nil || o.Clock == nil || o.Requests == nil {
 		return nil, errors.New("probe: Keeper, Checker, Clock and Requests are required; set them")
@@ -92,7 +96,7 @@
 	}
 }
 
-// Step makes the probes that are due by now.
+// Step sends the probes that are due and waits for their outcomes.
 func (p *Prober) Step(ctx context.Context) {
 	p.refill()
 	runners := p.selectRunners()
@@ -105,8 +109,8 @@
 	p.applyOutcomes(outcomes)
 }
 
-// refill adds what the time and the requests since the last step are worth. What
-// isn't used within a second is lost.
+// refill adds tokens for the time and the requests since the last step. The unused ones are
+// limited to those of a second at the base rate, or to MaxConcurrent if that is more.
 func (p *Prober) refill() {
 	now, requests := p.o.Clock.Now(), p.o.Requests()
 	if !p.refilledAt.IsZero() {
@@ -118,14 +122,14 @@
 	p.tokens = min(p.tokens, capacity)
 }
 
-// candidate is a runner that may be probed, with how overdue it is.
+// candidate is a runner that may be probed, with the age of its data times its weight.
 type candidate struct {
 	upstream    state.Upstream
 	weightedAge time.Duration
 }
 
-// selectRunners picks the runners to probe. One that was never probed costs no token:
-// its first report is worth more than the budget of a second.
+// selectRunners returns the runners to probe. A runner that was never probed costs no
+// token: its first report is worth more than the budget of a second.
 func (p *Prober) selectRunners() []state.Upstream {
 	now := p.o.Clock.Now()
 	view := p.o.Keeper.View()
@@ -157,7 +161,8 @@
 	return append(unprobed, p.spendTokens(candidates)...)
 }
 
-// spendTokens takes the most overdue runners for the tokens there are.
+// spendTokens returns the candidates of the largest weighted age, as many as there are
+// tokens, and takes the tokens.
 func (p *Prober) spendTokens(candidates []candidate) []state.Upstream {
 	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.weightedAge, a.weightedAge) })
 	n := min(int(p.tokens), len(candidates))
@@ -169,7 +174,7 @@
 	return out
 }
 
-// removeUnlisted drops the records of runners that are no longer in the view.
+// removeUnlisted removes the records of runners that are no longer in the view.
 func (p *Prober) removeUnlisted() {
 	for name, rec := range p.records {
 		if !rec.inView {
@@ -178,16 +183,18 @@
 	}
 }
 
-// outcome is what one probe found.
+// outcome is the result of one probe.
 type outcome struct {
 	upstream state.Upstream
 	report   state.LoadReport
 	err      error
 }
 
-// errEngineMismatch says that another engine answers at an engine's address.
-var errEngineMismatch = errors.New("the report is another engine's; check the address in the platform's list")
+// errEngineMismatch reports that another engine answers at the address of an engine.
+var errEngineMismatch = errors.New("the load report is of another engine; check the address in the platform's list")
 
+// probe checks the health of a service's runner or reads the load report of an engine,
+// within Timeout by the prober's clock.
 func (p *Prober) probe(ctx context.Context, u state.Upstream) outcome {
 	ctx, cancel := context.WithCancel(ctx)
 	var timer sync.WaitGroup
@@ -208,7 +215,8 @@
 	return outcome{upstream: u, report: report, err: err}
 }
 
-// applyOutcomes hands the outcomes to the keeper. One success brings a runner back.
+// applyOutcomes passes the outcomes to the keeper. One success makes a runner healthy
+// again.
 func (p *Prober) applyOutcomes(outcomes []outcome) {
 	now := p.o.Clock.Now()
 	var reports []state.LoadReport
--- a/coordination/probe/probe_test.go
+++ b/coordination/probe/probe_test.go
@@ -16,7 +16,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// fakeChecker answers for every engine; it is asked by several goroutines.
+// fakeChecker answers for every upstream, with the report of another engine if mismatch is
+// set. It is safe for concurrent use.
 type fakeChecker struct {
 	mu       sync.Mutex
 	err      error
@@ -46,6 +47,8 @@
 	f.err, f.mismatch = err, mismatch
 }
 
+// listedRunners returns a list with one runner of a service and the given number of
+// engines.
 func listedRunners(engines int) []state.Listed {
 	out := []state.Listed{{Name: "s1", Kind: state.ListedService, State: state.ListedLive, Service: "app"}}
 	for i := range engines {
@@ -66,7 +69,7 @@
 	return p
 }
 
-// runFor probes for d of virtual time.
+// runFor runs the prober for d of virtual time.
 func runFor(t *testing.T, p *Prober, d time.Duration) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), d)
@@ -76,7 +79,9 @@
 
 func noRequests() uint64 { return 0 }
 
-func TestFailedChecksKeepWorkAwayUntilOneSucceeds(t *testing.T) {
+// A runner gets no work after consecutive failed probes, or if another engine answers at
+// its address, until one probe succeeds.
+func TestFailedProbesStopWorkUntilOneSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		k := snapshot.NewKeeper()
@@ -101,6 +106,8 @@
 	})
 }
 
+// All probes stay within the budget, a runner in use is probed more often, and every other
+// runner is still probed.
 func TestProbesStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -115,23 +122,24 @@
 		for _, n := range c.calls {
 			total += n
 		}
-		is.True(total <= engines+1+8*seconds) // the first of each is free
+		is.True(total <= engines+1+8*seconds) // the first probe of each runner is free
 		is.True(c.calls["e7"] >= c.calls["e8"]+2)
 		for _, r := range k.View().Runners {
-			is.True(c.calls[r.Name] >= 2) // none is forgotten
+			is.True(c.calls[r.Name] >= 2) // every runner is probed again
 		}
 		busy.Done()
 	})
 }
 
-func TestRequestsBuyProbes(t *testing.T) {
+// Requests add probes to the base rate.
+func TestRequestsAddToTheProbeBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		k := snapshot.NewKeeper()
 		k.SetListed(listedRunners(12))
 		c := &fakeChecker{calls: map[string]int{}}
 		start := time.Now()
-		p := newProber(t, k, c, func() uint64 { return uint64(time.Since(start) / (100 * time.Millisecond)) }) // ten a second
+		p := newProber(t, k, c, func() uint64 { return uint64(time.Since(start) / (100 * time.Millisecond)) }) // ten requests per second
 		runFor(t, p, 10*time.Second)
 		total := 0
 		for _, n := range c.calls {
--- a/coordination/retry/breaker.go
+++ b/coordination/retry/breaker.go
@@ -11,27 +11,27 @@
 	"github.com/sony/gobreaker/v2"
 )
 
-// BreakerOptions configure Breakers. Zero values stand for the defaults.
+// BreakerOptions configures Breakers. A field that is zero takes its default.
 type BreakerOptions struct {
-	// ConsecutiveFailures in a row that open a breaker; default 5.
+	// ConsecutiveFailures is the number of failures in a row that opens a breaker; default
+	// 5.
 	ConsecutiveFailures uint32
-	// FailureShare of the last interval's attempts that opens it, once there
-	// are MinAttempts of them; defaults 0.5 and 20.
+	// FailureShare is the share of failed attempts in the current interval, from 0 to 1,
+	// that opens a breaker once the interval has MinAttempts attempts; defaults 0.5 and 20.
 	FailureShare float64
 	MinAttempts  uint32
-	// Interval is how long attempts are counted; default 10 s.
+	// Interval is the time after which a closed breaker resets its counts; default 10 s.
 	Interval time.Duration
-	// OpenFor is how long an open breaker stays so before it lets trials
-	// through; default 2 s.
+	// OpenFor is how long a breaker stays open before it becomes half-open; default 2 s.
 	OpenFor time.Duration
-	// Trials is how many attempts a half-open breaker lets through; default 1.
+	// Trials is the number of attempts that a half-open breaker admits; default 1.
 	Trials uint32
-	// MaxUpstreams bounds the breakers; default 4096. An upstream beyond the
-	// bound has none and is always ready.
+	// MaxUpstreams bounds the number of breakers; default 4096. An upstream beyond the
+	// bound has no breaker and is always ready.
 	MaxUpstreams int
 }
 
-// Breakers keeps a circuit breaker per upstream. It is safe for concurrent use.
+// Breakers holds one circuit breaker per upstream. It is safe for concurrent use.
 type Breakers struct {
 	o BreakerOptions
 
@@ -39,7 +39,7 @@
 	breakers map[string]*gobreaker.TwoStepCircuitBreaker[struct{}]
 }
 
-// State is a breaker's state.
+// State is the state of a breaker.
 type State string
 
 // The states of a breaker.
@@ -49,15 +49,16 @@
 	StateOpen     State = "open"
 )
 
-// Status is one breaker as shown to operators.
+// Status is a snapshot of one breaker for operators.
 type Status struct {
 	Upstream string
 	State    State
-	// Requests and Failures are counted over the present interval.
+	// Requests and Failures count the attempts and the failures of the current interval.
 	Requests, Failures uint32
 }
 
-// OpenError says that an upstream's breaker lets nothing through at the moment.
+// OpenError reports that the breaker of an upstream admits no attempt at present; the
+// remedy is to choose another upstream.
 type OpenError struct{ Upstream string }
 
 // Error implements error.
@@ -65,10 +66,10 @@
 	return fmt.Sprintf("the breaker of upstream %s is open; choose another", e.Upstream)
 }
 
-// errFailed stands for any failure that counts against an upstream.
+// errFailed reports a failed attempt to a breaker, which doesn't distinguish causes.
 var errFailed = errors.New("the attempt failed")
 
-// NewBreakers returns breakers, or an error that names the wrong option.
+// NewBreakers fills in the defaults. It returns an error if FailureShare is out of range.
 func NewBreakers(o BreakerOptions) (*Breakers, error) {
 	if o.FailureShare < 0 || o.FailureShare > 1 {
 		return nil, fmt.Errorf("retry: BreakerOptions.FailureShare is outside 0 to 1; use 0.5 for half of the attempts")
@@ -97,15 +98,15 @@
 	return &Breakers{o: o, breakers: map[string]*gobreaker.TwoStepCircuitBreaker[struct{}]{}}, nil
 }
 
-// Ready reports whether the upstream's breaker lets an attempt through.
+// Ready reports whether the breaker of the upstream is closed or half-open.
 func (b *Breakers) Ready(upstream string) bool {
 	breaker := b.lookup(upstream)
 	return breaker == nil || breaker.State() != gobreaker.StateOpen
 }
 
-// Begin asks for an attempt. The returned function must be called once with
-// whether the upstream did its part (a caller's own cancellation is no failure).
-// It returns an *OpenError when the breaker lets nothing through.
+// Begin admits one attempt at the upstream. The caller must call done exactly once, with ok
+// false if the upstream failed; a cancellation by the caller is not a failure. Begin
+// returns an *OpenError if the breaker admits no attempt.
 func (b *Breakers) Begin(upstream string) (done func(ok bool), err error) {
 	breaker := b.lookupOrCreate(upstream)
 	if breaker == nil {
@@ -124,7 +125,7 @@
 	}, nil
 }
 
-// Retain forgets the breakers of upstreams for which keep is false.
+// Retain removes the breakers of the upstreams for which keep returns false.
 func (b *Breakers) Retain(keep func(upstream string) bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,7 +136,7 @@
 	}
 }
 
-// Status returns every breaker, sorted by upstream.
+// Status returns the status of every breaker, sorted by upstream.
 func (b *Breakers) Status() []Status {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -159,12 +160,14 @@
 	}
 }
 
+// lookup returns the breaker of the upstream, or nil if it has none.
 func (b *Breakers) lookup(upstream string) *gobreaker.TwoStepCircuitBreaker[struct{}] {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.breakers[upstream]
 }
 
+// lookupOrCreate returns the breaker of the upstream, or nil if MaxUpstreams others exist.
 func (b *Breakers) lookupOrCreate(upstream string) *gobreaker.TwoStepCircuitBreaker[struct{}] {
 	if breaker := b.lookup(upstream); breaker != nil {
 		return breaker
@@ -185,6 +188,7 @@
 	return breaker
 }
 
+// shouldTrip reports whether a breaker with these counts opens.
 func (b *Breakers) shouldTrip(c gobreaker.Counts) bool {
 	if c.ConsecutiveFailures >= b.o.ConsecutiveFailures {
 		return true
--- a/coordination/retry/budget.go
+++ b/coordination/retry/budget.go
@@ -8,30 +8,34 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// BudgetOptions configure a Budget. Zero values stand for the defaults.
+// BudgetOptions configures a Budget. A field that is zero takes its default unless it is
+// required.
 type BudgetOptions struct {
 	// Clock is required.
 	Clock state.Clock
-	// Share tells a service's retries as a share of its requests; zero or less
-	// stands for DefaultShare. It is required.
+	// Share returns the retries that the service may send as a share of its requests; zero
+	// or less selects DefaultShare. It is required.
 	Share func(service string) float64
-	// DefaultShare is 0.1 when left zero.
+	// DefaultShare is the share of services without one of their own; default 0.1.
 	DefaultShare float64
-	// MinPerSecond lets a service with little traffic retry as well; default 1.
+	// MinPerSecond is the retries per second that a service earns without traffic, so that
+	// a service with few requests can retry too; default 1.
 	MinPerSecond float64
-	// Burst is the most retries that can be saved up; default 20.
+	// Burst is the most retries that a service can accumulate; default 20.
 	Burst float64
-	// Slack, when set, replaces MinPerSecond and Burst: the repeats that this host
-	// may send in any SlackWindow whatever its traffic. Half of it can be saved
-	// up and half is earned in the window, so that no window sees more.
+	// Slack, if set, replaces MinPerSecond and Burst. It returns the retries that this host
+	// may send in any SlackWindow regardless of its traffic. Half of them can accumulate
+	// and the other half is earned over the window, so that no window contains more than
+	// the slack.
 	Slack       func() float64
 	SlackWindow time.Duration
-	// MaxServices bounds the services kept apart; default 1024. Services
-	// beyond it share one budget.
+	// MaxServices bounds the services with a budget of their own; default 1024. All
+	// services beyond it share one budget.
 	MaxServices int
 }
 
-// Budget limits the retries of each service. It is safe for concurrent use.
+// Budget limits the retries of each service with a token bucket that is refilled by
+// requests and by time. It is safe for concurrent use.
 type Budget struct {
 	o BudgetOptions
 
@@ -39,13 +43,14 @@
 	buckets map[string]*bucket
 }
 
-// bucket holds the retries saved up by one service.
+// bucket holds the retries that one service has accumulated.
 type bucket struct {
 	tokens     float64
 	refilledAt time.Time
 }
 
-// NewBudget returns a budget, or an error that names the wrong option.
+// NewBudget fills in the defaults. It returns an error that names the option that is
+// missing or out of range.
 func NewBudget(o BudgetOptions) (*Budget, error) {
 	if o.Clock == nil || o.Share == nil {
 		return nil, fmt.Errorf("retry: BudgetOptions.Clock or Share is nil; pass both")
@@ -54,7 +59,7 @@
 		return nil, fmt.Errorf("retry: BudgetOptions.DefaultShare is outside 0 to 1; use 0.1 for one retry in ten requests")
 	}
 	if o.Slack != nil && o.SlackWindow <= 0 {
-		return nil, fmt.Errorf("retry: BudgetOptions.SlackWindow must be positive with Slack; use the window that the slack counts for")
+		return nil, fmt.Errorf("retry: BudgetOptions.SlackWindow must be positive if Slack is set; use the window that Slack applies to")
 	}
 	if o.DefaultShare == 0 {
 		o.DefaultShare = 0.1
@@ -71,7 +76,8 @@
 	return &Budget{o: o, buckets: map[string]*bucket{}}, nil
 }
 
-// CountRequest counts one request of the service (not a retry) and saves its share.
+// CountRequest counts one request of the service, not a retry, and credits its share to the
+// budget.
 func (b *Budget) CountRequest(service string) {
 	share := b.o.Share(service)
 	if share <= 0 {
@@ -79,31 +85,31 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.refill(service)
-	k.tokens = min(k.tokens+share, b.capacity())
+	bkt := b.refill(service)
+	bkt.tokens = min(bkt.tokens+share, b.capacity())
 }
 
-// Allow reports whether a request of the service may be tried again, and takes
-// the retry from the budget if so.
+// Allow takes one retry of the service from its budget and reports whether there was one.
 func (b *Budget) Allow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	k := b.refill(service)
-	if k.tokens < 1 {
+	bkt := b.refill(service)
+	if bkt.tokens < 1 {
 		return false
 	}
-	k.tokens--
+	bkt.tokens--
 	return true
 }
 
-// Available returns the retries saved up by the service.
+// Available returns the retries that the service has accumulated.
 func (b *Budget) Available(service string) float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.refill(service).tokens
 }
 
-// capacity is the most that can be saved up, at least one repeat.
+// capacity returns the most retries that a bucket holds. With Slack it is at least one,
+// since a smaller bucket would never allow a retry.
 func (b *Budget) capacity() float64 {
 	if b.o.Slack == nil {
 		return b.o.Burst
@@ -111,7 +117,7 @@
 	return max(1, b.o.Slack()/2)
 }
 
-// refillRate is what is earned without traffic.
+// refillRate returns the retries per second that a bucket earns without traffic.
 func (b *Budget) refillRate() float64 {
 	if b.o.Slack == nil {
 		return b.o.MinPerSecond
@@ -119,23 +125,23 @@
 	return b.o.Slack() / 2 / b.o.SlackWindow.Seconds()
 }
 
-// refill returns the service's refill with the time's worth added; b.mu is held.
-// A new refill holds one retry, so that the first request may be repeated.
+// refill returns the bucket of the service with the elapsed time credited; b.mu is held. A
+// new bucket holds one retry, so that the first request can be retried.
 func (b *Budget) refill(service string) *bucket {
 	now := b.o.Clock.Now()
-	k := b.buckets[service]
-	if k == nil && len(b.buckets) >= b.o.MaxServices {
+	bkt := b.buckets[service]
+	if bkt == nil && len(b.buckets) >= b.o.MaxServices {
 		service = ""
-		k = b.buckets[service]
+		bkt = b.buckets[service]
 	}
-	if k == nil {
-		k = &bucket{tokens: 1, refilledAt: now}
-		b.buckets[service] = k
-		return k
+	if bkt == nil {
+		bkt = &bucket{tokens: 1, refilledAt: now}
+		b.buckets[service] = bkt
+		return bkt
 	}
-	if elapsed := now.Sub(k.refilledAt); elapsed > 0 {
-		k.tokens = min(k.tokens+elapsed.Seconds()*b.refillRate(), b.capacity())
-		k.refilledAt = now
+	if elapsed := now.Sub(bkt.refilledAt); elapsed > 0 {
+		bkt.tokens = min(bkt.tokens+elapsed.Seconds()*b.refillRate(), b.capacity())
+		bkt.refilledAt = now
 	}
-	return k
+	return bkt
 }
--- a/coordination/retry/delay.go
+++ b/coordination/retry/delay.go
@@ -8,15 +8,15 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// Bounds of the delay between attempts.
+// Defaults and growth factor of the delays between attempts.
 const (
 	defaultFirstDelay = 20 * time.Millisecond
 	defaultMaxDelay   = 2 * time.Second
 	delayGrowth       = 2
 )
 
-// Delays gives the jittered delays before repeated attempts. It is safe for
-// concurrent use.
+// Delays creates the exponential delays with jitter between the attempts of requests. It is
+// safe for concurrent use.
 type Delays struct {
 	first, max time.Duration
 
@@ -24,8 +24,8 @@
 	rnd *rand.Rand
 }
 
-// NewDelays returns delays that start at about first and grow up to limit; zero
-// stands for 20 ms and 2 s.
+// NewDelays returns delays that start at first and double up to limit; zero or less selects
+// 20 ms and 2 s. The jitter is drawn from rnd.
 func NewDelays(first, limit time.Duration, rnd *rand.Rand) *Delays {
 	if first <= 0 {
 		first = defaultFirstDelay
@@ -42,19 +42,19 @@
 	b.InitialInterval = d.first
 	b.MaxInterval = d.max
 	b.Multiplier = delayGrowth
-	b.RandomizationFactor = 0 // the jitter is drawn from the given source
+	b.RandomizationFactor = 0 // Next adds the jitter, from rnd
 	b.Reset()
 	return &Delay{source: d, exponential: b}
 }
 
-// Delay is the sequence of delays of one request; it is for one goroutine.
+// Delay is the sequence of delays of one request. It is not safe for concurrent use.
 type Delay struct {
 	source      *Delays
 	exponential *backoff.ExponentialBackOff
 }
 
-// Next returns the delay before the next attempt, between half and the whole of
-// a value that grows.
+// Next returns the delay before the next attempt, at random between half of the current
+// exponential delay and the whole of it.
 func (d *Delay) Next() time.Duration {
 	full := d.exponential.NextBackOff()
 	d.source.mu.Lock()
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -13,7 +13,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// manualClock is set by a test.
+// manualClock returns the time that the test has set.
 type manualClock struct {
 	state.Clock
 	now time.Time
@@ -35,7 +35,7 @@
 	return b, clock
 }
 
-// countAllowed counts the retries that are countAllowed in a row.
+// countAllowed takes retries until the budget is used up and returns their number.
 func countAllowed(b *Budget, service string) int {
 	n := 0
 	for b.Allow(service) {
@@ -51,10 +51,10 @@
 		requests int
 		want     int
 	}{
-		{"a tenth", 0.1, 100, 11}, // with the one that a new service has
+		{"a tenth", 0.1, 100, 11}, // including the one that a new service starts with
 		{"a half", 0.5, 20, 11},
 		{"the default", 0, 100, 11},
-		{"no more than the burst is saved", 0.1, 10000, 20},
+		{"limited by the burst", 0.1, 10000, 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -64,7 +64,7 @@
 				b.CountRequest("llm")
 			}
 			n := countAllowed(b, "llm")
-			is.True(n >= tt.want-1 && n <= tt.want) // adding up a tenth rounds
+			is.True(n >= tt.want-1 && n <= tt.want) // the sum of tenths is inexact
 		})
 	}
 }
@@ -74,7 +74,7 @@
 	b, clock := newBudget(t, BudgetOptions{})
 	retries := 0
 	const seconds, rate = 60, 100
-	for range seconds * rate { // every request fails and asks for a retry
+	for range seconds * rate { // every request fails and is retried if allowed
 		clock.now = clock.now.Add(time.Second / rate)
 		b.CountRequest("llm")
 		if b.Allow("llm") {
@@ -91,7 +91,7 @@
 	is.Equal(countAllowed(b, "llm"), 1)
 	clock.now = clock.now.Add(3 * time.Second)
 	is.Equal(countAllowed(b, "llm"), 3)
-	is.Equal(countAllowed(b, "other"), 1) // budgets are apart
+	is.Equal(countAllowed(b, "other"), 1) // each service has its own budget
 }
 
 func TestBudgetBoundsItsServices(t *testing.T) {
@@ -100,7 +100,7 @@
 	for i := range 1000 {
 		b.CountRequest(fmt.Sprint("service-", i))
 	}
-	is.True(len(b.buckets) <= 9) // one is shared by those beyond the bound
+	is.True(len(b.buckets) <= 9) // eight services and the shared bucket
 }
 
 func TestBreakerOpensAndAllowsATrial(t *testing.T) {
@@ -123,7 +123,7 @@
 		var open *OpenError
 		is.True(errors.As(attempt(true), &open))
 		is.Equal(b.Status()[0].State, StateOpen)
-		is.True(b.Ready("e2")) // others aren't concerned
+		is.True(b.Ready("e2")) // other upstreams are unaffected
 
 		time.Sleep(2*time.Second + time.Millisecond)
 		is.True(b.Ready("e1"))
@@ -146,7 +146,7 @@
 			is.NoErr(err)
 			done(i%2 == 1)
 		}
-		is.True(b.Ready("e1")) // the tenth attempt went well
+		is.True(b.Ready("e1")) // the tenth attempt succeeded, and only a failure opens a breaker
 		done, err := b.Begin("e1")
 		is.NoErr(err)
 		done(false)
--- a/coordination/retry/window.go
+++ b/coordination/retry/window.go
@@ -8,26 +8,28 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// slotsPerWindow is how many parts a window is counted in: a repeat counts for up to a tenth of
-// the window longer than it must, a request for up to a tenth shorter.
+// slotsPerWindow is the number of slots in which a window is counted. A retry counts for up
+// to a tenth of the window too long and a request for up to a tenth too short, so that the
+// bound holds for every window.
 const slotsPerWindow = 10
 
-// WindowOptions configure a WindowBudget. All fields are required.
+// WindowOptions configures a WindowBudget. All fields are required.
 type WindowOptions struct {
 	Clock state.Clock
-	// Window is the span that the bound holds for, wherever it begins.
+	// Window is the length of the sliding window.
 	Window time.Duration
-	// Share is the repeats of a service that its requests allow, as a part of them.
+	// Share is the retries that the requests of a service allow, as a share of them from 0
+	// to 1.
 	Share float64
-	// Slack is this host's part of the repeats that are allowed in a window beside those.
+	// Slack returns the retries per window that this host may send in addition.
 	Slack func() float64
 }
 
-// WindowBudget bounds the repeats of each service in any window by a share of the requests in
-// it and a slack. What a window allows may be used at once: when engines are lost, all that
-// was under way there is repeated within a second. Since each host bounds its repeats by its
-// own requests, all hosts together keep the bound by all requests, however many come, go or
-// are cut off. It is safe for concurrent use.
+// WindowBudget limits the retries of each service in any window to a share of the requests
+// in that window plus a slack. The allowance of a window may be used at once: when engines
+// are lost, all requests that ran there are retried within a second. Each host bounds its
+// retries by its own requests, so all hosts together keep the bound for all requests, even
+// while hosts join, leave or are partitioned. It is safe for concurrent use.
 type WindowBudget struct {
 	o WindowOptions
 
@@ -35,14 +37,16 @@
 	services map[string]*windowCounts
 }
 
-// windowCounts are a service's requests and repeats by slot, the newest at the number newest.
+// windowCounts counts the requests and retries of a service per slot. It has one slot more
+// than a window, since a window usually begins within a slot.
 type windowCounts struct {
+	// newestSlot is the number of the latest slot, counted from the Unix epoch.
 	newestSlot int64
 	requests   [slotsPerWindow + 1]float64
 	retries    [slotsPerWindow + 1]float64
 }
 
-// NewWindowBudget validates the options.
+// NewWindowBudget returns an error if an option is missing or out of range.
 func NewWindowBudget(o WindowOptions) (*WindowBudget, error) {
 	if o.Clock == nil || o.Slack == nil || o.Window < slotsPerWindow || o.Share < 0 || o.Share > 1 {
 		return nil, errors.New("retry: a field of WindowOptions is missing or wrong; set all of them, Share from 0 to 1")
@@ -50,7 +54,7 @@
 	return &WindowBudget{o: o, services: map[string]*windowCounts{}}, nil
 }
 
-// CountRequest notes a request of the service.
+// CountRequest counts one request of the service.
 func (b *WindowBudget) CountRequest(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -58,7 +62,7 @@
 	c.requests[c.index(c.newestSlot)]++
 }
 
-// Allow takes a repeat from the service's budget, if there is one left.
+// Allow takes one retry of the service from its budget and reports whether there was one.
 func (b *WindowBudget) Allow(service string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -68,7 +72,7 @@
 		retries += c.retries[i]
 		requests += c.requests[i]
 	}
-	// The oldest slot reaches back beyond the window: its repeats count, its requests don't.
+	// The oldest slot began before the window: its retries count, its requests don't.
 	requests -= c.requests[c.index(c.newestSlot-slotsPerWindow)]
 	if retries+1 > b.o.Share*requests+b.o.Slack() {
 		return false
@@ -77,7 +81,7 @@
 	return true
 }
 
-// Record counts a repeat that another budget has allowed.
+// Record counts a retry that another budget has allowed.
 func (b *WindowBudget) Record(service string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -85,11 +89,12 @@
 	c.retries[c.index(c.newestSlot)]++
 }
 
-// index is the place of a slot.
+// index returns the position of a slot in the arrays.
 func (c *windowCounts) index(slot int64) int { return int(slot % (slotsPerWindow + 1)) }
 
-// advance returns a service's advance with the present slot as the newest. Services are those
-// of the configuration, which has few.
+// advance returns the counts of the service with the current slot as the newest one, and
+// clears the slots that it reuses; b.mu is held. The map needs no bound, since all services
+// are listed in the configuration, which has few.
 func (b *WindowBudget) advance(service string) *windowCounts {
 	now := b.o.Clock.Now().UnixNano() / int64(b.o.Window/slotsPerWindow)
 	c := b.services[service]
--- a/coordination/retry/window_test.go
+++ b/coordination/retry/window_test.go
@@ -14,8 +14,8 @@
 const (
 	testWindow = 10 * time.Second
 	testShare  = 0.16
-	// agreedShare and agreedSlack are what the service agreement allows: a budget is made with
-	// four fifths of both.
+	// agreedShare and agreedSlack are the bounds of the service agreement. A budget is
+	// configured with four fifths of both.
 	agreedShare = testShare / 0.8
 	agreedSlack = testSlack / 0.8
 	testSlack   = 3
@@ -30,8 +30,8 @@
 	return b
 }
 
-// A small host of a fleet of 83, with 6 requests a second, loses the engine at which four of its
-// runs are: all of them go on at once.
+// A small host in a fleet of 83, with 6 requests per second, loses the engine that runs
+// four of its requests. All four must be allowed to move at once.
 func TestWindowBudgetAllowsABurst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -45,17 +45,18 @@
 			allowed++
 		}
 		is.True(allowed >= 9)
-		is.True(allowed <= 11) // 0.16 of 60 and the slack
+		is.True(allowed <= 11) // 0.16 of 60 requests plus the slack
 		is.True(!b.Allow("llm"))
 		time.Sleep(testWindow / 2)
-		is.True(!b.Allow("llm")) // nothing is earned while they are in the window
-		is.True(b.Allow("app"))  // another service has a budget of its own
+		is.True(!b.Allow("llm")) // the retries are still in the window
+		is.True(b.Allow("app"))  // each service has its own budget
 	})
 }
 
-// In no window of whatever beginning are there more repeats than the slack and its requests
-// allow, or those of the window before it or half before it, as the service agreement counts
-// them, however requests and repeats come.
+// No window, wherever it begins, may contain more retries than the slack plus the share of
+// its requests, for random times of requests and retries. As in the service agreement, the
+// requests of the window before it, or of one that begins half a window earlier, count
+// instead if they are more.
 func TestNoWindowExceedsItsBound(t *testing.T) {
 	for seed := range uint64(20) {
 		synctest.Test(t, func(t *testing.T) {
@@ -80,14 +81,14 @@
 				n := float64(countWithin(retries, from, testWindow))
 				maxRequests := max(countWithin(requests, from, testWindow), countWithin(requests, from.Add(-testWindow/2), testWindow), countWithin(requests, from.Add(-testWindow), testWindow))
 				if n > agreedShare*float64(maxRequests)+agreedSlack {
-					t.Fatalf("seed %d: %v repeats beside %d requests", seed, n, maxRequests)
+					t.Fatalf("seed %d: %v retries in a window with %d requests", seed, n, maxRequests)
 				}
 			}
 		})
 	}
 }
 
-// countWithin counts the times in a window.
+// countWithin returns how many of the times are in the window that begins at from.
 func countWithin(times []time.Time, from time.Time, window time.Duration) int {
 	n := 0
 	for _, at := range times {
@@ -103,9 +104,10 @@
 	is.New(t).True(err != nil)
 }
 
-// An overload: each request is refused and asks for repeats all the time. Ordinary repeats stay
-// as steady as their budget earns them, so that they don't make it worse, and what is under way
-// can still be moved at once when its engine is lost.
+// During an overload each request is refused and retried as often as allowed. Ordinary
+// retries must stay at the rate that their budget earns, so that they don't amplify the
+// overload, and running requests must still be able to move at once when their engine is
+// lost.
 func TestOverloadLeavesCapacityForMoves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -120,7 +122,7 @@
 			}
 			time.Sleep(testWindow / 60)
 		}
-		is.True(float64(retries) <= testShare*300+1.7/2*5+1) // never what a burst of them saved up
+		is.True(float64(retries) <= testShare*300+1.7/2*5+1) // without the burst that the window would allow
 		b, moves := NewLimiter(ordinary, newWindowBudget(t, 1.7)), 0
 		for range 60 {
 			b.CountRequest("llm")
