--- a/coordination/backpressure/advice.go
+++ b/coordination/backpressure/advice.go
@@ -2,9 +2,9 @@
 // a limit on the request rate of all hosts together, a backoff (Retry-After) for a host
 // whose request was turned away, and the announcement that the runner is leaving.
 //
-// Advice belongs to one run of a runner: after a restart under the same name the runner has
-// given none yet. Limits and announcements concern all hosts and are broadcast to them; a
-// backoff concerns only the host that received it.
+// Advice belongs to one run of a runner, that is, to one process: after a restart under the
+// same name the runner has given none yet. Limits and announcements concern all hosts and
+// are broadcast to them; a backoff concerns only the host that received it.
 package backpressure
 
 import "time"
--- a/coordination/crash/crash.go
+++ b/coordination/crash/crash.go
@@ -1,6 +1,9 @@
 // Package crash detects runners that crashed while requests of this host ran there. It
 // distinguishes them from runners that are partitioned, suspended, slow or leaving, or that
 // lost a single answer.
+//
+// A run is one process of a runner, from its start to its end; a runner that restarts has a
+// new run under the same name.
 package crash
 
 import (
--- a/coordination/crash/crash_test.go
+++ b/coordination/crash/crash_test.go
@@ -39,12 +39,12 @@
 		Probe: func(ctx context.Context, _ *state.Instance) RunStatus {
 			d.mu.Lock()
 			d.probes++
-			status := d.status
+			current := d.status
 			d.mu.Unlock()
-			if status == Silent {
+			if current == Silent {
 				<-ctx.Done()
 			}
-			return status
+			return current
 		},
 		Listed:   func(*state.Instance) bool { return load(d, &d.listed) },
 		Replaced: func(*state.Instance) bool { return load(d, &d.replaced) },
