--- a/coordination/backpressure/registry.go
+++ b/coordination/backpressure/registry.go
@@ -13,291 +13,306 @@
 )
 
 const (
-	// keepUnlisted is how long what a run asked is kept once the list lacks it: entries of
-	// living runners are missing for some seconds around an outage of the store.
-	keepUnlisted = time.Minute
-	// mostRuns bounds the runs that are kept: twice the largest fleet, for a release that
-	// replaces all of it.
-	mostRuns = 4096
-	// tellEvery bounds how often a host tells the others of one run's limit, and renewEvery is
-	// how often what holds on is told again, to hosts that start or missed it.
-	tellEvery  = 250 * time.Millisecond
-	renewEvery = 2 * time.Second
-	// ownWord is how long this host's own hearing of a limit outweighs the others' word:
-	// about the time in which they come to it.
-	ownWord = 300 * time.Millisecond
-	// restSpread is the part of a rest by which it is taken longer at most, so that hosts that
-	// were turned away together don't come back together.
-	restSpread = 0.1
-	// trialFor is how long the first request after a rest keeps the runner from others of this
-	// host, if it isn't answered before.
-	trialFor = 250 * time.Millisecond
-	// unreadableEvery bounds the log lines on what a run writes and nobody can read.
-	unreadableEvery = 10 * time.Second
+	// unlistedTTL is how long the advice of a run is kept after the run was last listed:
+	// entries of live runners are missing from the list for some seconds around an outage
+	// of the store.
+	unlistedTTL = time.Minute
+	// maxRuns bounds the runs in the registry: twice the largest fleet, since a release may
+	// replace every run of it.
+	maxRuns = 4096
+	// minBroadcastInterval is the shortest time between two broadcasts of the limit of one
+	// run. An unchanged limit is broadcast again after renewInterval, for hosts that have
+	// started since or missed the broadcast.
+	minBroadcastInterval = 250 * time.Millisecond
+	renewInterval        = 2 * time.Second
+	// ownPrecedence is how long an answer to this host takes precedence over notices of
+	// other hosts: about the time in which the other hosts learn of the same limit.
+	ownPrecedence = 300 * time.Millisecond
+	// backoffJitter is the largest share of a backoff by which it is prolonged at random,
+	// so that hosts that were turned away together don't return together.
+	backoffJitter = 0.1
+	// trialTimeout is how long the first request after a backoff keeps the other requests
+	// of this host from the runner if it isn't answered earlier.
+	trialTimeout = 250 * time.Millisecond
+	// unreadableLogInterval is the shortest time between two log lines on unreadable fields
+	// of one run.
+	unreadableLogInterval = 10 * time.Second
 )
 
-// Observer counts advices.
+// Observer counts advice.
 type Observer interface {
-	Advised(service string, k Kind)
+	// ObserveAdvice counts advice of kind k that a runner of the service has given.
+	ObserveAdvice(service string, k Kind)
 }
 
-// Notice is what a run asks of all hosts, told by one that heard it.
+// Notice is advice of a run to all hosts, as broadcast by a host that received it.
 type Notice struct {
 	Instance state.InstanceID
 	Service  string
-	// What is KindLimit, with the limit, KindLifted or KindLeaving.
-	What  Kind
+	// Kind is KindLimit, with Limit in requests per second, KindLifted or KindLeaving.
+	Kind  Kind
 	Limit float64
 }
 
-// Options configure a Registry. All fields are required.
+// Options configures a Registry. All fields are required.
 type Options struct {
 	Clock    state.Clock
 	Log      *slog.Logger
 	Observer Observer
-	// Tell tells all hosts; this one may hear it too. It must not wait.
-	Tell func(Notice)
-	// Left is called when it becomes known that a run leaves. It may ask the registry.
-	Left func()
+	// Broadcast sends a notice to all hosts, which may include this one. It must not block.
+	Broadcast func(Notice)
+	// OnLeaving is called when a run first becomes known to be leaving. It may call the
+	// registry.
+	OnLeaving func()
 }
 
-// Registry is what this host knows of the runners' advices. It is safe for concurrent use, and
-// reading it takes no lock.
+// Registry holds the advice of the runners that this host knows of. It is safe for
+// concurrent use, and reading it takes no lock.
 type Registry struct {
 	o Options
 
 	mu sync.Mutex // held by writers
-	// runs has the runs that ever asked something; it is replaced whole.
-	runs atomic.Pointer[map[state.InstanceID]*run]
+	// runs contains the runs that have given any advice. Writers replace the whole map.
+	runs atomic.Pointer[map[state.InstanceID]*runState]
 }
 
-// run is what one run of a runner has asked. Its fields are replaced under the registry's lock.
-type run struct {
+// runState is the advice of one run. Its fields are replaced under the registry's lock,
+// except for trialUntil, which AllowTrial replaces without it.
+type runState struct {
 	service string
 	limit   atomic.Pointer[limit]
-	// restUntil is zero if none was asked for.
-	restUntil atomic.Pointer[time.Time]
-	// unproven is set from a rest on until a request sent after it was taken; trialUntil is
-	// while one of this host is on its way to find out.
-	unproven   atomic.Bool
+	// backoffUntil is the end of the latest backoff; nil if there was none.
+	backoffUntil atomic.Pointer[time.Time]
+	// needsTrial is set by a backoff and cleared when the runner accepts a request that was
+	// sent after the backoff ended. trialUntil is the time until which a request of this
+	// host is under way as a trial.
+	needsTrial atomic.Bool
 	trialUntil atomic.Pointer[time.Time]
 	leaving    atomic.Bool
 
-	// listedAt is when the run was known to be listed, toldAt when all hosts were told of its
-	// limit and unreadableAt when it last wrote what can't be read.
-	listedAt, toldAt, unreadableAt time.Time
+	// listedAt is when the run was last listed, broadcastAt when its limit was last
+	// broadcast by any host, and unreadableLoggedAt when its unreadable fields were last
+	// logged.
+	listedAt, broadcastAt, unreadableLoggedAt time.Time
 }
 
-// limit is what a run takes of all hosts together.
+// limit is the request rate that a run accepts from all hosts together, per second.
 type limit struct {
 	rate float64
-	// heardAt is when it was last heard of, and ownAt when an answer to this host last named
-	// it.
-	heardAt, ownAt time.Time
-	// opensAt is when the next request of this host may leave; zero if one may at once.
+	// learnedAt is when the limit was last confirmed by an answer or a notice, and
+	// answeredAt when an answer to this host last contained it; zero if none has.
+	learnedAt, answeredAt time.Time
+	// opensAt is when this host may send its next request; zero if it may do so at once.
 	opensAt time.Time
 }
 
-// New validates the options.
+// New returns an error if an option is missing.
 func New(o Options) (*Registry, error) {
-	if o.Clock == nil || o.Log == nil || o.Observer == nil || o.Tell == nil || o.Left == nil {
+	if o.Clock == nil || o.Log == nil || o.Observer == nil || o.Broadcast == nil || o.OnLeaving == nil {
 		return nil, errors.New("backpressure: a field of Options is nil; set all of them")
 	}
 	r := &Registry{o: o}
-	r.runs.Store(&map[state.InstanceID]*run{})
+	r.runs.Store(&map[state.InstanceID]*runState{})
 	return r, nil
 }
 
-// Heard takes what an answer of a run asks. sentAt is when its request left this host. An
-// answer to a call of the system's own that names no limit doesn't lift one: only requests are
-// what a limit counts.
-func (r *Registry) Heard(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) {
-	if !a.asks() && r.run(i.ID) == nil {
+// Record applies the advice in an answer of a run. sentAt is when the request left this
+// host. ofRequest is false for calls of the system's own, such as probes. If the answer to
+// such a call contains no limit, that doesn't lift one, since a limit counts only requests.
+func (r *Registry) Record(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) {
+	if !a.nonEmpty() && r.lookup(i.ID) == nil {
 		return
 	}
-	left := false
-	for _, n := range r.heard(i, sentAt, a, ofRequest) {
-		r.o.Tell(n)
-		left = left || n.What == KindLeaving
+	leaving := false
+	for _, n := range r.record(i, sentAt, a, ofRequest) {
+		r.o.Broadcast(n)
+		leaving = leaving || n.Kind == KindLeaving
 	}
-	if left {
-		r.o.Left()
+	if leaving {
+		r.o.OnLeaving()
 	}
 }
 
-// heard takes an advice and returns what all hosts are to be told.
-func (r *Registry) heard(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) (tell []Notice) {
+// record applies the advice and returns the notices to broadcast.
+func (r *Registry) record(i *state.Instance, sentAt time.Time, a Advice, ofRequest bool) (notices []Notice) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.o.Clock.Now()
-	known := r.entry(i.ID, i.Service, now)
-	before := known.limit.Load()
+	run := r.lookupOrCreate(i.ID, i.Service, now)
+	before := run.limit.Load()
 	switch {
 	case a.Limited:
-		r.limited(i.ID, known, limit{rate: a.Limit, heardAt: now, ownAt: now})
-		if known.mayTell(now, before == nil || before.rate != a.Limit) {
-			tell = append(tell, Notice{i.ID, i.Service, KindLimit, a.Limit})
+		r.setLimit(i.ID, run, limit{rate: a.Limit, learnedAt: now, answeredAt: now})
+		if run.shouldBroadcast(now, before == nil || before.rate != a.Limit) {
+			notices = append(notices, Notice{i.ID, i.Service, KindLimit, a.Limit})
 		}
-	case ofRequest && len(a.Unreadable) == 0 && before != nil && sentAt.After(before.heardAt):
-		// Answers overtake each other: only one that was asked for after the limit was last
-		// heard of is known to be newer.
-		r.lift(i.ID, known)
-		tell = append(tell, Notice{i.ID, i.Service, KindLifted, 0})
+	case ofRequest && len(a.Unreadable) == 0 && before != nil && sentAt.After(before.learnedAt):
+		// Answers can arrive out of order. Only one whose request was sent after the limit
+		// was last confirmed is known to be newer.
+		r.clearLimit(i.ID, run)
+		notices = append(notices, Notice{i.ID, i.Service, KindLifted, 0})
 	}
-	if a.Leaving && r.leaves(i.ID, known, "an answer") {
-		tell = append(tell, Notice{i.ID, i.Service, KindLeaving, 0})
+	if a.Leaving && r.setLeaving(i.ID, run, "an answer") {
+		notices = append(notices, Notice{i.ID, i.Service, KindLeaving, 0})
 	}
-	switch until := known.restUntil.Load(); {
-	case a.Rest > 0:
-		r.rests(i, known, now, a.Rest)
+	switch until := run.backoffUntil.Load(); {
+	case a.Backoff > 0:
+		r.setBackoff(i, run, now, a.Backoff)
 	case ofRequest && until != nil && sentAt.After(*until):
-		known.unproven.Store(false)
+		run.needsTrial.Store(false)
 	}
-	r.unreadable(i, known, now, a.Unreadable)
-	return tell
+	r.reportUnreadable(i, run, now, a.Unreadable)
+	return notices
 }
 
-// mayTell reports whether all hosts should be told of the limit now.
-func (k *run) mayTell(now time.Time, changed bool) bool {
-	wait := renewEvery
+// shouldBroadcast reports whether the limit is to be broadcast now, and sets broadcastAt if
+// so.
+func (s *runState) shouldBroadcast(now time.Time, changed bool) bool {
+	wait := renewInterval
 	if changed {
-		wait = tellEvery
+		wait = minBroadcastInterval
 	}
-	if !k.toldAt.IsZero() && now.Sub(k.toldAt) < wait {
+	if !s.broadcastAt.IsZero() && now.Sub(s.broadcastAt) < wait {
 		return false
 	}
-	k.toldAt = now
+	s.broadcastAt = now
 	return true
 }
 
-// Take takes what another host heard. What this one has just heard itself goes before it.
-func (r *Registry) Take(n Notice) {
-	if r.take(n) {
-		r.o.Left()
+// HandleNotice applies a notice of a host. A limit that a recent answer to this host
+// contained takes precedence over it.
+func (r *Registry) HandleNotice(n Notice) {
+	if r.applyNotice(n) {
+		r.o.OnLeaving()
 	}
 }
 
-// take takes a notice and reports whether it is news that the run leaves.
-func (r *Registry) take(n Notice) (left bool) {
+// applyNotice applies a notice and reports whether it is the first to say that the run is
+// leaving. Kinds that it doesn't know, from other versions, are ignored.
+func (r *Registry) applyNotice(n Notice) (newlyLeaving bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.o.Clock.Now()
-	known := r.entry(n.Instance, n.Service, now)
-	before := known.limit.Load()
-	own := before != nil && now.Sub(before.ownAt) < ownWord
-	switch n.What {
+	run := r.lookupOrCreate(n.Instance, n.Service, now)
+	before := run.limit.Load()
+	own := before != nil && now.Sub(before.answeredAt) < ownPrecedence
+	switch n.Kind {
 	case KindLimit:
-		known.toldAt = now
+		run.broadcastAt = now
 		if !own {
-			r.limited(n.Instance, known, limit{rate: n.Limit, heardAt: now})
+			r.setLimit(n.Instance, run, limit{rate: n.Limit, learnedAt: now})
 		}
 	case KindLifted:
 		if before != nil && !own {
-			r.lift(n.Instance, known)
+			r.clearLimit(n.Instance, run)
 		}
 	case KindLeaving:
-		return r.leaves(n.Instance, known, "another host")
+		return r.setLeaving(n.Instance, run, "another host")
 	}
 	return false
 }
 
-// run is what is known of a run, or nil.
-func (r *Registry) run(id state.InstanceID) *run { return (*r.runs.Load())[id] }
+// lookup returns the state of a run, or nil if there is none.
+func (r *Registry) lookup(id state.InstanceID) *runState { return (*r.runs.Load())[id] }
 
-// entry is what is known of a run, made if nothing is; r.mu is held.
-func (r *Registry) entry(id state.InstanceID, service string, now time.Time) *run {
-	if known := r.run(id); known != nil {
-		return known
+// lookupOrCreate returns the state of a run and creates it if there is none; r.mu is held.
+func (r *Registry) lookupOrCreate(id state.InstanceID, service string, now time.Time) *runState {
+	if run := r.lookup(id); run != nil {
+		return run
 	}
 	runs := maps.Clone(*r.runs.Load())
-	if len(runs) >= mostRuns {
-		delete(runs, oldest(runs))
+	if len(runs) >= maxRuns {
+		delete(runs, leastRecentlyListed(runs))
 	}
-	runs[id] = &run{service: service, listedAt: now}
+	runs[id] = &runState{service: service, listedAt: now}
 	r.runs.Store(&runs)
 	return runs[id]
 }
 
-// oldest is the run that was listed last the longest time ago.
-func oldest(runs map[state.InstanceID]*run) state.InstanceID {
+// leastRecentlyListed returns the run that has not been listed for the longest time.
+func leastRecentlyListed(runs map[state.InstanceID]*runState) state.InstanceID {
 	var out state.InstanceID
 	var at time.Time
-	for id, known := range runs {
-		if at.IsZero() || known.listedAt.Before(at) {
-			out, at = id, known.listedAt
+	for id, run := range runs {
+		if at.IsZero() || run.listedAt.Before(at) {
+			out, at = id, run.listedAt
 		}
 	}
 	return out
 }
 
-// limited notes a limit.
-func (r *Registry) limited(id state.InstanceID, known *run, named limit) {
-	before := known.limit.Load()
-	same := before != nil && before.rate == named.rate
+// setLimit stores a limit. A change of the rate is logged and counted; an unchanged rate
+// keeps opensAt.
+func (r *Registry) setLimit(id state.InstanceID, run *runState, next limit) {
+	before := run.limit.Load()
+	same := before != nil && before.rate == next.rate
 	if same {
-		named.opensAt = before.opensAt
+		next.opensAt = before.opensAt
 	}
-	if before != nil && named.ownAt.IsZero() {
-		named.ownAt = before.ownAt
+	if before != nil && next.answeredAt.IsZero() {
+		next.answeredAt = before.answeredAt
 	}
-	known.limit.Store(&named)
+	run.limit.Store(&next)
 	if same {
 		return
 	}
-	attrs := []any{"instance", id, "service", known.service, "per_second", named.rate, "own_answer", named.ownAt.Equal(named.heardAt)}
+	attrs := []any{"instance", id, "service", run.service, "per_second", next.rate, "own_answer", next.answeredAt.Equal(next.learnedAt)}
 	if before != nil {
 		attrs = append(attrs, "before", before.rate)
 	}
-	r.o.Log.Info("runner names a limit", attrs...)
-	r.o.Observer.Advised(known.service, KindLimit)
+	r.o.Log.Info("runner set a limit", attrs...)
+	r.o.Observer.ObserveAdvice(run.service, KindLimit)
 }
 
-// lift ends a limit that isn't named any more.
-func (r *Registry) lift(id state.InstanceID, known *run) {
-	before := known.limit.Swap(nil)
-	r.o.Log.Info("runner names no limit any more", "instance", id, "service", known.service, "before", before.rate, "heard_last", r.o.Clock.Now().Sub(before.heardAt))
-	r.o.Observer.Advised(known.service, KindLifted)
+// clearLimit removes a limit that the runner no longer sets.
+func (r *Registry) clearLimit(id state.InstanceID, run *runState) {
+	before := run.limit.Swap(nil)
+	r.o.Log.Info("runner lifted its limit", "instance", id, "service", run.service, "before", before.rate, "heard_last", r.o.Clock.Now().Sub(before.learnedAt))
+	r.o.Observer.ObserveAdvice(run.service, KindLifted)
 }
 
-// leaves notes that a run leaves, and reports whether that is news. It has no way back: a
-// runner that stays starts again.
-func (r *Registry) leaves(id state.InstanceID, known *run, by string) bool {
-	if known.leaving.Swap(true) {
+// setLeaving marks a run as leaving and reports whether that is new. The mark is never
+// removed: a runner that stays after all restarts as a new run.
+func (r *Registry) setLeaving(id state.InstanceID, run *runState, source string) bool {
+	if run.leaving.Swap(true) {
 		return false
 	}
-	r.o.Log.Info("runner says that it leaves", "instance", id, "service", known.service, "heard_of", by)
-	r.o.Observer.Advised(known.service, KindLeaving)
+	r.o.Log.Info("runner is leaving", "instance", id, "service", run.service, "heard_of", source)
+	r.o.Observer.ObserveAdvice(run.service, KindLeaving)
 	return true
 }
 
-// rests notes a rest. A later, shorter one doesn't shorten what was asked before.
-func (r *Registry) rests(i *state.Instance, known *run, now time.Time, rest time.Duration) {
-	until := now.Add(rest + time.Duration(rand.Float64()*restSpread*float64(rest)))
-	before := known.restUntil.Load()
+// setBackoff starts a backoff. A later backoff that would end earlier doesn't shorten the
+// present one.
+func (r *Registry) setBackoff(i *state.Instance, run *runState, now time.Time, backoff time.Duration) {
+	until := now.Add(backoff + time.Duration(rand.Float64()*backoffJitter*float64(backoff)))
+	before := run.backoffUntil.Load()
 	if before != nil && !until.After(*before) {
 		return
 	}
-	known.restUntil.Store(&until)
-	known.trialUntil.Store(nil)
-	known.unproven.Store(true)
-	r.o.Observer.Advised(i.Service, KindRest)
+	run.backoffUntil.Store(&until)
+	run.trialUntil.Store(nil)
+	run.needsTrial.Store(true)
+	r.o.Observer.ObserveAdvice(i.Service, KindBackoff)
 	if before == nil || now.After(*before) {
-		r.o.Log.Info("runner asks for rest", "instance", i.ID, "service", i.Service, "for", rest)
+		r.o.Log.Info("runner asked for a backoff", "instance", i.ID, "service", i.Service, "for", backoff)
 	}
 }
 
-func (r *Registry) unreadable(i *state.Instance, known *run, now time.Time, fields []Field) {
+// reportUnreadable counts unreadable fields and logs them at a limited rate.
+func (r *Registry) reportUnreadable(i *state.Instance, run *runState, now time.Time, fields []Field) {
 	for _, f := range fields {
-		r.o.Observer.Advised(i.Service, KindUnreadable)
-		if known.unreadableAt.IsZero() || now.Sub(known.unreadableAt) >= unreadableEvery {
-			known.unreadableAt = now
-			r.o.Log.Warn("advice of a runner not readable; what was known of it holds, see its version", "instance", i.ID, "service", i.Service, "field", f.Name, "value", f.Value)
+		r.o.Observer.ObserveAdvice(i.Service, KindUnreadable)
+		if run.unreadableLoggedAt.IsZero() || now.Sub(run.unreadableLoggedAt) >= unreadableLogInterval {
+			run.unreadableLoggedAt = now
+			r.o.Log.Warn("unreadable advice of a runner ignored; earlier advice stays in force, check the runner's version", "instance", i.ID, "service", i.Service, "field", f.Name, "value", f.Value)
 		}
 	}
 }
 
-// Listed takes the runs of the present list, and forgets those that it has lacked for long.
-func (r *Registry) Listed(list []state.Instance) {
+// UpdateListed takes the current list of instances and removes the runs that have been
+// missing from it for longer than unlistedTTL.
+func (r *Registry) UpdateListed(list []state.Instance) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(*r.runs.Load()) == 0 {
@@ -305,11 +320,11 @@
 	}
 	now := r.o.Clock.Now()
 	for i := range list {
-		if known := r.run(list[i].ID); known != nil {
-			known.listedAt = now
+		if run := r.lookup(list[i].ID); run != nil {
+			run.listedAt = now
 		}
 	}
 	runs := maps.Clone(*r.runs.Load())
-	maps.DeleteFunc(runs, func(_ state.InstanceID, known *run) bool { return now.Sub(known.listedAt) > keepUnlisted })
+	maps.DeleteFunc(runs, func(_ state.InstanceID, run *runState) bool { return now.Sub(run.listedAt) > unlistedTTL })
 	r.runs.Store(&runs)
 }
--- a/coordination/backpressure/registry_test.go
+++ b/coordination/backpressure/registry_test.go
@@ -15,216 +15,219 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// counts counts advices by kind.
-type counts map[Kind]int
+// countingObserver counts advice by kind.
+type countingObserver map[Kind]int
 
-// Advised implements Observer.
-func (c counts) Advised(_ string, k Kind) { c[k]++ }
+// ObserveAdvice implements Observer.
+func (c countingObserver) ObserveAdvice(_ string, k Kind) { c[k]++ }
 
-// world is a registry with what it logs and counts.
-type world struct {
+// testRegistry is a registry with its log output, its counts and its broadcasts.
+type testRegistry struct {
 	*Registry
-	log    *bytes.Buffer
-	counts counts
-	told   []Notice
-	left   int
+	log          *bytes.Buffer
+	counts       countingObserver
+	broadcast    []Notice
+	leavingCalls int
 }
 
-func newWorld(t *testing.T) *world {
+func newTestRegistry(t *testing.T) *testRegistry {
 	t.Helper()
-	w := &world{log: &bytes.Buffer{}, counts: counts{}}
+	r := &testRegistry{log: &bytes.Buffer{}, counts: countingObserver{}}
 	var err error
-	w.Registry, err = New(Options{Clock: clocktest.Bubble{}, Log: slog.New(slog.NewTextHandler(w.log, nil)), Observer: w.counts, Tell: func(n Notice) { w.told = append(w.told, n) }, Left: func() { w.left++ }})
+	r.Registry, err = New(Options{Clock: clocktest.Bubble{}, Log: slog.New(slog.NewTextHandler(r.log, nil)), Observer: r.counts, Broadcast: func(n Notice) { r.broadcast = append(r.broadcast, n) }, OnLeaving: func() { r.leavingCalls++ }})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return r
 }
 
-// hear takes an answer to a request that was sent just now.
-func (w *world) hear(i *state.Instance, a Advice) { w.Heard(i, time.Now(), a, true) }
+// recordNow records an answer to a request that was sent at the present time.
+func (r *testRegistry) recordNow(i *state.Instance, a Advice) { r.Record(i, time.Now(), a, true) }
 
 func instance(name string, born int64) *state.Instance {
 	return &state.Instance{ID: state.InstanceID{Name: name, Born: born}, Service: "s"}
 }
 
-// Each change of what a host believes of a runner is a line and a count; what is only said
-// again is neither.
-func TestChangesAreLoggedOnce(t *testing.T) {
+// Each change in the advice of a runner is logged once and counted once; repeated advice is
+// neither logged nor counted. Unreadable fields are counted each time.
+func TestOnlyChangesAreLoggedAndCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		r := newTestRegistry(t)
 		i := instance("a", 1)
 		for range 3 {
-			w.hear(i, Advice{Limited: true, Limit: 8.4, Leaving: true, Rest: time.Second, Unreadable: []Field{{"limit", "x"}}})
+			r.recordNow(i, Advice{Limited: true, Limit: 8.4, Leaving: true, Backoff: time.Second, Unreadable: []Field{{"limit", "x"}}})
 		}
-		is.Equal(w.Count(), Counts{Limited: 1, Leaving: 1, Resting: 1})
-		for _, line := range []string{"runner names a limit", "runner says that it leaves", "runner asks for rest", "not readable"} {
-			is.Equal(strings.Count(w.log.String(), line), 1)
+		is.Equal(r.Count(), Counts{Limited: 1, Leaving: 1, BackingOff: 1})
+		for _, line := range []string{"runner set a limit", "runner is leaving", "runner asked for a backoff", "unreadable advice"} {
+			is.Equal(strings.Count(r.log.String(), line), 1)
 		}
-		is.Equal(w.counts[KindLimit], 1)
-		is.Equal(w.counts[KindUnreadable], 3)
+		is.Equal(r.counts[KindLimit], 1)
+		is.Equal(r.counts[KindUnreadable], 3)
 		time.Sleep(2 * time.Second)
-		w.hear(i, Advice{})
-		is.Equal(w.Count(), Counts{Leaving: 1}) // leaving has no end
-		is.Equal(strings.Count(w.log.String(), "names no limit any more"), 1)
+		r.recordNow(i, Advice{})
+		is.Equal(r.Count(), Counts{Leaving: 1}) // leaving is final
+		is.Equal(strings.Count(r.log.String(), "runner lifted its limit"), 1)
 	})
 }
 
-// Answers overtake each other: one that was asked for before the limit was heard lifts nothing.
-func TestLimitIsLiftedByANewerAnswerOnly(t *testing.T) {
+// Answers can arrive out of order: an answer whose request was sent before the limit became
+// known doesn't lift the limit.
+func TestOnlyANewerAnswerLiftsTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		r := newTestRegistry(t)
 		i := instance("a", 1)
-		early := time.Now()
+		beforeLimit := time.Now()
 		time.Sleep(time.Second)
-		w.hear(i, Advice{Limited: true, Limit: 8})
+		r.recordNow(i, Advice{Limited: true, Limit: 8})
 		time.Sleep(time.Second)
-		w.Heard(i, early, Advice{}, true)
-		is.Equal(w.Count().Limited, 1)
-		w.Heard(i, time.Now(), Advice{}, false) // a call of the system's own
-		is.Equal(w.Count().Limited, 1)
-		w.hear(i, Advice{Unreadable: []Field{{"limit", "-"}}})
-		is.Equal(w.Count().Limited, 1)
-		w.hear(i, Advice{})
-		is.Equal(w.Count().Limited, 0)
+		r.Record(i, beforeLimit, Advice{}, true)
+		is.Equal(r.Count().Limited, 1)
+		r.Record(i, time.Now(), Advice{}, false) // a call of the system's own
+		is.Equal(r.Count().Limited, 1)
+		r.recordNow(i, Advice{Unreadable: []Field{{"limit", "-"}}})
+		is.Equal(r.Count().Limited, 1)
+		r.recordNow(i, Advice{})
+		is.Equal(r.Count().Limited, 0)
 	})
 }
 
-// A later, shorter rest doesn't shorten what was asked before.
-func TestLongestRestHolds(t *testing.T) {
+// A later backoff that would end earlier doesn't shorten the present one.
+func TestShorterBackoffDoesNotReplaceLongerOne(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		r := newTestRegistry(t)
 		i := instance("a", 1)
-		w.hear(i, Advice{Rest: 3 * time.Second})
+		r.recordNow(i, Advice{Backoff: 3 * time.Second})
 		time.Sleep(time.Second)
-		w.hear(i, Advice{Rest: time.Second})
+		r.recordNow(i, Advice{Backoff: time.Second})
 		time.Sleep(1500 * time.Millisecond)
-		is.Equal(w.Count().Resting, 1)
-		is.Equal(w.OpensAt(i.ID), w.RestsUntil(i.ID))
-		is.True(w.RestsUntil(i.ID).After(time.Now().Add(499 * time.Millisecond)))
+		is.Equal(r.Count().BackingOff, 1)
+		is.Equal(r.OpensAt(i.ID), r.BackoffUntil(i.ID))
+		is.True(r.BackoffUntil(i.ID).After(time.Now().Add(499 * time.Millisecond)))
 		time.Sleep(time.Second)
-		is.Equal(w.Count().Resting, 0)
+		is.Equal(r.Count().BackingOff, 0)
 	})
 }
 
-// A later run under the same name has asked nothing.
-func TestRunsAreToldApart(t *testing.T) {
+// A later run under the same name has given no advice.
+func TestRestartedRunnerHasNoAdvice(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
-		w.hear(instance("a", 1), Advice{Leaving: true})
-		is.True(w.Leaving(state.InstanceID{Name: "a", Born: 1}))
-		is.True(!w.Leaving(state.InstanceID{Name: "a", Born: 2}))
+		r := newTestRegistry(t)
+		r.recordNow(instance("a", 1), Advice{Leaving: true})
+		is.True(r.Leaving(state.InstanceID{Name: "a", Born: 1}))
+		is.True(!r.Leaving(state.InstanceID{Name: "a", Born: 2}))
 	})
 }
 
-// What a run asked outlives its entry in the list for a while: entries of living runners go
-// missing around an outage of the store. After that it is forgotten.
-func TestRunsAreForgotten(t *testing.T) {
+// The advice of a run is kept for a while after its entry is gone from the list, since
+// entries of live runners go missing around an outage of the store. After that it is
+// removed.
+func TestUnlistedRunsAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		r := newTestRegistry(t)
 		i := instance("a", 1)
-		w.hear(i, Advice{Leaving: true})
+		r.recordNow(i, Advice{Leaving: true})
 		for range 5 {
-			time.Sleep(keepUnlisted / 2)
-			w.Listed([]state.Instance{*i})
+			time.Sleep(unlistedTTL / 2)
+			r.UpdateListed([]state.Instance{*i})
 		}
-		w.Listed(nil)
-		time.Sleep(keepUnlisted / 2)
-		w.Listed(nil)
-		is.True(w.Leaving(i.ID))
-		time.Sleep(keepUnlisted)
-		w.Listed(nil)
-		is.True(!w.Leaving(i.ID))
-		for n := range mostRuns + 10 {
-			w.hear(instance(fmt.Sprint("run-", n), 1), Advice{Leaving: true})
+		r.UpdateListed(nil)
+		time.Sleep(unlistedTTL / 2)
+		r.UpdateListed(nil)
+		is.True(r.Leaving(i.ID))
+		time.Sleep(unlistedTTL)
+		r.UpdateListed(nil)
+		is.True(!r.Leaving(i.ID))
+		for n := range maxRuns + 10 {
+			r.recordNow(instance(fmt.Sprint("run-", n), 1), Advice{Leaving: true})
 		}
-		is.Equal(len(*w.runs.Load()), mostRuns)
+		is.Equal(len(*r.runs.Load()), maxRuns)
 	})
 }
 
-// What a runner asks of all hosts is told to them when it changes, and again while it holds; a
-// rest concerns one host.
-func TestChangesAreTold(t *testing.T) {
+// Advice to all hosts is broadcast when it changes, at a limited rate, and again while it
+// stays in force. A backoff concerns one host and isn't broadcast.
+func TestAdviceIsBroadcastOnChangeAndRenewed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		r := newTestRegistry(t)
 		i := instance("a", 1)
 		for range 41 { // in 4 s
-			w.hear(i, Advice{Limited: true, Limit: 8.4, Rest: time.Second})
+			r.recordNow(i, Advice{Limited: true, Limit: 8.4, Backoff: time.Second})
 			time.Sleep(100 * time.Millisecond)
 		}
 		limit := Notice{i.ID, "s", KindLimit, 8.4}
-		is.Equal(w.told, []Notice{limit, limit, limit})
-		w.told = nil
+		is.Equal(r.broadcast, []Notice{limit, limit, limit})
+		r.broadcast = nil
 		for n := range 20 { // a limit that changes with each answer, in 1 s
-			w.hear(i, Advice{Limited: true, Limit: float64(n)})
+			r.recordNow(i, Advice{Limited: true, Limit: float64(n)})
 			time.Sleep(50 * time.Millisecond)
 		}
-		is.True(len(w.told) <= 5)
-		w.told = nil
-		w.hear(i, Advice{Leaving: true})
-		w.hear(i, Advice{Leaving: true})
-		is.Equal(w.told, []Notice{{i.ID, "s", KindLifted, 0}, {i.ID, "s", KindLeaving, 0}})
-		is.Equal(w.left, 1)
+		is.True(len(r.broadcast) <= 5)
+		r.broadcast = nil
+		r.recordNow(i, Advice{Leaving: true})
+		r.recordNow(i, Advice{Leaving: true})
+		is.Equal(r.broadcast, []Notice{{i.ID, "s", KindLifted, 0}, {i.ID, "s", KindLeaving, 0}})
+		is.Equal(r.leavingCalls, 1)
 	})
 }
 
-// Another host's word counts, but for what this host has just heard itself, and isn't told on.
-func TestOthersWordCounts(t *testing.T) {
+// Notices of other hosts apply, except that they don't change a limit that a recent answer
+// to this host contained. They aren't broadcast again.
+func TestNoticesOfOtherHostsApply(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		r := newTestRegistry(t)
 		i := instance("a", 1)
-		w.Take(Notice{i.ID, "s", KindLimit, 8})
-		rate, limited := w.Limit(i.ID)
+		r.HandleNotice(Notice{i.ID, "s", KindLimit, 8})
+		rate, limited := r.Limit(i.ID)
 		is.True(limited)
 		is.Equal(rate, 8.0)
 		time.Sleep(time.Second)
-		w.hear(i, Advice{Limited: true, Limit: 9})
-		w.told = nil
-		w.Take(Notice{i.ID, "s", KindLimit, 8})
-		w.Take(Notice{i.ID, "s", KindLifted, 0})
-		rate, _ = w.Limit(i.ID)
-		is.Equal(rate, 9.0) // its own word
+		r.recordNow(i, Advice{Limited: true, Limit: 9})
+		r.broadcast = nil
+		r.HandleNotice(Notice{i.ID, "s", KindLimit, 8})
+		r.HandleNotice(Notice{i.ID, "s", KindLifted, 0})
+		rate, _ = r.Limit(i.ID)
+		is.Equal(rate, 9.0) // from its own answer
 		time.Sleep(time.Second)
-		w.Take(Notice{i.ID, "s", KindLifted, 0})
-		_, limited = w.Limit(i.ID)
+		r.HandleNotice(Notice{i.ID, "s", KindLifted, 0})
+		_, limited = r.Limit(i.ID)
 		is.True(!limited)
-		w.Take(Notice{i.ID, "s", KindLeaving, 0})
-		is.True(w.Leaving(i.ID))
-		w.Take(Notice{i.ID, "s", "something new", 0})
-		is.Equal(len(w.told), 0)
+		r.HandleNotice(Notice{i.ID, "s", KindLeaving, 0})
+		is.True(r.Leaving(i.ID))
+		r.HandleNotice(Notice{i.ID, "s", "something new", 0})
+		is.Equal(len(r.broadcast), 0)
 	})
 }
 
-// After a rest one request at a time finds out whether the runner takes work again.
-func TestOneRequestTriesAfterARest(t *testing.T) {
+// After a backoff one request at a time tries whether the runner accepts work again.
+func TestOneTrialRequestAfterBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t)
+		r := newTestRegistry(t)
 		i := instance("a", 1)
-		is.True(w.Try(i.ID)) // it never rested
-		w.hear(i, Advice{Rest: time.Second})
-		is.True(w.Unproven(i.ID))
+		is.True(r.AllowTrial(i.ID)) // it has asked for no backoff
+		r.recordNow(i, Advice{Backoff: time.Second})
+		is.True(r.AwaitsTrial(i.ID))
 		time.Sleep(2 * time.Second)
-		is.True(w.OpensAt(i.ID).IsZero())
+		is.True(r.OpensAt(i.ID).IsZero())
 		sentAt := time.Now()
-		is.True(w.Try(i.ID))
-		is.True(!w.Try(i.ID))
-		is.True(!w.OpensAt(i.ID).IsZero()) // it isn't chosen meanwhile
-		time.Sleep(trialFor)
-		is.True(w.Try(i.ID)) // the first one was lost
-		w.Heard(i, sentAt.Add(-2*time.Second), Advice{}, true)
-		is.True(w.Unproven(i.ID)) // asked for before the rest
-		w.Heard(i, sentAt, Advice{}, true)
-		is.True(!w.Unproven(i.ID))
-		is.True(w.OpensAt(i.ID).IsZero())
-		is.True(w.Try(i.ID))
-		is.True(w.Try(i.ID))
+		is.True(r.AllowTrial(i.ID))
+		is.True(!r.AllowTrial(i.ID))
+		is.True(!r.OpensAt(i.ID).IsZero()) // it isn't chosen during the trial
+		time.Sleep(trialTimeout)
+		is.True(r.AllowTrial(i.ID)) // the first one was lost
+		r.Record(i, sentAt.Add(-2*time.Second), Advice{}, true)
+		is.True(r.AwaitsTrial(i.ID)) // sent before the backoff
+		r.Record(i, sentAt, Advice{}, true)
+		is.True(!r.AwaitsTrial(i.ID))
+		is.True(r.OpensAt(i.ID).IsZero())
+		is.True(r.AllowTrial(i.ID))
+		is.True(r.AllowTrial(i.ID))
 	})
 }
--- a/coordination/backpressure/view.go
+++ b/coordination/backpressure/view.go
@@ -6,126 +6,134 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Leaving reports whether a run has said that it leaves.
+// Leaving reports whether a run has announced that it is leaving.
 func (r *Registry) Leaving(id state.InstanceID) bool {
-	known := r.run(id)
-	return known != nil && known.leaving.Load()
+	run := r.lookup(id)
+	return run != nil && run.leaving.Load()
 }
 
-// Limit is how many requests a second a run takes of all hosts together, if it names a limit.
+// Limit returns the number of requests per second that a run accepts from all hosts
+// together; limited is false if it sets no limit.
 func (r *Registry) Limit(id state.InstanceID) (rate float64, limited bool) {
-	known := r.run(id)
-	if known == nil {
+	run := r.lookup(id)
+	if run == nil {
 		return 0, false
 	}
-	l := known.limit.Load()
+	l := run.limit.Load()
 	if l == nil {
 		return 0, false
 	}
 	return l.rate, true
 }
 
-// Closed notes that the limit of a run leaves nothing for this host until then.
-func (r *Registry) Closed(id state.InstanceID, until time.Time) {
+// CloseUntil records that the limit of a run admits no request of this host before the
+// given time.
+func (r *Registry) CloseUntil(id state.InstanceID, until time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.run(id)
-	if known == nil {
+	run := r.lookup(id)
+	if run == nil {
 		return
 	}
-	if l := known.limit.Load(); l != nil {
+	if l := run.limit.Load(); l != nil {
 		closed := *l
 		closed.opensAt = until
-		known.limit.Store(&closed)
+		run.limit.Store(&closed)
 	}
 }
 
-// OpensAt is when a run takes a request of this host again, by its limit and the rest that it
-// asked for; zero if it does now, as far as is known here.
+// OpensAt returns when a run accepts the next request of this host, by its limit and its
+// backoff; zero if it accepts one now, as far as this host knows.
 func (r *Registry) OpensAt(id state.InstanceID) time.Time {
-	known := r.run(id)
-	if known == nil {
+	run := r.lookup(id)
+	if run == nil {
 		return time.Time{}
 	}
 	now := r.o.Clock.Now()
-	at := known.pausedUntil(now)
-	if l := known.limit.Load(); l != nil && l.opensAt.After(now) && l.opensAt.After(at) {
+	at := run.pausedUntil(now)
+	if l := run.limit.Load(); l != nil && l.opensAt.After(now) && l.opensAt.After(at) {
 		at = l.opensAt
 	}
 	return at
 }
 
-// RestsUntil is the end of the rest that a run asked this host for; zero if it wants none now.
-func (r *Registry) RestsUntil(id state.InstanceID) time.Time {
-	known := r.run(id)
-	if known == nil {
+// BackoffUntil returns the end of the backoff that a run asked this host for; zero if there
+// is none now.
+func (r *Registry) BackoffUntil(id state.InstanceID) time.Time {
+	run := r.lookup(id)
+	if run == nil {
 		return time.Time{}
 	}
-	return known.restsUntil(r.o.Clock.Now())
+	return run.currentBackoff(r.o.Clock.Now())
 }
 
-// PausedUntil is RestsUntil, or the end of the trial after a rest while a request of this host is
-// on its way to the run.
+// PausedUntil returns the end of the trial while the trial request of this host is under
+// way, and otherwise the same as BackoffUntil.
 func (r *Registry) PausedUntil(id state.InstanceID) time.Time {
-	known := r.run(id)
-	if known == nil {
+	run := r.lookup(id)
+	if run == nil {
 		return time.Time{}
 	}
-	return known.pausedUntil(r.o.Clock.Now())
+	return run.pausedUntil(r.o.Clock.Now())
 }
 
-func (k *run) pausedUntil(now time.Time) time.Time {
-	if trial := k.trialUntil.Load(); k.unproven.Load() && trial != nil && trial.After(now) {
+// pausedUntil implements PausedUntil.
+func (s *runState) pausedUntil(now time.Time) time.Time {
+	if trial := s.trialUntil.Load(); s.needsTrial.Load() && trial != nil && trial.After(now) {
 		return *trial
 	}
-	return k.restsUntil(now)
+	return s.currentBackoff(now)
 }
 
-// Unproven reports whether a run asked for rest and took nothing of this host since.
-func (r *Registry) Unproven(id state.InstanceID) bool {
-	known := r.run(id)
-	return known != nil && known.unproven.Load()
+// AwaitsTrial reports whether a run needs a trial: it asked for a backoff and has accepted
+// no request of this host since.
+func (r *Registry) AwaitsTrial(id state.InstanceID) bool {
+	run := r.lookup(id)
+	return run != nil && run.needsTrial.Load()
 }
 
-// Try asks to send a request to a run. After a rest one request is let through to find out
-// whether the runner takes work again; those that waited for it don't all come at once.
-func (r *Registry) Try(id state.InstanceID) bool {
-	known := r.run(id)
-	if known == nil || !known.unproven.Load() {
+// AllowTrial reports whether a request may be sent to a run. After a backoff it admits one
+// request at a time as a trial, until the runner accepts one, so that the requests that
+// waited for the end of the backoff aren't all sent at once.
+func (r *Registry) AllowTrial(id state.InstanceID) bool {
+	run := r.lookup(id)
+	if run == nil || !run.needsTrial.Load() {
 		return true
 	}
 	now := r.o.Clock.Now()
-	before := known.trialUntil.Load()
+	before := run.trialUntil.Load()
 	if before != nil && before.After(now) {
 		return false
 	}
-	until := now.Add(trialFor)
-	return known.trialUntil.CompareAndSwap(before, &until)
+	until := now.Add(trialTimeout)
+	return run.trialUntil.CompareAndSwap(before, &until)
 }
 
-func (k *run) restsUntil(now time.Time) time.Time {
-	if until := k.restUntil.Load(); until != nil && now.Before(*until) {
+// currentBackoff returns the end of the backoff; zero if there is none now.
+func (s *runState) currentBackoff(now time.Time) time.Time {
+	if until := s.backoffUntil.Load(); until != nil && now.Before(*until) {
 		return *until
 	}
 	return time.Time{}
 }
 
-// Counts are the runs that ask something at present.
-type Counts struct{ Limited, Leaving, Resting int }
+// Counts is the number of runs that set a limit, are leaving or have this host back off at
+// present.
+type Counts struct{ Limited, Leaving, BackingOff int }
 
-// Count counts them.
+// Count returns the present counts.
 func (r *Registry) Count() Counts {
 	var out Counts
 	now := r.o.Clock.Now()
-	for _, known := range *r.runs.Load() {
-		if known.limit.Load() != nil {
+	for _, run := range *r.runs.Load() {
+		if run.limit.Load() != nil {
 			out.Limited++
 		}
-		if known.leaving.Load() {
+		if run.leaving.Load() {
 			out.Leaving++
 		}
-		if !known.restsUntil(now).IsZero() {
-			out.Resting++
+		if !run.currentBackoff(now).IsZero() {
+			out.BackingOff++
 		}
 	}
 	return out
--- a/coordination/crash/crash.go
+++ b/coordination/crash/crash.go
@@ -1,5 +1,9 @@
-// Package crash tells the runners that crashed under this host's requests from those that
-// are cut off, stand still, are slow, leave, or lost one answer.
+// Package crash detects runners that crashed while requests of this host ran there. It
+// distinguishes them from runners that are partitioned, suspended, slow or leaving, or that
+// lost a single answer.
+//
+// A run is one process of a runner, from its start to its end; a runner that restarts has a
+// new run under the same name.
 package crash
 
 import (
@@ -14,173 +18,181 @@
 )
 
 const (
-	// askTimeout bounds a question to a runner: thirty round trips between failure domains.
-	askTimeout = 100 * time.Millisecond
-	// askEvery is the pause between two questions to a runner that says nothing: it may be
-	// cut off for a moment, or its process may still be ending.
-	askEvery = 200 * time.Millisecond
-	// askFor bounds the questions. A runner that is back by then in the list is known to
-	// have ended by that; one that is still silent has left the list.
-	askFor = 15 * time.Second
-	// gather is the pause before a crash is reported, in which the other requests that it
-	// broke off are noticed: they end within a few milliseconds.
-	gather = 20 * time.Millisecond
-	// lateFor is how long work that breaks off later is added to a crash: a connection's
-	// end may be a retransmission or two behind.
-	lateFor = 2 * time.Second
+	// probeTimeout bounds one probe of a runner: thirty round trips between failure
+	// domains.
+	probeTimeout = 100 * time.Millisecond
+	// probeInterval is the pause between two probes of a silent runner: it may be
+	// partitioned for a moment, or its process may still be exiting.
+	probeInterval = 200 * time.Millisecond
+	// maxProbeDuration bounds the probing of a run. By then a runner that restarted is
+	// listed with another run, which shows that the first one ended, and a runner that is
+	// still silent is no longer listed.
+	maxProbeDuration = 15 * time.Second
+	// reportDelay is the pause before a crash is reported, in which the other requests that
+	// the crash broke off are noticed: they end within a few milliseconds.
+	reportDelay = 20 * time.Millisecond
+	// lateWindow is how long requests that are found to have broken off later are added to
+	// a crash: the end of a connection may be a retransmission or two late.
+	lateWindow = 2 * time.Second
 )
 
-// Fate is what became of a run of a runner.
-type Fate int
+// RunStatus is the status of a run of a runner as a probe finds it.
+type RunStatus int
 
-// The fates of a run.
+// The statuses of a run.
 const (
-	// Silent runs say nothing: they may be cut off, stand still or be gone.
-	Silent Fate = iota
-	// Alive runs answer.
+	// Silent means that the run doesn't answer: it may be partitioned, suspended or gone.
+	Silent RunStatus = iota
+	// Alive means that the run answers.
 	Alive
-	// Ended runs are over: nobody listens at their address, or another run does.
+	// Ended means that the run is over: nothing listens at its address, or another run
+	// does.
 	Ended
 )
 
-// Report is a crash of a run with all that this host had there.
+// Report is a crash of a run with the requests of this host that ran there.
 type Report struct {
 	Instance *state.Instance
 	Suspects []quarantine.Suspect
-	// Late says that the crash was reported before, and that this is work found since.
+	// Late reports that the crash was reported before and that Suspects were found since.
 	Late bool
 }
 
-// Options configure a Detector. All fields are required.
+// Options configures a Detector. All fields are required.
 type Options struct {
-	// Probe asks a run whether it is there.
-	Probe func(ctx context.Context, i *state.Instance) Fate
-	// Listed reports whether the list has the run, and not as one that leaves. Replaced
-	// reports whether the list has another run at its address.
+	// Probe finds out the status of a run. It returns Silent when ctx ends.
+	Probe func(ctx context.Context, i *state.Instance) RunStatus
+	// Listed reports whether the run is listed and not leaving, Replaced whether another
+	// run is listed at its address.
 	Listed, Replaced func(i *state.Instance) bool
-	// Crashed is called with each crash, and again with work that is found later.
-	Crashed func(Report)
+	// OnCrash is called with each crash, and again with requests that are found later.
+	OnCrash func(Report)
 	Clock   state.Clock
 	Log     *slog.Logger
 }
 
-// Detector looks after runners at which work broke off. It is safe for concurrent use.
+// Detector investigates runs at which requests broke off. It is safe for concurrent use.
 type Detector struct {
 	o   Options
 	ctx context.Context
 
-	mu   sync.Mutex
-	runs map[state.InstanceID]*inquiry
+	mu sync.Mutex
+	// open contains the investigations under way.
+	open map[state.InstanceID]*investigation
 }
 
-// inquiry is what is asked of one run.
-type inquiry struct {
+// investigation is the state of an investigation of one run.
+type investigation struct {
 	instance *state.Instance
-	// suspects broke off there and weren't reported yet.
+	// suspects are the requests that broke off at the run and haven't been reported yet.
 	suspects []quarantine.Suspect
-	// endedAt is when the run was found to have ended; zero before.
+	// endedAt is when the run was found to have ended; zero until then.
 	endedAt time.Time
 }
 
-// New validates the options. Questions end with ctx.
+// New returns an error if an option is missing. Investigations stop when ctx ends.
 func New(ctx context.Context, o Options) (*Detector, error) {
-	if o.Probe == nil || o.Listed == nil || o.Replaced == nil || o.Crashed == nil || o.Clock == nil || o.Log == nil {
+	if o.Probe == nil || o.Listed == nil || o.Replaced == nil || o.OnCrash == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("crash: a field of Options is missing; set all of them")
 	}
-	return &Detector{o: o, ctx: ctx, runs: map[state.InstanceID]*inquiry{}}, nil
+	return &Detector{o: o, ctx: ctx, open: map[state.InstanceID]*investigation{}}, nil
 }
 
-// Broke notes that work broke off at a runner without its end. It doesn't wait.
-func (d *Detector) Broke(i *state.Instance, s quarantine.Suspect) {
+// ReportBroken records that a request broke off at a runner before its answer was complete,
+// and starts an investigation if there is none of that run. It doesn't block.
+func (d *Detector) ReportBroken(i *state.Instance, s quarantine.Suspect) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if q := d.runs[i.ID]; q != nil {
-		q.suspects = append(q.suspects, s)
+	if inv := d.open[i.ID]; inv != nil {
+		inv.suspects = append(inv.suspects, s)
 		return
 	}
-	// The platform takes a leaving runner away, whatever runs there.
+	// The platform stops a leaving runner regardless of the requests that run there.
 	if d.ctx.Err() != nil || !d.o.Listed(i) {
 		return
 	}
-	q := &inquiry{instance: i, suspects: []quarantine.Suspect{s}}
-	d.runs[i.ID] = q
-	go d.inquire(q)
+	inv := &investigation{instance: i, suspects: []quarantine.Suspect{s}}
+	d.open[i.ID] = inv
+	go d.investigate(inv)
 }
 
-// inquire finds out what became of a run, and reports its crash.
-func (d *Detector) inquire(q *inquiry) {
-	defer d.forget(q)
-	if d.fate(q.instance) != Ended {
+// investigate waits for the status of a run and, if the run has ended, reports the crash.
+func (d *Detector) investigate(inv *investigation) {
+	defer d.remove(inv)
+	if d.awaitStatus(inv.instance) != Ended {
 		return
 	}
 	d.mu.Lock()
-	q.endedAt = d.o.Clock.Now()
+	inv.endedAt = d.o.Clock.Now()
 	d.mu.Unlock()
-	pause := gather
-	for late := false; d.o.Clock.Now().Sub(q.endedAt) < lateFor; late = true {
+	pause := reportDelay
+	for late := false; d.o.Clock.Now().Sub(inv.endedAt) < lateWindow; late = true {
 		if d.o.Clock.Sleep(d.ctx, pause) != nil {
 			return
 		}
-		d.report(q, late)
-		pause = askEvery
+		d.report(inv, late)
+		pause = probeInterval
 	}
 }
 
-// fate asks until the run answers or is known to have ended.
-func (d *Detector) fate(i *state.Instance) Fate {
-	for began := d.o.Clock.Now(); d.o.Clock.Now().Sub(began) < askFor; {
+// awaitStatus probes a run until it answers or is known to have ended, or until
+// maxProbeDuration has passed.
+func (d *Detector) awaitStatus(i *state.Instance) RunStatus {
+	for began := d.o.Clock.Now(); d.o.Clock.Now().Sub(began) < maxProbeDuration; {
 		if d.o.Replaced(i) {
 			return Ended
 		}
-		if f := d.probe(i); f != Silent {
-			return f
+		if status := d.probe(i); status != Silent {
+			return status
 		}
-		if d.o.Clock.Sleep(d.ctx, askEvery) != nil {
+		if d.o.Clock.Sleep(d.ctx, probeInterval) != nil {
 			break
 		}
 	}
 	return Silent
 }
 
-func (d *Detector) probe(i *state.Instance) Fate {
-	ctx, cancel := context.WithTimeout(d.ctx, askTimeout)
+// probe probes a run once, within probeTimeout.
+func (d *Detector) probe(i *state.Instance) RunStatus {
+	ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 	defer cancel()
 	return d.o.Probe(ctx, i)
 }
 
-// report passes on the work that wasn't yet.
-func (d *Detector) report(q *inquiry, late bool) {
+// report reports the suspects that haven't been reported yet.
+func (d *Detector) report(inv *investigation, late bool) {
 	d.mu.Lock()
-	suspects := q.suspects
-	q.suspects = nil
+	suspects := inv.suspects
+	inv.suspects = nil
 	d.mu.Unlock()
 	if len(suspects) == 0 {
 		return
 	}
-	d.o.Log.Info("runner crashed", "instance", q.instance.ID, "service", q.instance.Service, "late", late, "requests", len(suspects), "suspects", describe(suspects))
-	d.o.Crashed(Report{Instance: q.instance, Suspects: suspects, Late: late})
+	d.o.Log.Info("runner crashed", "instance", inv.instance.ID, "service", inv.instance.Service, "late", late, "requests", len(suspects), "suspects", formatSuspects(suspects))
+	d.o.OnCrash(Report{Instance: inv.instance, Suspects: suspects, Late: late})
 }
 
-func (d *Detector) forget(q *inquiry) {
+// remove ends an investigation.
+func (d *Detector) remove(inv *investigation) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	delete(d.runs, q.instance.ID)
+	delete(d.open, inv.instance.ID)
 }
 
-// mostDescribed bounds the requests that a log line names.
-const mostDescribed = 20
+// maxDescribed bounds the requests that a log line lists.
+const maxDescribed = 20
 
-// describe names requests by their ids and digests, those first that had just begun.
-func describe(suspects []quarantine.Suspect) []string {
-	var fresh, settled []string
+// formatSuspects returns the requests by id and digest, recently started ones first.
+func formatSuspects(suspects []quarantine.Suspect) []string {
+	var recent, settled []string
 	for _, s := range suspects {
 		text := s.RequestID + "=" + s.Digest.String()
 		if s.Settled {
 			settled = append(settled, text+" settled")
 			continue
 		}
-		fresh = append(fresh, text)
+		recent = append(recent, text)
 	}
-	all := append(fresh, settled...)
-	return all[:min(len(all), mostDescribed)]
+	all := append(recent, settled...)
+	return all[:min(len(all), maxDescribed)]
 }
--- a/coordination/crash/crash_test.go
+++ b/coordination/crash/crash_test.go
@@ -16,11 +16,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// world is one runner as a host sees it.
-type world struct {
+// testDetector is a detector with one simulated runner.
+type testDetector struct {
 	*Detector
 	mu       sync.Mutex
-	fate     Fate
+	status   RunStatus
 	listed   bool
 	replaced bool
 	probes   int
@@ -29,120 +29,127 @@
 
 var runner = &state.Instance{ID: state.InstanceID{Name: "r", Born: 1}, Service: "model", Addr: "r:1"}
 
-func newWorld(t *testing.T, fate Fate) *world {
+func newTestDetector(t *testing.T, status RunStatus) *testDetector {
 	t.Helper()
-	w := &world{fate: fate, listed: true}
+	d := &testDetector{status: status, listed: true}
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	var err error
-	w.Detector, err = New(ctx, Options{
-		Probe: func(ctx context.Context, _ *state.Instance) Fate {
-			w.mu.Lock()
-			w.probes++
-			f := w.fate
-			w.mu.Unlock()
-			if f == Silent {
+	d.Detector, err = New(ctx, Options{
+		Probe: func(ctx context.Context, _ *state.Instance) RunStatus {
+			d.mu.Lock()
+			d.probes++
+			current := d.status
+			d.mu.Unlock()
+			if current == Silent {
 				<-ctx.Done()
 			}
-			return f
+			return current
 		},
-		Listed:   func(*state.Instance) bool { return read(w, &w.listed) },
-		Replaced: func(*state.Instance) bool { return read(w, &w.replaced) },
-		Crashed: func(r Report) {
-			w.mu.Lock()
-			defer w.mu.Unlock()
-			w.reports = append(w.reports, r)
+		Listed:   func(*state.Instance) bool { return load(d, &d.listed) },
+		Replaced: func(*state.Instance) bool { return load(d, &d.replaced) },
+		OnCrash: func(r Report) {
+			d.mu.Lock()
+			defer d.mu.Unlock()
+			d.reports = append(d.reports, r)
 		},
 		Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return w
+	return d
 }
 
-func read[T any](w *world, what *T) T {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return *what
+// load reads a field of d under its lock.
+func load[T any](d *testDetector, field *T) T {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return *field
 }
 
-// reported are the reports so far.
-func (w *world) reported() []Report {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.reports)
+// reported returns the reports so far.
+func (d *testDetector) reported() []Report {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return slices.Clone(d.reports)
 }
 
-func (w *world) set(change func()) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// set changes fields of d under its lock.
+func (d *testDetector) set(change func()) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	change()
 }
 
-func work(n byte, settled bool) quarantine.Suspect {
+// suspect returns the request number n.
+func suspect(n byte, settled bool) quarantine.Suspect {
 	return quarantine.Suspect{Digest: quarantine.Digest{n}, RequestID: string('a' + rune(n)), Settled: settled}
 }
 
-func TestCrashIsReportedWithAllThatRan(t *testing.T) {
+// A crash is reported once with all requests that broke off at that time, and again with
+// those that are found later.
+func TestCrashReportListsAllBrokenRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, Ended)
-		w.Broke(runner, work(1, false))
-		w.Broke(runner, work(2, true))
-		time.Sleep(gather + time.Millisecond)
-		is.Equal(len(w.reported()), 1)
-		is.Equal(w.reported()[0].Suspects, []quarantine.Suspect{work(1, false), work(2, true)})
-		is.True(!w.reported()[0].Late)
-		w.Broke(runner, work(3, false)) // its connection ended later
-		time.Sleep(lateFor)
-		is.Equal(len(w.reported()), 2)
-		is.Equal(w.reported()[1].Suspects, []quarantine.Suspect{work(3, false)})
-		is.True(w.reported()[1].Late)
+		d := newTestDetector(t, Ended)
+		d.ReportBroken(runner, suspect(1, false))
+		d.ReportBroken(runner, suspect(2, true))
+		time.Sleep(reportDelay + time.Millisecond)
+		is.Equal(len(d.reported()), 1)
+		is.Equal(d.reported()[0].Suspects, []quarantine.Suspect{suspect(1, false), suspect(2, true)})
+		is.True(!d.reported()[0].Late)
+		d.ReportBroken(runner, suspect(3, false)) // the end of its connection is noticed later
+		time.Sleep(lateWindow)
+		is.Equal(len(d.reported()), 2)
+		is.Equal(d.reported()[1].Suspects, []quarantine.Suspect{suspect(3, false)})
+		is.True(d.reported()[1].Late)
 		synctest.Wait()
-		is.Equal(read(w, &w.probes), 1)
-		is.Equal(len(w.runs), 0) // nothing is kept
+		is.Equal(load(d, &d.probes), 1)
+		is.Equal(len(d.open), 0) // the investigation is removed
 	})
 }
 
-func TestOtherEndsAreNoCrash(t *testing.T) {
+// A run is reported as crashed only if it ended, not if it lost an answer or is silent.
+func TestOnlyEndedRunsAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
-		fate    Fate
-		then    func(w *world) // after a second
+		status  RunStatus
+		then    func(d *testDetector) // called after one second
 		crashes int
 	}{
-		"an answer was lost":                      {Alive, nil, 0},
-		"cut off for a moment":                    {Silent, func(w *world) { w.fate = Alive }, 0},
-		"cut off for long":                        {Silent, nil, 0},
-		"fell silent, and another took its place": {Silent, func(w *world) { w.listed, w.replaced = false, true }, 1},
-		"fell silent before its process was gone": {Silent, func(w *world) { w.fate = Ended }, 1},
+		"an answer was lost":                   {Alive, nil, 0},
+		"partitioned for a moment":             {Silent, func(d *testDetector) { d.status = Alive }, 0},
+		"partitioned for long":                 {Silent, nil, 0},
+		"silent, then replaced by another run": {Silent, func(d *testDetector) { d.listed, d.replaced = false, true }, 1},
+		"silent, then found to have ended":     {Silent, func(d *testDetector) { d.status = Ended }, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				w := newWorld(t, c.fate)
-				w.Broke(runner, work(1, false))
+				d := newTestDetector(t, c.status)
+				d.ReportBroken(runner, suspect(1, false))
 				time.Sleep(time.Second)
 				if c.then != nil {
-					w.set(func() { c.then(w) })
+					d.set(func() { c.then(d) })
 				}
-				time.Sleep(askFor + lateFor)
+				time.Sleep(maxProbeDuration + lateWindow)
 				synctest.Wait()
-				is.Equal(len(w.reported()), c.crashes)
-				is.Equal(len(w.runs), 0)
+				is.Equal(len(d.reported()), c.crashes)
+				is.Equal(len(d.open), 0)
 			})
 		})
 	}
 }
 
-func TestLeavingRunnerIsNoCrash(t *testing.T) {
+// A leaving runner is stopped by the platform with whatever runs there; that is no crash.
+func TestLeavingRunnerIsNotReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := newWorld(t, Ended)
-		w.listed = false
-		w.Broke(runner, work(1, false))
-		time.Sleep(askFor)
-		is.Equal(len(w.reported()), 0)
-		is.Equal(read(w, &w.probes), 0)
+		d := newTestDetector(t, Ended)
+		d.listed = false
+		d.ReportBroken(runner, suspect(1, false))
+		time.Sleep(maxProbeDuration)
+		is.Equal(len(d.reported()), 0)
+		is.Equal(load(d, &d.probes), 0)
 	})
 }
--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -15,20 +15,20 @@
 	// Limit is the rate that a runner accepts from all hosts together, in requests per second.
 	// limited is false if the runner names no limit.
 	Limit(id state.InstanceID) (rate float64, limited bool)
-	// Closed records that a runner's limit leaves no capacity for this host until the given
+	// CloseUntil records that a runner's limit leaves no capacity for this host until the given
 	// time. The placer doesn't choose the runner before then.
-	Closed(id state.InstanceID, until time.Time)
-	// RestsUntil is the end of the backoff that a runner requested from this host; zero if none
+	CloseUntil(id state.InstanceID, until time.Time)
+	// BackoffUntil is the end of the backoff that a runner requested from this host; zero if none
 	// is in force.
-	RestsUntil(id state.InstanceID) time.Time
-	// PausedUntil is RestsUntil or, after the backoff, the end of the trial request that
+	BackoffUntil(id state.InstanceID) time.Time
+	// PausedUntil is BackoffUntil or, after the backoff, the end of the trial request that
 	// follows it.
 	PausedUntil(id state.InstanceID) time.Time
-	// Unproven reports whether a runner has accepted no request since it requested a backoff.
-	// Try reports whether a request may be sent to it now: an unproven runner gets one trial
+	// AwaitsTrial reports whether a runner has accepted no request since it requested a backoff.
+	// AllowTrial reports whether a request may be sent to it now: such a runner gets one trial
 	// request at a time.
-	Unproven(id state.InstanceID) bool
-	Try(id state.InstanceID) bool
+	AwaitsTrial(id state.InstanceID) bool
+	AllowTrial(id state.InstanceID) bool
 }
 
 const (
@@ -51,7 +51,7 @@
 // over, and its limit, if there is one, grants a permit within wait. part names the step in the
 // request's record.
 func (d *Dispatcher) acquirePermit(ctx context.Context, i *state.Instance, part string, rec *record, wait time.Duration) bool {
-	if !d.o.Advice.Try(i.ID) {
+	if !d.o.Advice.AllowTrial(i.ID) {
 		rec.addStep(i, part, outcomeLimited, 0, nil)
 		return false
 	}
@@ -62,7 +62,7 @@
 	requestedAt := d.o.Clock.Now()
 	p := d.o.Gate.Permit(ctx, occupancy.PermitAsk{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
 	if !p.Granted {
-		d.o.Advice.Closed(i.ID, d.o.Clock.Now().Add(max(p.Wait, minLimitPause)))
+		d.o.Advice.CloseUntil(i.ID, d.o.Clock.Now().Add(max(p.Wait, minLimitPause)))
 		rec.addStep(i, part, outcomeLimited, 0, nil)
 		return false
 	}
@@ -90,7 +90,7 @@
 }
 
 // inBackoff reports whether a backoff that the runner requested from this host is in force.
-func (d *Dispatcher) inBackoff(i *state.Instance) bool { return !d.o.Advice.RestsUntil(i.ID).IsZero() }
+func (d *Dispatcher) inBackoff(i *state.Instance) bool { return !d.o.Advice.BackoffUntil(i.ID).IsZero() }
 
 // remainingPart is the part of the request that a runner still has to do, after the separate
 // prefill if there is one.
@@ -129,7 +129,7 @@
 // has already rejected, while there are other runners: such a request would use up its attempts
 // on trials.
 func (d *Dispatcher) skipUnproven(i *state.Instance, rec *record) bool {
-	if !rec.refused || !d.o.Advice.Unproven(i.ID) {
+	if !rec.refused || !d.o.Advice.AwaitsTrial(i.ID) {
 		return false
 	}
 	rec.exclude(i)
--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -113,7 +113,7 @@
 func (d *Dispatcher) noteBrokenConnection(ctx context.Context, runner *placement.Runner) {
 	if !errors.Is(ctx.Err(), context.Canceled) {
 		runner.Broken()
-		d.o.Outliers.Silent(runner.Instance.ID)
+		d.o.Outliers.ReportSilent(runner.Instance.ID)
 	}
 }
 
@@ -132,7 +132,7 @@
 	if ctx.Err() != nil || (took < crashNoticeDelay && rec.brokeOff()) {
 		return
 	}
-	d.o.Crashes.Broke(runner.Instance, quarantine.Suspect{
+	d.o.Crashes.ReportBroken(runner.Instance, quarantine.Suspect{
 		Digest: rec.digest, RequestID: r.ID, SentAt: d.o.Clock.Now().Add(-took), Settled: answering && took >= quarantine.SettledAfter,
 	})
 }
@@ -147,7 +147,7 @@
 	}
 	runner.Refused()
 	if head.Status == statusMisdirected {
-		d.o.Outliers.Silent(runner.Instance.ID)
+		d.o.Outliers.ReportSilent(runner.Instance.ID)
 	}
 }
 
--- a/coordination/forward/backoff_test.go
+++ b/coordination/forward/backoff_test.go
@@ -45,7 +45,7 @@
 // receiveAdvice delivers a response with the advice from each of the named runners.
 func (w *world) receiveAdvice(a backpressure.Advice, names ...string) {
 	for _, name := range names {
-		w.advice.Heard(&state.Instance{ID: state.InstanceID{Name: name}, Service: "s"}, time.Now(), a, true)
+		w.advice.Record(&state.Instance{ID: state.InstanceID{Name: name}, Service: "s"}, time.Now(), a, true)
 	}
 }
 
@@ -57,7 +57,7 @@
 	decodeEngines := []string{"d1", "d2", "d3", "d4", "d5"}
 	prefillEngines := []string{"p1", "p2", "p3", "p4", "p5"}
 	event := []reply{{status: 200, events: true, body: "id: 1\n\n"}}
-	backoff := func(d time.Duration) backpressure.Advice { return backpressure.Advice{Rest: d} }
+	backoff := func(d time.Duration) backpressure.Advice { return backpressure.Advice{Backoff: d} }
 	for name, c := range map[string]struct {
 		request *Request
 		runners []string
@@ -112,7 +112,7 @@
 		is := is.New(t)
 		w := newWorld(t, plenty)
 		for range 5 {
-			w.receiveAdvice(backpressure.Advice{Rest: 100 * time.Millisecond}, "s1")
+			w.receiveAdvice(backpressure.Advice{Backoff: 100 * time.Millisecond}, "s1")
 			w.noteRefusal(w.fleet.Runner(state.InstanceID{Name: "s1"}), &Head{Status: 503, NotRun: true})
 			time.Sleep(time.Second)
 		}
@@ -154,8 +154,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty)
-		w.receiveAdvice(backpressure.Advice{Rest: 9 * time.Second}, "s1", "s2", "s4", "s5")
-		w.receiveAdvice(backpressure.Advice{Rest: 3 * time.Second}, "s3")
+		w.receiveAdvice(backpressure.Advice{Backoff: 9 * time.Second}, "s1", "s2", "s4", "s5")
+		w.receiveAdvice(backpressure.Advice{Backoff: 3 * time.Second}, "s3")
 		rec := &record{}
 		_, err := w.pickRunner(t.Context(), request(state.RouteSafe, 2, false), rec, time.Now().Add(time.Second))
 		is.True(err != nil)
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -38,8 +38,8 @@
 
 // Budget limits retries over all hosts.
 type Budget interface {
-	// Seen counts a request of the service, and Allow takes a retry if one is left.
-	Seen(service string)
+	// CountRequest counts a request of the service, and Allow takes a retry if one is left.
+	CountRequest(service string)
 	Allow(service string) bool
 	// AllowMove takes the retry of a run that continues at another engine.
 	AllowMove(service string) bool
@@ -68,14 +68,14 @@
 
 // Outliers collects reports of runners that don't answer.
 type Outliers interface {
-	// Silent reports that this host hears nothing from the runner. It doesn't block.
-	Silent(id state.InstanceID)
+	// ReportSilent reports that this host hears nothing from the runner. It doesn't block.
+	ReportSilent(id state.InstanceID)
 }
 
 // Crashes collects reports of requests that broke off at a runner.
 type Crashes interface {
-	// Broke reports a request that broke off at the runner before its end. It doesn't block.
-	Broke(i *state.Instance, w quarantine.Suspect)
+	// ReportBroken reports a request that broke off at the runner before its end. It doesn't block.
+	ReportBroken(i *state.Instance, w quarantine.Suspect)
 }
 
 // Quarantine holds the requests that crash their runners.
@@ -140,7 +140,7 @@
 		d.logRequest(ctx, r, rec, 0, err)
 		return nil, err
 	}
-	d.o.Budget.Seen(r.Service)
+	d.o.Budget.CountRequest(r.Service)
 	if r.Generation != nil {
 		d.sizes.observe(r.Service, r.Generation.PromptTokens)
 	}
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -173,7 +173,7 @@
 // countingBudget allows the given number of retries.
 type countingBudget struct{ left int }
 
-func (b *countingBudget) Seen(string) {}
+func (b *countingBudget) CountRequest(string) {}
 
 func (b *countingBudget) AllowMove(service string) bool { return b.Allow(service) }
 
@@ -250,8 +250,8 @@
 	silent []state.InstanceID
 }
 
-// Silent implements Outliers.
-func (s *fakeOutliers) Silent(id state.InstanceID) {
+// ReportSilent implements Outliers.
+func (s *fakeOutliers) ReportSilent(id state.InstanceID) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = append(s.silent, id)
@@ -282,8 +282,8 @@
 	suspects []quarantine.Suspect
 }
 
-// Broke implements Crashes.
-func (b *fakeCrashes) Broke(_ *state.Instance, w quarantine.Suspect) {
+// ReportBroken implements Crashes.
+func (b *fakeCrashes) ReportBroken(_ *state.Instance, w quarantine.Suspect) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.suspects = append(b.suspects, w)
@@ -335,7 +335,7 @@
 
 func newAdvice(t *testing.T, clock state.Clock, tell func(backpressure.Notice), left func()) *backpressure.Registry {
 	t.Helper()
-	advice, err := backpressure.New(backpressure.Options{Clock: clock, Log: slog.New(slog.DiscardHandler), Observer: noObserver{}, Tell: tell, Left: left})
+	advice, err := backpressure.New(backpressure.Options{Clock: clock, Log: slog.New(slog.DiscardHandler), Observer: noObserver{}, Broadcast: tell, OnLeaving: left})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/coordination/forward/prefill.go
+++ b/coordination/forward/prefill.go
@@ -119,7 +119,7 @@
 		// that completes other prompts isn't at fault for one that isn't computed in time.
 		if (ctx.Err() == nil || p.unavailable.Load()) && !sendErr.Withheld {
 			runner.Broken()
-			d.o.Outliers.Silent(runner.Instance.ID)
+			d.o.Outliers.ReportSilent(runner.Instance.ID)
 			if sendErr.Sent {
 				d.reportSuspect(requestCtx, r, runner, rec, took, false)
 			}
--- a/coordination/forward/sim_harness_test.go
+++ b/coordination/forward/sim_harness_test.go
@@ -167,8 +167,8 @@
 
 func (noQuarantine) Answered(quarantine.Digest) {}
 
-// Advised implements backpressure.Observer.
-func (noObserver) Advised(string, backpressure.Kind) {}
+// ObserveAdvice implements backpressure.Observer.
+func (noObserver) ObserveAdvice(string, backpressure.Kind) {}
 
 // updateHostList lists the hosts that are up.
 func (f *simFleet) updateHostList() {
@@ -194,7 +194,7 @@
 	f.mu.Unlock()
 	for _, h := range f.hosts {
 		h.applyRunnerList()
-		h.advice.Listed(list)
+		h.advice.UpdateListed(list)
 	}
 }
 
@@ -257,10 +257,10 @@
 	if misdirected {
 		return &crashResponse{head: &Head{Status: statusMisdirected, NotRun: true}}, nil
 	}
-	h.advice.Heard(a.Instance, sentAt, advice, true)
+	h.advice.Record(a.Instance, sentAt, advice, true)
 	never := make(chan struct{})
 	switch {
-	case advice.Rest > 0:
+	case advice.Backoff > 0:
 		return &crashResponse{head: &Head{Status: 503, NotRun: true}}, nil
 	case a.PrefillOnly:
 		return &crashResponse{head: &Head{Status: 200}, ctx: ctx, ended: never, events: []string{"handle"}, pause: 10 * time.Millisecond}, nil
@@ -296,7 +296,7 @@
 		arrived.leavingToldAt = now
 	}
 	if r.rejecting {
-		advice.Rest, arrived.rejected = r.backoff, true
+		advice.Backoff, arrived.rejected = r.backoff, true
 	}
 	r.arrivals = append(r.arrivals, arrived)
 	return advice, false
--- a/coordination/forward/sim_peers_test.go
+++ b/coordination/forward/sim_peers_test.go
@@ -25,7 +25,7 @@
 		}
 		f.mu.Unlock()
 		for _, to := range reached {
-			to.advice.Take(n)
+			to.advice.HandleNotice(n)
 		}
 	})
 }
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -1,10 +1,10 @@
-// Package probe asks upstreams how they are: it feeds their lagging load reports
-// and the outcome of health checks to the keeper of views.
+// Package probe collects the load reports and the health of upstreams and passes them to
+// the keeper of views.
 //
-// Probing has a budget for the whole host, a base rate and a share of the
-// requests, so that its cost grows neither with the number of runners nor beyond
-// what the traffic is worth. The budget goes to the runners whose knowledge is
-// oldest, and four times as readily to those in use or in trouble.
+// Probes have a budget for the whole host: a base rate plus a number per request. Their
+// cost therefore neither grows with the number of runners nor exceeds what the traffic
+// justifies. The budget is spent on the runners whose data is oldest; the age counts four
+// times for runners that are in use, failing or unhealthy.
 package probe
 
 import (
@@ -23,12 +23,13 @@
 )
 
 const (
-	// tick is the time between two batches of probes. Each batch costs at most
-	// one new view, however many reports it brings, and waking for it costs an
-	// idle host more than its probes do. Reports are older than this by themselves.
-	tick = 250 * time.Millisecond
-	// eagerness is how much older the knowledge of a runner in use counts.
-	eagerness = 4
+	// stepInterval is the time between two batches of probes. Each batch costs at most one
+	// new view, however many reports it brings, and on an idle host the wakeup costs more
+	// than the probes. Load reports lag by more than this anyway.
+	stepInterval = 250 * time.Millisecond
+	// busyWeight is the factor for the age of the data on a runner that is in use, failing
+	// or unhealthy.
+	busyWeight = 4
 )
 
 // Options configures a Prober. All fields are required.
@@ -36,193 +37,200 @@
 	Keeper  *snapshot.Keeper
 	Checker upstream.Checker
 	Clock   state.Clock
-	// PerSecond is the base rate of probes, of all runners together.
+	// PerSecond is the base rate in probes per second for all runners together.
 	PerSecond float64
-	// PerRequest are further probes for each request of this host.
+	// PerRequest is the number of additional probes per request of this host.
 	PerRequest float64
-	// Requests counts this host's requests since it started.
+	// Requests returns the number of requests of this host since it started.
 	Requests func() uint64
 	// MinInterval is the shortest time between two probes of one runner.
 	MinInterval time.Duration
 	// Timeout bounds one probe.
 	Timeout time.Duration
-	// FailuresToLeave is the number of consecutive failures after which a
-	// runner gets no new work.
-	FailuresToLeave int
-	// Parallel bounds the probes under way.
-	Parallel int
+	// FailureThreshold is the number of consecutive failures after which a runner gets no
+	// new work.
+	FailureThreshold int
+	// MaxConcurrent bounds the probes that are under way at the same time.
+	MaxConcurrent int
 }
 
-// Prober probes the runners of the present view.
+// Prober probes the runners of the present view. It is not safe for concurrent use.
 type Prober struct {
 	o Options
-	// tokens are the probes that may be made now, as of refilled.
-	tokens   float64
-	refilled time.Time
-	requests uint64
-	known    map[string]*record
+	// tokens is the number of probes that may be sent, as of refilledAt, when
+	// Options.Requests returned requests.
+	tokens     float64
+	refilledAt time.Time
+	requests   uint64
+	records    map[string]*record
 }
 
-// record is what the prober keeps of one runner.
+// record is the probe state of one runner. probedAt is zero before its first probe,
+// failures counts consecutive ones, and inView marks the runners of the present view for
+// removeUnlisted.
 type record struct {
 	incarnation string
-	at          time.Time
+	probedAt    time.Time
 	failures    int
-	seen        bool
+	inView      bool
 }
 
-// New validates the options.
+// New returns an error if an option is missing or out of range.
 func New(o Options) (*Prober, error) {
 	if o.Keeper == nil || o.Checker == nil || o.Clock == nil || o.Requests == nil {
 		return nil, errors.New("probe: Keeper, Checker, Clock and Requests are required; set them")
 	}
-	if o.PerSecond <= 0 || o.PerRequest < 0 || o.MinInterval <= 0 || o.Timeout <= 0 || o.FailuresToLeave < 1 || o.Parallel < 1 {
-		return nil, errors.New("probe: PerSecond, MinInterval, Timeout, FailuresToLeave and Parallel must be positive")
+	if o.PerSecond <= 0 || o.PerRequest < 0 || o.MinInterval <= 0 || o.Timeout <= 0 || o.FailureThreshold < 1 || o.MaxConcurrent < 1 {
+		return nil, errors.New("probe: PerSecond, MinInterval, Timeout, FailureThreshold and MaxConcurrent must be positive")
 	}
-	return &Prober{o: o, known: map[string]*record{}}, nil
+	return &Prober{o: o, records: map[string]*record{}}, nil
 }
 
 // Run probes until ctx ends.
 func (p *Prober) Run(ctx context.Context) error {
 	for {
 		p.Step(ctx)
-		if err := p.o.Clock.Sleep(ctx, tick); err != nil {
+		if err := p.o.Clock.Sleep(ctx, stepInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// Step makes the probes that are due by now.
+// Step sends the probes that are due and waits for their outcomes.
 func (p *Prober) Step(ctx context.Context) {
 	p.refill()
-	chosen := p.choose()
-	outcomes := make([]outcome, len(chosen))
-	probes := pool.New().WithMaxGoroutines(p.o.Parallel)
-	for i, u := range chosen {
+	runners := p.selectRunners()
+	outcomes := make([]outcome, len(runners))
+	probes := pool.New().WithMaxGoroutines(p.o.MaxConcurrent)
+	for i, u := range runners {
 		probes.Go(func() { outcomes[i] = p.probe(ctx, u) })
 	}
 	probes.Wait()
-	p.take(outcomes)
+	p.applyOutcomes(outcomes)
 }
 
-// refill adds what the time and the requests since the last step are worth. What
-// isn't used within a second is lost.
+// refill adds tokens for the time and the requests since the last step. The unused ones are
+// limited to those of a second at the base rate, or to MaxConcurrent if that is more.
 func (p *Prober) refill() {
 	now, requests := p.o.Clock.Now(), p.o.Requests()
-	if !p.refilled.IsZero() {
-		p.tokens += p.o.PerSecond * now.Sub(p.refilled).Seconds()
+	if !p.refilledAt.IsZero() {
+		p.tokens += p.o.PerSecond * now.Sub(p.refilledAt).Seconds()
 	}
 	p.tokens += p.o.PerRequest * float64(requests-p.requests)
-	p.refilled, p.requests = now, requests
-	limit := max(p.o.PerSecond, float64(p.o.Parallel))
-	p.tokens = min(p.tokens, limit)
+	p.refilledAt, p.requests = now, requests
+	capacity := max(p.o.PerSecond, float64(p.o.MaxConcurrent))
+	p.tokens = min(p.tokens, capacity)
 }
 
-// due is a runner that may be probed, with how overdue it is.
-type due struct {
-	upstream state.Upstream
-	overdue  time.Duration
+// candidate is a runner that may be probed, with the age of its data times its weight.
+type candidate struct {
+	upstream    state.Upstream
+	weightedAge time.Duration
 }
 
-// choose picks the runners to probe. One that was never probed costs no token:
-// its first report is worth more than the budget of a second.
-func (p *Prober) choose() []state.Upstream {
+// selectRunners returns the runners to probe. A runner that was never probed costs no
+// token: its first report is worth more than the budget of a second.
+func (p *Prober) selectRunners() []state.Upstream {
 	now := p.o.Clock.Now()
 	view := p.o.Keeper.View()
-	var fresh []state.Upstream
-	var waiting []due
-	for _, r := range p.known {
-		r.seen = false
+	var unprobed []state.Upstream
+	var candidates []candidate
+	for _, rec := range p.records {
+		rec.inView = false
 	}
 	for i := range view.Runners {
-		n := &view.Runners[i]
-		r := p.known[n.Name]
-		if r == nil || r.incarnation != n.Incarnation {
-			r = &record{incarnation: n.Incarnation}
-			p.known[n.Name] = r
+		runner := &view.Runners[i]
+		rec := p.records[runner.Name]
+		if rec == nil || rec.incarnation != runner.Incarnation {
+			rec = &record{incarnation: runner.Incarnation}
+			p.records[runner.Name] = rec
 		}
-		r.seen = true
-		age := now.Sub(r.at)
+		rec.inView = true
+		age := now.Sub(rec.probedAt)
 		switch {
-		case r.at.IsZero():
-			fresh = append(fresh, n.Upstream)
+		case rec.probedAt.IsZero():
+			unprobed = append(unprobed, runner.Upstream)
 		case age < p.o.MinInterval:
-		case r.failures > 0 || n.Unhealthy || n.Track.Load().Requests > 0:
-			waiting = append(waiting, due{n.Upstream, eagerness * age})
+		case rec.failures > 0 || runner.Unhealthy || runner.Track.Load().Requests > 0:
+			candidates = append(candidates, candidate{runner.Upstream, busyWeight * age})
 		default:
-			waiting = append(waiting, due{n.Upstream, age})
+			candidates = append(candidates, candidate{runner.Upstream, age})
 		}
 	}
-	p.forget()
-	return append(fresh, p.spend(waiting)...)
+	p.removeUnlisted()
+	return append(unprobed, p.spendTokens(candidates)...)
 }
 
-// spend takes the most overdue runners for the tokens there are.
-func (p *Prober) spend(waiting []due) []state.Upstream {
-	slices.SortFunc(waiting, func(a, b due) int { return cmp.Compare(b.overdue, a.overdue) })
-	n := min(int(p.tokens), len(waiting))
+// spendTokens returns the candidates of the largest weighted age, as many as there are
+// tokens, and takes the tokens.
+func (p *Prober) spendTokens(candidates []candidate) []state.Upstream {
+	slices.SortFunc(candidates, func(a, b candidate) int { return cmp.Compare(b.weightedAge, a.weightedAge) })
+	n := min(int(p.tokens), len(candidates))
 	p.tokens -= float64(n)
 	out := make([]state.Upstream, n)
 	for i := range out {
-		out[i] = waiting[i].upstream
+		out[i] = candidates[i].upstream
 	}
 	return out
 }
 
-// forget drops the records of runners that are no longer in the view.
-func (p *Prober) forget() {
-	for name, r := range p.known {
-		if !r.seen {
-			delete(p.known, name)
+// removeUnlisted removes the records of runners that are no longer in the view.
+func (p *Prober) removeUnlisted() {
+	for name, rec := range p.records {
+		if !rec.inView {
+			delete(p.records, name)
 		}
 	}
 }
 
-// outcome is what one probe found.
+// outcome is the result of one probe.
 type outcome struct {
 	upstream state.Upstream
 	report   state.LoadReport
 	err      error
 }
 
-// errOtherEngine says that another engine answers at an engine's address.
-var errOtherEngine = errors.New("the report is another engine's; check the address in the platform's list")
+// errEngineMismatch reports that another engine answers at the address of an engine.
+var errEngineMismatch = errors.New("the load report is of another engine; check the address in the platform's list")
 
+// probe checks the health of a service's runner or reads the load report of an engine,
+// within Timeout by the prober's clock.
 func (p *Prober) probe(ctx context.Context, u state.Upstream) outcome {
-	ctx, stop := context.WithCancel(ctx)
-	var watch sync.WaitGroup
-	watch.Go(func() {
+	ctx, cancel := context.WithCancel(ctx)
+	var timer sync.WaitGroup
+	timer.Go(func() {
 		if p.o.Clock.Sleep(ctx, p.o.Timeout) == nil {
-			stop()
+			cancel()
 		}
 	})
-	defer watch.Wait()
-	defer stop()
+	defer timer.Wait()
+	defer cancel()
 	if u.Kind == state.KindService {
 		return outcome{upstream: u, err: p.o.Checker.Check(ctx, u)}
 	}
 	report, err := p.o.Checker.Load(ctx, u)
 	if err == nil && report.Engine != u.Name {
-		err = errOtherEngine
+		err = errEngineMismatch
 	}
 	return outcome{upstream: u, report: report, err: err}
 }
 
-// take hands the outcomes to the keeper. One success brings a runner back.
-func (p *Prober) take(outcomes []outcome) {
+// applyOutcomes passes the outcomes to the keeper. One success makes a runner healthy
+// again.
+func (p *Prober) applyOutcomes(outcomes []outcome) {
 	now := p.o.Clock.Now()
 	var reports []state.LoadReport
 	for _, o := range outcomes {
-		r := p.known[o.upstream.Name]
-		r.at = now
+		rec := p.records[o.upstream.Name]
+		rec.probedAt = now
 		if o.err != nil {
-			r.failures++
-			if r.failures >= p.o.FailuresToLeave {
+			rec.failures++
+			if rec.failures >= p.o.FailureThreshold {
 				p.o.Keeper.SetHealth(o.upstream.Name, false)
 			}
 			continue
 		}
-		r.failures = 0
+		rec.failures = 0
 		p.o.Keeper.SetHealth(o.upstream.Name, true)
 		if o.upstream.Kind == state.KindEngine {
 			reports = append(reports, o.report)
--- a/coordination/probe/probe_test.go
+++ b/coordination/probe/probe_test.go
@@ -16,12 +16,13 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// fakeChecker answers for every engine; it is asked by several goroutines.
+// fakeChecker answers for every upstream, with the report of another engine if mismatch is
+// set. It is safe for concurrent use.
 type fakeChecker struct {
-	mu     sync.Mutex
-	err    error
-	foreig bool
-	calls  map[string]int
+	mu       sync.Mutex
+	err      error
+	mismatch bool
+	calls    map[string]int
 }
 
 func (f *fakeChecker) Check(_ context.Context, u state.Upstream) error {
@@ -34,19 +35,21 @@
 	defer f.mu.Unlock()
 	f.calls[u.Name]++
 	name := u.Name
-	if f.foreig {
+	if f.mismatch {
 		name = "another"
 	}
 	return state.LoadReport{Engine: name, TakenAt: time.Now(), DecodeRunning: 3}, f.err
 }
 
-func (f *fakeChecker) set(err error, foreign bool) {
+func (f *fakeChecker) set(err error, mismatch bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.err, f.foreig = err, foreign
+	f.err, f.mismatch = err, mismatch
 }
 
-func list(engines int) []state.Listed {
+// listedRunners returns a list with one runner of a service and the given number of
+// engines.
+func listedRunners(engines int) []state.Listed {
 	out := []state.Listed{{Name: "s1", Kind: state.ListedService, State: state.ListedLive, Service: "app"}}
 	for i := range engines {
 		out = append(out, state.Listed{Name: fmt.Sprintf("e%d", i), Kind: state.ListedEngine, State: state.ListedLive, Service: "llm"})
@@ -58,7 +61,7 @@
 	t.Helper()
 	p, err := New(Options{
 		Keeper: k, Checker: c, Clock: clocktest.Bubble{}, PerSecond: 8, PerRequest: 3, Requests: requests,
-		MinInterval: 250 * time.Millisecond, Timeout: time.Second, FailuresToLeave: 2, Parallel: 32,
+		MinInterval: 250 * time.Millisecond, Timeout: time.Second, FailureThreshold: 2, MaxConcurrent: 32,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -66,8 +69,8 @@
 	return p
 }
 
-// run probes for d of virtual time.
-func run(t *testing.T, p *Prober, d time.Duration) {
+// runFor runs the prober for d of virtual time.
+func runFor(t *testing.T, p *Prober, d time.Duration) {
 	t.Helper()
 	ctx, stop := context.WithTimeout(t.Context(), d)
 	defer stop()
@@ -76,63 +79,68 @@
 
 func noRequests() uint64 { return 0 }
 
-func TestFailedChecksKeepWorkAwayUntilOneSucceeds(t *testing.T) {
+// A runner gets no work after consecutive failed probes, or if another engine answers at
+// its address, until one probe succeeds.
+func TestFailedProbesStopWorkUntilOneSucceeds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		k := snapshot.NewKeeper()
-		k.SetListed(list(1))
+		k.SetListed(listedRunners(1))
 		c := &fakeChecker{calls: map[string]int{}}
 		p := newProber(t, k, c, noRequests)
 		p.Step(t.Context())
 		is.Equal(k.View().Runner("e0").Load.DecodeRunning, int64(3))
 
 		c.set(errors.New("refused"), false)
-		run(t, p, 3*time.Second)
+		runFor(t, p, 3*time.Second)
 		is.True(!k.View().Runner("s1").TakesWork())
 		is.True(!k.View().Runner("e0").TakesWork())
 
 		c.set(nil, false)
-		run(t, p, time.Second)
+		runFor(t, p, time.Second)
 		is.True(k.View().Runner("s1").TakesWork())
 
 		c.set(nil, true) // another engine answers at its address
-		run(t, p, 3*time.Second)
+		runFor(t, p, 3*time.Second)
 		is.True(!k.View().Runner("e0").TakesWork())
 	})
 }
 
+// All probes stay within the budget, a runner in use is probed more often, and every other
+// runner is still probed.
 func TestProbesStayWithinTheBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const engines, seconds = 250, 60
 		k := snapshot.NewKeeper()
-		k.SetListed(list(engines))
+		k.SetListed(listedRunners(engines))
 		c := &fakeChecker{calls: map[string]int{}}
 		busy := k.Enter(k.View().Runner("e7"), snapshot.Work{Requests: 1})
 		p := newProber(t, k, c, noRequests)
-		run(t, p, seconds*time.Second)
+		runFor(t, p, seconds*time.Second)
 		total := 0
 		for _, n := range c.calls {
 			total += n
 		}
-		is.True(total <= engines+1+8*seconds) // the first of each is free
+		is.True(total <= engines+1+8*seconds) // the first probe of each runner is free
 		is.True(c.calls["e7"] >= c.calls["e8"]+2)
 		for _, r := range k.View().Runners {
-			is.True(c.calls[r.Name] >= 2) // none is forgotten
+			is.True(c.calls[r.Name] >= 2) // every runner is probed again
 		}
 		busy.Done()
 	})
 }
 
-func TestRequestsBuyProbes(t *testing.T) {
+// Requests add probes to the base rate.
+func TestRequestsAddToTheProbeBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		k := snapshot.NewKeeper()
-		k.SetListed(list(12))
+		k.SetListed(listedRunners(12))
 		c := &fakeChecker{calls: map[string]int{}}
 		start := time.Now()
-		p := newProber(t, k, c, func() uint64 { return uint64(time.Since(start) / (100 * time.Millisecond)) }) // ten a second
-		run(t, p, 10*time.Second)
+		p := newProber(t, k, c, func() uint64 { return uint64(time.Since(start) / (100 * time.Millisecond)) }) // ten requests per second
+		runFor(t, p, 10*time.Second)
 		total := 0
 		for _, n := range c.calls {
 			total += n
--- a/coordination/retry/retry_test.go
+++ b/coordination/retry/retry_test.go
@@ -13,17 +13,17 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// movingClock is set by a test.
-type movingClock struct {
+// manualClock returns the time that the test has set.
+type manualClock struct {
 	state.Clock
 	now time.Time
 }
 
-func (c *movingClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
-func newBudget(t *testing.T, o BudgetOptions) (*Budget, *movingClock) {
+func newBudget(t *testing.T, o BudgetOptions) (*Budget, *manualClock) {
 	t.Helper()
-	clock := &movingClock{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
+	clock := &manualClock{now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)}
 	o.Clock = clock
 	if o.Share == nil {
 		o.Share = func(string) float64 { return 0.1 }
@@ -35,8 +35,8 @@
 	return b, clock
 }
 
-// allowed counts the retries that are allowed in a row.
-func allowed(b *Budget, service string) int {
+// countAllowed takes retries until the budget is used up and returns their number.
+func countAllowed(b *Budget, service string) int {
 	n := 0
 	for b.Allow(service) {
 		n++
@@ -51,20 +51,20 @@
 		requests int
 		want     int
 	}{
-		{"a tenth", 0.1, 100, 11}, // with the one that a new service has
+		{"a tenth", 0.1, 100, 11}, // including the one that a new service starts with
 		{"a half", 0.5, 20, 11},
 		{"the default", 0, 100, 11},
-		{"no more than the burst is saved", 0.1, 10000, 20},
+		{"limited by the burst", 0.1, 10000, 20},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			b, _ := newBudget(t, BudgetOptions{Share: func(string) float64 { return tt.share }})
 			for range tt.requests {
-				b.Seen("llm")
+				b.CountRequest("llm")
 			}
-			n := allowed(b, "llm")
-			is.True(n >= tt.want-1 && n <= tt.want) // adding up a tenth rounds
+			n := countAllowed(b, "llm")
+			is.True(n >= tt.want-1 && n <= tt.want) // the sum of tenths is inexact
 		})
 	}
 }
@@ -74,9 +74,9 @@
 	b, clock := newBudget(t, BudgetOptions{})
 	retries := 0
 	const seconds, rate = 60, 100
-	for range seconds * rate { // every request fails and asks for a retry
+	for range seconds * rate { // every request fails and is retried if allowed
 		clock.now = clock.now.Add(time.Second / rate)
-		b.Seen("llm")
+		b.CountRequest("llm")
 		if b.Allow("llm") {
 			retries++
 		}
@@ -85,28 +85,28 @@
 	is.True(retries >= seconds*rate/10)
 }
 
-func TestQuietServiceMayRetryOnceASecond(t *testing.T) {
+func TestIdleServiceMayRetryOncePerSecond(t *testing.T) {
 	is := is.New(t)
 	b, clock := newBudget(t, BudgetOptions{})
-	is.Equal(allowed(b, "llm"), 1)
+	is.Equal(countAllowed(b, "llm"), 1)
 	clock.now = clock.now.Add(3 * time.Second)
-	is.Equal(allowed(b, "llm"), 3)
-	is.Equal(allowed(b, "other"), 1) // budgets are apart
+	is.Equal(countAllowed(b, "llm"), 3)
+	is.Equal(countAllowed(b, "other"), 1) // each service has its own budget
 }
 
-func TestBudgetIsBounded(t *testing.T) {
+func TestBudgetBoundsItsServices(t *testing.T) {
 	is := is.New(t)
 	b, _ := newBudget(t, BudgetOptions{MaxServices: 8})
 	for i := range 1000 {
-		b.Seen(fmt.Sprint("service-", i))
+		b.CountRequest(fmt.Sprint("service-", i))
 	}
-	is.True(len(b.buckets) <= 9) // one is shared by those beyond the bound
+	is.True(len(b.buckets) <= 9) // eight services and the shared bucket
 }
 
-func TestBreakerOpensAndLetsATrialThrough(t *testing.T) {
+func TestBreakerOpensAndAllowsATrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b, err := NewBreakers(BreakerOptions{Failures: 3, OpenFor: 2 * time.Second})
+		b, err := NewBreakers(BreakerOptions{ConsecutiveFailures: 3, OpenFor: 2 * time.Second})
 		is.NoErr(err)
 		attempt := func(ok bool) error {
 			done, err := b.Begin("e1")
@@ -123,7 +123,7 @@
 		var open *OpenError
 		is.True(errors.As(attempt(true), &open))
 		is.Equal(b.Status()[0].State, StateOpen)
-		is.True(b.Ready("e2")) // others aren't concerned
+		is.True(b.Ready("e2")) // other upstreams are unaffected
 
 		time.Sleep(2*time.Second + time.Millisecond)
 		is.True(b.Ready("e1"))
@@ -139,14 +139,14 @@
 func TestBreakerOpensOnAShareOfFailures(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b, err := NewBreakers(BreakerOptions{Failures: 100, FailureShare: 0.5, MinAttempts: 10})
+		b, err := NewBreakers(BreakerOptions{ConsecutiveFailures: 100, FailureShare: 0.5, MinAttempts: 10})
 		is.NoErr(err)
 		for i := range 10 {
 			done, err := b.Begin("e1")
 			is.NoErr(err)
 			done(i%2 == 1)
 		}
-		is.True(b.Ready("e1")) // the tenth attempt went well
+		is.True(b.Ready("e1")) // the tenth attempt succeeded, and only a failure opens a breaker
 		done, err := b.Begin("e1")
 		is.NoErr(err)
 		done(false)
@@ -154,9 +154,9 @@
 	})
 }
 
-func TestBreakersAreBoundedAndForget(t *testing.T) {
+func TestBreakersAreBoundedAndRemoved(t *testing.T) {
 	is := is.New(t)
-	b, err := NewBreakers(BreakerOptions{MaxUpstreams: 4, Failures: 1})
+	b, err := NewBreakers(BreakerOptions{MaxUpstreams: 4, ConsecutiveFailures: 1})
 	is.NoErr(err)
 	for i := range 100 {
 		done, err := b.Begin(fmt.Sprint("e", i))
