--- a/coordination/explain/explain.go
+++ b/coordination/explain/explain.go
@@ -169,7 +169,7 @@
 	if errors.As(err, &conflict) {
 		// An earlier run of this host, or a write whose answer was lost, left
 		// another version. Only this host writes here, so it is overwritten.
-		version, err = b.o.Store.Put(ctx, store.KindExplain, name, conflict.Present, value)
+		version, err = b.o.Store.Put(ctx, store.KindExplain, name, conflict.Actual, value)
 	}
 	if err != nil {
 		return fmt.Errorf("explain: batch %s: %w", name, err)
--- a/coordination/fanout/ask.go
+++ b/coordination/fanout/ask.go
@@ -92,7 +92,7 @@
 func (n *Node) settle(told News) {
 	n.settled = true
 	for kind, m := range n.o.Copies {
-		m.Settled(told.Changes[kind].Revision, told.Regained, told.Ever)
+		m.ResumeProofs(told.Changes[kind].Revision, told.Regained, told.Ever)
 	}
 }
 
@@ -147,7 +147,7 @@
 func (n *Node) take(news News, source string, relays bool, asked time.Time) {
 	if !news.Lost && !relays {
 		for _, m := range n.o.Copies {
-			m.Informed(news.Regained, news.Ever)
+			m.MarkRelayed(news.Regained, news.Ever)
 		}
 	}
 	n.merge(news, source, asked)
--- a/coordination/fanout/fanout_test.go
+++ b/coordination/fanout/fanout_test.go
@@ -101,7 +101,7 @@
 				f.set(f.refuse, h.self.Addr, true)
 			}
 		},
-		"the store forgets its history": func(f *fleet) { f.store.Forget() },
+		"the store forgets its history": func(f *fleet) { f.store.DropHistory() },
 		"relays leave": func(f *fleet) {
 			for _, h := range f.relays() {
 				h.Leave()
@@ -351,8 +351,8 @@
 	h := f.hosts[0]
 	entered, release := make(chan struct{}), make(chan struct{})
 	m, err := follow.New(follow.Options{
-		Store: f.store.Client("h"), Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: "slow", Outage: &follow.Outage{},
-		Changed: func(follow.Copy) {
+		Store: f.store.Client("h"), Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: "slow", RetryGroup: &follow.RetryGroup{},
+		OnChange: func(follow.Copy) {
 			close(entered)
 			<-release
 		},
--- a/coordination/fanout/fleet_test.go
+++ b/coordination/fanout/fleet_test.go
@@ -103,7 +103,7 @@
 	}
 	h := &host{f: f, self: state.Peer{Addr: fmt.Sprint("h", i), Class: class, FailureDomain: fmt.Sprint("d", i%testDomains)}}
 	h.copies = map[string]*follow.Mirror{}
-	outage := &follow.Outage{}
+	outage := &follow.RetryGroup{}
 	for _, kind := range kinds {
 		var newer func(a, b store.Object) bool
 		if kind == kindConfig {
@@ -112,7 +112,7 @@
 		m, err := follow.New(follow.Options{
 			Newer: newer,
 			Store: faulty{f.store.Client(h.self.Addr), f, h.self.Addr}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
-			Kind: kind, Changed: h.changed, Outage: outage, Notify: func() { h.Notify() }, Settle: testSettle,
+			Kind: kind, OnChange: h.changed, RetryGroup: outage, Notify: func() { h.Notify() }, RecoveryTime: testSettle,
 		})
 		if err != nil {
 			f.t.Fatal(err)
@@ -341,7 +341,7 @@
 	defer f.mu.Unlock()
 	close(f.cutting)
 	f.cutting = make(chan struct{})
-	f.store.Forget()
+	f.store.DropHistory()
 }
 
 func (s faulty) reach(ctx context.Context) error {
--- a/coordination/fanout/node.go
+++ b/coordination/fanout/node.go
@@ -120,7 +120,7 @@
 	defer n.followStoreNoMore()
 	n.begunAt = n.o.Clock.Now()
 	for _, m := range n.o.Copies {
-		m.Doubt()
+		m.SuspendProofs()
 	}
 	for ctx.Err() == nil {
 		n.step(ctx)
@@ -218,7 +218,7 @@
 // fresh reports whether the store answers this host for all kinds.
 func (n *Node) fresh() bool {
 	for _, m := range n.o.Copies {
-		if !m.Fresh() {
+		if !m.Following() {
 			return false
 		}
 	}
--- a/coordination/fanout/proof_test.go
+++ b/coordination/fanout/proof_test.go
@@ -25,7 +25,7 @@
 
 // proofHolds reports whether a host's copy has all that its proof says.
 func (a acked) proofHolds(h *host) error {
-	proven := h.copies[kindConfig].Proven()
+	proven := h.copies[kindConfig].ProvenAt()
 	have := int(h.inForce.Load())
 	if have < len(a) && a[have].Before(proven) {
 		return fmt.Errorf("%s has version %d by a proof as of %s after version %d", h.self.Addr, have, proven.Sub(a[have]), have+1)
@@ -38,7 +38,7 @@
 	var out []time.Duration
 	for _, h := range f.hosts {
 		if !f.is(f.silent, h.self.Addr) && !f.is(f.cut, h.self.Addr) {
-			out = append(out, time.Since(h.copies[kindConfig].Proven()))
+			out = append(out, time.Since(h.copies[kindConfig].ProvenAt()))
 		}
 	}
 	slices.Sort(out)
@@ -198,7 +198,7 @@
 		for _, h := range f.hosts {
 			asked := time.Now()
 			is.NoErr(h.copies[kindConfig].Prove(context.Background()))
-			is.True(!h.copies[kindConfig].Proven().Before(asked))
+			is.True(!h.copies[kindConfig].ProvenAt().Before(asked))
 			time.Sleep(time.Millisecond)
 		}
 	})
--- a/coordination/fanout/source.go
+++ b/coordination/fanout/source.go
@@ -63,7 +63,7 @@
 // it answers: they may be refused by it, or cut off, and this host not.
 func (n *Node) awaitStore(ctx context.Context, now time.Time) {
 	for _, m := range n.o.Copies {
-		m.Uninformed()
+		m.MarkLost()
 	}
 	if now.Before(n.reachAt) {
 		_ = n.o.Clock.Sleep(ctx, checkEvery)
@@ -74,7 +74,7 @@
 	bounded, cancel := context.WithTimeout(ctx, reachTimeout)
 	defer cancel()
 	for _, m := range n.o.Copies {
-		if m.Reached(bounded) {
+		if m.PollOnce(bounded) {
 			n.followStore(ctx)
 		}
 		return // one copy tells as much as all
--- a/coordination/follow/config.go
+++ b/coordination/follow/config.go
@@ -31,9 +31,9 @@
 // read.
 func (c *Config) Unreadable() bool { return c.unreadable.Load() }
 
-// Changed takes a new copy of the configuration objects. One that can't be read
+// Update takes a new copy of the configuration objects. One that can't be read
 // leaves the last in force. It has one caller at a time.
-func (c *Config) Changed(copied Copy) {
+func (c *Config) Update(copied Copy) {
 	for _, object := range copied.Objects {
 		if object.Name != c.name {
 			continue
--- a/coordination/follow/follow_test.go
+++ b/coordination/follow/follow_test.go
@@ -32,9 +32,9 @@
 func newFollower(t testing.TB, p *storetest.Platform, gather time.Duration) *follower {
 	f := &follower{}
 	m, err := New(Options{
-		Outage: &Outage{},
-		Store:  p.Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", Gather: gather,
-		Changed: func(c Copy) { f.seen = append(f.seen, c) },
+		RetryGroup: &RetryGroup{},
+		Store:      p.Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", CoalesceDelay: gather,
+		OnChange: func(c Copy) { f.seen = append(f.seen, c) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -113,12 +113,12 @@
 		const outageTime = 10 * time.Second
 		p := storetest.NewPlatform(20 * time.Second)
 		v := put(t, p, "a", "1", store.Absent)
-		outage := &Outage{}
+		outage := &RetryGroup{}
 		callers := []string{"h1", "h2"}
 		var all []*Mirror
 		for _, caller := range callers {
 			m, err := New(Options{
-				Store: polling{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", Outage: outage, Changed: func(Copy) {},
+				Store: polling{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", RetryGroup: outage, OnChange: func(Copy) {},
 			})
 			is.NoErr(err)
 			defer run(t, m)()
@@ -157,10 +157,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
-		outage := &Outage{}
+		outage := &RetryGroup{}
 		mirror := func(kind, caller string) *Mirror {
 			m, err := New(Options{
-				Store: polling{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: kind, Outage: outage, Changed: func(Copy) {},
+				Store: polling{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: kind, RetryGroup: outage, OnChange: func(Copy) {},
 			})
 			is.NoErr(err)
 			return m
@@ -198,7 +198,7 @@
 			return storetest.None
 		})
 		put(t, p, "a", "2", v)
-		p.Forget()
+		p.DropHistory()
 		time.Sleep(30 * time.Second)
 		is.True(f.Lost())
 		p.SetScript(nil)
@@ -243,10 +243,10 @@
 	config := NewConfig("main", decode, quiet)
 	problem, last := "", uint64(0)
 	m, err := New(Options{
-		Outage: &Outage{},
-		Store:  p.Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things",
-		Changed: func(c Copy) {
-			config.Changed(c)
+		RetryGroup: &RetryGroup{},
+		Store:      p.Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things",
+		OnChange: func(c Copy) {
+			config.Update(c)
 			if table := config.Table(); table != nil {
 				if table.Version < last {
 					problem = fmt.Sprintf("version %d after %d", table.Version, last)
@@ -279,7 +279,7 @@
 		case 3:
 			p.SetScript(nil)
 		case 4:
-			p.Forget()
+			p.DropHistory()
 		case 5:
 			m.Adopt(old[len(old)/2], "peer")
 		}
@@ -303,14 +303,14 @@
 		return &state.RoutingConfig{Version: 7}, nil
 	}, quiet)
 	is.True(config.Table() == nil)
-	config.Changed(Copy{Objects: []store.Object{{Name: "main", Value: []byte("good")}}})
-	config.Changed(Copy{Objects: []store.Object{{Name: "main", Value: []byte("bad")}}})
+	config.Update(Copy{Objects: []store.Object{{Name: "main", Value: []byte("good")}}})
+	config.Update(Copy{Objects: []store.Object{{Name: "main", Value: []byte("bad")}}})
 	is.Equal(config.Table().Version, uint64(7))
 }
 
 func newInstances(outage *bool, published *[]string) *Instances {
 	return NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, HoldFor: time.Second, Leaving: func(state.InstanceID) bool { return false }, Unusable: func() {}, Outage: func() bool { return *outage },
+		Clock: clocktest.Bubble{}, Log: quiet, HoldFor: time.Second, Leaving: func(state.InstanceID) bool { return false }, OnUnusable: func() {}, EntriesMayBeMissing: func() bool { return *outage },
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			return state.Instance{ID: state.InstanceID{Name: id}, Addr: id, Draining: string(v) == "draining"}, nil
 		},
@@ -338,7 +338,7 @@
 	is := is.New(t)
 	var published []state.Instance
 	l := NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, Outage: func() bool { return false }, Leaving: func(state.InstanceID) bool { return false }, Unusable: func() {},
+		Clock: clocktest.Bubble{}, Log: quiet, EntriesMayBeMissing: func() bool { return false }, Leaving: func(state.InstanceID) bool { return false }, OnUnusable: func() {},
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			born, err := strconv.ParseInt(string(v), 10, 64)
 			return state.Instance{ID: state.InstanceID{Name: id, Born: born}}, err
@@ -346,7 +346,7 @@
 		Publish: func(list []state.Instance) { published = list },
 	})
 	for version, born := range []int64{500, 700, 600} { // the last run's clock is behind
-		l.Changed(Copy{Objects: []store.Object{{Name: "a", Version: uint64(version + 1), Value: []byte(fmt.Sprint(born))}}})
+		l.Update(Copy{Objects: []store.Object{{Name: "a", Version: uint64(version + 1), Value: []byte(fmt.Sprint(born))}}})
 		is.Equal(len(published), 1)
 		is.Equal(published[0].ID, state.InstanceID{Name: "a", Born: born})
 	}
@@ -359,8 +359,8 @@
 	var published []string
 	unusable := 0
 	l := NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, Outage: func() bool { return true }, HoldFor: time.Minute, Leaving: func(state.InstanceID) bool { return false },
-		Unusable: func() { unusable++ },
+		Clock: clocktest.Bubble{}, Log: quiet, EntriesMayBeMissing: func() bool { return true }, HoldFor: time.Minute, Leaving: func(state.InstanceID) bool { return false },
+		OnUnusable: func() { unusable++ },
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			if string(v) != "ready" {
 				return state.Instance{}, errors.New("not a runner's entry")
@@ -382,16 +382,16 @@
 		}
 		return c
 	}
-	l.Changed(list(1, "ready", "ready", "nonsense"))
+	l.Update(list(1, "ready", "ready", "nonsense"))
 	is.Equal(published, []string{"a", "b"})
-	l.Changed(list(2, "ready", "nonsense", "nonsense"))
+	l.Update(list(2, "ready", "nonsense", "nonsense"))
 	is.Equal(published, []string{"a"})
 	is.Equal(unusable, 3)
-	l.Changed(list(2, "ready", "nonsense", "nonsense")) // the same again
+	l.Update(list(2, "ready", "nonsense", "nonsense")) // the same again
 	is.Equal(unusable, 3)
-	l.Changed(list(3, "ready", "ready", "nonsense"))
+	l.Update(list(3, "ready", "ready", "nonsense"))
 	is.Equal(published, []string{"a", "b"})
-	l.Changed(list(4, "ready", "ready")) // it was no instance, so that nothing is held
+	l.Update(list(4, "ready", "ready")) // it was no instance, so that nothing is held
 	is.Equal(published, []string{"a", "b"})
 }
 
@@ -401,7 +401,7 @@
 	is := is.New(t)
 	var published []string
 	l := NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, Outage: func() bool { return false }, Leaving: func(state.InstanceID) bool { return false }, Unusable: func() {},
+		Clock: clocktest.Bubble{}, Log: quiet, EntriesMayBeMissing: func() bool { return false }, Leaving: func(state.InstanceID) bool { return false }, OnUnusable: func() {},
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			return state.Instance{ID: state.InstanceID{Name: id}, Addr: string(v)}, nil
 		},
@@ -416,11 +416,11 @@
 	object := func(name, addr string, version uint64) store.Object {
 		return store.Object{Name: name, Version: version, Value: []byte(addr)}
 	}
-	l.Changed(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6)}})
+	l.Update(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6)}})
 	is.Equal(published, []string{"crashed", "other"})
-	l.Changed(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6), object("next", "1", 7)}})
+	l.Update(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6), object("next", "1", 7)}})
 	is.Equal(published, []string{"next", "other"})
-	l.Changed(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6)}})
+	l.Update(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6)}})
 	is.Equal(published, []string{"crashed", "other"})
 }
 
@@ -428,8 +428,8 @@
 	is := is.New(t)
 	outage, published := false, []string{}
 	l := newInstances(&outage, &published)
-	l.Changed(entries("a", "b"))
-	l.Changed(entries("a"))
+	l.Update(entries("a", "b"))
+	l.Update(entries("a"))
 	is.Equal(published, []string{"a"})
 }
 
@@ -438,11 +438,11 @@
 		is := is.New(t)
 		outage, published := true, []string{}
 		l := newInstances(&outage, &published)
-		l.Changed(entries("a", "b", "c"))
-		l.Changed(entries("a"))
+		l.Update(entries("a", "b", "c"))
+		l.Update(entries("a"))
 		is.Equal(published, []string{"a", "b", "c"})
 		time.Sleep(500 * time.Millisecond)
-		l.Changed(entries("a", "b")) // b is back
+		l.Update(entries("a", "b")) // b is back
 		time.Sleep(600 * time.Millisecond)
 		l.sweep()
 		is.Equal(published, []string{"a", "b"})
@@ -476,8 +476,8 @@
 		is := is.New(t)
 		outage, published := true, []string{}
 		l := newInstances(&outage, &published)
-		l.Changed(entries("a", "b"))
-		l.Changed(entries("a")) // late in that time
+		l.Update(entries("a", "b"))
+		l.Update(entries("a")) // late in that time
 		is.Equal(published, []string{"a", "b"})
 		time.Sleep(100 * time.Millisecond)
 		outage = false
@@ -502,8 +502,8 @@
 		p := storetest.NewPlatform(20 * time.Second)
 		put(t, p, "a", "1", store.Absent)
 		m, err := New(Options{
-			Outage: &Outage{},
-			Store:  polling{p.Client("h")}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", Changed: func(Copy) {},
+			RetryGroup: &RetryGroup{},
+			Store:      polling{p.Client("h")}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", OnChange: func(Copy) {},
 		})
 		is.NoErr(err)
 		defer run(t, m)()
@@ -524,7 +524,7 @@
 	left := map[state.InstanceID]bool{}
 	var got []state.Instance
 	l := NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, Outage: func() bool { return false }, Unusable: func() {},
+		Clock: clocktest.Bubble{}, Log: quiet, EntriesMayBeMissing: func() bool { return false }, OnUnusable: func() {},
 		Leaving: func(id state.InstanceID) bool { return left[id] },
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			born, err := strconv.ParseInt(string(v), 10, 64)
@@ -532,13 +532,13 @@
 		},
 		Publish: func(list []state.Instance) { got = list },
 	})
-	l.Changed(Copy{Revision: 1, Objects: []store.Object{{Name: "a", Version: 1, Value: []byte("7")}}})
+	l.Update(Copy{Revision: 1, Objects: []store.Object{{Name: "a", Version: 1, Value: []byte("7")}}})
 	is.True(!got[0].Draining)
 	left[got[0].ID] = true
-	l.Left()
+	l.Republish()
 	is.True(got[0].Draining)
-	l.Changed(Copy{Revision: 2, Objects: []store.Object{{Name: "a", Version: 2, Value: []byte("7")}}}) // ready, says a heartbeat
+	l.Update(Copy{Revision: 2, Objects: []store.Object{{Name: "a", Version: 2, Value: []byte("7")}}}) // ready, says a heartbeat
 	is.True(got[0].Draining)
-	l.Changed(Copy{Revision: 3, Objects: []store.Object{{Name: "a", Version: 3, Value: []byte("8")}}})
+	l.Update(Copy{Revision: 3, Objects: []store.Object{{Name: "a", Version: 3, Value: []byte("8")}}})
 	is.True(!got[0].Draining)
 }
--- a/coordination/follow/history.go
+++ b/coordination/follow/history.go
@@ -65,9 +65,9 @@
 type Delta struct {
 	// Revision is the store's revision that the copy is valid at with the change.
 	Revision uint64
-	// Whole says that Objects are all there are; otherwise they are those that changed,
+	// Full says that Objects are all there are; otherwise they are those that changed,
 	// and Deleted those that are gone, each with the version that it had last.
-	Whole            bool
+	Full             bool
 	Objects, Deleted []store.Object
 	// Proven says that the copy, with the change, held all that the store had acknowledged
 	// Age ago.
@@ -76,7 +76,7 @@
 }
 
 // Empty reports whether nothing changed.
-func (d Delta) Empty() bool { return !d.Whole && len(d.Objects) == 0 && len(d.Deleted) == 0 }
+func (d Delta) Empty() bool { return !d.Full && len(d.Objects) == 0 && len(d.Deleted) == 0 }
 
 // Since returns what changed after a revision: nothing if that isn't lower than the
 // copy's own, and the whole copy if the history doesn't reach so far back or the store was
@@ -93,7 +93,7 @@
 	switch {
 	case revision >= m.history.changedAt:
 	case !m.history.reaches(revision) || store.EpochOf(revision) != store.EpochOf(m.revision):
-		d.Whole, d.Objects = true, m.copyLocked().Objects
+		d.Full, d.Objects = true, m.copyLocked().Objects
 	default:
 		m.addChanges(&d, revision)
 	}
@@ -123,7 +123,7 @@
 }
 
 func (m *Mirror) mergeChanges(d Delta, from string) {
-	if d.Whole {
+	if d.Full {
 		m.Adopt(Copy{Revision: d.Revision, Objects: d.Objects}, from)
 		return
 	}
@@ -137,12 +137,12 @@
 	m.apply(b)
 }
 
-// Uninformed notes that neither a peer nor the store keeps this mirror up to date.
-func (m *Mirror) Uninformed() { m.lost.Store(true) }
+// MarkLost notes that neither a peer nor the store keeps this mirror up to date.
+func (m *Mirror) MarkLost() { m.lost.Store(true) }
 
-// Reached asks the store for changes once and takes them. It must not be called while Run
+// PollOnce asks the store for changes once and takes them. It must not be called while Run
 // does.
-func (m *Mirror) Reached(ctx context.Context) bool {
+func (m *Mirror) PollOnce(ctx context.Context) bool {
 	p, ok := m.o.Store.(Poller)
 	if !ok {
 		return m.list(ctx) == nil
@@ -151,9 +151,9 @@
 	return err == nil
 }
 
-// Informed notes that a peer which follows the store keeps this mirror up to date.
+// MarkRelayed notes that a peer which follows the store keeps this mirror up to date.
 // regained is how long ago the store answered that peer again, if ever it did not.
-func (m *Mirror) Informed(regained time.Duration, ever bool) {
+func (m *Mirror) MarkRelayed(regained time.Duration, ever bool) {
 	m.lost.Store(false)
 	if !ever {
 		return
--- a/coordination/follow/history_test.go
+++ b/coordination/follow/history_test.go
@@ -99,7 +99,7 @@
 		var copies []*Mirror
 		for range 4 {
 			m, err := New(Options{
-				Store: storetest.NewPlatform(0).Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", Outage: &Outage{}, Changed: func(Copy) {},
+				Store: storetest.NewPlatform(0).Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", RetryGroup: &RetryGroup{}, OnChange: func(Copy) {},
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -165,9 +165,9 @@
 	for i := range uint64(mostDeletions + 10) {
 		f.apply(store.Batch{Revision: i + 2, Events: []store.Event{{Object: store.Object{Name: fmt.Sprint(i), Version: 1}, Deleted: true}}})
 	}
-	is.True(f.Since(5).Whole)
+	is.True(f.Since(5).Full)
 	d := f.Since(mostDeletions)
-	is.True(!d.Whole)
+	is.True(!d.Full)
 	is.Equal(len(d.Deleted), 11)
 	is.True(f.Since(f.Revision()).Empty())
 }
--- a/coordination/follow/instances.go
+++ b/coordination/follow/instances.go
@@ -18,18 +18,18 @@
 	Decode func(id string, value []byte) (state.Instance, error)
 	// Publish gets each new list.
 	Publish func([]state.Instance)
-	// Unusable is told of each version of an entry that names no instance.
-	Unusable func()
-	// Outage reports that the store is away or has come back lately, so that entries
+	// OnUnusable is told of each version of an entry that names no instance.
+	OnUnusable func()
+	// EntriesMayBeMissing reports that the store is away or has come back lately, so that entries
 	// of living instances may be missing.
-	Outage func() bool
+	EntriesMayBeMissing func() bool
 	// HoldFor bounds how long a missing entry still counts meanwhile.
 	HoldFor time.Duration
 	// Leaving reports whether a run has said itself that it leaves. Such a run counts as
 	// draining whatever its entry says: the store may take its word many seconds later.
 	Leaving func(id state.InstanceID) bool
-	// SilentFor is how long the store lists an instance that is silent.
-	SilentFor time.Duration
+	// HeartbeatTimeout is how long the store lists an instance that is silent.
+	HeartbeatTimeout time.Duration
 }
 
 // Instances turns copies of the list into instances. An entry that goes missing
@@ -69,8 +69,8 @@
 	return &Instances{o: o, entries: map[string]*entry{}}
 }
 
-// Changed takes a new copy of the list.
-func (l *Instances) Changed(c Copy) {
+// Update takes a new copy of the list.
+func (l *Instances) Update(c Copy) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	restored := l.advance(c.Revision)
@@ -84,7 +84,7 @@
 		}
 	}
 	now := l.o.Clock.Now()
-	hold := restored || l.o.Outage()
+	hold := restored || l.o.EntriesMayBeMissing()
 	for id, e := range l.entries {
 		if listed[id] || !e.missing.IsZero() {
 			continue
@@ -118,7 +118,7 @@
 	}
 	instance, err := l.o.Decode(object.Name, object.Value)
 	if err != nil {
-		l.o.Unusable()
+		l.o.OnUnusable()
 		l.o.Log.Warn("entry names no instance", "entry", object.Name, "version", store.FormatVersion(object.Version), "replaces", known != nil && !known.unusable, "cause", err.Error())
 		l.entries[object.Name] = &entry{version: object.Version, unusable: true}
 		return
@@ -147,7 +147,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.o.Clock.Now()
-	outage := l.o.Outage()
+	outage := l.o.EntriesMayBeMissing()
 	changed := l.endGone(now)
 	for id, e := range l.entries {
 		if e.missing.IsZero() || (outage && (e.lost || now.Sub(e.missing) < l.o.HoldFor)) {
@@ -174,8 +174,8 @@
 	return out
 }
 
-// Left publishes the list anew when a run has said that it leaves.
-func (l *Instances) Left() {
+// Republish publishes the list anew when a run has said that it leaves.
+func (l *Instances) Republish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.publish()
--- a/coordination/follow/mirror.go
+++ b/coordination/follow/mirror.go
@@ -44,18 +44,18 @@
 	Log   *slog.Logger
 	// Kind is the kind of the objects.
 	Kind string
-	// Changed gets the whole copy after each change, one call at a time.
-	Changed func(Copy)
+	// OnChange gets the whole copy after each change, one call at a time.
+	OnChange func(Copy)
 	// Notify is called when the copy or the word of the store has changed; nil for none.
 	Notify func()
-	// Outage is shared by the mirrors that follow the same store.
-	Outage *Outage
-	// Gather is the pause after a watch that brought changes, so that changes in
+	// RetryGroup is shared by the mirrors that follow the same store.
+	RetryGroup *RetryGroup
+	// CoalesceDelay is the pause after a watch that brought changes, so that changes in
 	// quick succession cost one call; it delays the later ones. May be zero.
-	Gather time.Duration
-	// Settle is how long after a restoration of the store what it lost may not be written again:
+	CoalesceDelay time.Duration
+	// RecoveryTime is how long after a restoration of the store what it lost may not be written again:
 	// what it answers until then proves nothing. May be zero.
-	Settle time.Duration
+	RecoveryTime time.Duration
 	// Newer reports whether the first of two objects of a name is the newer by its value alone; nil
 	// if values can't tell. Such a one stays when a restored store has the other.
 	Newer func(a, b store.Object) bool
@@ -100,7 +100,7 @@
 
 // New validates the options.
 func New(o Options) (*Mirror, error) {
-	if o.Store == nil || o.Clock == nil || o.Log == nil || o.Kind == "" || o.Changed == nil || o.Outage == nil {
+	if o.Store == nil || o.Clock == nil || o.Log == nil || o.Kind == "" || o.OnChange == nil || o.RetryGroup == nil {
 		return nil, errors.New("follow: a field of Options is missing; set all of them")
 	}
 	return &Mirror{o: o, objects: map[string]store.Object{}, sight: newSight()}, nil
@@ -109,8 +109,8 @@
 // Lost reports whether the store doesn't answer this host.
 func (m *Mirror) Lost() bool { return m.lost.Load() }
 
-// Fresh reports whether this mirror follows the store itself and was answered last.
-func (m *Mirror) Fresh() bool { return m.fresh.Load() }
+// Following reports whether this mirror follows the store itself and was answered last.
+func (m *Mirror) Following() bool { return m.fresh.Load() }
 
 // UnavailableWithin reports whether the store didn't answer this host at some moment of
 // the last d.
@@ -181,7 +181,7 @@
 			pause, m.again = retryFirst, false
 			continue
 		}
-		m.again = !m.again && m.Fresh() && m.mayAskAgain(ctx)
+		m.again = !m.again && m.Following() && m.mayAskAgain(ctx)
 		if m.again {
 			continue
 		}
@@ -195,7 +195,7 @@
 
 // ended notes that nobody follows the store any more.
 func (m *Mirror) ended() {
-	m.o.Outage.answered(m)
+	m.o.RetryGroup.answered(m)
 	m.fresh.Store(false)
 	m.notify()
 }
@@ -254,8 +254,8 @@
 	m.gaps = 0
 	m.takeBatch(batch)
 	m.proveBy(asked, batch.Revision)
-	if len(batch.Events) > 0 && m.o.Gather > 0 {
-		return true, m.o.Clock.Sleep(ctx, m.o.Gather)
+	if len(batch.Events) > 0 && m.o.CoalesceDelay > 0 {
+		return true, m.o.Clock.Sleep(ctx, m.o.CoalesceDelay)
 	}
 	return true, nil
 }
@@ -273,7 +273,7 @@
 // next returns the next changes. A store that didn't answer, or wasn't asked yet, is
 // asked without waiting first: a watch would tell its return only with the next change.
 func (m *Mirror) next(ctx context.Context) (store.Batch, error) {
-	if p, ok := m.o.Store.(Poller); ok && !m.Fresh() {
+	if p, ok := m.o.Store.(Poller); ok && !m.Following() {
 		return p.Poll(ctx, m.o.Kind, m.Revision())
 	}
 	return m.o.Store.Watch(ctx, m.o.Kind, m.Revision())
@@ -302,7 +302,7 @@
 	m.revision = revision
 	if changed || first {
 		m.history.changed(revision)
-		m.o.Changed(m.copyLocked())
+		m.o.OnChange(m.copyLocked())
 		m.notify()
 	}
 	return true
@@ -331,7 +331,7 @@
 		m.objects[o.Name] = own
 	}
 	if taken {
-		m.o.Changed(m.copyLocked())
+		m.o.OnChange(m.copyLocked())
 		m.notify()
 	}
 }
@@ -380,7 +380,7 @@
 	m.revision = b.Revision
 	if changed {
 		m.history.changed(b.Revision)
-		m.o.Changed(m.copyLocked())
+		m.o.OnChange(m.copyLocked())
 	}
 	if m.history.changedAt != before {
 		m.notify()
@@ -406,7 +406,7 @@
 }
 
 func (m *Mirror) answered() {
-	m.o.Outage.answered(m)
+	m.o.RetryGroup.answered(m)
 	if !m.fresh.Swap(true) {
 		m.notify()
 	}
--- a/coordination/follow/outage.go
+++ b/coordination/follow/outage.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// Outage lets the mirrors of one host ask a store that doesn't answer together: one
+// RetryGroup lets the mirrors of one host ask a store that doesn't answer together: one
 // of them asks, the others wait until it is answered. It is safe for concurrent use.
-type Outage struct {
+type RetryGroup struct {
 	mu sync.Mutex
 	// asker is the mirror that asks; nil while the store answers.
 	asker *Mirror
@@ -18,7 +18,7 @@
 
 // leads reports whether m is to ask, and otherwise what is closed when the store
 // answers again.
-func (o *Outage) leads(m *Mirror) (bool, <-chan struct{}) {
+func (o *RetryGroup) leads(m *Mirror) (bool, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.asker == nil {
@@ -28,7 +28,7 @@
 }
 
 // answered ends the outage if m is the one that asks.
-func (o *Outage) answered(m *Mirror) {
+func (o *RetryGroup) answered(m *Mirror) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if o.asker == m {
@@ -40,7 +40,7 @@
 // mayAskAgain reports whether m should ask once more before the store counts as lost: of
 // several mirrors whose watches were cut one asks, and the others once it was answered.
 func (m *Mirror) mayAskAgain(ctx context.Context) bool {
-	leads, over := m.o.Outage.leads(m)
+	leads, over := m.o.RetryGroup.leads(m)
 	if leads {
 		return true
 	}
@@ -60,7 +60,7 @@
 
 // rest waits until a mirror that wasn't answered should ask again.
 func (m *Mirror) rest(ctx context.Context, pause time.Duration) error {
-	leads, over := m.o.Outage.leads(m)
+	leads, over := m.o.RetryGroup.leads(m)
 	if leads {
 		return m.o.Clock.Sleep(ctx, jitter(pause))
 	}
--- a/coordination/follow/proof.go
+++ b/coordination/follow/proof.go
@@ -14,8 +14,8 @@
 	epoch uint64
 }
 
-// Proven is a moment, by the clock of this host, at which the copy held all that the store
-// had acknowledged; zero if none is known. What was read of the copy after Proven returned
+// ProvenAt is a moment, by the clock of this host, at which the copy held all that the store
+// had acknowledged; zero if none is known. What was read of the copy after ProvenAt returned
 // holds it too.
 //
 // It is the moment at which the question was asked whose answer brought the copy up to
@@ -23,7 +23,7 @@
 // before its question. When the answer came proves nothing, since a watch may wait, unaware
 // of changes. An answer of a peer proves as much as the peer's own proof, aged by the whole
 // time of the question, so that no two clocks are compared.
-func (m *Mirror) Proven() time.Time {
+func (m *Mirror) ProvenAt() time.Time {
 	if p := m.proof.Load(); p != nil {
 		return p.at
 	}
@@ -51,7 +51,7 @@
 		return
 	}
 	at := m.restoredAt.Load()
-	if at != nil && store.EpochOf(revision) >= store.EpochOf(m.Revision()) && asked.Before(at.Add(m.o.Settle)) {
+	if at != nil && store.EpochOf(revision) >= store.EpochOf(m.Revision()) && asked.Before(at.Add(m.o.RecoveryTime)) {
 		return
 	}
 	m.prove(proof{asked, store.EpochOf(revision)})
@@ -65,23 +65,23 @@
 	}
 }
 
-// Doubt makes the store's answers prove nothing until Settled: a host that has just started can't
+// SuspendProofs makes the store's answers prove nothing until Settled: a host that has just started can't
 // know whether the store was restored a moment ago.
-func (m *Mirror) Doubt() { m.doubted.Store(true) }
+func (m *Mirror) SuspendProofs() { m.doubted.Store(true) }
 
-// Settled ends Doubt. revision is that of a peer's copy, 0 if no peer answered, and ago is how long ago
+// ResumeProofs ends Doubt. revision is that of a peer's copy, 0 if no peer answered, and ago is how long ago
 // that peer regained the store, if it ever lost it. A store of a later epoch than the peer's has been
 // restored since the peer last heard of it.
-func (m *Mirror) Settled(revision uint64, ago time.Duration, ever bool) {
+func (m *Mirror) ResumeProofs(revision uint64, ago time.Duration, ever bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if store.RestoredBetween(revision, m.revision) {
 		ago, ever = 0, true
 	}
-	if ever && ago < m.o.Settle {
+	if ever && ago < m.o.RecoveryTime {
 		at := m.o.Clock.Now().Add(-ago)
 		m.restoredAt.Store(&at)
-		m.o.Log.Info("the store may have been restored; its answers prove nothing yet", "kind", m.o.Kind, "ago", ago, "for", m.o.Settle-ago)
+		m.o.Log.Info("the store may have been restored; its answers prove nothing yet", "kind", m.o.Kind, "ago", ago, "for", m.o.RecoveryTime-ago)
 	}
 	m.peers = revision
 	m.doubted.Store(false)
--- a/coordination/follow/restored.go
+++ b/coordination/follow/restored.go
@@ -65,8 +65,8 @@
 		l.o.Log.Info("restored entry is of an earlier run; the later one counts", "instance", known.instance.ID, "listed", instance.ID)
 		return
 	}
-	l.entries[object.Name] = &entry{version: object.Version, instance: instance, goneUntil: l.o.Clock.Now().Add(l.o.SilentFor)}
-	l.o.Log.Info("restored entry is of a run that was gone; not used until it is written again", "instance", instance.ID, "version", store.FormatVersion(object.Version), "at_most", l.o.SilentFor)
+	l.entries[object.Name] = &entry{version: object.Version, instance: instance, goneUntil: l.o.Clock.Now().Add(l.o.HeartbeatTimeout)}
+	l.o.Log.Info("restored entry is of a run that was gone; not used until it is written again", "instance", instance.ID, "version", store.FormatVersion(object.Version), "at_most", l.o.HeartbeatTimeout)
 }
 
 func (l *Instances) takeRestoredRun(object store.Object, known *entry, instance state.Instance) {
--- a/coordination/follow/restored_test.go
+++ b/coordination/follow/restored_test.go
@@ -36,9 +36,9 @@
 func newRoster() *roster {
 	r := &roster{began: time.Now()}
 	r.Instances = NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, HoldFor: testHold * 9 / 10, SilentFor: testSilent, Unusable: func() {},
-		Leaving: func(state.InstanceID) bool { return false },
-		Outage:  func() bool { return time.Now().Before(r.outage) },
+		Clock: clocktest.Bubble{}, Log: quiet, HoldFor: testHold * 9 / 10, HeartbeatTimeout: testSilent, OnUnusable: func() {},
+		Leaving:             func(state.InstanceID) bool { return false },
+		EntriesMayBeMissing: func() bool { return time.Now().Before(r.outage) },
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			text, draining := strings.CutSuffix(string(v), "!")
 			born, err := strconv.ParseInt(text, 10, 64)
@@ -74,7 +74,7 @@
 		}
 		c.Objects = append(c.Objects, store.Object{Name: name, Version: store.MakeVersion(epoch, version), Value: []byte(value)})
 	}
-	r.Changed(c)
+	r.Update(c)
 }
 
 // Guards against new requests to a runner that left, because a restored store lists it as ready.
@@ -164,7 +164,7 @@
 	}, slog.New(slog.NewTextHandler(&log, nil)))
 	take := func(epoch, revision uint64, value string) {
 		at := store.MakeVersion(epoch, revision)
-		c.Changed(Copy{Revision: at, Objects: []store.Object{{Name: "main", Version: at, Value: []byte(value)}}})
+		c.Update(Copy{Revision: at, Objects: []store.Object{{Name: "main", Version: at, Value: []byte(value)}}})
 	}
 	take(1, 9, "24")
 	take(2, 6, "22")
--- a/coordination/follow/sight_test.go
+++ b/coordination/follow/sight_test.go
@@ -42,7 +42,7 @@
 		s := &atRevision{}
 		s.revision.Store(48)
 		m, err := New(Options{
-			Outage: &Outage{}, Store: s, Clock: clocktest.Bubble{}, Kind: "things", Changed: func(Copy) {},
+			RetryGroup: &RetryGroup{}, Store: s, Clock: clocktest.Bubble{}, Kind: "things", OnChange: func(Copy) {},
 			Log: slog.New(slog.NewTextHandler(&log, nil)),
 		})
 		is.NoErr(err)
@@ -70,7 +70,7 @@
 				is := is.New(t)
 				s := &atRevision{}
 				s.revision.Store(48)
-				m, err := New(Options{Outage: &Outage{}, Store: s, Clock: clocktest.Bubble{}, Kind: "things", Changed: func(Copy) {}, Log: quiet})
+				m, err := New(Options{RetryGroup: &RetryGroup{}, Store: s, Clock: clocktest.Bubble{}, Kind: "things", OnChange: func(Copy) {}, Log: quiet})
 				is.NoErr(err)
 				end := run(t, m)
 				time.Sleep(time.Millisecond)
--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -172,7 +172,7 @@
 		h.f.t.Fatal(err)
 	}
 	mirror, err := follow.New(follow.Options{
-		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: quarantine.Kind, Changed: h.Changed, Outage: &follow.Outage{},
+		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: quarantine.Kind, OnChange: h.Changed, RetryGroup: &follow.RetryGroup{},
 	})
 	if err != nil {
 		h.f.t.Fatal(err)
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -429,5 +429,5 @@
 	if obj.Version == version {
 		return 0, cause
 	}
-	return 0, &store.ConflictError{Kind: store.KindLease, Name: l.opts.Name, Expected: version, Present: obj.Version}
+	return 0, &store.ConflictError{Kind: store.KindLease, Name: l.opts.Name, Expected: version, Actual: obj.Version}
 }
--- a/coordination/order/actions_test.go
+++ b/coordination/order/actions_test.go
@@ -55,7 +55,7 @@
 		{"kill", 1, r.hostDies},
 		{"hand over", 1, r.plannerLeaves},
 		{"outage", 1, func(*rapid.T) { r.down, r.downFor = true, 8 }},
-		{"gap", 1, func(*rapid.T) { r.platform.Forget() }},
+		{"gap", 1, func(*rapid.T) { r.platform.DropHistory() }},
 	}
 }
 
--- a/coordination/order/desk_test.go
+++ b/coordination/order/desk_test.go
@@ -132,11 +132,11 @@
 		is.True(takesWork()) // by the watch, at once
 
 		p.SetScript(down)
-		p.Forget()
+		p.DropHistory()
 		time.Sleep(time.Minute)
 		p.SetScript(nil)
 		_ = must(d.Drain(ctx, "e1", testService, "ana", "x"))
-		p.Forget()
+		p.DropHistory()
 		time.Sleep(watchMaxPause)
 		is.True(!takesWork()) // by a new list after the gap
 
--- a/coordination/order/object.go
+++ b/coordination/order/object.go
@@ -115,7 +115,7 @@
 		return versioned{}, cause
 	}
 	return versioned{}, &store.ConflictError{
-		Kind: store.KindOrder, Name: wrote.Engine, Expected: version, Present: found.version,
+		Kind: store.KindOrder, Name: wrote.Engine, Expected: version, Actual: found.version,
 	}
 }
 
--- a/coordination/quarantine/registry_test.go
+++ b/coordination/quarantine/registry_test.go
@@ -83,7 +83,7 @@
 		f.t.Fatal(err)
 	}
 	mirror, err := follow.New(follow.Options{
-		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: Kind, Changed: h.Changed, Outage: &follow.Outage{},
+		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: Kind, OnChange: h.Changed, RetryGroup: &follow.RetryGroup{},
 	})
 	if err != nil {
 		f.t.Fatal(err)
--- a/coordination/rollout/edit.go
+++ b/coordination/rollout/edit.go
@@ -99,7 +99,7 @@
 		var conflict *store.ConflictError
 		switch {
 		case errors.As(err, &conflict) && !lost:
-			return 0, &EditConflictError{Base: base, Present: conflict.Present}
+			return 0, &EditConflictError{Base: base, Present: conflict.Actual}
 		case errors.As(err, &conflict):
 			// An earlier try may have taken effect.
 		case store.IsUnavailable(err) && !store.IsUnknownOutcome(err) && !lost:
--- a/coordination/store/store.go
+++ b/coordination/store/store.go
@@ -68,8 +68,8 @@
 // ConflictError says that a conditional write met another version.
 type ConflictError struct {
 	Kind, Name string
-	// Expected is the version that the writer named; Present is the one found.
-	Expected, Present uint64
+	// Expected is the version that the writer named; Actual is the one found.
+	Expected, Actual uint64
 	// Restored says that the store was restored since Expected was read. What it has at present
 	// isn't known, nor whether the write took effect: its condition was of another history.
 	Restored bool
@@ -80,7 +80,7 @@
 	if e.Restored {
 		return fmt.Sprintf("%s %q was read at version %s, before the store was restored; read it again and repeat the change if it is still due", e.Kind, e.Name, FormatVersion(e.Expected))
 	}
-	return fmt.Sprintf("%s %q is at version %s, not %s; read it again and repeat the change on that version", e.Kind, e.Name, FormatVersion(e.Present), FormatVersion(e.Expected))
+	return fmt.Sprintf("%s %q is at version %s, not %s; read it again and repeat the change on that version", e.Kind, e.Name, FormatVersion(e.Actual), FormatVersion(e.Expected))
 }
 
 // UnavailableError says that the platform gave no usable answer.
--- a/coordination/store/storetest/storetest.go
+++ b/coordination/store/storetest/storetest.go
@@ -88,8 +88,8 @@
 	return p.calls
 }
 
-// Forget drops the change history, so that every running watch sees a gap.
-func (p *Platform) Forget() {
+// DropHistory drops the change history, so that every running watch sees a gap.
+func (p *Platform) DropHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.changes = nil
@@ -173,7 +173,7 @@
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
 	k := key{kind, name}
-	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Present: c.p.objects[k].Version}
+	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Actual: c.p.objects[k].Version}
 	if !c.p.meets(conflict) {
 		if err := lost(f, true); err != nil {
 			return 0, err
@@ -194,7 +194,7 @@
 // of before a restoration may have been given out again.
 func (p *Platform) meets(c *store.ConflictError) bool {
 	c.Restored = c.Expected != store.Absent && store.EpochOf(c.Expected) < store.EpochOf(p.revision)
-	return store.RevisionOf(c.Expected) == store.RevisionOf(c.Present)
+	return store.RevisionOf(c.Expected) == store.RevisionOf(c.Actual)
 }
 
 // Delete implements store.Store.
@@ -210,7 +210,7 @@
 	if !ok {
 		return store.ErrNotFound
 	}
-	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Present: o.Version}
+	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Actual: o.Version}
 	if !c.p.meets(conflict) {
 		return conflict
 	}
--- a/coordination/store/version.go
+++ b/coordination/store/version.go
@@ -12,20 +12,20 @@
 // operator take them apart.
 const (
 	revisionBits = 40
-	// MostEpoch and MostRevision bound the parts: 400 writes a second use up MostRevision in 87
+	// MaxEpoch and MostRevision bound the parts: 400 writes a second use up MostRevision in 87
 	// years.
-	MostEpoch    = 1<<(64-revisionBits) - 1
-	MostRevision = 1<<revisionBits - 1
+	MaxEpoch    = 1<<(64-revisionBits) - 1
+	MaxRevision = 1<<revisionBits - 1
 )
 
 // MakeVersion is the number of a revision in an epoch of the store.
-func MakeVersion(epoch, revision uint64) uint64 { return epoch<<revisionBits | revision&MostRevision }
+func MakeVersion(epoch, revision uint64) uint64 { return epoch<<revisionBits | revision&MaxRevision }
 
 // EpochOf is how often the store had been restored at a version.
 func EpochOf(version uint64) uint64 { return version >> revisionBits }
 
 // RevisionOf is the store's own number of a version.
-func RevisionOf(version uint64) uint64 { return version & MostRevision }
+func RevisionOf(version uint64) uint64 { return version & MaxRevision }
 
 // RestoredBetween reports whether the store was restored after one version and before another; 0 stands
 // for a version that isn't known.
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -34,7 +34,7 @@
 	}
 	quarantines.Register(d.peerServer, d.quarantine.Take)
 	held, err := follow.New(follow.Options{
-		Store: d.store, Clock: d.clock, Log: d.log, Kind: quarantine.Kind, Changed: d.quarantine.Changed, Gather: gatherHolds, Outage: &follow.Outage{},
+		Store: d.store, Clock: d.clock, Log: d.log, Kind: quarantine.Kind, OnChange: d.quarantine.Changed, CoalesceDelay: gatherHolds, RetryGroup: &follow.RetryGroup{},
 	})
 	if err != nil {
 		return err
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -203,32 +203,32 @@
 
 func (h *Host) buildLists() error {
 	var err error
-	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Tell: h.tellAdvice, Left: func() { h.instances.Left() }})
+	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Tell: h.tellAdvice, Left: func() { h.instances.Republish() }})
 	if err != nil {
 		return err
 	}
 	h.fleet = placement.NewFleet(placement.Options{Clock: h.clock, FailureDomain: h.s.FailureDomain, Advice: h.advice})
 	h.config = follow.NewConfig(platform.ConfigName, platform.DecodeConfig, h.log)
 	h.instances = follow.NewInstances(follow.InstancesOptions{
-		Clock: h.clock, Log: h.log, Decode: platform.DecodeInstance, Publish: h.publish, Unusable: h.metrics.unusableEntry,
-		Outage:  func() bool { return h.listed.UnavailableWithin(outageWindow) },
-		HoldFor: holdFor, Leaving: h.advice.Leaving, SilentFor: heartbeatsMissed*cmp.Or(h.s.Heartbeat, defaultHeartbeat) + heartbeatSlack,
+		Clock: h.clock, Log: h.log, Decode: platform.DecodeInstance, Publish: h.publish, OnUnusable: h.metrics.unusableEntry,
+		EntriesMayBeMissing: func() bool { return h.listed.UnavailableWithin(outageWindow) },
+		HoldFor:             holdFor, Leaving: h.advice.Leaving, HeartbeatTimeout: heartbeatsMissed*cmp.Or(h.s.Heartbeat, defaultHeartbeat) + heartbeatSlack,
 	})
-	outage := &follow.Outage{}
-	h.configs, err = follow.New(follow.Options{Outage: outage, Store: h.proving, Clock: h.clock, Log: h.log, Kind: platform.KindConfig, Changed: h.config.Changed, Gather: gatherConfig, Settle: outageWindow, Newer: newerConfig, Notify: h.notifyFollowers})
+	outage := &follow.RetryGroup{}
+	h.configs, err = follow.New(follow.Options{RetryGroup: outage, Store: h.proving, Clock: h.clock, Log: h.log, Kind: platform.KindConfig, OnChange: h.config.Update, CoalesceDelay: gatherConfig, RecoveryTime: outageWindow, Newer: newerConfig, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
-	h.listed, err = follow.New(follow.Options{Outage: outage, Store: h.bound, Clock: h.clock, Log: h.log, Kind: platform.KindInstances, Changed: h.instances.Changed, Gather: gatherInstances, Notify: h.notifyFollowers})
+	h.listed, err = follow.New(follow.Options{RetryGroup: outage, Store: h.bound, Clock: h.clock, Log: h.log, Kind: platform.KindInstances, OnChange: h.instances.Update, CoalesceDelay: gatherInstances, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
-	h.members.copy, err = follow.New(follow.Options{Outage: outage, Store: h.store, Clock: h.clock, Log: h.log, Kind: kindHosts, Changed: h.members.changed, Gather: gatherHosts, Notify: h.notifyFollowers})
+	h.members.copy, err = follow.New(follow.Options{RetryGroup: outage, Store: h.store, Clock: h.clock, Log: h.log, Kind: kindHosts, OnChange: h.members.changed, CoalesceDelay: gatherHosts, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
 	// Notices tell of a held request at once, so that a long watch is enough.
-	h.held, err = follow.New(follow.Options{Outage: outage, Store: h.store, Clock: h.clock, Log: h.log, Kind: quarantine.Kind, Changed: h.changedHolds, Gather: gatherHolds, Notify: h.notifyFollowers})
+	h.held, err = follow.New(follow.Options{RetryGroup: outage, Store: h.store, Clock: h.clock, Log: h.log, Kind: quarantine.Kind, OnChange: h.changedHolds, CoalesceDelay: gatherHolds, Notify: h.notifyFollowers})
 	return err
 }
 
--- a/daemon/routed/host_test.go
+++ b/daemon/routed/host_test.go
@@ -48,7 +48,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	h.config.Changed(follow.Copy{Revision: 1, Objects: []store.Object{{Name: platform.ConfigName, Value: value}}})
+	h.config.Update(follow.Copy{Revision: 1, Objects: []store.Object{{Name: platform.ConfigName, Value: value}}})
 }
 
 func TestWrongOptionsNameTheRemedy(t *testing.T) {
--- a/daemon/routed/keys.go
+++ b/daemon/routed/keys.go
@@ -33,7 +33,7 @@
 
 // configProven is when the configuration in force was known to be the newest.
 func (h *Host) configProven() time.Time {
-	proven := h.configs.Proven()
+	proven := h.configs.ProvenAt()
 	if h.config.Unreadable() {
 		return time.Time{}
 	}
--- a/transport/platform/call.go
+++ b/transport/platform/call.go
@@ -181,7 +181,7 @@
 		// The status alone says that nothing was written, but not what is there.
 		return &store.UnavailableError{Cause: statusError(resp)}
 	}
-	return &store.ConflictError{Kind: q.kind, Name: q.name, Expected: q.expected, Present: p.Version}
+	return &store.ConflictError{Kind: q.kind, Name: q.name, Expected: q.expected, Actual: p.Version}
 }
 
 // withoutEffect reports whether a status proves that a write was not made.
--- a/transport/platform/client_test.go
+++ b/transport/platform/client_test.go
@@ -189,7 +189,7 @@
 	c := newClient(t, serve(t, status(409, `{"error":"conflict","version":9}`)), Options{})
 	var conflict *store.ConflictError
 	is.True(errors.As(put(t.Context(), c), &conflict))
-	is.Equal(*conflict, store.ConflictError{Kind: "explain", Name: "n", Expected: 3, Present: 9})
+	is.Equal(*conflict, store.ConflictError{Kind: "explain", Name: "n", Expected: 3, Actual: 9})
 }
 
 func TestNoConnectionHasNoEffect(t *testing.T) {
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -131,7 +131,7 @@
 		out.RegainedMS = &ms
 	}
 	for kind, d := range n.Changes {
-		out.Changes[kind] = Delta{Revision: d.Revision, Whole: d.Whole, Objects: encodeObjects(d.Objects), Deleted: encodeObjects(d.Deleted), AgeMS: encodeAge(d)}
+		out.Changes[kind] = Delta{Revision: d.Revision, Whole: d.Full, Objects: encodeObjects(d.Objects), Deleted: encodeObjects(d.Deleted), AgeMS: encodeAge(d)}
 	}
 	return out
 }
@@ -160,7 +160,7 @@
 }
 
 func (d Delta) decode(kind string) follow.Delta {
-	out := follow.Delta{Revision: d.Revision, Whole: d.Whole, Objects: decodeObjects(kind, d.Objects), Deleted: decodeObjects(kind, d.Deleted)}
+	out := follow.Delta{Revision: d.Revision, Full: d.Whole, Objects: decodeObjects(kind, d.Objects), Deleted: decodeObjects(kind, d.Deleted)}
 	if d.AgeMS != nil {
 		out.Proven, out.Age = true, max(0, time.Duration(*d.AgeMS)*time.Millisecond)
 	}
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -39,7 +39,7 @@
 	var n *fanout.Node
 	m, err := follow.New(follow.Options{
 		Store: p.Client("answers"), Clock: wallclock.Clock{}, Log: slog.New(slog.DiscardHandler), Kind: "a",
-		Changed: func(follow.Copy) {}, Outage: &follow.Outage{}, Notify: func() { n.Notify() },
+		OnChange: func(follow.Copy) {}, RetryGroup: &follow.RetryGroup{}, Notify: func() { n.Notify() },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -94,7 +94,7 @@
 	is.NoErr(err)
 	is.True(!news.Lost && !news.Ever)
 	whole := news.Changes["a"]
-	is.True(whole.Whole)
+	is.True(whole.Full)
 	is.Equal(whole.Objects, []store.Object{{Kind: "a", Name: "x", Version: first, Value: []byte(`{"v":1}`)}})
 	told := make(chan fanout.News, 1)
 	go func() {
@@ -106,7 +106,7 @@
 	}()
 	is.NoErr(c.Delete(t.Context(), "a", "x", first))
 	news = <-told
-	is.True(!news.Changes["a"].Whole)
+	is.True(!news.Changes["a"].Full)
 	is.Equal(len(news.Changes["a"].Deleted), 1)
 	is.Equal(news.Changes["a"].Deleted[0].Name, "x")
 	notice := fanout.Notice{Origin: "h-1", Number: 3, Topic: "t", Body: []byte("body")}
