--- a/coordination/follow/config.go
+++ b/coordination/follow/config.go
@@ -44,11 +44,11 @@
 			c.log.Error("configuration not readable; the last one stays in force", "version", store.FormatVersion(object.Version), "cause", err.Error())
 			return
 		}
-		present := c.table.Load()
-		if present != nil && config.Version < present.Version {
-			c.log.Warn("the store's configuration is older than the one in force, which stays", "config_version", present.Version, "store_version", config.Version, "revision", store.FormatVersion(copied.Revision))
+		current := c.table.Load()
+		if current != nil && config.Version < current.Version {
+			c.log.Warn("the store's configuration is older than the one in force, which stays", "config_version", current.Version, "store_version", config.Version, "revision", store.FormatVersion(copied.Revision))
 		}
-		if present != nil && config.Version <= present.Version {
+		if current != nil && config.Version <= current.Version {
 			return
 		}
 		c.table.Store(routing.NewTable(config))
--- a/coordination/follow/follow_test.go
+++ b/coordination/follow/follow_test.go
@@ -23,18 +23,18 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// follower is a mirror over a test platform with the copies it gave out.
-type follower struct {
+// testMirror is a mirror over a test platform with the copies it gave out.
+type testMirror struct {
 	*Mirror
-	seen []Copy
+	copies []Copy
 }
 
-func newFollower(t testing.TB, p *storetest.Platform, gather time.Duration) *follower {
-	f := &follower{}
+func newTestMirror(t testing.TB, p *storetest.Platform, gather time.Duration) *testMirror {
+	f := &testMirror{}
 	m, err := New(Options{
 		RetryGroup: &RetryGroup{},
 		Store:      p.Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", CoalesceDelay: gather,
-		OnChange: func(c Copy) { f.seen = append(f.seen, c) },
+		OnChange: func(c Copy) { f.copies = append(f.copies, c) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -68,12 +68,12 @@
 	return func() { cancel(); <-done }
 }
 
-func TestChangesComeWithoutPolling(t *testing.T) {
+func TestWatchDeliversChangesWithoutPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
 		v := put(t, p, "a", "1", store.Absent)
-		f := newFollower(t, p, 0)
+		f := newTestMirror(t, p, 0)
 		defer run(t, f.Mirror)()
 		time.Sleep(10 * time.Second)
 		before := p.Calls()
@@ -85,12 +85,12 @@
 	})
 }
 
-func TestChangesInQuickSuccessionCostOneCall(t *testing.T) {
+func TestCoalescesChangesInQuickSuccession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
 		v := put(t, p, "a", "0", store.Absent)
-		f := newFollower(t, p, time.Second)
+		f := newTestMirror(t, p, time.Second)
 		defer run(t, f.Mirror)()
 		time.Sleep(2 * time.Second)
 		before := p.Calls()
@@ -107,18 +107,18 @@
 // In an outage the store's refusals are priced like answers: of two copies of a host
 // one asks and the other waits, and both are up to date soon after its end. A copy that
 // asks does so at least every 1.5 s, one that waits every 2 s, whatever the jitter.
-func TestMirrorsAskALostStoreTogether(t *testing.T) {
+func TestOneMirrorRetriesForAllInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const outageTime = 10 * time.Second
 		p := storetest.NewPlatform(20 * time.Second)
 		v := put(t, p, "a", "1", store.Absent)
-		outage := &RetryGroup{}
+		group := &RetryGroup{}
 		callers := []string{"h1", "h2"}
 		var all []*Mirror
 		for _, caller := range callers {
 			m, err := New(Options{
-				Store: polling{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", RetryGroup: outage, OnChange: func(Copy) {},
+				Store: pollingClient{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", RetryGroup: group, OnChange: func(Copy) {},
 			})
 			is.NoErr(err)
 			defer run(t, m)()
@@ -142,9 +142,9 @@
 		mu.Lock()
 		most, least := max(refused["h1"], refused["h2"]), min(refused["h1"], refused["h2"])
 		mu.Unlock()
-		is.True(most >= int(outageTime/(3*retryMost/2)))
-		is.True(least <= int(outageTime/waitMost)+1)
-		time.Sleep(2 * retryMost)
+		is.True(most >= int(outageTime/(3*maxRetryDelay/2)))
+		is.True(least <= int(outageTime/maxRecoveryWait)+1)
+		time.Sleep(2 * maxRetryDelay)
 		for _, m := range all {
 			is.Equal(values(m.Export()), []string{"a=2"})
 			is.True(!m.Lost())
@@ -153,14 +153,14 @@
 }
 
 // A mirror whose fellow isn't answered asks by itself after a while.
-func TestMirrorDoesNotWaitForeverForAnother(t *testing.T) {
+func TestMirrorRetriesItselfAfterMaxRecoveryWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
-		outage := &RetryGroup{}
+		group := &RetryGroup{}
 		mirror := func(kind, caller string) *Mirror {
 			m, err := New(Options{
-				Store: polling{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: kind, RetryGroup: outage, OnChange: func(Copy) {},
+				Store: pollingClient{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: kind, RetryGroup: group, OnChange: func(Copy) {},
 			})
 			is.NoErr(err)
 			return m
@@ -177,18 +177,18 @@
 			}
 			return storetest.None
 		})
-		time.Sleep(waitMost + time.Second)
+		time.Sleep(maxRecoveryWait + time.Second)
 		is.True(first.Lost())
 		is.True(!second.Lost())
 	})
 }
 
-func TestForgottenHistoryIsListedAgain(t *testing.T) {
+func TestRelistsAfterHistoryIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
 		v := put(t, p, "a", "1", store.Absent)
-		f := newFollower(t, p, 0)
+		f := newTestMirror(t, p, 0)
 		defer run(t, f.Mirror)()
 		time.Sleep(time.Second)
 		p.SetScript(func(c storetest.Call) storetest.Fault {
@@ -209,9 +209,9 @@
 	})
 }
 
-func TestPeersCopyIsTakenOnlyIfNewer(t *testing.T) {
+func TestAdoptsPeerCopyOnlyIfNewer(t *testing.T) {
 	is := is.New(t)
-	f := newFollower(t, storetest.NewPlatform(0), 0)
+	f := newTestMirror(t, storetest.NewPlatform(0), 0)
 	object := func(v uint64, value string) store.Object {
 		return store.Object{Name: "a", Version: v, Value: []byte(value)}
 	}
@@ -227,14 +227,14 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 5, 30).Draw(rt, "steps")
 		var problem string
-		synctest.Test(t, func(t *testing.T) { problem = playConfig(t, steps) })
+		synctest.Test(t, func(t *testing.T) { problem = runConfigSteps(t, steps) })
 		if problem != "" {
 			rt.Fatal(problem)
 		}
 	})
 }
 
-func playConfig(t *testing.T, steps []int) string {
+func runConfigSteps(t *testing.T, steps []int) string {
 	p := storetest.NewPlatform(2 * time.Second)
 	decode := func(value []byte) (*state.RoutingConfig, error) {
 		v, err := strconv.ParseUint(string(value), 10, 64)
@@ -294,7 +294,7 @@
 	return problem
 }
 
-func TestUnreadableConfigKeepsTheLast(t *testing.T) {
+func TestUnreadableConfigKeepsLastTable(t *testing.T) {
 	is := is.New(t)
 	config := NewConfig("main", func(v []byte) (*state.RoutingConfig, error) {
 		if string(v) == "bad" {
@@ -334,7 +334,7 @@
 
 // A runner restarts under its name: the list has the new run alone, and the order of the
 // store's versions decides, not that of the clocks.
-func TestRestartUnderTheSameNameIsAnotherInstance(t *testing.T) {
+func TestRestartUnderSameNameReplacesInstance(t *testing.T) {
 	is := is.New(t)
 	var published []state.Instance
 	l := NewInstances(InstancesOptions{
@@ -354,7 +354,7 @@
 
 // An entry that can't be used, also one that replaces a good one, names no instance; the
 // others hold, and the good one counts again when it is back.
-func TestUnusableEntryNamesNoInstance(t *testing.T) {
+func TestUnusableEntryIsNotPublished(t *testing.T) {
 	is := is.New(t)
 	var published []string
 	unusable := 0
@@ -397,7 +397,7 @@
 
 // A runner that crashed is still listed when another has taken its address: only the one
 // that wrote last is there.
-func TestAddressBelongsToTheLastThatWrote(t *testing.T) {
+func TestLatestEntryOwnsSharedAddress(t *testing.T) {
 	is := is.New(t)
 	var published []string
 	l := NewInstances(InstancesOptions{
@@ -424,7 +424,7 @@
 	is.Equal(published, []string{"crashed", "other"})
 }
 
-func TestMissingInstanceIsGoneAtOnceWhileTheStoreIsSound(t *testing.T) {
+func TestMissingInstanceIsRemovedAtOnceWithoutOutage(t *testing.T) {
 	is := is.New(t)
 	outage, published := false, []string{}
 	l := newInstances(&outage, &published)
@@ -433,7 +433,7 @@
 	is.Equal(published, []string{"a"})
 }
 
-func TestMissingInstanceIsHeldAfterAnOutage(t *testing.T) {
+func TestMissingInstanceIsHeldAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		outage, published := true, []string{}
@@ -444,14 +444,14 @@
 		time.Sleep(500 * time.Millisecond)
 		l.Update(entries("a", "b")) // b is back
 		time.Sleep(600 * time.Millisecond)
-		l.sweep()
+		l.removeExpired()
 		is.Equal(published, []string{"a", "b"})
 	})
 }
 
-func TestOldEventsDoNotBringBackWhatANewerCopyLacks(t *testing.T) {
+func TestOldEventsDoNotOverrideNewerCopy(t *testing.T) {
 	is := is.New(t)
-	f := newFollower(t, storetest.NewPlatform(0), 0)
+	f := newTestMirror(t, storetest.NewPlatform(0), 0)
 	object := func(name string, v uint64) store.Object {
 		return store.Object{Name: name, Version: v, Value: []byte(fmt.Sprint(v))}
 	}
@@ -471,7 +471,7 @@
 	is.Equal(values(f.Export()), []string{"new=21"})
 }
 
-func TestInstanceIsHeldNoLongerThanTheTimeAfterAnOutage(t *testing.T) {
+func TestHeldInstanceIsRemovedWhenOutageWindowEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		outage, published := true, []string{}
@@ -481,29 +481,29 @@
 		is.Equal(published, []string{"a", "b"})
 		time.Sleep(100 * time.Millisecond)
 		outage = false
-		l.sweep()
+		l.removeExpired()
 		is.Equal(published, []string{"a"}) // it left in earnest
 	})
 }
 
-// polling is a test store with a watch that doesn't wait.
-type polling struct{ *storetest.Client }
+// pollingClient is a test store with a watch that doesn't wait.
+type pollingClient struct{ *storetest.Client }
 
-func (s polling) Poll(ctx context.Context, kind string, after uint64) (store.Batch, error) {
+func (s pollingClient) Poll(ctx context.Context, kind string, after uint64) (store.Batch, error) {
 	if _, _, err := s.List(ctx, kind); err != nil {
 		return store.Batch{}, err
 	}
 	return store.Batch{Revision: after}, nil
 }
 
-func TestReturnOfAStoreWithoutChangesIsNoticed(t *testing.T) {
+func TestDetectsStoreRecoveryWithoutChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
 		put(t, p, "a", "1", store.Absent)
 		m, err := New(Options{
 			RetryGroup: &RetryGroup{},
-			Store:      polling{p.Client("h")}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", OnChange: func(Copy) {},
+			Store:      pollingClient{p.Client("h")}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", OnChange: func(Copy) {},
 		})
 		is.NoErr(err)
 		defer run(t, m)()
@@ -519,7 +519,7 @@
 
 // A run that says itself that it leaves counts as draining at once, whatever its entry says,
 // then and later; another run under its name doesn't.
-func TestRunThatSaysItLeavesIsDraining(t *testing.T) {
+func TestRunThatAnnouncedLeavingIsDraining(t *testing.T) {
 	is := is.New(t)
 	left := map[state.InstanceID]bool{}
 	var got []state.Instance
--- a/coordination/follow/history.go
+++ b/coordination/follow/history.go
@@ -7,17 +7,17 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// mostDeletions bounds the deletions that a mirror remembers: a release that replaces
+// maxDeletions bounds the deletions that a mirror remembers: a release that replaces
 // 1,800 runners, each deleted once, fits twice. Whoever lacks older ones gets a whole copy.
-const mostDeletions = 4096
+const maxDeletions = 4096
 
 // history is what a mirror needs to tell what changed since a revision that it has had.
 type history struct {
-	// since is the revision from which on no deletion is missing.
-	since uint64
-	// jumpFrom and jumpTo are the revisions before and after the last whole copy. What came
+	// completeSince is the revision from which on no deletion is missing.
+	completeSince uint64
+	// skippedFrom and skippedTo are the revisions before and after the last whole copy. What came
 	// and went in between isn't known: it matters to those alone that were there.
-	jumpFrom, jumpTo uint64
+	skippedFrom, skippedTo uint64
 	// changedAt is the revision of the last change.
 	changedAt uint64
 	// deletions are those since, the oldest first.
@@ -26,37 +26,37 @@
 
 type deletion struct {
 	object store.Object
-	// at is the mirror's revision once it knew.
-	at uint64
+	// revision is the mirror's revision once it knew.
+	revision uint64
 }
 
-// jump notes a whole copy, with the objects that it lacks. One jump is remembered: whoever
+// recordFullCopy notes a whole copy, with the objects that it lacks. One recordFullCopy is remembered: whoever
 // was there before an earlier one gets a whole copy.
-func (h *history) jump(from, to uint64, gone []store.Object) {
+func (h *history) recordFullCopy(from, to uint64, gone []store.Object) {
 	if from == 0 {
-		h.since = to
+		h.completeSince = to
 	}
-	h.since = max(h.since, h.jumpTo)
-	h.jumpFrom, h.jumpTo = from, to
+	h.completeSince = max(h.completeSince, h.skippedTo)
+	h.skippedFrom, h.skippedTo = from, to
 	for _, o := range gone {
-		h.deleted(o, to)
+		h.recordDeletion(o, to)
 	}
 }
 
-// reaches reports whether all that changed after a revision is known.
-func (h *history) reaches(revision uint64) bool {
-	inJump := revision > h.jumpFrom && revision < h.jumpTo
-	return revision >= h.since && revision > 0 && !inJump
+// covers reports whether all that changed after a revision is known.
+func (h *history) covers(revision uint64) bool {
+	inJump := revision > h.skippedFrom && revision < h.skippedTo
+	return revision >= h.completeSince && revision > 0 && !inJump
 }
 
-func (h *history) changed(revision uint64) { h.changedAt = revision }
+func (h *history) recordChange(revision uint64) { h.changedAt = revision }
 
-// deleted notes a deletion, also of an object that this mirror never had: a peer may.
-func (h *history) deleted(o store.Object, at uint64) {
-	h.changed(at)
+// recordDeletion notes a deletion, also of an object that this mirror never had: a peer may.
+func (h *history) recordDeletion(o store.Object, at uint64) {
+	h.recordChange(at)
 	h.deletions = append(h.deletions, deletion{o, at})
-	if over := len(h.deletions) - mostDeletions; over > 0 {
-		h.since = h.deletions[over-1].at
+	if over := len(h.deletions) - maxDeletions; over > 0 {
+		h.completeSince = h.deletions[over-1].revision
 		h.deletions = append([]deletion(nil), h.deletions[over:]...)
 	}
 }
@@ -92,7 +92,7 @@
 	}
 	switch {
 	case revision >= m.history.changedAt:
-	case !m.history.reaches(revision) || store.EpochOf(revision) != store.EpochOf(m.revision):
+	case !m.history.covers(revision) || store.EpochOf(revision) != store.EpochOf(m.revision):
 		d.Full, d.Objects = true, m.copyLocked().Objects
 	default:
 		m.addChanges(&d, revision)
@@ -107,7 +107,7 @@
 		}
 	}
 	for _, gone := range m.history.deletions {
-		if gone.at > revision {
+		if gone.revision > revision {
 			d.Deleted = append(d.Deleted, gone.object)
 		}
 	}
@@ -118,7 +118,7 @@
 func (m *Mirror) Merge(d Delta, from string, asked time.Time) {
 	m.mergeChanges(d, from)
 	if d.Proven {
-		m.proveByPeer(asked.Add(-d.Age), d.Revision)
+		m.recordPeerProof(asked.Add(-d.Age), d.Revision)
 	}
 }
 
--- a/coordination/follow/history_test.go
+++ b/coordination/follow/history_test.go
@@ -16,8 +16,8 @@
 	"github.com/thymerack/thymerack/coordination/store/storetest"
 )
 
-// origin is a store that tells every revision's objects, as an oracle.
-type origin struct {
+// modelStore is a store that tells every revision's objects, as an oracle.
+type modelStore struct {
 	revision uint64
 	// events are those of the present epoch, the first of revision 1, with the revision as their
 	// object's version.
@@ -25,10 +25,10 @@
 	states map[uint64]map[string]uint64
 }
 
-func newOrigin() *origin { return &origin{states: map[uint64]map[string]uint64{0: {}}} }
+func newModelStore() *modelStore { return &modelStore{states: map[uint64]map[string]uint64{0: {}}} }
 
 // restore goes back to a revision, in a new epoch.
-func (o *origin) restore(to uint64) {
+func (o *modelStore) restore(to uint64) {
 	epoch := store.EpochOf(o.revision) + 1
 	anew := func(version uint64) uint64 { return store.MakeVersion(epoch, store.RevisionOf(version)) }
 	for r := uint64(0); r <= to; r++ {
@@ -49,7 +49,7 @@
 	o.revision = store.MakeVersion(epoch, to)
 }
 
-func (o *origin) change(name string, deleted bool) {
+func (o *modelStore) change(name string, deleted bool) {
 	state := maps.Clone(o.states[o.revision])
 	if _, there := state[name]; deleted && !there {
 		return
@@ -68,14 +68,14 @@
 }
 
 // batch is what a watch after a revision returns.
-func (o *origin) batch(after uint64) store.Batch {
+func (o *modelStore) batch(after uint64) store.Batch {
 	if store.EpochOf(after) != store.EpochOf(o.revision) {
 		return store.Batch{Gap: true}
 	}
 	return store.Batch{Revision: o.revision, Events: o.events[store.RevisionOf(after):]}
 }
 
-func (o *origin) list() Copy {
+func (o *modelStore) list() Copy {
 	c := Copy{Revision: o.revision}
 	for name, version := range o.states[o.revision] {
 		c.Objects = append(c.Objects, store.Object{Name: name, Version: version, Value: []byte(strconv.FormatUint(version, 10))})
@@ -83,7 +83,7 @@
 	return c
 }
 
-func stateOf(m *Mirror) map[string]uint64 {
+func versionsByName(m *Mirror) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, o := range m.Export().Objects {
 		out[o.Name] = o.Version
@@ -95,7 +95,7 @@
 // store's objects at the revision that they name, and never go back.
 func TestHoldsCopiesAreTheStoreAtTheirRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOrigin()
+		o := newModelStore()
 		var copies []*Mirror
 		for range 4 {
 			m, err := New(Options{
@@ -148,7 +148,7 @@
 			},
 			"": func(t *rapid.T) {
 				for i, m := range copies {
-					if got, want := stateOf(m), o.states[m.Revision()]; !maps.Equal(got, want) {
+					if got, want := versionsByName(m), o.states[m.Revision()]; !maps.Equal(got, want) {
 						t.Fatalf("copy %d at %d has %v, not %v", i, m.Revision(), got, want)
 					}
 				}
@@ -158,15 +158,15 @@
 }
 
 // Deletions that are no longer remembered are told by a whole copy.
-func TestLongHistoryIsForgotten(t *testing.T) {
+func TestDeltaIsFullBeyondDeletionHistory(t *testing.T) {
 	is := is.New(t)
-	f := newFollower(t, storetest.NewPlatform(0), 0)
+	f := newTestMirror(t, storetest.NewPlatform(0), 0)
 	is.True(f.Adopt(Copy{Revision: 1, Objects: []store.Object{{Name: "kept", Version: 1}}}, "peer"))
-	for i := range uint64(mostDeletions + 10) {
+	for i := range uint64(maxDeletions + 10) {
 		f.apply(store.Batch{Revision: i + 2, Events: []store.Event{{Object: store.Object{Name: fmt.Sprint(i), Version: 1}, Deleted: true}}})
 	}
 	is.True(f.Since(5).Full)
-	d := f.Since(mostDeletions)
+	d := f.Since(maxDeletions)
 	is.True(!d.Full)
 	is.Equal(len(d.Deleted), 11)
 	is.True(f.Since(f.Revision()).Empty())
--- a/coordination/follow/instances.go
+++ b/coordination/follow/instances.go
@@ -45,7 +45,7 @@
 	entries map[string]*entry
 	// revision is that of the last copy; 0 before the first.
 	revision uint64
-	gone     goneRuns
+	departed departedRuns
 }
 
 type entry struct {
@@ -53,16 +53,16 @@
 	instance state.Instance
 	// unusable is set for an entry that names no instance.
 	unusable bool
-	// missing is when the entry went missing; zero while it is listed. lost says that the store
+	// missingSince is when the entry went missingSince; zero while it is listed. lost says that the store
 	// lost it in a restoration.
-	missing time.Time
-	lost    bool
-	// goneUntil is set for an entry of a restored store whose run was gone before.
-	goneUntil time.Time
+	missingSince  time.Time
+	lostInRestore bool
+	// ignoredUntil is set for an entry of a restored store whose run was gone before.
+	ignoredUntil time.Time
 }
 
-// used reports whether the entry names an instance that is there.
-func (e *entry) used() bool { return !e.unusable && e.goneUntil.IsZero() }
+// active reports whether the entry names an instance that is there.
+func (e *entry) active() bool { return !e.unusable && e.ignoredUntil.IsZero() }
 
 // NewInstances returns an empty list.
 func NewInstances(o InstancesOptions) *Instances {
@@ -78,42 +78,42 @@
 	for _, object := range c.Objects {
 		listed[object.Name] = true
 		if restored {
-			l.takeRestored(object)
+			l.applyRestored(object)
 		} else {
-			l.take(object)
+			l.applyEntry(object)
 		}
 	}
 	now := l.o.Clock.Now()
 	hold := restored || l.o.EntriesMayBeMissing()
 	for id, e := range l.entries {
-		if listed[id] || !e.missing.IsZero() {
+		if listed[id] || !e.missingSince.IsZero() {
 			continue
 		}
-		if hold && !e.instance.Draining && e.used() {
-			e.missing, e.lost = now, restored
+		if hold && !e.instance.Draining && e.active() {
+			e.missingSince, e.lostInRestore = now, restored
 			l.o.Log.Info("instance missing after an outage; held", "instance", id, "revision", store.FormatVersion(c.Revision))
 			continue
 		}
-		l.drop(id, e, now)
+		l.remove(id, e, now)
 		l.o.Log.Info("instance gone", "instance", id, "service", e.instance.Service, "revision", store.FormatVersion(c.Revision))
 	}
 	l.publish()
 }
 
-// drop forgets an entry, but that its run was there.
-func (l *Instances) drop(name string, e *entry, now time.Time) {
+// remove forgets an entry, but that its run was there.
+func (l *Instances) remove(name string, e *entry, now time.Time) {
 	delete(l.entries, name)
 	if !e.unusable {
-		l.gone.add(e.instance.ID, now)
+		l.departed.add(e.instance.ID, now)
 	}
 }
 
-// take decodes a new or changed entry. The store's order of versions decides between
+// applyEntry decodes a new or changed entry. The store's order of versions decides between
 // two runs under one name: their clocks may differ.
-func (l *Instances) take(object store.Object) {
+func (l *Instances) applyEntry(object store.Object) {
 	known := l.entries[object.Name]
 	if known != nil && known.version == object.Version {
-		known.missing = time.Time{}
+		known.missingSince = time.Time{}
 		return
 	}
 	instance, err := l.o.Decode(object.Name, object.Value)
@@ -127,33 +127,33 @@
 		l.o.Log.Info("instance listed", "instance", instance.ID, "service", instance.Service, "draining", instance.Draining, "role", string(instance.Role), "version", store.FormatVersion(object.Version))
 	}
 	if known != nil && !known.unusable && known.instance.ID != instance.ID {
-		l.gone.add(known.instance.ID, l.o.Clock.Now())
+		l.departed.add(known.instance.ID, l.o.Clock.Now())
 	}
-	l.gone.forget(instance.ID)
+	l.departed.remove(instance.ID)
 	l.entries[object.Name] = &entry{version: object.Version, instance: instance}
 }
 
 // Run drops held entries when their time is over, until ctx ends.
 func (l *Instances) Run(ctx context.Context) {
-	for l.o.Clock.Sleep(ctx, holdPoll) == nil {
-		l.sweep()
+	for l.o.Clock.Sleep(ctx, holdCheckInterval) == nil {
+		l.removeExpired()
 	}
 }
 
-// holdPoll is how often held entries are looked at.
-const holdPoll = 100 * time.Millisecond
+// holdCheckInterval is how often held entries are looked at.
+const holdCheckInterval = 100 * time.Millisecond
 
-func (l *Instances) sweep() {
+func (l *Instances) removeExpired() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.o.Clock.Now()
 	outage := l.o.EntriesMayBeMissing()
-	changed := l.endGone(now)
+	changed := l.activateIgnored(now)
 	for id, e := range l.entries {
-		if e.missing.IsZero() || (outage && (e.lost || now.Sub(e.missing) < l.o.HoldFor)) {
+		if e.missingSince.IsZero() || (outage && (e.lostInRestore || now.Sub(e.missingSince) < l.o.HoldFor)) {
 			continue
 		}
-		l.drop(id, e, now)
+		l.remove(id, e, now)
 		changed = true
 		l.o.Log.Info("held instance gone", "instance", id, "service", e.instance.Service)
 	}
@@ -162,12 +162,12 @@
 	}
 }
 
-// latestAt is the entry that was written last for each address: a run that has crashed
+// latestByAddr is the entry that was written last for each address: a run that has crashed
 // stays listed for some heartbeats, while the next one takes work at its address.
-func (l *Instances) latestAt() map[string]*entry {
+func (l *Instances) latestByAddr() map[string]*entry {
 	out := make(map[string]*entry, len(l.entries))
 	for _, e := range l.entries {
-		if other := out[e.instance.Addr]; e.used() && (other == nil || other.version < e.version) {
+		if other := out[e.instance.Addr]; e.active() && (other == nil || other.version < e.version) {
 			out[e.instance.Addr] = e
 		}
 	}
@@ -183,9 +183,9 @@
 
 func (l *Instances) publish() {
 	out := make([]state.Instance, 0, len(l.entries))
-	latest := l.latestAt()
+	latest := l.latestByAddr()
 	for _, e := range l.entries {
-		if !e.used() || latest[e.instance.Addr] != e {
+		if !e.active() || latest[e.instance.Addr] != e {
 			continue
 		}
 		instance := e.instance
--- a/coordination/follow/mirror.go
+++ b/coordination/follow/mirror.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// retryFirst and retryMost are the pauses between calls to a store that does
+	// initialRetryDelay and retryMost are the pauses between calls to a store that does
 	// not answer: each call is priced, and the bound for a new configuration
 	// (2 s and more) counts from when the store has been back for some seconds.
-	retryFirst = 200 * time.Millisecond
-	retryMost  = time.Second
-	// againWithin bounds the list after a watch that was cut: a store that drops its
+	initialRetryDelay = 200 * time.Millisecond
+	maxRetryDelay     = time.Second
+	// relistTimeout bounds the list after a watch that was cut: a store that drops its
 	// waiting watches answers the next call in some milliseconds, though watches may
 	// hear nothing for a second, and hosts that follow this one shouldn't all turn to it.
-	againWithin = 500 * time.Millisecond
+	relistTimeout = 500 * time.Millisecond
 )
 
 // Poller is a store whose changes can be asked for without waiting.
@@ -75,27 +75,27 @@
 	mu       sync.Mutex
 	objects  map[string]store.Object
 	revision uint64
-	// peers is the revision of a peer's copy when this host started.
-	peers   uint64
-	history history
+	// peerRevision is the revision of a peer's copy when this host started.
+	peerRevision uint64
+	history      history
 	// lostAt is when the store stopped answering; Run alone uses it.
 	lostAt time.Time
 	// regainedAt is when it answered again; nil if it has always answered.
 	regainedAt atomic.Pointer[time.Time]
 	lost       atomic.Bool
-	// again is set for the list that follows a watch which was cut; Run alone uses it.
-	again bool
-	// gaps is the number of watches in a row whose history was gone; Run alone uses it.
-	gaps int
-	// fresh is set while Run follows the store and is answered.
-	fresh atomic.Bool
+	// relisting is set for the list that follows a watch which was cut; Run alone uses it.
+	relisting bool
+	// consecutiveGaps is the number of watches in a row whose history was gone; Run alone uses it.
+	consecutiveGaps int
+	// following is set while Run follows the store and is answered.
+	following atomic.Bool
 	// proof is the latest Proven; nil before the first.
 	proof atomic.Pointer[proof]
-	// doubted is set while the store's answers prove nothing, since this host has just started.
-	doubted atomic.Bool
+	// proofsSuspended is set while the store's answers prove nothing, since this host has just started.
+	proofsSuspended atomic.Bool
 	// restoredAt is when this host learnt that the store was restored; nil if it never was.
-	restoredAt atomic.Pointer[time.Time]
-	sight      sight
+	restoredAt  atomic.Pointer[time.Time]
+	answerStats answerStats
 }
 
 // New validates the options.
@@ -103,14 +103,14 @@
 	if o.Store == nil || o.Clock == nil || o.Log == nil || o.Kind == "" || o.OnChange == nil || o.RetryGroup == nil {
 		return nil, errors.New("follow: a field of Options is missing; set all of them")
 	}
-	return &Mirror{o: o, objects: map[string]store.Object{}, sight: newSight()}, nil
+	return &Mirror{o: o, objects: map[string]store.Object{}, answerStats: newAnswerStats()}, nil
 }
 
 // Lost reports whether the store doesn't answer this host.
 func (m *Mirror) Lost() bool { return m.lost.Load() }
 
 // Following reports whether this mirror follows the store itself and was answered last.
-func (m *Mirror) Following() bool { return m.fresh.Load() }
+func (m *Mirror) Following() bool { return m.following.Load() }
 
 // UnavailableWithin reports whether the store didn't answer this host at some moment of
 // the last d.
@@ -156,7 +156,7 @@
 // Adopt takes a copy that a peer has, if it is newer, and reports whether it was.
 func (m *Mirror) Adopt(c Copy, from string) bool {
 	if !m.replace(c.Objects, c.Revision) {
-		m.retain(c, from)
+		m.adoptNewerValues(c, from)
 		return false
 	}
 	m.o.Log.Info("copy adopted from a peer", "kind", m.o.Kind, "revision", store.FormatVersion(c.Revision), "peer", from)
@@ -166,37 +166,37 @@
 // Run follows the store until ctx ends. It may be run again, one run at a time; a copy
 // that it has by then is brought up to date by the changes since.
 func (m *Mirror) Run(ctx context.Context) {
-	defer m.ended()
-	pause := retryFirst
+	defer m.stopped()
+	pause := initialRetryDelay
 	listed := m.Revision() > 0
 	for ctx.Err() == nil {
 		var err error
-		if !listed || m.again {
+		if !listed || m.relisting {
 			err = m.list(ctx)
 			listed = listed || err == nil
 		} else {
 			listed, err = m.watch(ctx)
 		}
 		if err == nil {
-			pause, m.again = retryFirst, false
+			pause, m.relisting = initialRetryDelay, false
 			continue
 		}
-		m.again = !m.again && m.Following() && m.mayAskAgain(ctx)
-		if m.again {
+		m.relisting = !m.relisting && m.Following() && m.mayRelist(ctx)
+		if m.relisting {
 			continue
 		}
-		m.failed(ctx, err)
-		if m.rest(ctx, pause) != nil {
+		m.markFailed(ctx, err)
+		if m.waitToRetry(ctx, pause) != nil {
 			return
 		}
-		pause = min(2*pause, retryMost)
+		pause = min(2*pause, maxRetryDelay)
 	}
 }
 
-// ended notes that nobody follows the store any more.
-func (m *Mirror) ended() {
-	m.o.RetryGroup.answered(m)
-	m.fresh.Store(false)
+// stopped notes that nobody follows the store any more.
+func (m *Mirror) stopped() {
+	m.o.RetryGroup.release(m)
+	m.following.Store(false)
 	m.notify()
 }
 
@@ -212,9 +212,9 @@
 }
 
 func (m *Mirror) list(ctx context.Context) error {
-	if m.again {
+	if m.relisting {
 		var cancel context.CancelFunc
-		ctx, cancel = context.WithTimeout(ctx, againWithin)
+		ctx, cancel = context.WithTimeout(ctx, relistTimeout)
 		defer cancel()
 	}
 	asked, known := m.o.Clock.Now(), m.Revision()
@@ -222,57 +222,57 @@
 	if err != nil {
 		return err
 	}
-	m.takeList(objects, revision)
+	m.applyList(objects, revision)
 	if revision < known {
-		return &olderError{store: revision, copied: known}
+		return &storeBehindError{store: revision, copied: known}
 	}
-	m.answered()
-	m.proveBy(asked, revision)
+	m.markAnswered()
+	m.recordStoreProof(asked, revision)
 	return nil
 }
 
-// olderError says that the store told a state older than one that this host knew before it asked.
-type olderError struct{ store, copied uint64 }
+// storeBehindError says that the store told a state older than one that this host knew before it asked.
+type storeBehindError struct{ store, copied uint64 }
 
 // Error implements error.
-func (e *olderError) Error() string {
+func (e *storeBehindError) Error() string {
 	return fmt.Sprintf("the store is at %s and this host's copy at %s; the copy stands until the store is as new: if the store was replaced by another, restart the hosts", store.FormatVersion(e.store), store.FormatVersion(e.copied))
 }
 
 // watch waits for changes. listed is false when the copy has to be read anew.
 func (m *Mirror) watch(ctx context.Context) (listed bool, err error) {
 	asked := m.o.Clock.Now()
-	batch, err := m.next(ctx)
+	batch, err := m.fetchChanges(ctx)
 	if err != nil {
 		return true, err
 	}
-	m.answered()
+	m.markAnswered()
 	if batch.Gap {
-		m.noteGap()
-		return false, m.restBetweenGaps(ctx)
+		m.countGap()
+		return false, m.backOffAfterGap(ctx)
 	}
-	m.gaps = 0
-	m.takeBatch(batch)
-	m.proveBy(asked, batch.Revision)
+	m.consecutiveGaps = 0
+	m.applyBatch(batch)
+	m.recordStoreProof(asked, batch.Revision)
 	if len(batch.Events) > 0 && m.o.CoalesceDelay > 0 {
 		return true, m.o.Clock.Sleep(ctx, m.o.CoalesceDelay)
 	}
 	return true, nil
 }
 
-// restBetweenGaps waits before the list that follows a gap, unless it is the first one in a row: a
+// backOffAfterGap waits before the list that follows a gap, unless it is the first one in a row: a
 // store that has no history for this host must not be asked without a pause.
-func (m *Mirror) restBetweenGaps(ctx context.Context) error {
-	m.gaps++
-	if m.gaps == 1 {
+func (m *Mirror) backOffAfterGap(ctx context.Context) error {
+	m.consecutiveGaps++
+	if m.consecutiveGaps == 1 {
 		return nil
 	}
-	return m.o.Clock.Sleep(ctx, jitter(min(retryFirst<<min(m.gaps-2, 8), retryMost)))
+	return m.o.Clock.Sleep(ctx, jitter(min(initialRetryDelay<<min(m.consecutiveGaps-2, 8), maxRetryDelay)))
 }
 
-// next returns the next changes. A store that didn't answer, or wasn't asked yet, is
-// asked without waiting first: a watch would tell its return only with the next change.
-func (m *Mirror) next(ctx context.Context) (store.Batch, error) {
+// fetchChanges returns the fetchChanges changes. A store that didn't answer, or wasn't asked yet, is
+// asked without waiting first: a watch would tell its return only with the fetchChanges change.
+func (m *Mirror) fetchChanges(ctx context.Context) (store.Batch, error) {
 	if p, ok := m.o.Store.(Poller); ok && !m.Following() {
 		return p.Poll(ctx, m.o.Kind, m.Revision())
 	}
@@ -286,7 +286,7 @@
 	if revision < m.revision || (revision == m.revision && m.revision != 0) {
 		return false
 	}
-	restored := m.noteEpoch(revision)
+	restored := m.detectRestore(revision)
 	before := m.objects
 	m.objects = make(map[string]store.Object, len(objects))
 	changed := restored || len(before) != len(objects)
@@ -297,11 +297,11 @@
 		m.objects[o.Name] = o
 		changed = changed || before[o.Name].Version != o.Version
 	}
-	m.history.jump(m.revision, revision, missing(before, m.objects))
+	m.history.recordFullCopy(m.revision, revision, removedObjects(before, m.objects))
 	first := m.revision == 0
 	m.revision = revision
 	if changed || first {
-		m.history.changed(revision)
+		m.history.recordChange(revision)
 		m.o.OnChange(m.copyLocked())
 		m.notify()
 	}
@@ -315,9 +315,9 @@
 	return m.o.Newer != nil && !bytes.Equal(a.Value, b.Value) && m.o.Newer(a, b)
 }
 
-// retain takes the objects that a peer kept and that are newer than this copy's, which are those of a
+// adoptNewerValues takes the objects that a peer kept and that are newer than this copy's, which are those of a
 // restored store.
-func (m *Mirror) retain(c Copy, from string) {
+func (m *Mirror) adoptNewerValues(c Copy, from string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	taken := false
@@ -336,10 +336,10 @@
 	}
 }
 
-// noteEpoch reports whether a revision is of a later epoch, and notes it: what the store lost is being
+// detectRestore reports whether a revision is of a later epoch, and notes it: what the store lost is being
 // written again, as after an outage, even if this host always got its answers. m.mu is held.
-func (m *Mirror) noteEpoch(revision uint64) (restored bool) {
-	known := cmp.Or(m.revision, m.peers)
+func (m *Mirror) detectRestore(revision uint64) (restored bool) {
+	known := cmp.Or(m.revision, m.peerRevision)
 	if !store.RestoredBetween(known, revision) {
 		return false
 	}
@@ -350,8 +350,8 @@
 	return true
 }
 
-// missing are the objects of one copy that another lacks.
-func missing(before, now map[string]store.Object) []store.Object {
+// removedObjects are the objects of one copy that another lacks.
+func removedObjects(before, now map[string]store.Object) []store.Object {
 	var out []store.Object
 	for name, o := range before {
 		if _, there := now[name]; !there {
@@ -373,13 +373,13 @@
 	changed, before := false, m.history.changedAt
 	for _, e := range b.Events {
 		if e.Deleted {
-			m.history.deleted(e.Object, b.Revision)
+			m.history.recordDeletion(e.Object, b.Revision)
 		}
 		changed = m.applyEvent(e) || changed
 	}
 	m.revision = b.Revision
 	if changed {
-		m.history.changed(b.Revision)
+		m.history.recordChange(b.Revision)
 		m.o.OnChange(m.copyLocked())
 	}
 	if m.history.changedAt != before {
@@ -405,9 +405,9 @@
 	return true
 }
 
-func (m *Mirror) answered() {
-	m.o.RetryGroup.answered(m)
-	if !m.fresh.Swap(true) {
+func (m *Mirror) markAnswered() {
+	m.o.RetryGroup.release(m)
+	if !m.following.Swap(true) {
 		m.notify()
 	}
 	if !m.lost.Swap(false) {
@@ -419,11 +419,11 @@
 	m.o.Log.Info("store regained", "kind", m.o.Kind, "away", away, "revision", store.FormatVersion(m.Revision()))
 }
 
-func (m *Mirror) failed(ctx context.Context, err error) {
+func (m *Mirror) markFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
 	}
-	if m.fresh.Swap(false) {
+	if m.following.Swap(false) {
 		m.notify()
 	}
 	if m.lost.Swap(true) {
--- a/coordination/follow/outage.go
+++ b/coordination/follow/outage.go
@@ -10,64 +10,64 @@
 // of them asks, the others wait until it is answered. It is safe for concurrent use.
 type RetryGroup struct {
 	mu sync.Mutex
-	// asker is the mirror that asks; nil while the store answers.
-	asker *Mirror
-	// over is closed when the asker is answered.
-	over chan struct{}
+	// leader is the mirror that asks; nil while the store answers.
+	leader *Mirror
+	// recovered is closed when the asker is answered.
+	recovered chan struct{}
 }
 
-// leads reports whether m is to ask, and otherwise what is closed when the store
+// elect reports whether m is to ask, and otherwise what is closed when the store
 // answers again.
-func (o *RetryGroup) leads(m *Mirror) (bool, <-chan struct{}) {
+func (o *RetryGroup) elect(m *Mirror) (bool, <-chan struct{}) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.asker == nil {
-		o.asker, o.over = m, make(chan struct{})
+	if o.leader == nil {
+		o.leader, o.recovered = m, make(chan struct{})
 	}
-	return o.asker == m, o.over
+	return o.leader == m, o.recovered
 }
 
-// answered ends the outage if m is the one that asks.
-func (o *RetryGroup) answered(m *Mirror) {
+// release ends the outage if m is the one that asks.
+func (o *RetryGroup) release(m *Mirror) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.asker == m {
-		o.asker = nil
-		close(o.over)
+	if o.leader == m {
+		o.leader = nil
+		close(o.recovered)
 	}
 }
 
-// mayAskAgain reports whether m should ask once more before the store counts as lost: of
+// mayRelist reports whether m should ask once more before the store counts as lost: of
 // several mirrors whose watches were cut one asks, and the others once it was answered.
-func (m *Mirror) mayAskAgain(ctx context.Context) bool {
-	leads, over := m.o.RetryGroup.leads(m)
-	if leads {
+func (m *Mirror) mayRelist(ctx context.Context) bool {
+	isLeader, recovered := m.o.RetryGroup.elect(m)
+	if isLeader {
 		return true
 	}
-	bounded, cancel := context.WithTimeout(ctx, againWithin)
+	bounded, cancel := context.WithTimeout(ctx, relistTimeout)
 	defer cancel()
 	select {
-	case <-over:
+	case <-recovered:
 		return true
 	case <-bounded.Done():
 		return false
 	}
 }
 
-// waitMost bounds the wait for another mirror's answer: the call that it waits for may
+// maxRecoveryWait bounds the wait for another mirror's answer: the call that it waits for may
 // be lost, while changes must be in force 2 s and more after the store's return.
-const waitMost = 2 * time.Second
+const maxRecoveryWait = 2 * time.Second
 
-// rest waits until a mirror that wasn't answered should ask again.
-func (m *Mirror) rest(ctx context.Context, pause time.Duration) error {
-	leads, over := m.o.RetryGroup.leads(m)
-	if leads {
+// waitToRetry waits until a mirror that wasn't answered should ask again.
+func (m *Mirror) waitToRetry(ctx context.Context, pause time.Duration) error {
+	isLeader, recovered := m.o.RetryGroup.elect(m)
+	if isLeader {
 		return m.o.Clock.Sleep(ctx, jitter(pause))
 	}
-	bounded, cancel := context.WithTimeout(ctx, waitMost)
+	bounded, cancel := context.WithTimeout(ctx, maxRecoveryWait)
 	defer cancel()
 	select {
-	case <-over:
+	case <-recovered:
 	case <-bounded.Done():
 	}
 	return ctx.Err()
--- a/coordination/follow/proof.go
+++ b/coordination/follow/proof.go
@@ -30,9 +30,9 @@
 	return time.Time{}
 }
 
-// prove notes that the copy holds what was acknowledged before a question of that time. The
+// recordProof notes that the copy holds what was acknowledged before a question of that time. The
 // copy must have taken the answer before.
-func (m *Mirror) prove(p proof) {
+func (m *Mirror) recordProof(p proof) {
 	for {
 		known := m.proof.Load()
 		if known != nil && !known.at.Before(p.at) {
@@ -44,30 +44,30 @@
 	}
 }
 
-// proveBy notes that the store answered a question of that time with its state at a revision. A store
+// recordStoreProof notes that the store answered a question of that time with its state at a revision. A store
 // that was restored lacks what it had acknowledged and lost, until that is written again.
-func (m *Mirror) proveBy(asked time.Time, revision uint64) {
-	if m.doubted.Load() {
+func (m *Mirror) recordStoreProof(asked time.Time, revision uint64) {
+	if m.proofsSuspended.Load() {
 		return
 	}
 	at := m.restoredAt.Load()
 	if at != nil && store.EpochOf(revision) >= store.EpochOf(m.Revision()) && asked.Before(at.Add(m.o.RecoveryTime)) {
 		return
 	}
-	m.prove(proof{asked, store.EpochOf(revision)})
+	m.recordProof(proof{asked, store.EpochOf(revision)})
 }
 
-// proveByPeer notes a proof of a peer whose copy, of that revision, this one has taken. Another
+// recordPeerProof notes a proof of a peer whose copy, of that revision, this one has taken. Another
 // epoch's copy may hold what this one never had.
-func (m *Mirror) proveByPeer(at time.Time, revision uint64) {
+func (m *Mirror) recordPeerProof(at time.Time, revision uint64) {
 	if store.EpochOf(revision) == store.EpochOf(m.Revision()) {
-		m.prove(proof{at, store.EpochOf(revision)})
+		m.recordProof(proof{at, store.EpochOf(revision)})
 	}
 }
 
 // SuspendProofs makes the store's answers prove nothing until Settled: a host that has just started can't
 // know whether the store was restored a moment ago.
-func (m *Mirror) SuspendProofs() { m.doubted.Store(true) }
+func (m *Mirror) SuspendProofs() { m.proofsSuspended.Store(true) }
 
 // ResumeProofs ends Doubt. revision is that of a peer's copy, 0 if no peer answered, and ago is how long ago
 // that peer regained the store, if it ever lost it. A store of a later epoch than the peer's has been
@@ -83,8 +83,8 @@
 		m.restoredAt.Store(&at)
 		m.o.Log.Info("the store may have been restored; its answers prove nothing yet", "kind", m.o.Kind, "ago", ago, "for", m.o.RecoveryTime-ago)
 	}
-	m.peers = revision
-	m.doubted.Store(false)
+	m.peerRevision = revision
+	m.proofsSuspended.Store(false)
 }
 
 // Prove asks the store for changes at once and takes them. It may be called while Run
@@ -106,8 +106,8 @@
 	if err != nil || batch.Gap {
 		return false, err
 	}
-	m.takeBatch(batch)
-	m.proveBy(asked, batch.Revision)
+	m.applyBatch(batch)
+	m.recordStoreProof(asked, batch.Revision)
 	return true, nil
 }
 
@@ -117,7 +117,7 @@
 	if err != nil {
 		return err
 	}
-	m.takeList(objects, revision)
-	m.proveBy(asked, revision)
+	m.applyList(objects, revision)
+	m.recordStoreProof(asked, revision)
 	return nil
 }
--- a/coordination/follow/restored.go
+++ b/coordination/follow/restored.go
@@ -8,34 +8,34 @@
 )
 
 const (
-	// rememberGone is how long a run that is gone is remembered at least: a restored store may
+	// departedRetention is how long a run that is gone is remembered at least: a restored store may
 	// list it again.
-	rememberGone = 5 * time.Minute
-	// mostGone bounds the runs that are remembered as gone.
-	mostGone = 4096
+	departedRetention = 5 * time.Minute
+	// maxDeparted bounds the runs that are remembered as gone.
+	maxDeparted = 4096
 )
 
-// goneRuns are the runs that left the list recently, in two generations.
-type goneRuns struct {
-	present, before map[state.InstanceID]bool
-	beganAt         time.Time
+// departedRuns are the runs that left the list recently, in two generations.
+type departedRuns struct {
+	current, previous map[state.InstanceID]bool
+	startedAt         time.Time
 }
 
-func (g *goneRuns) add(id state.InstanceID, now time.Time) {
-	if len(g.present) >= mostGone/2 || now.Sub(g.beganAt) > rememberGone {
-		g.before, g.present, g.beganAt = g.present, nil, now
+func (g *departedRuns) add(id state.InstanceID, now time.Time) {
+	if len(g.current) >= maxDeparted/2 || now.Sub(g.startedAt) > departedRetention {
+		g.previous, g.current, g.startedAt = g.current, nil, now
 	}
-	if g.present == nil {
-		g.present = map[state.InstanceID]bool{}
+	if g.current == nil {
+		g.current = map[state.InstanceID]bool{}
 	}
-	g.present[id] = true
+	g.current[id] = true
 }
 
-func (g *goneRuns) has(id state.InstanceID) bool { return g.present[id] || g.before[id] }
+func (g *departedRuns) has(id state.InstanceID) bool { return g.current[id] || g.previous[id] }
 
-func (g *goneRuns) forget(id state.InstanceID) {
-	delete(g.present, id)
-	delete(g.before, id)
+func (g *departedRuns) remove(id state.InstanceID) {
+	delete(g.current, id)
+	delete(g.previous, id)
 }
 
 // advance takes a copy's revision and reports whether the store was restored since the last copy.
@@ -45,19 +45,19 @@
 	return restored
 }
 
-// takeRestored takes an entry of the first copy after a restoration. What this host knew of its run
+// applyRestored takes an entry of the first copy after a restoration. What this host knew of its run
 // is newer than the entry, unless that was written again already, which can't be told: a run that
 // was leaving goes on leaving, and one that was gone counts only once its entry is written
 // anew or has outlived the time in which the store drops one that is silent.
-func (l *Instances) takeRestored(object store.Object) {
+func (l *Instances) applyRestored(object store.Object) {
 	known := l.entries[object.Name]
 	instance, err := l.o.Decode(object.Name, object.Value)
 	if err != nil {
-		l.take(object)
+		l.applyEntry(object)
 		return
 	}
-	if !l.gone.has(instance.ID) {
-		l.takeRestoredRun(object, known, instance)
+	if !l.departed.has(instance.ID) {
+		l.applyRestoredRun(object, known, instance)
 		return
 	}
 	if known != nil && !known.unusable && known.instance.ID != instance.ID {
@@ -65,11 +65,11 @@
 		l.o.Log.Info("restored entry is of an earlier run; the later one counts", "instance", known.instance.ID, "listed", instance.ID)
 		return
 	}
-	l.entries[object.Name] = &entry{version: object.Version, instance: instance, goneUntil: l.o.Clock.Now().Add(l.o.HeartbeatTimeout)}
+	l.entries[object.Name] = &entry{version: object.Version, instance: instance, ignoredUntil: l.o.Clock.Now().Add(l.o.HeartbeatTimeout)}
 	l.o.Log.Info("restored entry is of a run that was gone; not used until it is written again", "instance", instance.ID, "version", store.FormatVersion(object.Version), "at_most", l.o.HeartbeatTimeout)
 }
 
-func (l *Instances) takeRestoredRun(object store.Object, known *entry, instance state.Instance) {
+func (l *Instances) applyRestoredRun(object store.Object, known *entry, instance state.Instance) {
 	if known != nil && known.instance.ID == instance.ID && known.instance.Draining && !instance.Draining {
 		instance.Draining = true
 		l.o.Log.Info("restored entry is older than the run's leaving; it goes on leaving", "instance", instance.ID, "version", store.FormatVersion(object.Version))
@@ -77,16 +77,16 @@
 	l.entries[object.Name] = &entry{version: object.Version, instance: instance}
 }
 
-// endGone has restored entries count whose runs were gone and that have outlived the time in which
+// activateIgnored has restored entries count whose runs were gone and that have outlived the time in which
 // the store drops one that is silent; it reports whether there were any.
-func (l *Instances) endGone(now time.Time) (any bool) {
+func (l *Instances) activateIgnored(now time.Time) (activated bool) {
 	for id, e := range l.entries {
-		if e.goneUntil.IsZero() || now.Before(e.goneUntil) {
+		if e.ignoredUntil.IsZero() || now.Before(e.ignoredUntil) {
 			continue
 		}
-		e.goneUntil, any = time.Time{}, true
-		l.gone.forget(e.instance.ID)
+		e.ignoredUntil, activated = time.Time{}, true
+		l.departed.remove(e.instance.ID)
 		l.o.Log.Info("restored entry of a run that was gone is still there; used again", "instance", id)
 	}
-	return any
+	return activated
 }
--- a/coordination/follow/restored_test.go
+++ b/coordination/follow/restored_test.go
@@ -23,22 +23,22 @@
 	testSilent = 4 * time.Second
 )
 
-// roster is a list of instances, by copies whose entries are written NAME=BORN or NAME=BORN! for one
+// testInstances is a list of instances, by copies whose entries are written NAME=BORN or NAME=BORN! for one
 // that is leaving.
-type roster struct {
+type testInstances struct {
 	*Instances
-	began     time.Time
+	startedAt time.Time
 	published []string
-	// outage is until when entries of living instances may be missing.
-	outage time.Time
+	// outageUntil is until when entries of living instances may be missing.
+	outageUntil time.Time
 }
 
-func newRoster() *roster {
-	r := &roster{began: time.Now()}
+func newTestInstances() *testInstances {
+	r := &testInstances{startedAt: time.Now()}
 	r.Instances = NewInstances(InstancesOptions{
 		Clock: clocktest.Bubble{}, Log: quiet, HoldFor: testHold * 9 / 10, HeartbeatTimeout: testSilent, OnUnusable: func() {},
 		Leaving:             func(state.InstanceID) bool { return false },
-		EntriesMayBeMissing: func() bool { return time.Now().Before(r.outage) },
+		EntriesMayBeMissing: func() bool { return time.Now().Before(r.outageUntil) },
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			text, draining := strings.CutSuffix(string(v), "!")
 			born, err := strconv.ParseInt(text, 10, 64)
@@ -59,10 +59,10 @@
 	return r
 }
 
-// list takes a copy at a revision of an epoch; entries are NAME=BORN@REVISION.
-func (r *roster) list(epoch, revision uint64, entries ...string) {
+// applyCopy takes a copy at a revision of an epoch; entries are NAME=BORN@REVISION.
+func (r *testInstances) applyCopy(epoch, revision uint64, entries ...string) {
 	if epoch > store.EpochOf(r.revision) && r.revision != 0 {
-		r.outage = time.Now().Add(testHold)
+		r.outageUntil = time.Now().Add(testHold)
 	}
 	c := Copy{Revision: store.MakeVersion(epoch, revision)}
 	for _, e := range entries {
@@ -78,84 +78,84 @@
 }
 
 // Guards against new requests to a runner that left, because a restored store lists it as ready.
-func TestRunThatLeavesGoesOnLeavingInARestoredStore(t *testing.T) {
+func TestDrainingRunStaysDrainingAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRoster()
-		r.list(1, 5, "a=1@4", "b=1@5")
-		r.list(1, 9, "a=1!@9", "b=1@5")
-		r.list(2, 6, "a=1@4", "b=1@5")
+		r := newTestInstances()
+		r.applyCopy(1, 5, "a=1@4", "b=1@5")
+		r.applyCopy(1, 9, "a=1!@9", "b=1@5")
+		r.applyCopy(2, 6, "a=1@4", "b=1@5")
 		is.Equal(r.published, []string{"a=1!", "b=1"})
-		r.list(2, 8, "a=1@4", "b=1@5") // nothing of it is new
+		r.applyCopy(2, 8, "a=1@4", "b=1@5") // nothing of it is new
 		is.Equal(r.published, []string{"a=1!", "b=1"})
-		r.list(2, 9, "a=2@9", "b=1@5") // another run under its name
+		r.applyCopy(2, 9, "a=2@9", "b=1@5") // another run under its name
 		is.Equal(r.published, []string{"a=2", "b=1"})
 	})
 }
 
 // Guards against requests to a runner that is gone, because a restored store lists it again.
-func TestRunThatIsGoneIsNotTakenBackFromARestoredStore(t *testing.T) {
+func TestDepartedRunIsIgnoredAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRoster()
-		r.list(1, 5, "dead=1@3", "back=1@4", "alive=1@5")
-		r.list(1, 9)
-		r.list(2, 5, "dead=1@3", "back=1@4", "alive=1@5")
+		r := newTestInstances()
+		r.applyCopy(1, 5, "dead=1@3", "back=1@4", "alive=1@5")
+		r.applyCopy(1, 9)
+		r.applyCopy(2, 5, "dead=1@3", "back=1@4", "alive=1@5")
 		is.Equal(len(r.published), 0)
-		r.list(2, 7, "dead=1@3", "back=1@7", "alive=1@5")
+		r.applyCopy(2, 7, "dead=1@3", "back=1@7", "alive=1@5")
 		is.Equal(r.published, []string{"back=1"}) // it has written itself again
 		time.Sleep(testSilent - time.Second)
-		r.list(2, 8, "back=1@7", "alive=1@5") // the store dropped the silent one
-		r.sweep()
+		r.applyCopy(2, 8, "back=1@7", "alive=1@5") // the store dropped the silent one
+		r.removeExpired()
 		is.Equal(r.published, []string{"back=1"})
 		time.Sleep(time.Second)
-		r.sweep()
+		r.removeExpired()
 		is.Equal(r.published, []string{"alive=1", "back=1"}) // the store would have dropped it
 	})
 }
 
 // Guards against a runner that loses its requests, because a restored store lost its entry.
-func TestRunWhoseEntryWasLostIsNotDropped(t *testing.T) {
+func TestRunMissingAfterRestoreIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRoster()
-		r.list(1, 5, "a=1@4")
-		r.list(1, 9, "a=1@4", "new=1@8", "never=1@9")
-		r.list(2, 5, "a=1@4")
+		r := newTestInstances()
+		r.applyCopy(1, 5, "a=1@4")
+		r.applyCopy(1, 9, "a=1@4", "new=1@8", "never=1@9")
+		r.applyCopy(2, 5, "a=1@4")
 		is.Equal(r.published, []string{"a=1", "never=1", "new=1"})
 		time.Sleep(testHold - 10*time.Millisecond) // as long as it may take to write it again
-		r.sweep()
+		r.removeExpired()
 		is.Equal(r.published, []string{"a=1", "never=1", "new=1"})
-		r.list(2, 6, "a=1@4", "new=1@6")
+		r.applyCopy(2, 6, "a=1@4", "new=1@6")
 		time.Sleep(20 * time.Millisecond)
-		r.sweep()
+		r.removeExpired()
 		is.Equal(r.published, []string{"a=1", "new=1"})
 	})
 }
 
 // Guards against requests that name an earlier run of a runner, because a restored store lists it.
-func TestEarlierRunIsNotTakenBackFromARestoredStore(t *testing.T) {
+func TestEarlierRunIsIgnoredAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		r := newRoster()
-		r.list(1, 5, "a=1@4")
-		r.list(1, 9, "a=2@9")
-		r.list(2, 5, "a=1@4")
+		r := newTestInstances()
+		r.applyCopy(1, 5, "a=1@4")
+		r.applyCopy(1, 9, "a=2@9")
+		r.applyCopy(2, 5, "a=1@4")
 		is.Equal(r.published, []string{"a=2"})
 		time.Sleep(testHold)
-		r.sweep()
-		r.list(2, 6, "a=1@4")
+		r.removeExpired()
+		r.applyCopy(2, 6, "a=1@4")
 		is.Equal(r.published, []string{"a=2"})
-		r.list(2, 8, "a=2!@8")
+		r.applyCopy(2, 8, "a=2!@8")
 		is.Equal(r.published, []string{"a=2!"})
-		r.list(3, 6, "a=1@4") // and once more
+		r.applyCopy(3, 6, "a=1@4") // and once more
 		is.Equal(r.published, []string{"a=2!"})
 	})
 }
 
 // Guards against a configuration that goes back because the store did, and against one that nobody is
 // told of.
-func TestConfigurationOfARestoredStoreDoesNotGoBack(t *testing.T) {
+func TestConfigDoesNotRevertAfterRestore(t *testing.T) {
 	is := is.New(t)
 	var log bytes.Buffer
 	c := NewConfig("main", func(v []byte) (*state.RoutingConfig, error) {
@@ -176,18 +176,18 @@
 }
 
 // Guards against a record of runs that are gone which grows without a bound.
-func TestRunsThatAreGoneAreRememberedForAWhile(t *testing.T) {
+func TestDepartedRunsAreBounded(t *testing.T) {
 	is := is.New(t)
-	var g goneRuns
+	var g departedRuns
 	now := time.Unix(0, 0)
 	id := func(n int) state.InstanceID { return state.InstanceID{Name: strconv.Itoa(n)} }
-	for n := range 3 * mostGone {
+	for n := range 3 * maxDeparted {
 		g.add(id(n), now)
-		is.True(len(g.present)+len(g.before) <= mostGone)
-		is.True(g.has(id(n)) && g.has(id(max(0, n-mostGone/2+1))))
+		is.True(len(g.current)+len(g.previous) <= maxDeparted)
+		is.True(g.has(id(n)) && g.has(id(max(0, n-maxDeparted/2+1))))
 	}
-	g.add(id(-1), now.Add(rememberGone-time.Second))
-	is.True(g.has(id(3*mostGone - 1)))
-	g.forget(id(-1))
+	g.add(id(-1), now.Add(departedRetention-time.Second))
+	is.True(g.has(id(3*maxDeparted - 1)))
+	g.remove(id(-1))
 	is.True(!g.has(id(-1)))
 }
--- a/coordination/follow/sight.go
+++ b/coordination/follow/sight.go
@@ -14,72 +14,72 @@
 	Current, Gaps, Older uint64
 }
 
-// sight notes what the store answers. Lines that repeat are logged once per sightEvery, so that
+// answerStats notes what the store answers. Lines that repeat are logged once per sightEvery, so that
 // they don't crowd others out.
-type sight struct {
+type answerStats struct {
 	mu       sync.Mutex
-	answers  Answers
+	counts   Answers
 	loggedAt map[string]time.Time
 	omitted  map[string]uint64
 }
 
-// sightEvery is the shortest pause between two lines of the same text.
-const sightEvery = time.Second
+// repeatedLogInterval is the shortest pause between two lines of the same text.
+const repeatedLogInterval = time.Second
 
 // Answers returns the counts since the start.
 func (m *Mirror) Answers() Answers {
-	m.sight.mu.Lock()
-	defer m.sight.mu.Unlock()
-	return m.sight.answers
+	m.answerStats.mu.Lock()
+	defer m.answerStats.mu.Unlock()
+	return m.answerStats.counts
 }
 
-// noteRevision notes an answer of the store that tells its state at a revision.
-func (m *Mirror) noteRevision(revision uint64) {
+// countAnswer notes an answer of the store that tells its state at a revision.
+func (m *Mirror) countAnswer(revision uint64) {
 	copied := m.Revision()
-	m.sight.mu.Lock()
-	defer m.sight.mu.Unlock()
+	m.answerStats.mu.Lock()
+	defer m.answerStats.mu.Unlock()
 	if revision >= copied {
-		m.sight.answers.Current++
+		m.answerStats.counts.Current++
 		return
 	}
-	m.sight.answers.Older++
-	m.logSeldom("the store's state is older than the copy; not taken", "store_revision", store.FormatVersion(revision), "revision", store.FormatVersion(copied))
+	m.answerStats.counts.Older++
+	m.logRateLimited("the store's state is older than the copy; not taken", "store_revision", store.FormatVersion(revision), "revision", store.FormatVersion(copied))
 }
 
-// noteGap notes a watch whose history is gone.
-func (m *Mirror) noteGap() {
+// countGap notes a watch whose history is gone.
+func (m *Mirror) countGap() {
 	copied := m.Revision()
-	m.sight.mu.Lock()
-	defer m.sight.mu.Unlock()
-	m.sight.answers.Gaps++
-	m.logSeldom("history is gone; listing again", "revision", store.FormatVersion(copied))
+	m.answerStats.mu.Lock()
+	defer m.answerStats.mu.Unlock()
+	m.answerStats.counts.Gaps++
+	m.logRateLimited("history is gone; listing again", "revision", store.FormatVersion(copied))
 }
 
-// logSeldom logs a line unless the same text was logged a moment ago; m.sight.mu is held.
-func (m *Mirror) logSeldom(text string, args ...any) {
+// logRateLimited logs a line unless the same text was logged a moment ago; m.sight.mu is held.
+func (m *Mirror) logRateLimited(text string, args ...any) {
 	now := m.o.Clock.Now()
-	if at, ever := m.sight.loggedAt[text]; ever && now.Sub(at) < sightEvery {
-		m.sight.omitted[text]++
+	if at, ever := m.answerStats.loggedAt[text]; ever && now.Sub(at) < repeatedLogInterval {
+		m.answerStats.omitted[text]++
 		return
 	}
-	args = append([]any{"kind", m.o.Kind, "omitted", m.sight.omitted[text]}, args...)
+	args = append([]any{"kind", m.o.Kind, "omitted", m.answerStats.omitted[text]}, args...)
 	m.o.Log.Info(text, args...)
-	m.sight.loggedAt[text] = now
-	delete(m.sight.omitted, text)
+	m.answerStats.loggedAt[text] = now
+	delete(m.answerStats.omitted, text)
 }
 
-func newSight() sight {
-	return sight{loggedAt: map[string]time.Time{}, omitted: map[string]uint64{}}
+func newAnswerStats() answerStats {
+	return answerStats{loggedAt: map[string]time.Time{}, omitted: map[string]uint64{}}
 }
 
-// takeList takes a list of the store.
-func (m *Mirror) takeList(objects []store.Object, revision uint64) {
-	m.noteRevision(revision)
+// applyList takes a list of the store.
+func (m *Mirror) applyList(objects []store.Object, revision uint64) {
+	m.countAnswer(revision)
 	m.replace(objects, revision)
 }
 
-// takeBatch takes a watch's changes.
-func (m *Mirror) takeBatch(b store.Batch) {
-	m.noteRevision(b.Revision)
+// applyBatch takes a watch's changes.
+func (m *Mirror) applyBatch(b store.Batch) {
+	m.countAnswer(b.Revision)
 	m.apply(b)
 }
