--- a/coordination/store/storetest/restore.go
+++ b/coordination/store/storetest/restore.go
@@ -30,21 +30,21 @@
 }
 
 // restore keeps the first changes, as far as they are kept by a function; p.mu is held.
-func (p *Platform) restore(keeps func(change) bool) {
+func (p *Platform) restore(keep func(change) bool) {
 	epoch := store.EpochOf(p.revision) + 1
 	n := 0
-	for n < len(p.past) && keeps(p.past[n]) {
+	for n < len(p.allChanges) && keep(p.allChanges[n]) {
 		n++
 	}
-	p.past = p.past[:n:n]
+	p.allChanges = p.allChanges[:n:n]
 	p.objects = map[key]store.Object{}
 	p.revision, p.oldest = store.MakeVersion(epoch, 0), store.MakeVersion(epoch, store.RevisionOf(p.oldest))
-	for i := range p.past {
-		p.replay(&p.past[i], epoch)
+	for i := range p.allChanges {
+		p.replay(&p.allChanges[i], epoch)
 	}
 	p.oldest = min(p.oldest, p.revision)
-	p.changes = append([]change(nil), p.past...)
-	p.signal()
+	p.changes = append([]change(nil), p.allChanges...)
+	p.wakeWatches()
 }
 
 // replay makes a change one of the epoch.
--- a/coordination/store/storetest/storetest.go
+++ b/coordination/store/storetest/storetest.go
@@ -56,12 +56,12 @@
 	objects  map[key]store.Object
 	changes  []change
 	oldest   uint64
-	// past is all changes, for Restore.
-	past    []change
-	wake    chan struct{}
-	script  Script
-	calls   int
-	maxWait time.Duration
+	// allChanges is all changes, for Restore.
+	allChanges []change
+	changed    chan struct{}
+	script     Script
+	calls      int
+	maxWait    time.Duration
 }
 
 // NewPlatform returns an empty platform whose watches wait for at most maxWait;
@@ -69,7 +69,7 @@
 func NewPlatform(maxWait time.Duration) *Platform {
 	return &Platform{
 		objects: map[key]store.Object{},
-		wake:    make(chan struct{}),
+		changed: make(chan struct{}),
 		maxWait: maxWait,
 	}
 }
@@ -94,22 +94,22 @@
 	defer p.mu.Unlock()
 	p.changes = nil
 	p.oldest = p.revision
-	p.signal()
+	p.wakeWatches()
 }
 
 // Client returns the store as the named caller sees it.
 func (p *Platform) Client(caller string) *Client { return &Client{p: p, caller: caller} }
 
-func (p *Platform) signal() {
-	close(p.wake)
-	p.wake = make(chan struct{})
+func (p *Platform) wakeWatches() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
 func (p *Platform) record(e store.Event) {
 	c := change{at: time.Now(), revision: p.revision, event: e}
 	p.changes = append(p.changes, c)
-	p.past = append(p.past, c)
-	p.signal()
+	p.allChanges = append(p.allChanges, c)
+	p.wakeWatches()
 }
 
 // Client implements store.Store.
@@ -138,7 +138,7 @@
 	return f, nil
 }
 
-func lost(f Fault, write bool) error {
+func lostAnswer(f Fault, write bool) error {
 	if f != LoseAnswer {
 		return nil
 	}
@@ -153,7 +153,7 @@
 	}
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	if err := lost(f, false); err != nil {
+	if err := lostAnswer(f, false); err != nil {
 		return store.Object{}, err
 	}
 	o, ok := c.p.objects[key{kind, name}]
@@ -174,8 +174,8 @@
 	defer c.p.mu.Unlock()
 	k := key{kind, name}
 	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Actual: c.p.objects[k].Version}
-	if !c.p.meets(conflict) {
-		if err := lost(f, true); err != nil {
+	if !c.p.conditionHolds(conflict) {
+		if err := lostAnswer(f, true); err != nil {
 			return 0, err
 		}
 		return 0, conflict
@@ -187,12 +187,12 @@
 	if conflict.Restored {
 		return 0, conflict
 	}
-	return o.Version, lost(f, true)
+	return o.Version, lostAnswer(f, true)
 }
 
-// meets reports whether a write's condition holds: the store knows its revisions alone, and those
+// conditionHolds reports whether a write's condition holds: the store knows its revisions alone, and those
 // of before a restoration may have been given out again.
-func (p *Platform) meets(c *store.ConflictError) bool {
+func (p *Platform) conditionHolds(c *store.ConflictError) bool {
 	c.Restored = c.Expected != store.Absent && store.EpochOf(c.Expected) < store.EpochOf(p.revision)
 	return store.RevisionOf(c.Expected) == store.RevisionOf(c.Actual)
 }
@@ -211,7 +211,7 @@
 		return store.ErrNotFound
 	}
 	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Actual: o.Version}
-	if !c.p.meets(conflict) {
+	if !c.p.conditionHolds(conflict) {
 		return conflict
 	}
 	delete(c.p.objects, k)
@@ -220,7 +220,7 @@
 	if conflict.Restored {
 		return conflict
 	}
-	return lost(f, true)
+	return lostAnswer(f, true)
 }
 
 // List implements store.Store. Objects come sorted by name.
@@ -231,7 +231,7 @@
 	}
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	if err := lost(f, false); err != nil {
+	if err := lostAnswer(f, false); err != nil {
 		return nil, 0, err
 	}
 	var out []store.Object
@@ -251,13 +251,13 @@
 	if err != nil {
 		return store.Batch{}, err
 	}
-	if err := lost(f, false); err != nil {
+	if err := lostAnswer(f, false); err != nil {
 		return store.Batch{}, err
 	}
 	limit := time.NewTimer(c.p.maxWait)
 	defer limit.Stop()
 	for {
-		batch, wake := c.p.since(kind, after)
+		batch, wake := c.p.changesSince(kind, after)
 		if batch.Gap || len(batch.Events) > 0 || c.p.maxWait == 0 {
 			return batch, nil
 		}
@@ -271,18 +271,18 @@
 	}
 }
 
-func (p *Platform) since(kind string, after uint64) (store.Batch, <-chan struct{}) {
+func (p *Platform) changesSince(kind string, after uint64) (store.Batch, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := store.Batch{Revision: p.revision}
 	if after < p.oldest || after > p.revision {
 		b.Gap = true
-		return b, p.wake
+		return b, p.changed
 	}
 	for _, ch := range p.changes {
 		if ch.revision > after && ch.event.Object.Kind == kind {
 			b.Events = append(b.Events, ch.event)
 		}
 	}
-	return b, p.wake
+	return b, p.changed
 }
