--- a/coordination/bound/bound.go
+++ b/coordination/bound/bound.go
@@ -19,8 +19,8 @@
 	Work time.Duration
 	// Deadline is how long a caller waits.
 	Deadline time.Duration
-	// Worth is earned in time, Late after the objective.
-	Worth, Late float64
+	// Value is earned in time, LateValue after the objective.
+	Value, LateValue float64
 }
 
 // Second is one second of a day.
@@ -33,108 +33,108 @@
 
 // Result is what could be earned.
 type Result struct {
-	Owed, Earned float64
-	// InTime and LateServed are shares of each class's requests.
-	InTime, LateServed []float64
-	// Short counts the seconds in which a service's capacity did not do for all that
+	Offered, Earned float64
+	// InTime and Late are shares of each class's requests.
+	InTime, Late []float64
+	// SaturatedSeconds counts the seconds in which a service's capacity did not do for all that
 	// had arrived, by service.
-	Short map[string]int
+	SaturatedSeconds map[string]int
 }
 
 // Share is the part of the credit owed that could be earned.
 func (r Result) Share() float64 {
-	if r.Owed == 0 {
+	if r.Offered == 0 {
 		return 0
 	}
-	return r.Earned / r.Owed
+	return r.Earned / r.Offered
 }
 
-// waiting are requests of a class that came in one second and are not yet served.
-type waiting struct {
-	class int
-	since int
-	count float64
+// queuedRequests are requests of a class that came in one second and are not yet served.
+type queuedRequests struct {
+	class     int
+	arrivedAt int
+	count     float64
 }
 
-// Day works out the result of a day.
-func Day(classes []Class, day []Second) Result {
-	r := Result{InTime: make([]float64, len(classes)), LateServed: make([]float64, len(classes)), Short: map[string]int{}}
+// Evaluate works out the result of a day.
+func Evaluate(classes []Class, day []Second) Result {
+	r := Result{InTime: make([]float64, len(classes)), Late: make([]float64, len(classes)), SaturatedSeconds: map[string]int{}}
 	arrived := make([]float64, len(classes))
-	var queue []waiting
+	var queue []queuedRequests
 	for now, second := range day {
-		queue = expire(classes, queue, now)
+		queue = dropExpired(classes, queue, now)
 		for c, n := range second.Arrivals {
 			arrived[c] += n
-			r.Owed += n * classes[c].Worth
-			queue = append(queue, waiting{c, now, n})
+			r.Offered += n * classes[c].Value
+			queue = append(queue, queuedRequests{c, now, n})
 		}
 		queue = r.serve(classes, queue, now, second.Capacity)
 	}
 	for c, n := range arrived {
 		if n > 0 {
 			r.InTime[c] /= n
-			r.LateServed[c] /= n
+			r.Late[c] /= n
 		}
 	}
 	return r
 }
 
 // serve spends one second's capacity on what waits and returns what is left.
-func (r *Result) serve(classes []Class, queue []waiting, now int, capacity map[string]time.Duration) []waiting {
-	slices.SortStableFunc(queue, func(a, b waiting) int {
-		return cmp.Compare(density(classes[b.class], b, now), density(classes[a.class], a, now))
+func (r *Result) serve(classes []Class, queue []queuedRequests, now int, capacity map[string]time.Duration) []queuedRequests {
+	slices.SortStableFunc(queue, func(a, b queuedRequests) int {
+		return cmp.Compare(valueDensity(classes[b.class], b, now), valueDensity(classes[a.class], a, now))
 	})
-	left := map[string]float64{}
+	available := map[string]float64{}
 	for service, work := range capacity {
-		left[service] = work.Seconds()
+		available[service] = work.Seconds()
 	}
-	short := map[string]bool{}
-	var rest []waiting
+	saturated := map[string]bool{}
+	var remaining []queuedRequests
 	for _, w := range queue {
 		c := classes[w.class]
 		n := w.count
 		if work := c.Work.Seconds(); work > 0 {
-			n = min(n, left[c.Service]/work)
-			left[c.Service] -= n * work
+			n = min(n, available[c.Service]/work)
+			available[c.Service] -= n * work
 		}
-		r.earn(c, w, now, n)
+		r.recordServed(c, w, now, n)
 		if w.count > n {
-			short[c.Service] = true
-			rest = append(rest, waiting{w.class, w.since, w.count - n})
+			saturated[c.Service] = true
+			remaining = append(remaining, queuedRequests{w.class, w.arrivedAt, w.count - n})
 		}
 	}
-	for service := range short {
-		r.Short[service]++
+	for service := range saturated {
+		r.SaturatedSeconds[service]++
 	}
-	return rest
+	return remaining
 }
 
-// earn counts n served requests.
-func (r *Result) earn(c Class, w waiting, now int, n float64) {
-	if w.since == now {
+// recordServed counts n served requests.
+func (r *Result) recordServed(c Class, w queuedRequests, now int, n float64) {
+	if w.arrivedAt == now {
 		r.InTime[w.class] += n
-		r.Earned += n * c.Worth
+		r.Earned += n * c.Value
 		return
 	}
-	r.LateServed[w.class] += n
-	r.Earned += n * c.Late
+	r.Late[w.class] += n
+	r.Earned += n * c.LateValue
 }
 
-// density is what a request earns for its work now.
-func density(c Class, w waiting, now int) float64 {
-	worth := c.Worth
-	if w.since != now {
-		worth = c.Late
+// valueDensity is what a request earns for its work now.
+func valueDensity(c Class, w queuedRequests, now int) float64 {
+	worth := c.Value
+	if w.arrivedAt != now {
+		worth = c.LateValue
 	}
-	return worth / max(c.Work.Seconds(), leastWork)
+	return worth / max(c.Work.Seconds(), minWorkSeconds)
 }
 
-// leastWork keeps requests without work first and the division defined.
-const leastWork = 1e-9
+// minWorkSeconds keeps requests without work first and the division defined.
+const minWorkSeconds = 1e-9
 
-// expire drops what callers no longer wait for.
-func expire(classes []Class, queue []waiting, now int) []waiting {
-	return slices.DeleteFunc(queue, func(w waiting) bool {
-		return time.Duration(now-w.since)*time.Second > classes[w.class].Deadline
+// dropExpired drops what callers no longer wait for.
+func dropExpired(classes []Class, queue []queuedRequests, now int) []queuedRequests {
+	return slices.DeleteFunc(queue, func(w queuedRequests) bool {
+		return time.Duration(now-w.arrivedAt)*time.Second > classes[w.class].Deadline
 	})
 }
--- a/ctl/bound.go
+++ b/ctl/bound.go
@@ -61,10 +61,10 @@
 }
 
 func boundOf(d site.Day) dayBound {
-	r := bound.Day(d.Classes, d.Seconds)
-	out := dayBound{Day: d.Name, Share: r.Share(), Binds: binds(r.Short)}
+	r := bound.Evaluate(d.Classes, d.Seconds)
+	out := dayBound{Day: d.Name, Share: r.Share(), Binds: binds(r.SaturatedSeconds)}
 	for i, c := range d.Classes {
-		out.Classes = append(out.Classes, classBound{c.Name, r.InTime[i], r.LateServed[i]})
+		out.Classes = append(out.Classes, classBound{c.Name, r.InTime[i], r.Late[i]})
 	}
 	return out
 }
