--- a/coordination/follow/config.go
+++ b/coordination/follow/config.go
@@ -9,30 +9,30 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Config holds the routes in force: the highest version seen, never a lower one.
+// Config holds the routing table in force. It only moves on to higher configuration versions.
 type Config struct {
 	name   string
 	decode func([]byte) (*state.RoutingConfig, error)
 	log    *slog.Logger
 	table  atomic.Pointer[routing.Table]
-	// unreadable is set while the newest configuration can't be read.
+	// unreadable is set while the newest configuration can't be decoded.
 	unreadable atomic.Bool
 }
 
-// NewConfig follows the configuration object of that name.
+// NewConfig returns a Config that reads the configuration from the object of the given name.
 func NewConfig(name string, decode func([]byte) (*state.RoutingConfig, error), log *slog.Logger) *Config {
 	return &Config{name: name, decode: decode, log: log}
 }
 
-// Table returns the routes in force, or nil before the first configuration.
+// Table returns the routing table in force, or nil before the first configuration.
 func (c *Config) Table() *routing.Table { return c.table.Load() }
 
-// Unreadable reports whether the configuration in force isn't the newest, since that can't be
-// read.
+// Unreadable reports whether the newest configuration can't be decoded, so that an older one
+// stays in force.
 func (c *Config) Unreadable() bool { return c.unreadable.Load() }
 
-// Update takes a new copy of the configuration objects. One that can't be read
-// leaves the last in force. It has one caller at a time.
+// Update applies a new copy of the configuration objects. A configuration that can't be decoded
+// leaves the present one in force. Update must not be called concurrently.
 func (c *Config) Update(copied Copy) {
 	for _, object := range copied.Objects {
 		if object.Name != c.name {
@@ -41,12 +41,12 @@
 		config, err := c.decode(object.Value)
 		c.unreadable.Store(err != nil)
 		if err != nil {
-			c.log.Error("configuration not readable; the last one stays in force", "version", store.FormatVersion(object.Version), "cause", err.Error())
+			c.log.Error("configuration can't be decoded; the previous one stays in force", "version", store.FormatVersion(object.Version), "cause", err.Error())
 			return
 		}
 		current := c.table.Load()
 		if current != nil && config.Version < current.Version {
-			c.log.Warn("the store's configuration is older than the one in force, which stays", "config_version", current.Version, "store_version", config.Version, "revision", store.FormatVersion(copied.Revision))
+			c.log.Warn("ignored the store's configuration, which is older than the one in force", "config_version", current.Version, "store_version", config.Version, "revision", store.FormatVersion(copied.Revision))
 		}
 		if current != nil && config.Version <= current.Version {
 			return
--- a/coordination/follow/follow_test.go
+++ b/coordination/follow/follow_test.go
@@ -23,7 +23,7 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// testMirror is a mirror over a test platform with the copies it gave out.
+// testMirror is a mirror of a test platform's objects, with the copies that it passed on.
 type testMirror struct {
 	*Mirror
 	copies []Copy
@@ -43,6 +43,7 @@
 	return f
 }
 
+// put writes an object of the mirrored kind and returns its new version.
 func put(t testing.TB, p *storetest.Platform, name, value string, version uint64) uint64 {
 	v, err := p.Client("operator").Put(context.Background(), "things", name, version, []byte(value))
 	if err != nil {
@@ -51,6 +52,7 @@
 	return v
 }
 
+// values returns the objects of a copy as sorted NAME=VALUE texts.
 func values(c Copy) []string {
 	var out []string
 	for _, o := range c.Objects {
@@ -60,7 +62,7 @@
 	return out
 }
 
-// run starts the mirror; the returned function ends it.
+// run starts the mirror; the returned function stops it and waits for its end.
 func run(t *testing.T, m *Mirror) func() {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -68,6 +70,7 @@
 	return func() { cancel(); <-done }
 }
 
+// Guards against a mirror that polls: a change must arrive by a waiting watch.
 func TestWatchDeliversChangesWithoutPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -81,10 +84,11 @@
 		synctest.Wait()
 		is.Equal(values(f.Export()), []string{"a=2"})
 		time.Sleep(15 * time.Second)
-		is.True(p.Calls()-before <= 3) // the write and a watch or two
+		is.True(p.Calls()-before <= 3) // the write and one or two watches
 	})
 }
 
+// Guards against a billed call for each change: changes within CoalesceDelay cost one call.
 func TestCoalescesChangesInQuickSuccession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -104,9 +108,9 @@
 	})
 }
 
-// In an outage the store's refusals are priced like answers: of two copies of a host
-// one asks and the other waits, and both are up to date soon after its end. A copy that
-// asks does so at least every 1.5 s, one that waits every 2 s, whatever the jitter.
+// Guards against retries by every mirror of a host during an outage, in which refused calls are billed
+// like answered ones. The leader retries at least every 1.5 s (the longest delay with jitter), the other
+// mirror at most every 2 s, and both are up to date soon after the outage.
 func TestOneMirrorRetriesForAllInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -152,7 +156,7 @@
 	})
 }
 
-// A mirror whose fellow isn't answered asks by itself after a while.
+// Guards against a mirror that waits for ever for a leader whose calls fail.
 func TestMirrorRetriesItselfAfterMaxRecoveryWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -183,6 +187,7 @@
 	})
 }
 
+// Guards against a copy that stays out of date when the store drops its history during an outage.
 func TestRelistsAfterHistoryIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -209,6 +214,7 @@
 	})
 }
 
+// Guards against a copy that is replaced by a peer's copy of the same or an earlier revision.
 func TestAdoptsPeerCopyOnlyIfNewer(t *testing.T) {
 	is := is.New(t)
 	f := newTestMirror(t, storetest.NewPlatform(0), 0)
@@ -221,8 +227,8 @@
 	is.Equal(values(f.Export()), []string{"a=new"})
 }
 
-// TestHoldsConfigNeverReverts mixes the store's changes, lost answers, outages,
-// forgotten history and peers' older copies.
+// Guards against routes that revert to an earlier version, by a random sequence of writes, outages,
+// dropped history and older copies of peers.
 func TestHoldsRoutesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 5, 30).Draw(rt, "steps")
@@ -234,6 +240,7 @@
 	})
 }
 
+// runConfigSteps applies the steps to a store with a mirror and returns what went wrong, or "".
 func runConfigSteps(t *testing.T, steps []int) string {
 	p := storetest.NewPlatform(2 * time.Second)
 	decode := func(value []byte) (*state.RoutingConfig, error) {
@@ -249,7 +256,7 @@
 			config.Update(c)
 			if table := config.Table(); table != nil {
 				if table.Version < last {
-					problem = fmt.Sprintf("version %d after %d", table.Version, last)
+					problem = fmt.Sprintf("version %d is in force after version %d", table.Version, last)
 				}
 				last = table.Version
 			}
@@ -294,6 +301,7 @@
 	return problem
 }
 
+// Guards against the loss of the routes in force when the newest configuration can't be decoded.
 func TestUnreadableConfigKeepsLastTable(t *testing.T) {
 	is := is.New(t)
 	config := NewConfig("main", func(v []byte) (*state.RoutingConfig, error) {
@@ -308,6 +316,8 @@
 	is.Equal(config.Table().Version, uint64(7))
 }
 
+// newInstances returns a list of instances; *outage says whether entries may be missing, and
+// *published is the sorted names of the last published list.
 func newInstances(outage *bool, published *[]string) *Instances {
 	return NewInstances(InstancesOptions{
 		Clock: clocktest.Bubble{}, Log: quiet, HoldFor: time.Second, Leaving: func(state.InstanceID) bool { return false }, OnUnusable: func() {}, EntriesMayBeMissing: func() bool { return *outage },
@@ -324,6 +334,7 @@
 	})
 }
 
+// entries returns a copy with an entry for each name, at versions 1 and up.
 func entries(names ...string) Copy {
 	var c Copy
 	for i, n := range names {
@@ -332,8 +343,8 @@
 	return c
 }
 
-// A runner restarts under its name: the list has the new run alone, and the order of the
-// store's versions decides, not that of the clocks.
+// Guards against two instances under one name after a runner restarts: the version at the store
+// decides which run is the later one, since the clocks of two runs may differ.
 func TestRestartUnderSameNameReplacesInstance(t *testing.T) {
 	is := is.New(t)
 	var published []state.Instance
@@ -352,8 +363,8 @@
 	}
 }
 
-// An entry that can't be used, also one that replaces a good one, names no instance; the
-// others hold, and the good one counts again when it is back.
+// Guards against requests to an instance whose entry can't be decoded, also if that entry replaced a
+// valid one. Other entries aren't affected, and the instance is used again once its entry is valid.
 func TestUnusableEntryIsNotPublished(t *testing.T) {
 	is := is.New(t)
 	var published []string
@@ -387,16 +398,16 @@
 	l.Update(list(2, "ready", "nonsense", "nonsense"))
 	is.Equal(published, []string{"a"})
 	is.Equal(unusable, 3)
-	l.Update(list(2, "ready", "nonsense", "nonsense")) // the same again
+	l.Update(list(2, "ready", "nonsense", "nonsense")) // the same copy again
 	is.Equal(unusable, 3)
 	l.Update(list(3, "ready", "ready", "nonsense"))
 	is.Equal(published, []string{"a", "b"})
-	l.Update(list(4, "ready", "ready")) // it was no instance, so that nothing is held
+	l.Update(list(4, "ready", "ready")) // a missing entry that was unusable isn't held
 	is.Equal(published, []string{"a", "b"})
 }
 
-// A runner that crashed is still listed when another has taken its address: only the one
-// that wrote last is there.
+// Guards against two instances at one address: after a runner crashed, its entry remains listed while
+// another runner has taken its address. Only the entry that was written last is used.
 func TestLatestEntryOwnsSharedAddress(t *testing.T) {
 	is := is.New(t)
 	var published []string
@@ -424,6 +435,7 @@
 	is.Equal(published, []string{"crashed", "other"})
 }
 
+// Guards against requests to an instance that left: without an outage it is removed at once.
 func TestMissingInstanceIsRemovedAtOnceWithoutOutage(t *testing.T) {
 	is := is.New(t)
 	outage, published := false, []string{}
@@ -433,6 +445,8 @@
 	is.Equal(published, []string{"a"})
 }
 
+// Guards against the removal of live instances whose entries are missing after an outage. They are
+// held for HoldFor only.
 func TestMissingInstanceIsHeldAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -442,13 +456,15 @@
 		l.Update(entries("a"))
 		is.Equal(published, []string{"a", "b", "c"})
 		time.Sleep(500 * time.Millisecond)
-		l.Update(entries("a", "b")) // b is back
+		l.Update(entries("a", "b")) // b has registered again
 		time.Sleep(600 * time.Millisecond)
 		l.removeExpired()
 		is.Equal(published, []string{"a", "b"})
 	})
 }
 
+// Guards against a watch that began before a newer copy was adopted: its events must neither bring
+// back objects that the newer copy lacks nor delete objects that it has.
 func TestOldEventsDoNotOverrideNewerCopy(t *testing.T) {
 	is := is.New(t)
 	f := newTestMirror(t, storetest.NewPlatform(0), 0)
@@ -456,13 +472,13 @@
 		return store.Object{Name: name, Version: v, Value: []byte(fmt.Sprint(v))}
 	}
 	is.True(f.Adopt(Copy{Revision: 20, Objects: []store.Object{object("kept", 15)}}, "peer"))
-	// A watch that began before the copy was adopted ends now.
+	// This watch began before the copy was adopted and ends now.
 	f.apply(store.Batch{Revision: 12, Events: []store.Event{
 		{Object: object("gone", 11)}, {Object: object("kept", 10), Deleted: true},
 	}})
 	is.Equal(values(f.Export()), []string{"kept=15"})
 	is.Equal(f.Revision(), uint64(20))
-	// One that goes beyond the copy tells what the copy has, too.
+	// A watch that ends at a later revision also returns events that the copy already reflects.
 	f.apply(store.Batch{Revision: 22, Events: []store.Event{
 		{Object: object("gone", 11)}, {Object: object("kept", 10), Deleted: true}, {Object: object("new", 21)},
 	}})
@@ -471,22 +487,23 @@
 	is.Equal(values(f.Export()), []string{"new=21"})
 }
 
+// Guards against an instance that is held after the outage window has ended.
 func TestHeldInstanceIsRemovedWhenOutageWindowEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		outage, published := true, []string{}
 		l := newInstances(&outage, &published)
 		l.Update(entries("a", "b"))
-		l.Update(entries("a")) // late in that time
+		l.Update(entries("a")) // late in the outage window
 		is.Equal(published, []string{"a", "b"})
 		time.Sleep(100 * time.Millisecond)
 		outage = false
 		l.removeExpired()
-		is.Equal(published, []string{"a"}) // it left in earnest
+		is.Equal(published, []string{"a"}) // b has really left
 	})
 }
 
-// pollingClient is a test store with a watch that doesn't wait.
+// pollingClient is a test store that implements Poller.
 type pollingClient struct{ *storetest.Client }
 
 func (s pollingClient) Poll(ctx context.Context, kind string, after uint64) (store.Batch, error) {
@@ -496,6 +513,8 @@
 	return store.Batch{Revision: after}, nil
 }
 
+// Guards against a store that counts as lost until something changes: its recovery must be noticed
+// without a change.
 func TestDetectsStoreRecoveryWithoutChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -509,16 +528,16 @@
 		defer run(t, m)()
 		time.Sleep(time.Second)
 		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.Refuse })
-		time.Sleep(25 * time.Second) // the waiting watch ends and the next ones fail
+		time.Sleep(25 * time.Second) // the waiting watch ends and the next calls fail
 		is.True(m.Lost())
 		p.SetScript(nil)
 		time.Sleep(3 * time.Second)
-		is.True(!m.Lost()) // though nothing has changed
+		is.True(!m.Lost()) // although nothing has changed
 	})
 }
 
-// A run that says itself that it leaves counts as draining at once, whatever its entry says,
-// then and later; another run under its name doesn't.
+// Guards against new requests to a run that announced that it leaves while its entry still says ready.
+// Another run under the same name isn't affected.
 func TestRunThatAnnouncedLeavingIsDraining(t *testing.T) {
 	is := is.New(t)
 	left := map[state.InstanceID]bool{}
@@ -537,7 +556,7 @@
 	left[got[0].ID] = true
 	l.Republish()
 	is.True(got[0].Draining)
-	l.Update(Copy{Revision: 2, Objects: []store.Object{{Name: "a", Version: 2, Value: []byte("7")}}}) // ready, says a heartbeat
+	l.Update(Copy{Revision: 2, Objects: []store.Object{{Name: "a", Version: 2, Value: []byte("7")}}}) // a heartbeat writes the entry as ready again
 	is.True(got[0].Draining)
 	l.Update(Copy{Revision: 3, Objects: []store.Object{{Name: "a", Version: 3, Value: []byte("8")}}})
 	is.True(!got[0].Draining)
--- a/coordination/follow/history.go
+++ b/coordination/follow/history.go
@@ -7,31 +7,34 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// maxDeletions bounds the deletions that a mirror remembers: a release that replaces
-// 1,800 runners, each deleted once, fits twice. Whoever lacks older ones gets a whole copy.
+// maxDeletions bounds the deletions that a mirror keeps. It holds two releases that each replace
+// 1,800 runners and delete each of them once. A peer that lacks older deletions gets a full copy.
 const maxDeletions = 4096
 
-// history is what a mirror needs to tell what changed since a revision that it has had.
+// history is what a mirror needs to compute the changes since an earlier revision.
 type history struct {
-	// completeSince is the revision from which on no deletion is missing.
+	// completeSince is the revision after which deletions holds every deletion.
 	completeSince uint64
-	// skippedFrom and skippedTo are the revisions before and after the last whole copy. What came
-	// and went in between isn't known: it matters to those alone that were there.
+	// skippedFrom and skippedTo are the revisions before and after the last full copy. Objects that
+	// were created and deleted between the two are unknown, so that no delta can be computed for a
+	// peer whose revision lies between them.
 	skippedFrom, skippedTo uint64
 	// changedAt is the revision of the last change.
 	changedAt uint64
-	// deletions are those since, the oldest first.
+	// deletions are the deletions after completeSince, oldest first.
 	deletions []deletion
 }
 
+// deletion is an object that was deleted.
 type deletion struct {
 	object store.Object
-	// revision is the mirror's revision once it knew.
+	// revision is the mirror's revision once it had applied the deletion.
 	revision uint64
 }
 
-// recordFullCopy notes a whole copy, with the objects that it lacks. One recordFullCopy is remembered: whoever
-// was there before an earlier one gets a whole copy.
+// recordFullCopy records that a full copy replaced the mirror's objects; gone are the objects that
+// the copy lacks. Only the last full copy is kept: a peer at a revision before an earlier one gets
+// a full copy.
 func (h *history) recordFullCopy(from, to uint64, gone []store.Object) {
 	if from == 0 {
 		h.completeSince = to
@@ -43,15 +46,15 @@
 	}
 }
 
-// covers reports whether all that changed after a revision is known.
+// covers reports whether all changes after a revision are known.
 func (h *history) covers(revision uint64) bool {
-	inJump := revision > h.skippedFrom && revision < h.skippedTo
-	return revision >= h.completeSince && revision > 0 && !inJump
+	skipped := revision > h.skippedFrom && revision < h.skippedTo
+	return revision >= h.completeSince && revision > 0 && !skipped
 }
 
 func (h *history) recordChange(revision uint64) { h.changedAt = revision }
 
-// recordDeletion notes a deletion, also of an object that this mirror never had: a peer may.
+// recordDeletion records a deletion, also of an object that this mirror never had: a peer may have it.
 func (h *history) recordDeletion(o store.Object, at uint64) {
 	h.recordChange(at)
 	h.deletions = append(h.deletions, deletion{o, at})
@@ -61,16 +64,16 @@
 	}
 }
 
-// Delta is what changed in a copy after a revision.
+// Delta holds the changes of a copy after a revision.
 type Delta struct {
-	// Revision is the store's revision that the copy is valid at with the change.
+	// Revision is the store's revision at which the copy is valid once the changes are applied.
 	Revision uint64
-	// Full says that Objects are all there are; otherwise they are those that changed,
-	// and Deleted those that are gone, each with the version that it had last.
+	// Full says that Objects are all objects of the copy. Otherwise Objects are those that changed,
+	// and Deleted those that were deleted, each with its last version.
 	Full             bool
 	Objects, Deleted []store.Object
-	// Proven says that the copy, with the change, held all that the store had acknowledged
-	// Age ago.
+	// Proven says that the copy with these changes held everything that the store had acknowledged
+	// up to Age ago.
 	Proven bool
 	Age    time.Duration
 }
@@ -78,11 +81,11 @@
 // Empty reports whether nothing changed.
 func (d Delta) Empty() bool { return !d.Full && len(d.Objects) == 0 && len(d.Deleted) == 0 }
 
-// Since returns what changed after a revision: nothing if that isn't lower than the
-// copy's own, and the whole copy if the history doesn't reach so far back or the store was
+// Since returns the changes after a revision: none if the revision isn't lower than that of the
+// last change, and a full copy if the history doesn't reach back that far or the store was
 // restored since.
 func (m *Mirror) Since(revision uint64) Delta {
-	// The proof is read before the copy, which holds what is proven or more.
+	// The proof is read before the objects, so that they are at least as new as the proof says.
 	proven := m.proof.Load()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -100,6 +103,7 @@
 	return d
 }
 
+// addChanges adds the objects that changed and were deleted after a revision; m.mu is held.
 func (m *Mirror) addChanges(d *Delta, revision uint64) {
 	for _, o := range m.objects {
 		if o.Version > revision {
@@ -113,8 +117,8 @@
 	}
 }
 
-// Merge takes what changed at a peer after a revision that this mirror has had; asked is
-// when the peer was asked.
+// Merge applies a peer's changes since a revision that this mirror has had. asked is the time at
+// which the request to the peer was sent.
 func (m *Mirror) Merge(d Delta, from string, asked time.Time) {
 	m.mergeChanges(d, from)
 	if d.Proven {
@@ -137,11 +141,11 @@
 	m.apply(b)
 }
 
-// MarkLost notes that neither a peer nor the store keeps this mirror up to date.
+// MarkLost records that neither the store nor a peer keeps this mirror up to date.
 func (m *Mirror) MarkLost() { m.lost.Store(true) }
 
-// PollOnce asks the store for changes once and takes them. It must not be called while Run
-// does.
+// PollOnce asks the store for changes once, applies them and reports whether the store answered. It
+// must not be called while Run runs.
 func (m *Mirror) PollOnce(ctx context.Context) bool {
 	p, ok := m.o.Store.(Poller)
 	if !ok {
@@ -151,8 +155,9 @@
 	return err == nil
 }
 
-// MarkRelayed notes that a peer which follows the store keeps this mirror up to date.
-// regained is how long ago the store answered that peer again, if ever it did not.
+// MarkRelayed records that a peer that follows the store keeps this mirror up to date. regained
+// is how long ago the store answered that peer again after an outage; ever is false if that peer
+// saw no outage.
 func (m *Mirror) MarkRelayed(regained time.Duration, ever bool) {
 	m.lost.Store(false)
 	if !ever {
--- a/coordination/follow/history_test.go
+++ b/coordination/follow/history_test.go
@@ -16,12 +16,13 @@
 	"github.com/thymerack/thymerack/coordination/store/storetest"
 )
 
-// modelStore is a store that tells every revision's objects, as an oracle.
+// modelStore is a model of the store that knows the objects at every revision.
 type modelStore struct {
 	revision uint64
-	// events are those of the present epoch, the first of revision 1, with the revision as their
-	// object's version.
+	// events are the events of the present epoch in order; the first has revision 1. The revision is
+	// also the version of the event's object.
 	events []store.Event
+	// states maps a revision to the versions of its objects by name.
 	states map[uint64]map[string]uint64
 }
 
@@ -49,6 +50,7 @@
 	o.revision = store.MakeVersion(epoch, to)
 }
 
+// change writes or deletes an object at the next revision.
 func (o *modelStore) change(name string, deleted bool) {
 	state := maps.Clone(o.states[o.revision])
 	if _, there := state[name]; deleted && !there {
@@ -57,7 +59,7 @@
 	o.revision++
 	e := store.Event{Object: store.Object{Name: name, Version: o.revision, Value: []byte(strconv.FormatUint(o.revision, 10))}, Deleted: deleted}
 	if deleted {
-		e.Object.Version = state[name] // the last one that it had
+		e.Object.Version = state[name] // the object's last version
 		e.Object.Value = nil
 		delete(state, name)
 	} else {
@@ -67,7 +69,7 @@
 	o.states[o.revision] = state
 }
 
-// batch is what a watch after a revision returns.
+// batch returns what a watch after a revision returns.
 func (o *modelStore) batch(after uint64) store.Batch {
 	if store.EpochOf(after) != store.EpochOf(o.revision) {
 		return store.Batch{Gap: true}
@@ -75,6 +77,7 @@
 	return store.Batch{Revision: o.revision, Events: o.events[store.RevisionOf(after):]}
 }
 
+// list returns the objects at the present revision.
 func (o *modelStore) list() Copy {
 	c := Copy{Revision: o.revision}
 	for name, version := range o.states[o.revision] {
@@ -83,6 +86,7 @@
 	return c
 }
 
+// versionsByName returns the versions of a mirror's objects.
 func versionsByName(m *Mirror) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, o := range m.Export().Objects {
@@ -91,8 +95,8 @@
 	return out
 }
 
-// Copies that take lists, watches and each other's changes in any order are always the
-// store's objects at the revision that they name, and never go back.
+// Guards against copies that differ from the store: mirrors that apply lists, watches and each other's
+// changes in any order, across restorations, always hold the store's objects at their revision.
 func TestHoldsCopiesAreTheStoreAtTheirRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		o := newModelStore()
@@ -127,7 +131,7 @@
 					m.apply(b)
 				}
 			},
-			"overtaken list": func(t *rapid.T) { // on its way when the store was restored
+			"overtaken list": func(t *rapid.T) { // in flight when the store was restored
 				m, c := anyCopy.Draw(t, "copy"), o.list()
 				o.restore(rapid.Uint64Range(0, store.RevisionOf(o.revision)).Draw(t, "to"))
 				if rapid.Bool().Draw(t, "after the next") {
@@ -141,7 +145,7 @@
 				from, to := anyCopy.Draw(t, "from"), anyCopy.Draw(t, "to")
 				to.Merge(from.Since(to.Revision()), "peer", time.Now())
 			},
-			"late peer": func(t *rapid.T) { // asked at an older revision
+			"late peer": func(t *rapid.T) { // a request made at an older revision
 				from, to := anyCopy.Draw(t, "from"), anyCopy.Draw(t, "to")
 				since := rapid.Uint64Range(0, store.RevisionOf(to.Revision())).Draw(t, "since")
 				to.Merge(from.Since(store.MakeVersion(store.EpochOf(to.Revision()), since)), "peer", time.Now())
@@ -149,7 +153,7 @@
 			"": func(t *rapid.T) {
 				for i, m := range copies {
 					if got, want := versionsByName(m), o.states[m.Revision()]; !maps.Equal(got, want) {
-						t.Fatalf("copy %d at %d has %v, not %v", i, m.Revision(), got, want)
+						t.Fatalf("copy %d at revision %d: got objects %v, want %v", i, m.Revision(), got, want)
 					}
 				}
 			},
@@ -157,7 +161,7 @@
 	})
 }
 
-// Deletions that are no longer remembered are told by a whole copy.
+// Guards against a peer that misses deletions: if some are no longer kept, it gets a full copy.
 func TestDeltaIsFullBeyondDeletionHistory(t *testing.T) {
 	is := is.New(t)
 	f := newTestMirror(t, storetest.NewPlatform(0), 0)
--- a/coordination/follow/instances.go
+++ b/coordination/follow/instances.go
@@ -10,66 +10,71 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// InstancesOptions configure Instances. All fields are required.
+// InstancesOptions configures Instances. All fields are required.
 type InstancesOptions struct {
 	Clock state.Clock
 	Log   *slog.Logger
-	// Decode reads one entry.
+	// Decode decodes one entry of the list.
 	Decode func(id string, value []byte) (state.Instance, error)
-	// Publish gets each new list.
+	// Publish is called with each new list.
 	Publish func([]state.Instance)
-	// OnUnusable is told of each version of an entry that names no instance.
+	// OnUnusable is called for each version of an entry that can't be decoded.
 	OnUnusable func()
-	// EntriesMayBeMissing reports that the store is away or has come back lately, so that entries
-	// of living instances may be missing.
+	// EntriesMayBeMissing reports whether the store is unavailable or was so recently, so that
+	// entries of live instances may be missing.
 	EntriesMayBeMissing func() bool
-	// HoldFor bounds how long a missing entry still counts meanwhile.
+	// HoldFor bounds how long an instance whose entry is missing stays listed during that time.
 	HoldFor time.Duration
-	// Leaving reports whether a run has said itself that it leaves. Such a run counts as
-	// draining whatever its entry says: the store may take its word many seconds later.
+	// Leaving reports whether a run announced to this host that it leaves. Such a run counts as
+	// draining whatever its entry says: the store may accept its update many seconds later.
 	Leaving func(id state.InstanceID) bool
-	// HeartbeatTimeout is how long the store lists an instance that is silent.
+	// HeartbeatTimeout is how long the store lists an instance that sends no heartbeats.
 	HeartbeatTimeout time.Duration
 }
 
-// Instances turns copies of the list into instances. An entry that goes missing
-// around an outage of the store counts until the outage is over and for HoldFor at
-// most, because living instances need a moment to register again. An entry that can't
-// be used names no instance, also where it has replaced one that could; the others hold.
-// When the store comes back from an older copy, what is known of a run counts before its entry
-// there until that is written again.
+// Instances turns copies of the store's list of entries into instances. A run is one lifetime of an
+// instance's process: a restart under the same name is another run.
+//
+// An entry that goes missing around an outage of the store stays listed until the outage is over,
+// and for HoldFor at most, because live instances need a moment to register again; one that a
+// restoration of the store lost stays listed for the whole of that time. An entry that
+// can't be decoded stands for no instance, even if it replaces one that could; other entries aren't
+// affected. After the store was restored from a backup, what this host knows of a run takes precedence
+// over the run's restored entry until that entry is written again.
 type Instances struct {
 	o InstancesOptions
 
 	mu      sync.Mutex
 	entries map[string]*entry
-	// revision is that of the last copy; 0 before the first.
+	// revision is the revision of the last copy; 0 before the first.
 	revision uint64
+	// departed are the runs that left the list recently.
 	departed departedRuns
 }
 
+// entry is the last known state of one entry of the list.
 type entry struct {
 	version  uint64
 	instance state.Instance
-	// unusable is set for an entry that names no instance.
+	// unusable is set for an entry that can't be decoded.
 	unusable bool
-	// missingSince is when the entry went missingSince; zero while it is listed. lost says that the store
-	// lost it in a restoration.
+	// missingSince is when the entry went missing; zero while it is listed. lostInRestore says that
+	// a restoration of the store lost it.
 	missingSince  time.Time
 	lostInRestore bool
-	// ignoredUntil is set for an entry of a restored store whose run was gone before.
+	// ignoredUntil is set for an entry of a restored store whose run had departed before.
 	ignoredUntil time.Time
 }
 
-// active reports whether the entry names an instance that is there.
+// active reports whether the entry stands for an instance that may be used.
 func (e *entry) active() bool { return !e.unusable && e.ignoredUntil.IsZero() }
 
-// NewInstances returns an empty list.
+// NewInstances returns an Instances with an empty list.
 func NewInstances(o InstancesOptions) *Instances {
 	return &Instances{o: o, entries: map[string]*entry{}}
 }
 
-// Update takes a new copy of the list.
+// Update applies a new copy of the list and publishes the result.
 func (l *Instances) Update(c Copy) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,16 +96,16 @@
 		}
 		if hold && !e.instance.Draining && e.active() {
 			e.missingSince, e.lostInRestore = now, restored
-			l.o.Log.Info("instance missing after an outage; held", "instance", id, "revision", store.FormatVersion(c.Revision))
+			l.o.Log.Info("instance missing after an outage; held for now", "instance", id, "revision", store.FormatVersion(c.Revision))
 			continue
 		}
 		l.remove(id, e, now)
-		l.o.Log.Info("instance gone", "instance", id, "service", e.instance.Service, "revision", store.FormatVersion(c.Revision))
+		l.o.Log.Info("instance removed", "instance", id, "service", e.instance.Service, "revision", store.FormatVersion(c.Revision))
 	}
 	l.publish()
 }
 
-// remove forgets an entry, but that its run was there.
+// remove deletes an entry and records its run as departed.
 func (l *Instances) remove(name string, e *entry, now time.Time) {
 	delete(l.entries, name)
 	if !e.unusable {
@@ -108,8 +113,9 @@
 	}
 }
 
-// applyEntry decodes a new or changed entry. The store's order of versions decides between
-// two runs under one name: their clocks may differ.
+// applyEntry decodes a new or changed entry. Of two runs under one name the one whose entry has the
+// higher version at the store is used: their start times aren't comparable, since the clocks of
+// the two may differ.
 func (l *Instances) applyEntry(object store.Object) {
 	known := l.entries[object.Name]
 	if known != nil && known.version == object.Version {
@@ -119,7 +125,7 @@
 	instance, err := l.o.Decode(object.Name, object.Value)
 	if err != nil {
 		l.o.OnUnusable()
-		l.o.Log.Warn("entry names no instance", "entry", object.Name, "version", store.FormatVersion(object.Version), "replaces", known != nil && !known.unusable, "cause", err.Error())
+		l.o.Log.Warn("entry can't be decoded; not used", "entry", object.Name, "version", store.FormatVersion(object.Version), "replaces", known != nil && !known.unusable, "cause", err.Error())
 		l.entries[object.Name] = &entry{version: object.Version, unusable: true}
 		return
 	}
@@ -133,16 +139,17 @@
 	l.entries[object.Name] = &entry{version: object.Version, instance: instance}
 }
 
-// Run drops held entries when their time is over, until ctx ends.
+// Run removes held entries once their time is over, until ctx ends.
 func (l *Instances) Run(ctx context.Context) {
 	for l.o.Clock.Sleep(ctx, holdCheckInterval) == nil {
 		l.removeExpired()
 	}
 }
 
-// holdCheckInterval is how often held entries are looked at.
+// holdCheckInterval is the interval between two checks of the held entries.
 const holdCheckInterval = 100 * time.Millisecond
 
+// removeExpired removes the held entries whose time is over.
 func (l *Instances) removeExpired() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -155,15 +162,15 @@
 		}
 		l.remove(id, e, now)
 		changed = true
-		l.o.Log.Info("held instance gone", "instance", id, "service", e.instance.Service)
+		l.o.Log.Info("held instance removed", "instance", id, "service", e.instance.Service)
 	}
 	if changed {
 		l.publish()
 	}
 }
 
-// latestByAddr is the entry that was written last for each address: a run that has crashed
-// stays listed for some heartbeats, while the next one takes work at its address.
+// latestByAddr returns the entry that was written last for each address. A crashed run stays
+// listed for some heartbeats while the next run already takes requests at the same address.
 func (l *Instances) latestByAddr() map[string]*entry {
 	out := make(map[string]*entry, len(l.entries))
 	for _, e := range l.entries {
@@ -174,13 +181,14 @@
 	return out
 }
 
-// Republish publishes the list anew when a run has said that it leaves.
+// Republish publishes the list again, for example after a run announced that it leaves.
 func (l *Instances) Republish() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.publish()
 }
 
+// publish publishes the active instances; l.mu is held.
 func (l *Instances) publish() {
 	out := make([]state.Instance, 0, len(l.entries))
 	latest := l.latestByAddr()
--- a/coordination/follow/mirror.go
+++ b/coordination/follow/mirror.go
@@ -1,5 +1,5 @@
-// Package follow keeps a host's copy of objects that others write at the
-// platform's store: the routing configuration and the list of instances.
+// Package follow keeps a host's mirrors of objects that others write at the platform's store, such
+// as the routing configuration and the list of instances.
 package follow
 
 import (
@@ -19,101 +19,104 @@
 )
 
 const (
-	// initialRetryDelay and retryMost are the pauses between calls to a store that does
-	// not answer: each call is priced, and the bound for a new configuration
-	// (2 s and more) counts from when the store has been back for some seconds.
+	// initialRetryDelay and maxRetryDelay bound the pauses between calls to a store that doesn't
+	// answer. The pauses grow because each call is billed. A pause of 1 s is short enough: the time
+	// limit for a new configuration, 2 s or more, only counts from when the store has been back for
+	// some seconds.
 	initialRetryDelay = 200 * time.Millisecond
 	maxRetryDelay     = time.Second
-	// relistTimeout bounds the list after a watch that was cut: a store that drops its
-	// waiting watches answers the next call in some milliseconds, though watches may
-	// hear nothing for a second, and hosts that follow this one shouldn't all turn to it.
+	// relistTimeout bounds the list call after a watch that was cut. A store that drops its
+	// waiting watches answers the next call in some milliseconds, though watches may return nothing
+	// for a second, and peers that get changes from this host shouldn't all switch to the store.
 	relistTimeout = 500 * time.Millisecond
 )
 
-// Poller is a store whose changes can be asked for without waiting.
+// Poller is implemented by a store that can return changes without waiting.
 type Poller interface {
-	// Poll returns the changes after a revision at once, as store.Store's Watch.
+	// Poll is store.Store's Watch without the wait: it returns the changes after a revision at once.
 	Poll(ctx context.Context, kind string, after uint64) (store.Batch, error)
 }
 
-// Options configure a Mirror. All fields are required.
+// Options configures a Mirror. A field is required unless its comment says otherwise.
 type Options struct {
-	// Store may be a Poller; then its return is noticed though nothing changes.
+	// Store may be a Poller: then its recovery is noticed even if nothing changes.
 	Store store.Store
 	Clock state.Clock
 	Log   *slog.Logger
-	// Kind is the kind of the objects.
+	// Kind is the kind of the mirrored objects.
 	Kind string
-	// OnChange gets the whole copy after each change, one call at a time.
+	// OnChange is called with the whole copy after each change, one call at a time.
 	OnChange func(Copy)
-	// Notify is called when the copy or the word of the store has changed; nil for none.
+	// Notify is called when the copy or the result of Following has changed; nil for none.
 	Notify func()
 	// RetryGroup is shared by the mirrors that follow the same store.
 	RetryGroup *RetryGroup
-	// CoalesceDelay is the pause after a watch that brought changes, so that changes in
-	// quick succession cost one call; it delays the later ones. May be zero.
+	// CoalesceDelay is the pause after a watch that returned changes, so that changes in quick
+	// succession cost one call; it delays the later ones. May be zero.
 	CoalesceDelay time.Duration
-	// RecoveryTime is how long after a restoration of the store what it lost may not be written again:
-	// what it answers until then proves nothing. May be zero.
+	// RecoveryTime is how long after a restoration of the store the lost writes may not have been
+	// repeated: the store's answers prove nothing until then. May be zero.
 	RecoveryTime time.Duration
-	// Newer reports whether the first of two objects of a name is the newer by its value alone; nil
-	// if values can't tell. Such a one stays when a restored store has the other.
+	// Newer reports whether the first of two objects of one name is newer, judged by their values
+	// alone; nil if the values don't say. An object that is newer than the one of a restored store
+	// is kept.
 	Newer func(a, b store.Object) bool
 }
 
-// Copy is the objects of a kind at one revision of the store.
+// Copy holds the objects of a kind at one revision of the store.
 type Copy struct {
 	Revision uint64
 	Objects  []store.Object
 }
 
-// Mirror follows the objects of one kind: listed once, then by watches that wait
-// at the store. It never goes back to a lower revision, whoever offers it.
+// Mirror is a local copy of the objects of one kind: they are listed once, and then updated by
+// watches that wait at the store, or by a peer's changes. Its revision never decreases,
+// whatever the source of the changes.
 type Mirror struct {
 	o Options
 
 	mu       sync.Mutex
 	objects  map[string]store.Object
 	revision uint64
-	// peerRevision is the revision of a peer's copy when this host started.
+	// peerRevision is the revision of a peer's copy when this host started; 0 if no peer answered.
 	peerRevision uint64
 	history      history
-	// lostAt is when the store stopped answering; Run alone uses it.
+	// lostAt is when the store stopped answering; only Run uses it.
 	lostAt time.Time
-	// regainedAt is when it answered again; nil if it has always answered.
+	// regainedAt is when the store answered again; nil if it has always answered.
 	regainedAt atomic.Pointer[time.Time]
-	lost       atomic.Bool
-	// relisting is set for the list that follows a watch which was cut; Run alone uses it.
+	// lost is set while the store answers neither this host nor a peer that relays its changes.
+	lost atomic.Bool
+	// relisting is set for the list call that follows a cut watch; only Run uses it.
 	relisting bool
-	// consecutiveGaps is the number of watches in a row whose history was gone; Run alone uses it.
+	// consecutiveGaps is the number of successive watches that returned a gap; only Run uses it.
 	consecutiveGaps int
-	// following is set while Run follows the store and is answered.
+	// following is set while Run runs and the store answered its last call.
 	following atomic.Bool
-	// proof is the latest Proven; nil before the first.
+	// proof is the latest proof that the copy was up to date; nil before the first.
 	proof atomic.Pointer[proof]
-	// proofsSuspended is set while the store's answers prove nothing, since this host has just started.
+	// proofsSuspended is set while the store's answers prove nothing, because this host has just started.
 	proofsSuspended atomic.Bool
-	// restoredAt is when this host learnt that the store was restored; nil if it never was.
+	// restoredAt is when this host noticed that the store was restored; nil if it never was.
 	restoredAt  atomic.Pointer[time.Time]
 	answerStats answerStats
 }
 
-// New validates the options.
+// New returns an empty mirror, or an error if a required option is missing.
 func New(o Options) (*Mirror, error) {
 	if o.Store == nil || o.Clock == nil || o.Log == nil || o.Kind == "" || o.OnChange == nil || o.RetryGroup == nil {
-		return nil, errors.New("follow: a field of Options is missing; set all of them")
+		return nil, errors.New("follow: a required field of Options is missing; set Store, Clock, Log, Kind, OnChange and RetryGroup")
 	}
 	return &Mirror{o: o, objects: map[string]store.Object{}, answerStats: newAnswerStats()}, nil
 }
 
-// Lost reports whether the store doesn't answer this host.
+// Lost reports whether the store doesn't answer this host and no peer relays its changes.
 func (m *Mirror) Lost() bool { return m.lost.Load() }
 
-// Following reports whether this mirror follows the store itself and was answered last.
+// Following reports whether this mirror follows the store itself and its last call was answered.
 func (m *Mirror) Following() bool { return m.following.Load() }
 
-// UnavailableWithin reports whether the store didn't answer this host at some moment of
-// the last d.
+// UnavailableWithin reports whether the store didn't answer this host at some moment of the last d.
 func (m *Mirror) UnavailableWithin(d time.Duration) bool {
 	if m.lost.Load() {
 		return true
@@ -122,7 +125,7 @@
 	return ever && back < d
 }
 
-// Regained is how long ago the store answered again; ever is false if it always has.
+// Regained returns how long ago the store answered again; ever is false if it always has.
 func (m *Mirror) Regained() (ago time.Duration, ever bool) {
 	at := m.regainedAt.Load()
 	if at == nil {
@@ -131,7 +134,7 @@
 	return m.o.Clock.Now().Sub(*at), true
 }
 
-// Revision is the store's revision of the copy; 0 before the first.
+// Revision returns the store's revision of the copy; 0 before the first.
 func (m *Mirror) Revision() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -153,18 +156,18 @@
 	return c
 }
 
-// Adopt takes a copy that a peer has, if it is newer, and reports whether it was.
+// Adopt replaces the copy by a peer's copy if that is newer, and reports whether it was.
 func (m *Mirror) Adopt(c Copy, from string) bool {
 	if !m.replace(c.Objects, c.Revision) {
 		m.adoptNewerValues(c, from)
 		return false
 	}
-	m.o.Log.Info("copy adopted from a peer", "kind", m.o.Kind, "revision", store.FormatVersion(c.Revision), "peer", from)
+	m.o.Log.Info("adopted a copy from a peer", "kind", m.o.Kind, "revision", store.FormatVersion(c.Revision), "peer", from)
 	return true
 }
 
-// Run follows the store until ctx ends. It may be run again, one run at a time; a copy
-// that it has by then is brought up to date by the changes since.
+// Run follows the store until ctx ends. It may be called again after it returned, but not
+// concurrently; a copy that the mirror has by then is updated with the changes since.
 func (m *Mirror) Run(ctx context.Context) {
 	defer m.stopped()
 	pause := initialRetryDelay
@@ -193,7 +196,7 @@
 	}
 }
 
-// stopped notes that nobody follows the store any more.
+// stopped records that Run no longer follows the store.
 func (m *Mirror) stopped() {
 	m.o.RetryGroup.release(m)
 	m.following.Store(false)
@@ -206,11 +209,13 @@
 	}
 }
 
-// jitter spreads the calls of hosts that lost the store together.
+// jitter returns a random duration from d/2 to 3d/2, which spreads the calls of hosts that lost the
+// store at the same time.
 func jitter(d time.Duration) time.Duration {
 	return d/2 + rand.N(d)
 }
 
+// list replaces the copy by a list from the store.
 func (m *Mirror) list(ctx context.Context) error {
 	if m.relisting {
 		var cancel context.CancelFunc
@@ -231,15 +236,15 @@
 	return nil
 }
 
-// storeBehindError says that the store told a state older than one that this host knew before it asked.
+// storeBehindError says that the store's state is older than the copy was before the call.
 type storeBehindError struct{ store, copied uint64 }
 
 // Error implements error.
 func (e *storeBehindError) Error() string {
-	return fmt.Sprintf("the store is at %s and this host's copy at %s; the copy stands until the store is as new: if the store was replaced by another, restart the hosts", store.FormatVersion(e.store), store.FormatVersion(e.copied))
+	return fmt.Sprintf("the store is at revision %s, behind this host's copy at %s, which is kept until the store catches up; if the store was replaced by another one, restart the hosts", store.FormatVersion(e.store), store.FormatVersion(e.copied))
 }
 
-// watch waits for changes. listed is false when the copy has to be read anew.
+// watch waits for changes and applies them. listed is false if the objects must be listed again.
 func (m *Mirror) watch(ctx context.Context) (listed bool, err error) {
 	asked := m.o.Clock.Now()
 	batch, err := m.fetchChanges(ctx)
@@ -260,8 +265,8 @@
 	return true, nil
 }
 
-// backOffAfterGap waits before the list that follows a gap, unless it is the first one in a row: a
-// store that has no history for this host must not be asked without a pause.
+// backOffAfterGap waits before the list that follows a gap, unless it is the first gap in a row: a
+// store that has no history for this host must not be called without a pause.
 func (m *Mirror) backOffAfterGap(ctx context.Context) error {
 	m.consecutiveGaps++
 	if m.consecutiveGaps == 1 {
@@ -270,8 +275,8 @@
 	return m.o.Clock.Sleep(ctx, jitter(min(initialRetryDelay<<min(m.consecutiveGaps-2, 8), maxRetryDelay)))
 }
 
-// fetchChanges returns the fetchChanges changes. A store that didn't answer, or wasn't asked yet, is
-// asked without waiting first: a watch would tell its return only with the fetchChanges change.
+// fetchChanges returns the next changes. A store that didn't answer the last call, or wasn't called
+// yet, is polled without a wait: a watch would reveal its recovery only with the next change.
 func (m *Mirror) fetchChanges(ctx context.Context) (store.Batch, error) {
 	if p, ok := m.o.Store.(Poller); ok && !m.Following() {
 		return p.Poll(ctx, m.o.Kind, m.Revision())
@@ -279,7 +284,7 @@
 	return m.o.Store.Watch(ctx, m.o.Kind, m.Revision())
 }
 
-// replace puts a whole newer copy in place.
+// replace replaces the copy by a newer one and reports whether it was newer.
 func (m *Mirror) replace(objects []store.Object, revision uint64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -308,15 +313,15 @@
 	return true
 }
 
-// KeepsNewer reports whether objects stay that are newer by their values than a restored store's.
+// KeepsNewer reports whether objects are kept whose values are newer than a restored store's.
 func (m *Mirror) KeepsNewer() bool { return m.o.Newer != nil }
 
 func (m *Mirror) newer(a, b store.Object) bool {
 	return m.o.Newer != nil && !bytes.Equal(a.Value, b.Value) && m.o.Newer(a, b)
 }
 
-// adoptNewerValues takes the objects that a peer kept and that are newer than this copy's, which are those of a
-// restored store.
+// adoptNewerValues takes from a peer's copy the objects whose values are newer than those of this
+// copy, which came from a restored store.
 func (m *Mirror) adoptNewerValues(c Copy, from string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -326,7 +331,7 @@
 		if !have || !m.newer(o, own) {
 			continue
 		}
-		m.o.Log.Info("object kept by a peer is newer than the restored store's", "kind", m.o.Kind, "name", o.Name, "version", store.FormatVersion(own.Version), "kept", store.FormatVersion(o.Version), "peer", from)
+		m.o.Log.Info("took an object from a peer that is newer than the restored store's", "kind", m.o.Kind, "name", o.Name, "version", store.FormatVersion(own.Version), "kept", store.FormatVersion(o.Version), "peer", from)
 		own.Value, taken = o.Value, true
 		m.objects[o.Name] = own
 	}
@@ -336,8 +341,9 @@
 	}
 }
 
-// detectRestore reports whether a revision is of a later epoch, and notes it: what the store lost is being
-// written again, as after an outage, even if this host always got its answers. m.mu is held.
+// detectRestore reports whether a revision is of a later epoch than the copy, which means that the
+// store was restored, and records the time: lost writes are being repeated, as after an outage,
+// even if the store always answered this host. m.mu is held.
 func (m *Mirror) detectRestore(revision uint64) (restored bool) {
 	known := cmp.Or(m.revision, m.peerRevision)
 	if !store.RestoredBetween(known, revision) {
@@ -346,11 +352,11 @@
 	now := m.o.Clock.Now()
 	m.regainedAt.Store(&now)
 	m.restoredAt.Store(&now)
-	m.o.Log.Warn("copy of a restored store", "kind", m.o.Kind, "revision", store.FormatVersion(revision), "before", store.FormatVersion(known), "objects_before", len(m.objects))
+	m.o.Log.Warn("the store was restored from a backup", "kind", m.o.Kind, "revision", store.FormatVersion(revision), "before", store.FormatVersion(known), "objects_before", len(m.objects))
 	return true
 }
 
-// removedObjects are the objects of one copy that another lacks.
+// removedObjects returns the objects that are in before but not in now.
 func removedObjects(before, now map[string]store.Object) []store.Object {
 	var out []store.Object
 	for name, o := range before {
@@ -361,9 +367,9 @@
 	return out
 }
 
-// apply takes the events of a watch. Those that the copy has already are skipped:
-// a peer's copy may have come while the watch was waiting. Changes to another epoch's copy say
-// nothing of this one.
+// apply applies the events of a watch. Events that the copy already reflects are skipped, because
+// a peer's copy may have been adopted during the watch. A batch of another epoch is skipped: its
+// changes don't apply to this copy.
 func (m *Mirror) apply(b store.Batch) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -387,8 +393,8 @@
 	}
 }
 
-// applyEvent takes one event and reports whether it changed the copy. A deletion
-// carries the object's last version, so that it spares one created again since.
+// applyEvent applies one event and reports whether it changed the copy. A deletion carries the
+// object's last version, so that it doesn't delete an object that was created again since.
 func (m *Mirror) applyEvent(e store.Event) bool {
 	known, have := m.objects[e.Object.Name]
 	if e.Deleted {
@@ -405,6 +411,7 @@
 	return true
 }
 
+// markAnswered records that the store answered.
 func (m *Mirror) markAnswered() {
 	m.o.RetryGroup.release(m)
 	if !m.following.Swap(true) {
@@ -416,9 +423,10 @@
 	now := m.o.Clock.Now()
 	m.regainedAt.Store(&now)
 	away := now.Sub(m.lostAt)
-	m.o.Log.Info("store regained", "kind", m.o.Kind, "away", away, "revision", store.FormatVersion(m.Revision()))
+	m.o.Log.Info("store available again", "kind", m.o.Kind, "away", away, "revision", store.FormatVersion(m.Revision()))
 }
 
+// markFailed records that the store didn't answer; err is the reason.
 func (m *Mirror) markFailed(ctx context.Context, err error) {
 	if ctx.Err() != nil {
 		return
@@ -430,5 +438,5 @@
 		return
 	}
 	m.lostAt = m.o.Clock.Now()
-	m.o.Log.Warn("store lost", "kind", m.o.Kind, "revision", store.FormatVersion(m.Revision()), "cause", fmt.Sprint(err))
+	m.o.Log.Warn("store unavailable", "kind", m.o.Kind, "revision", store.FormatVersion(m.Revision()), "cause", fmt.Sprint(err))
 }
--- a/coordination/follow/outage.go
+++ b/coordination/follow/outage.go
@@ -6,39 +6,39 @@
 	"time"
 )
 
-// RetryGroup lets the mirrors of one host ask a store that doesn't answer together: one
-// of them asks, the others wait until it is answered. It is safe for concurrent use.
+// RetryGroup lets the mirrors of one host share the retries to a store that doesn't answer: one
+// mirror, the leader, retries, and the others wait until it succeeds. It is safe for concurrent use.
 type RetryGroup struct {
 	mu sync.Mutex
-	// leader is the mirror that asks; nil while the store answers.
+	// leader is the mirror that retries; nil while the store answers.
 	leader *Mirror
-	// recovered is closed when the asker is answered.
+	// recovered is closed when the leader gets an answer.
 	recovered chan struct{}
 }
 
-// elect reports whether m is to ask, and otherwise what is closed when the store
-// answers again.
-func (o *RetryGroup) elect(m *Mirror) (bool, <-chan struct{}) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.leader == nil {
-		o.leader, o.recovered = m, make(chan struct{})
+// elect makes m the leader if there is none. It reports whether m leads, and returns the channel
+// that is closed when the leader gets an answer.
+func (g *RetryGroup) elect(m *Mirror) (bool, <-chan struct{}) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.leader == nil {
+		g.leader, g.recovered = m, make(chan struct{})
 	}
-	return o.leader == m, o.recovered
+	return g.leader == m, g.recovered
 }
 
-// release ends the outage if m is the one that asks.
-func (o *RetryGroup) release(m *Mirror) {
-	o.mu.Lock()
-	defer o.mu.Unlock()
-	if o.leader == m {
-		o.leader = nil
-		close(o.recovered)
+// release ends the outage if m is the leader.
+func (g *RetryGroup) release(m *Mirror) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if g.leader == m {
+		g.leader = nil
+		close(g.recovered)
 	}
 }
 
-// mayRelist reports whether m should ask once more before the store counts as lost: of
-// several mirrors whose watches were cut one asks, and the others once it was answered.
+// mayRelist reports whether m should list once more before the store counts as lost. Of several
+// mirrors whose watches were cut one lists at once, and the others once that succeeded.
 func (m *Mirror) mayRelist(ctx context.Context) bool {
 	isLeader, recovered := m.o.RetryGroup.elect(m)
 	if isLeader {
@@ -54,11 +54,11 @@
 	}
 }
 
-// maxRecoveryWait bounds the wait for another mirror's answer: the call that it waits for may
-// be lost, while changes must be in force 2 s and more after the store's return.
+// maxRecoveryWait bounds the wait for the leader's answer: the leader's call may be lost, while
+// changes must be in force within a limit, 2 s or more, after the store's recovery.
 const maxRecoveryWait = 2 * time.Second
 
-// waitToRetry waits until a mirror that wasn't answered should ask again.
+// waitToRetry waits until a mirror whose call failed should call the store again.
 func (m *Mirror) waitToRetry(ctx context.Context, pause time.Duration) error {
 	isLeader, recovered := m.o.RetryGroup.elect(m)
 	if isLeader {
--- a/coordination/follow/proof.go
+++ b/coordination/follow/proof.go
@@ -7,22 +7,23 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// proof is what Proven returns, with the epoch of the store's answer. A copy of a later epoch may
-// lack what was acknowledged by then: the proof holds for this host, which had it, but for no peer.
+// proof is the time that ProvenAt returns and the epoch of the store's answer. The copy of a later
+// epoch may lack writes that were acknowledged by then. The proof still holds for this host, which
+// had seen them, but not for its peers.
 type proof struct {
 	at    time.Time
 	epoch uint64
 }
 
-// ProvenAt is a moment, by the clock of this host, at which the copy held all that the store
-// had acknowledged; zero if none is known. What was read of the copy after ProvenAt returned
-// holds it too.
+// ProvenAt returns a time, by the clock of this host, at which the copy held everything that the
+// store had acknowledged; zero if none is known. Reads of the copy after ProvenAt returns are at
+// least as new.
 //
-// It is the moment at which the question was asked whose answer brought the copy up to
-// date: the store's answers are linearizable, so that each holds what was acknowledged
-// before its question. When the answer came proves nothing, since a watch may wait, unaware
-// of changes. An answer of a peer proves as much as the peer's own proof, aged by the whole
-// time of the question, so that no two clocks are compared.
+// It is the time at which the call was sent whose answer brought the copy up to date: the store
+// is linearizable, so that each answer holds all writes acknowledged before the call. The time of
+// the answer proves nothing, since a watch may wait without noticing changes. A peer's answer
+// proves as much as the peer's own proof, aged by the full duration of the request to the peer, so
+// that no two clocks are compared.
 func (m *Mirror) ProvenAt() time.Time {
 	if p := m.proof.Load(); p != nil {
 		return p.at
@@ -30,8 +31,8 @@
 	return time.Time{}
 }
 
-// recordProof notes that the copy holds what was acknowledged before a question of that time. The
-// copy must have taken the answer before.
+// recordProof records that the copy holds all writes that were acknowledged before p.at. The copy must
+// already include the answer.
 func (m *Mirror) recordProof(p proof) {
 	for {
 		known := m.proof.Load()
@@ -44,8 +45,9 @@
 	}
 }
 
-// recordStoreProof notes that the store answered a question of that time with its state at a revision. A store
-// that was restored lacks what it had acknowledged and lost, until that is written again.
+// recordStoreProof records that the store answered a call sent at asked with its state at a revision. A
+// restored store lacks acknowledged writes until they are repeated, so that its answers prove nothing
+// for RecoveryTime.
 func (m *Mirror) recordStoreProof(asked time.Time, revision uint64) {
 	if m.proofsSuspended.Load() {
 		return
@@ -57,21 +59,21 @@
 	m.recordProof(proof{asked, store.EpochOf(revision)})
 }
 
-// recordPeerProof notes a proof of a peer whose copy, of that revision, this one has taken. Another
-// epoch's copy may hold what this one never had.
+// recordPeerProof records the proof of a peer whose copy, at that revision, this mirror has taken. It
+// is ignored for a copy of another epoch: that may have held writes that this mirror never had.
 func (m *Mirror) recordPeerProof(at time.Time, revision uint64) {
 	if store.EpochOf(revision) == store.EpochOf(m.Revision()) {
 		m.recordProof(proof{at, store.EpochOf(revision)})
 	}
 }
 
-// SuspendProofs makes the store's answers prove nothing until Settled: a host that has just started can't
-// know whether the store was restored a moment ago.
+// SuspendProofs makes the store's answers prove nothing until ResumeProofs: a host that has just
+// started can't know whether the store was restored a moment ago.
 func (m *Mirror) SuspendProofs() { m.proofsSuspended.Store(true) }
 
-// ResumeProofs ends Doubt. revision is that of a peer's copy, 0 if no peer answered, and ago is how long ago
-// that peer regained the store, if it ever lost it. A store of a later epoch than the peer's has been
-// restored since the peer last heard of it.
+// ResumeProofs ends SuspendProofs. revision is that of a peer's copy, 0 if no peer answered. ago is
+// how long ago that peer regained the store, and ever is false if it never lost it. If the store's
+// epoch is later than the peer's, the store was restored after the peer's last contact with it.
 func (m *Mirror) ResumeProofs(revision uint64, ago time.Duration, ever bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -81,14 +83,13 @@
 	if ever && ago < m.o.RecoveryTime {
 		at := m.o.Clock.Now().Add(-ago)
 		m.restoredAt.Store(&at)
-		m.o.Log.Info("the store may have been restored; its answers prove nothing yet", "kind", m.o.Kind, "ago", ago, "for", m.o.RecoveryTime-ago)
+		m.o.Log.Info("the store may have been restored; not trusting its answers as proofs yet", "kind", m.o.Kind, "ago", ago, "for", m.o.RecoveryTime-ago)
 	}
 	m.peerRevision = revision
 	m.proofsSuspended.Store(false)
 }
 
-// Prove asks the store for changes at once and takes them. It may be called while Run
-// follows the store.
+// Prove asks the store for changes at once and applies them. It may be called while Run runs.
 func (m *Mirror) Prove(ctx context.Context) error {
 	if p, ok := m.o.Store.(Poller); ok && m.Revision() > 0 {
 		if taken, err := m.poll(ctx, p); taken || err != nil {
@@ -98,8 +99,8 @@
 	return m.proveByList(ctx)
 }
 
-// poll asks the store for the changes since the present copy and takes them; taken is false if
-// it can't tell them.
+// poll asks the store for the changes since the present copy and applies them; taken is false if
+// the store no longer has them.
 func (m *Mirror) poll(ctx context.Context, p Poller) (taken bool, err error) {
 	asked := m.o.Clock.Now()
 	batch, err := p.Poll(ctx, m.o.Kind, m.Revision())
@@ -111,6 +112,7 @@
 	return true, nil
 }
 
+// proveByList replaces the copy by a list from the store.
 func (m *Mirror) proveByList(ctx context.Context) error {
 	asked := m.o.Clock.Now()
 	objects, revision, err := m.o.Store.List(ctx, m.o.Kind)
--- a/coordination/follow/restored.go
+++ b/coordination/follow/restored.go
@@ -8,19 +8,21 @@
 )
 
 const (
-	// departedRetention is how long a run that is gone is remembered at least: a restored store may
-	// list it again.
+	// departedRetention is how long a departed run is remembered at least, because a restored store
+	// may list it again.
 	departedRetention = 5 * time.Minute
-	// maxDeparted bounds the runs that are remembered as gone.
+	// maxDeparted bounds the number of remembered runs.
 	maxDeparted = 4096
 )
 
-// departedRuns are the runs that left the list recently, in two generations.
+// departedRuns is the set of runs that left the list recently, in two generations: when the current
+// one is full or older than departedRetention, it replaces the previous one.
 type departedRuns struct {
 	current, previous map[state.InstanceID]bool
 	startedAt         time.Time
 }
 
+// add records that a run departed at the given time.
 func (g *departedRuns) add(id state.InstanceID, now time.Time) {
 	if len(g.current) >= maxDeparted/2 || now.Sub(g.startedAt) > departedRetention {
 		g.previous, g.current, g.startedAt = g.current, nil, now
@@ -31,24 +33,27 @@
 	g.current[id] = true
 }
 
+// has reports whether a run departed recently.
 func (g *departedRuns) has(id state.InstanceID) bool { return g.current[id] || g.previous[id] }
 
+// remove deletes a run that is listed again.
 func (g *departedRuns) remove(id state.InstanceID) {
 	delete(g.current, id)
 	delete(g.previous, id)
 }
 
-// advance takes a copy's revision and reports whether the store was restored since the last copy.
+// advance sets the revision of the last copy and reports whether the store was restored since the
+// copy before.
 func (l *Instances) advance(revision uint64) (restored bool) {
 	restored = store.RestoredBetween(l.revision, revision)
 	l.revision = revision
 	return restored
 }
 
-// applyRestored takes an entry of the first copy after a restoration. What this host knew of its run
-// is newer than the entry, unless that was written again already, which can't be told: a run that
-// was leaving goes on leaving, and one that was gone counts only once its entry is written
-// anew or has outlived the time in which the store drops one that is silent.
+// applyRestored applies an entry of the first copy after a restoration. What this host knows of the
+// entry's run is newer than the entry, unless the entry was already written again, which can't be
+// detected: a draining run stays draining, and a departed run is used only once its entry is written
+// again or has outlived the heartbeat timeout, after which the store drops silent instances.
 func (l *Instances) applyRestored(object store.Object) {
 	known := l.entries[object.Name]
 	instance, err := l.o.Decode(object.Name, object.Value)
@@ -62,23 +67,24 @@
 	}
 	if known != nil && !known.unusable && known.instance.ID != instance.ID {
 		known.version = object.Version
-		l.o.Log.Info("restored entry is of an earlier run; the later one counts", "instance", known.instance.ID, "listed", instance.ID)
+		l.o.Log.Info("ignored a restored entry of an earlier run", "instance", known.instance.ID, "listed", instance.ID)
 		return
 	}
 	l.entries[object.Name] = &entry{version: object.Version, instance: instance, ignoredUntil: l.o.Clock.Now().Add(l.o.HeartbeatTimeout)}
-	l.o.Log.Info("restored entry is of a run that was gone; not used until it is written again", "instance", instance.ID, "version", store.FormatVersion(object.Version), "at_most", l.o.HeartbeatTimeout)
+	l.o.Log.Info("ignored a restored entry of a departed run until it is written again", "instance", instance.ID, "version", store.FormatVersion(object.Version), "at_most", l.o.HeartbeatTimeout)
 }
 
+// applyRestoredRun applies a restored entry whose run isn't known to have departed.
 func (l *Instances) applyRestoredRun(object store.Object, known *entry, instance state.Instance) {
 	if known != nil && known.instance.ID == instance.ID && known.instance.Draining && !instance.Draining {
 		instance.Draining = true
-		l.o.Log.Info("restored entry is older than the run's leaving; it goes on leaving", "instance", instance.ID, "version", store.FormatVersion(object.Version))
+		l.o.Log.Info("restored entry is older than the run's drain; the run stays draining", "instance", instance.ID, "version", store.FormatVersion(object.Version))
 	}
 	l.entries[object.Name] = &entry{version: object.Version, instance: instance}
 }
 
-// activateIgnored has restored entries count whose runs were gone and that have outlived the time in which
-// the store drops one that is silent; it reports whether there were any.
+// activateIgnored uses the ignored entries of departed runs again that have outlived the heartbeat
+// timeout, which shows that they are live. It reports whether there were any.
 func (l *Instances) activateIgnored(now time.Time) (activated bool) {
 	for id, e := range l.entries {
 		if e.ignoredUntil.IsZero() || now.Before(e.ignoredUntil) {
@@ -86,7 +92,7 @@
 		}
 		e.ignoredUntil, activated = time.Time{}, true
 		l.departed.remove(e.instance.ID)
-		l.o.Log.Info("restored entry of a run that was gone is still there; used again", "instance", id)
+		l.o.Log.Info("restored entry of a departed run outlived the heartbeat timeout; used again", "instance", id)
 	}
 	return activated
 }
--- a/coordination/follow/restored_test.go
+++ b/coordination/follow/restored_test.go
@@ -23,13 +23,13 @@
 	testSilent = 4 * time.Second
 )
 
-// testInstances is a list of instances, by copies whose entries are written NAME=BORN or NAME=BORN! for one
-// that is leaving.
+// testInstances is a list of instances. Published instances are written NAME=BORN, or NAME=BORN! if
+// draining.
 type testInstances struct {
 	*Instances
 	startedAt time.Time
 	published []string
-	// outageUntil is until when entries of living instances may be missing.
+	// outageUntil is until when entries of live instances may be missing.
 	outageUntil time.Time
 }
 
@@ -59,7 +59,8 @@
 	return r
 }
 
-// applyCopy takes a copy at a revision of an epoch; entries are NAME=BORN@REVISION.
+// applyCopy applies a copy at a revision of an epoch; entries are NAME=BORN@REVISION or
+// NAME=BORN!@REVISION.
 func (r *testInstances) applyCopy(epoch, revision uint64, entries ...string) {
 	if epoch > store.EpochOf(r.revision) && r.revision != 0 {
 		r.outageUntil = time.Now().Add(testHold)
@@ -77,7 +78,7 @@
 	r.Update(c)
 }
 
-// Guards against new requests to a runner that left, because a restored store lists it as ready.
+// Guards against new requests to a draining runner because a restored store lists it as ready.
 func TestDrainingRunStaysDrainingAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -86,14 +87,14 @@
 		r.applyCopy(1, 9, "a=1!@9", "b=1@5")
 		r.applyCopy(2, 6, "a=1@4", "b=1@5")
 		is.Equal(r.published, []string{"a=1!", "b=1"})
-		r.applyCopy(2, 8, "a=1@4", "b=1@5") // nothing of it is new
+		r.applyCopy(2, 8, "a=1@4", "b=1@5") // no entry was written again
 		is.Equal(r.published, []string{"a=1!", "b=1"})
-		r.applyCopy(2, 9, "a=2@9", "b=1@5") // another run under its name
+		r.applyCopy(2, 9, "a=2@9", "b=1@5") // another run under the same name
 		is.Equal(r.published, []string{"a=2", "b=1"})
 	})
 }
 
-// Guards against requests to a runner that is gone, because a restored store lists it again.
+// Guards against requests to a departed runner because a restored store lists it again.
 func TestDepartedRunIsIgnoredAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -103,18 +104,18 @@
 		r.applyCopy(2, 5, "dead=1@3", "back=1@4", "alive=1@5")
 		is.Equal(len(r.published), 0)
 		r.applyCopy(2, 7, "dead=1@3", "back=1@7", "alive=1@5")
-		is.Equal(r.published, []string{"back=1"}) // it has written itself again
+		is.Equal(r.published, []string{"back=1"}) // its entry was written again
 		time.Sleep(testSilent - time.Second)
-		r.applyCopy(2, 8, "back=1@7", "alive=1@5") // the store dropped the silent one
+		r.applyCopy(2, 8, "back=1@7", "alive=1@5") // the store dropped the silent run
 		r.removeExpired()
 		is.Equal(r.published, []string{"back=1"})
 		time.Sleep(time.Second)
 		r.removeExpired()
-		is.Equal(r.published, []string{"alive=1", "back=1"}) // the store would have dropped it
+		is.Equal(r.published, []string{"alive=1", "back=1"}) // its entry outlived the heartbeat timeout
 	})
 }
 
-// Guards against a runner that loses its requests, because a restored store lost its entry.
+// Guards against a live runner that gets no more requests because a restored store lost its entry.
 func TestRunMissingAfterRestoreIsHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -123,7 +124,7 @@
 		r.applyCopy(1, 9, "a=1@4", "new=1@8", "never=1@9")
 		r.applyCopy(2, 5, "a=1@4")
 		is.Equal(r.published, []string{"a=1", "never=1", "new=1"})
-		time.Sleep(testHold - 10*time.Millisecond) // as long as it may take to write it again
+		time.Sleep(testHold - 10*time.Millisecond) // as long as it may take to write the entry again
 		r.removeExpired()
 		is.Equal(r.published, []string{"a=1", "never=1", "new=1"})
 		r.applyCopy(2, 6, "a=1@4", "new=1@6")
@@ -133,7 +134,7 @@
 	})
 }
 
-// Guards against requests that name an earlier run of a runner, because a restored store lists it.
+// Guards against requests to an earlier run of a runner because a restored store lists that run.
 func TestEarlierRunIsIgnoredAfterRestore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -148,13 +149,13 @@
 		is.Equal(r.published, []string{"a=2"})
 		r.applyCopy(2, 8, "a=2!@8")
 		is.Equal(r.published, []string{"a=2!"})
-		r.applyCopy(3, 6, "a=1@4") // and once more
+		r.applyCopy(3, 6, "a=1@4") // a second restoration
 		is.Equal(r.published, []string{"a=2!"})
 	})
 }
 
-// Guards against a configuration that goes back because the store did, and against one that nobody is
-// told of.
+// Guards against a configuration that reverts because the store was restored from a backup, and
+// against a restored configuration that is ignored without a log line.
 func TestConfigDoesNotRevertAfterRestore(t *testing.T) {
 	is := is.New(t)
 	var log bytes.Buffer
@@ -169,13 +170,13 @@
 	take(1, 9, "24")
 	take(2, 6, "22")
 	is.Equal(c.Table().Version, uint64(24))
-	is.True(strings.Contains(log.String(), `older than the one in force, which stays" config_version=24 store_version=22 revision=2/6`))
+	is.True(strings.Contains(log.String(), `older than the one in force" config_version=24 store_version=22 revision=2/6`))
 	take(2, 7, "24") // written again
 	take(2, 8, "27")
 	is.Equal(c.Table().Version, uint64(27))
 }
 
-// Guards against a record of runs that are gone which grows without a bound.
+// Guards against unbounded memory for departed runs, and against runs that are dropped too early.
 func TestDepartedRunsAreBounded(t *testing.T) {
 	is := is.New(t)
 	var g departedRuns
--- a/coordination/follow/sight.go
+++ b/coordination/follow/sight.go
@@ -7,15 +7,15 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// Answers counts what the store answered a mirror.
+// Answers counts the store's answers to a mirror.
 type Answers struct {
-	// Current are answers as new as the copy or newer, Gaps watches whose history was gone, and
-	// Older answers whose state of the store was older than the copy, which aren't taken.
+	// Current counts answers at least as new as the copy, Gaps counts watches whose history the
+	// store no longer has, and Older counts answers that were older than the copy, which are ignored.
 	Current, Gaps, Older uint64
 }
 
-// answerStats notes what the store answers. Lines that repeat are logged once per sightEvery, so that
-// they don't crowd others out.
+// answerStats counts the store's answers. Repeated log messages are limited to one per
+// repeatedLogInterval, so that they don't crowd out others.
 type answerStats struct {
 	mu       sync.Mutex
 	counts   Answers
@@ -23,7 +23,7 @@
 	omitted  map[string]uint64
 }
 
-// repeatedLogInterval is the shortest pause between two lines of the same text.
+// repeatedLogInterval is the shortest interval between two log lines with the same message.
 const repeatedLogInterval = time.Second
 
 // Answers returns the counts since the start.
@@ -33,7 +33,7 @@
 	return m.answerStats.counts
 }
 
-// countAnswer notes an answer of the store that tells its state at a revision.
+// countAnswer counts an answer that holds the store's state at a revision.
 func (m *Mirror) countAnswer(revision uint64) {
 	copied := m.Revision()
 	m.answerStats.mu.Lock()
@@ -43,19 +43,20 @@
 		return
 	}
 	m.answerStats.counts.Older++
-	m.logRateLimited("the store's state is older than the copy; not taken", "store_revision", store.FormatVersion(revision), "revision", store.FormatVersion(copied))
+	m.logRateLimited("ignored the store's state, which is older than the copy", "store_revision", store.FormatVersion(revision), "revision", store.FormatVersion(copied))
 }
 
-// countGap notes a watch whose history is gone.
+// countGap counts a watch whose history the store no longer has.
 func (m *Mirror) countGap() {
 	copied := m.Revision()
 	m.answerStats.mu.Lock()
 	defer m.answerStats.mu.Unlock()
 	m.answerStats.counts.Gaps++
-	m.logRateLimited("history is gone; listing again", "revision", store.FormatVersion(copied))
+	m.logRateLimited("the store's history doesn't reach back to the copy; listing again", "revision", store.FormatVersion(copied))
 }
 
-// logRateLimited logs a line unless the same text was logged a moment ago; m.sight.mu is held.
+// logRateLimited logs a line unless the same message was logged within repeatedLogInterval. The
+// number of omitted lines is logged with the next one. m.answerStats.mu is held.
 func (m *Mirror) logRateLimited(text string, args ...any) {
 	now := m.o.Clock.Now()
 	if at, ever := m.answerStats.loggedAt[text]; ever && now.Sub(at) < repeatedLogInterval {
@@ -72,13 +73,13 @@
 	return answerStats{loggedAt: map[string]time.Time{}, omitted: map[string]uint64{}}
 }
 
-// applyList takes a list of the store.
+// applyList counts and applies a list from the store.
 func (m *Mirror) applyList(objects []store.Object, revision uint64) {
 	m.countAnswer(revision)
 	m.replace(objects, revision)
 }
 
-// applyBatch takes a watch's changes.
+// applyBatch counts and applies the changes of a watch.
 func (m *Mirror) applyBatch(b store.Batch) {
 	m.countAnswer(b.Revision)
 	m.apply(b)
--- a/coordination/follow/sight_test.go
+++ b/coordination/follow/sight_test.go
@@ -16,7 +16,7 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// fixedRevisionStore is a store that lists nothing, at a revision, and has no history.
+// fixedRevisionStore is a store without objects and history at a settable revision.
 type fixedRevisionStore struct {
 	store.Store
 	revision atomic.Uint64
@@ -33,8 +33,8 @@
 	return store.Batch{Gap: true}, clocktest.Bubble{}.Sleep(ctx, 5*time.Millisecond)
 }
 
-// Guards against a store whose lists are refused without a sign of it: the revision of the list
-// and that of the copy must be told, and the lines must not crowd out all others.
+// Guards against a mirror that ignores a store's answers without any sign: the log names the revisions
+// of the store and of the copy, and repeated lines are limited so that they don't crowd out others.
 func TestLogsAndCountsStoreBehindCopy(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -51,18 +51,18 @@
 		s.revision.Store(44)
 		time.Sleep(3 * time.Second)
 		end()
-		const line = "the store's state is older than the copy; not taken"
+		const line = "ignored the store's state, which is older than the copy"
 		is.True(strings.Contains(log.String(), `msg="`+line+`" kind=things omitted=0 store_revision=44 revision=48`))
 		is.True(strings.Count(log.String(), line) <= 4)
-		is.True(strings.Count(log.String(), "history is gone") <= 4)
+		is.True(strings.Count(log.String(), "the store's history doesn't reach back to the copy") <= 4)
 		is.True(m.Answers().Older > 0)
 		is.True(m.Answers().Gaps > 0)
 		is.True(m.Answers().Current > 0)
 	})
 }
 
-// Guards against a host that asks the store hundreds of times a second, because what it is told
-// brings it nothing: the copy is newer than the store, or the store has no history.
+// Guards against hundreds of calls a second to a store whose answers change nothing, because the copy
+// is newer than the store or the store has no history.
 func TestBacksOffFromStoreWithoutProgress(t *testing.T) {
 	for name, revision := range map[string]uint64{"older": 44, "without history": 48} {
 		t.Run(name, func(t *testing.T) {
@@ -80,7 +80,7 @@
 				end()
 				const maxCallsPerSecond = 4
 				is.True(s.calls.Load() <= maxCallsPerSecond*int64(duration/time.Second))
-				is.True(s.calls.Load() >= int64(duration/maxRetryDelay)) // a change is noticed all the same
+				is.True(s.calls.Load() >= int64(duration/maxRetryDelay)) // a change is still noticed in time
 				is.Equal(m.Lost(), revision < 48)
 			})
 		})
