--- a/coordination/store/store.go
+++ b/coordination/store/store.go
@@ -1,5 +1,5 @@
-// Package store declares what coordination needs of the platform's object
-// service: versioned objects with conditional updates and watches.
+// Package store declares the interface to the platform's object service that coordination uses:
+// versioned objects with conditional writes and watches.
 package store
 
 import (
@@ -8,7 +8,7 @@
 	"fmt"
 )
 
-// The object kinds that coordination keeps at the platform.
+// The kinds of objects that coordination stores at the platform.
 const (
 	KindConfig  = "config"
 	KindMember  = "member"
@@ -18,10 +18,11 @@
 	KindExplain = "explain"
 )
 
-// Absent is the version of an object that doesn't exist.
+// Absent stands for the version of an object that doesn't exist.
 const Absent uint64 = 0
 
-// Object is one versioned value. Versions grow with every write of any object.
+// Object is one versioned value. Each write gets a higher version than all earlier writes of any
+// object.
 type Object struct {
 	Kind    string
 	Name    string
@@ -29,49 +30,50 @@
 	Value   []byte
 }
 
-// Event is one change seen by a watch. A deletion has a nil Value.
+// Event is one change returned by a watch. The object of a deletion has a nil Value.
 type Event struct {
 	Object  Object
 	Deleted bool
 }
 
-// Batch is what a watch returns: the changes after the asked revision.
+// Batch is the result of a watch: the changes after the given revision.
 type Batch struct {
+	// Revision is the store's revision once the events are applied.
 	Revision uint64
 	Events   []Event
-	// Gap is true when changes were missed; list the kind again.
+	// Gap is true if the store no longer has all changes; the kind must be listed again.
 	Gap bool
 }
 
-// Store is the platform's object service as coordination sees it. Each call is
-// one call at the platform, a waiting Watch included. Errors are of the kinds
-// below and never anything else but a context's error.
+// Store is the platform's object service. Each method makes exactly one call to the platform,
+// also a waiting Watch. Methods return ErrNotFound, *ConflictError, *UnavailableError or the
+// context's error, and no others.
 type Store interface {
-	// Get reads one object; a missing one gives ErrNotFound.
+	// Get reads one object, or returns ErrNotFound.
 	Get(ctx context.Context, kind, name string) (Object, error)
-	// Put writes value if the present version is ifVersion (Absent: create) and
-	// returns the new version. A *ConflictError tells the present version. After
-	// ErrUnavailable of kind UnknownOutcome the write may have taken effect.
+	// Put writes value if the present version is ifVersion (Absent: create) and returns the new
+	// version. A *ConflictError holds the present version. After an *UnavailableError with
+	// UnknownOutcome the write may have taken effect.
 	Put(ctx context.Context, kind, name string, ifVersion uint64, value []byte) (uint64, error)
-	// Delete removes the object if its version is ifVersion.
+	// Delete deletes the object if its version is ifVersion, or returns ErrNotFound.
 	Delete(ctx context.Context, kind, name string, ifVersion uint64) error
-	// List reads all objects of a kind and the revision that they are valid at.
+	// List reads all objects of a kind and the revision at which they are valid.
 	List(ctx context.Context, kind string) ([]Object, uint64, error)
-	// Watch waits for changes of a kind after revision, until ctx ends or the
-	// platform's own wait limit passes; an empty batch is no error.
+	// Watch waits for changes of a kind after a revision, until ctx ends or the platform's own
+	// limit on the wait passes; an empty batch is no error.
 	Watch(ctx context.Context, kind string, after uint64) (Batch, error)
 }
 
-// ErrNotFound says that the object doesn't exist.
+// ErrNotFound is returned if the object doesn't exist.
 var ErrNotFound = errors.New("the object does not exist at the platform; create it first")
 
-// ConflictError says that a conditional write met another version.
+// ConflictError is returned if the condition of a write doesn't hold.
 type ConflictError struct {
 	Kind, Name string
-	// Expected is the version that the writer named; Actual is the one found.
+	// Expected is the version that the write was conditional on; Actual is the present one.
 	Expected, Actual uint64
-	// Restored says that the store was restored since Expected was read. What it has at present
-	// isn't known, nor whether the write took effect: its condition was of another history.
+	// Restored says that the store was restored after Expected was read. The object's present version
+	// and whether the write took effect are unknown: the condition is on a version of another history.
 	Restored bool
 }
 
@@ -83,11 +85,11 @@
 	return fmt.Sprintf("%s %q is at version %s, not %s; read it again and repeat the change on that version", e.Kind, e.Name, FormatVersion(e.Actual), FormatVersion(e.Expected))
 }
 
-// UnavailableError says that the platform gave no usable answer.
+// UnavailableError is returned if the platform gave no usable answer.
 type UnavailableError struct {
-	// UnknownOutcome is true when a write may have taken effect all the same.
+	// UnknownOutcome is true if a write may have taken effect nevertheless.
 	UnknownOutcome bool
-	// Cause is the transport's error.
+	// Cause is the error of the transport.
 	Cause error
 }
 
@@ -99,7 +101,7 @@
 	return fmt.Sprintf("the platform can't be reached (%v); try again later", e.Cause)
 }
 
-// Unwrap returns the cause.
+// Unwrap returns Cause.
 func (e *UnavailableError) Unwrap() error { return e.Cause }
 
 // IsConflict reports whether err is a *ConflictError.
--- a/coordination/store/storetest/restore.go
+++ b/coordination/store/storetest/restore.go
@@ -6,15 +6,15 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// Restore brings the store back as it was at a revision: later changes are lost, their revisions
-// are given out again, and the epoch rises by one.
+// Restore restores the store's state at a revision: later changes are lost, their revisions are
+// assigned again, and the epoch rises by one.
 func (p *Platform) Restore(revision uint64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.restore(func(c change) bool { return store.RevisionOf(c.revision) <= revision })
 }
 
-// RestoreBefore brings the store back as it was some time ago.
+// RestoreBefore restores the state that the store had the given time ago.
 func (p *Platform) RestoreBefore(ago time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -22,14 +22,14 @@
 	p.restore(func(c change) bool { return !c.at.After(to) })
 }
 
-// Revision is the store's present revision.
+// Revision returns the store's present revision.
 func (p *Platform) Revision() uint64 {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.revision
 }
 
-// restore keeps the first changes, as far as they are kept by a function; p.mu is held.
+// restore restores the longest prefix of the changes for which keep holds; p.mu is held.
 func (p *Platform) restore(keep func(change) bool) {
 	epoch := store.EpochOf(p.revision) + 1
 	n := 0
@@ -47,7 +47,7 @@
 	p.wakeWatches()
 }
 
-// replay makes a change one of the epoch.
+// replay applies a change again, with its revisions moved to the epoch; p.mu is held.
 func (p *Platform) replay(c *change, epoch uint64) {
 	c.revision = store.MakeVersion(epoch, store.RevisionOf(c.revision))
 	o := &c.event.Object
--- a/coordination/store/storetest/storetest.go
+++ b/coordination/store/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest is an in-memory store.Store for tests, with the platform's
-// faults: down, answers lost after the write took effect, and watch gaps.
+// Package storetest is an in-memory store.Store for tests that simulates the platform's faults:
+// outages, answers lost after the write took effect, and gaps in watches.
 package storetest
 
 import (
@@ -13,27 +13,27 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// Fault is what happens to one call.
+// Fault is the fault that is injected into one call.
 type Fault int
 
 // The faults of a call.
 const (
-	// None lets the call pass.
+	// None lets the call succeed.
 	None Fault = iota
-	// Refuse fails the call before it has any effect.
+	// Refuse fails the call before it takes effect.
 	Refuse
-	// LoseAnswer carries the call out and loses its answer.
+	// LoseAnswer performs the call and fails it with a lost answer.
 	LoseAnswer
 )
 
-// Call describes one call to a Script.
+// Call describes a call for a Script.
 type Call struct {
 	Caller string
-	// Op is get, put, delete, list or watch.
+	// Op is get, put, delete, list or watch; Name is empty for list and watch.
 	Op, Kind, Name string
 }
 
-// Script decides the fault of each call; it may block to pause the caller.
+// Script returns the fault of each call; it may block to delay the call.
 type Script func(Call) Fault
 
 var (
@@ -43,29 +43,33 @@
 
 type key struct{ kind, name string }
 
+// change is one write or deletion.
 type change struct {
 	at       time.Time
 	revision uint64
 	event    store.Event
 }
 
-// Platform is the shared state; each caller has a Client of its own.
+// Platform is the store's state, shared by its Clients.
 type Platform struct {
 	mu       sync.Mutex
 	revision uint64
 	objects  map[key]store.Object
-	changes  []change
-	oldest   uint64
-	// allChanges is all changes, for Restore.
+	// changes are the changes that watches can return, and oldest is the lowest revision that a
+	// watch can continue from.
+	changes []change
+	oldest  uint64
+	// allChanges are all changes since the start; Restore replays them.
 	allChanges []change
-	changed    chan struct{}
-	script     Script
-	calls      int
-	maxWait    time.Duration
+	// changed is closed and replaced at each change, to wake the waiting watches.
+	changed chan struct{}
+	script  Script
+	calls   int
+	maxWait time.Duration
 }
 
-// NewPlatform returns an empty platform whose watches wait for at most maxWait;
-// with 0 they return at once.
+// NewPlatform returns an empty platform whose watches wait for at most maxWait; with 0 they
+// return at once.
 func NewPlatform(maxWait time.Duration) *Platform {
 	return &Platform{
 		objects: map[key]store.Object{},
@@ -74,7 +78,7 @@
 	}
 }
 
-// SetScript installs the faults of later calls; nil means none.
+// SetScript sets the script that decides the faults of later calls; nil injects none.
 func (p *Platform) SetScript(s Script) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,7 +92,7 @@
 	return p.calls
 }
 
-// DropHistory drops the change history, so that every running watch sees a gap.
+// DropHistory drops the change history, so that watches from earlier revisions get a gap.
 func (p *Platform) DropHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,14 +101,16 @@
 	p.wakeWatches()
 }
 
-// Client returns the store as the named caller sees it.
+// Client returns a store.Store whose calls carry the given caller's name.
 func (p *Platform) Client(caller string) *Client { return &Client{p: p, caller: caller} }
 
+// wakeWatches wakes the waiting watches; p.mu is held.
 func (p *Platform) wakeWatches() {
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
+// record adds a change at the present revision to the history; p.mu is held.
 func (p *Platform) record(e store.Event) {
 	c := change{at: time.Now(), revision: p.revision, event: e}
 	p.changes = append(p.changes, c)
@@ -120,6 +126,7 @@
 
 var _ store.Store = (*Client)(nil)
 
+// begin counts a call and returns the fault to inject, with its error if the call must not take effect.
 func (c *Client) begin(ctx context.Context, op, kind, name string) (Fault, error) {
 	if err := ctx.Err(); err != nil {
 		return None, err
@@ -138,6 +145,7 @@
 	return f, nil
 }
 
+// lostAnswer returns the error of a call whose answer is lost, or nil.
 func lostAnswer(f Fault, write bool) error {
 	if f != LoseAnswer {
 		return nil
@@ -190,8 +198,8 @@
 	return o.Version, lostAnswer(f, true)
 }
 
-// conditionHolds reports whether a write's condition holds: the store knows its revisions alone, and those
-// of before a restoration may have been given out again.
+// conditionHolds reports whether a write's condition holds, and sets c.Restored. Like the real store it
+// compares revisions without their epochs: a revision of before a restoration may have been assigned again.
 func (p *Platform) conditionHolds(c *store.ConflictError) bool {
 	c.Restored = c.Expected != store.Absent && store.EpochOf(c.Expected) < store.EpochOf(p.revision)
 	return store.RevisionOf(c.Expected) == store.RevisionOf(c.Actual)
@@ -223,7 +231,7 @@
 	return lostAnswer(f, true)
 }
 
-// List implements store.Store. Objects come sorted by name.
+// List implements store.Store. Objects are sorted by name.
 func (c *Client) List(ctx context.Context, kind string) ([]store.Object, uint64, error) {
 	f, err := c.begin(ctx, "list", kind, "")
 	if err != nil {
@@ -271,6 +279,8 @@
 	}
 }
 
+// changesSince returns the changes of a kind after a revision, and a channel that is closed at the
+// next change of any kind.
 func (p *Platform) changesSince(kind string, after uint64) (store.Batch, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/coordination/store/version.go
+++ b/coordination/store/version.go
@@ -5,36 +5,35 @@
 	"strconv"
 )
 
-// Versions and revisions are numbers whose order is that of the store's states. A store that is
-// restored from an older copy gives its revisions out again for other changes, and its states from
-// then on are newer than all before: the epoch, which rises with each restoration, counts before
-// the revision. Numbers are compared as they are; only the parts that speak to a store or to an
-// operator take them apart.
+// A version or revision is a number with an epoch in its upper and the store's own revision in its
+// lower bits. A store that is restored from a backup assigns its revisions again to other
+// changes, and its states from then on are newer than all before. The epoch rises with each
+// restoration, so that versions are ordered like the store's states and can be compared as plain
+// numbers. Only code that calls a store or formats a version for an operator splits them.
 const (
 	revisionBits = 40
-	// MaxEpoch and MostRevision bound the parts: 400 writes a second use up MostRevision in 87
+	// MaxEpoch and MaxRevision bound the two parts: 400 writes a second use up MaxRevision in 87
 	// years.
 	MaxEpoch    = 1<<(64-revisionBits) - 1
 	MaxRevision = 1<<revisionBits - 1
 )
 
-// MakeVersion is the number of a revision in an epoch of the store.
+// MakeVersion returns the version for a revision in an epoch of the store.
 func MakeVersion(epoch, revision uint64) uint64 { return epoch<<revisionBits | revision&MaxRevision }
 
-// EpochOf is how often the store had been restored at a version.
+// EpochOf returns the epoch of a version: how often the store had been restored by then.
 func EpochOf(version uint64) uint64 { return version >> revisionBits }
 
-// RevisionOf is the store's own number of a version.
+// RevisionOf returns the store's own revision of a version.
 func RevisionOf(version uint64) uint64 { return version & MaxRevision }
 
-// RestoredBetween reports whether the store was restored after one version and before another; 0 stands
-// for a version that isn't known.
+// RestoredBetween reports whether the store was restored between two versions; 0 stands for an unknown
+// version, for which the result is false.
 func RestoredBetween(before, after uint64) bool {
 	return before != 0 && after != 0 && EpochOf(after) > EpochOf(before)
 }
 
-// FormatVersion writes a version for a reader, as EPOCH/REVISION; stores that tell no epoch have
-// revisions only.
+// FormatVersion formats a version as EPOCH/REVISION, or as REVISION for a store without epochs.
 func FormatVersion(version uint64) string {
 	if EpochOf(version) == 0 {
 		return strconv.FormatUint(version, 10)
