--- a/coordination/bound/bound.go
+++ b/coordination/bound/bound.go
@@ -1,8 +1,8 @@
-// Package bound works out what a deployment could earn at best on a day whose traffic
-// is known: requests are a fluid, served second by second with the capacity that is up,
-// dearest for its work first, and nothing is lost between them. Faults of the network
-// and of hosts, the order among requests of one second, prices and the memory of engines
-// are left out, so that no system does better.
+// Package bound computes an upper bound on the value that a deployment could earn on a day whose
+// traffic is known. Requests are treated as a fluid and served second by second with the capacity that
+// is up, in order of their value per unit of work, and none is lost in between. Network and host faults,
+// the order of requests within a second, prices and the memory of engines are ignored, which can only
+// raise the result, so that no system can exceed the bound.
 package bound
 
 import (
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// Class is a kind of request.
+// Class describes a class of requests.
 type Class struct {
 	Name    string
 	Service string
-	// Work is the time of a service's capacity that one request takes.
+	// Work is the capacity of the service that one request takes, as busy time.
 	Work time.Duration
-	// Deadline is how long a caller waits.
+	// Deadline is how long a caller waits for its answer.
 	Deadline time.Duration
-	// Value is earned in time, LateValue after the objective.
+	// Value is earned by an answer within the objective, LateValue by a later one.
 	Value, LateValue float64
 }
 
-// Second is one second of a day.
+// Second is one second of the day.
 type Second struct {
-	// Arrivals are the requests of each class.
+	// Arrivals is the number of requests of each class.
 	Arrivals []float64
-	// Capacity is the work that each service does in this second.
+	// Capacity is the work that each service can do in this second, as busy time, by service.
 	Capacity map[string]time.Duration
 }
 
-// Result is what could be earned.
+// Result is the outcome of Evaluate.
 type Result struct {
+	// Offered is the value of all requests if served in time; Earned is the upper bound.
 	Offered, Earned float64
-	// InTime and Late are shares of each class's requests.
+	// InTime and Late are the shares of each class's requests that are served in time and late.
 	InTime, Late []float64
-	// SaturatedSeconds counts the seconds in which a service's capacity did not do for all that
-	// had arrived, by service.
+	// SaturatedSeconds counts, by service, the seconds at whose end requests were left waiting.
 	SaturatedSeconds map[string]int
 }
 
-// Share is the part of the credit owed that could be earned.
+// Share returns the share of the offered value that could be earned.
 func (r Result) Share() float64 {
 	if r.Offered == 0 {
 		return 0
@@ -49,14 +49,14 @@
 	return r.Earned / r.Offered
 }
 
-// queuedRequests are requests of a class that came in one second and are not yet served.
+// queuedRequests are requests of a class that arrived in the same second and are still to be served.
 type queuedRequests struct {
 	class     int
 	arrivedAt int
 	count     float64
 }
 
-// Evaluate works out the result of a day.
+// Evaluate computes the result of a day; Second.Arrivals are indexed like classes.
 func Evaluate(classes []Class, day []Second) Result {
 	r := Result{InTime: make([]float64, len(classes)), Late: make([]float64, len(classes)), SaturatedSeconds: map[string]int{}}
 	arrived := make([]float64, len(classes))
@@ -79,7 +79,7 @@
 	return r
 }
 
-// serve spends one second's capacity on what waits and returns what is left.
+// serve spends one second's capacity on the queue and returns the requests that remain.
 func (r *Result) serve(classes []Class, queue []queuedRequests, now int, capacity map[string]time.Duration) []queuedRequests {
 	slices.SortStableFunc(queue, func(a, b queuedRequests) int {
 		return cmp.Compare(valueDensity(classes[b.class], b, now), valueDensity(classes[a.class], a, now))
@@ -109,7 +109,8 @@
 	return remaining
 }
 
-// recordServed counts n served requests.
+// recordServed adds n served requests to the result; they are in time if served in the second of
+// their arrival.
 func (r *Result) recordServed(c Class, w queuedRequests, now int, n float64) {
 	if w.arrivedAt == now {
 		r.InTime[w.class] += n
@@ -120,19 +121,19 @@
 	r.Earned += n * c.LateValue
 }
 
-// valueDensity is what a request earns for its work now.
+// valueDensity returns what a request served now earns per second of work.
 func valueDensity(c Class, w queuedRequests, now int) float64 {
-	worth := c.Value
+	value := c.Value
 	if w.arrivedAt != now {
-		worth = c.LateValue
+		value = c.LateValue
 	}
-	return worth / max(c.Work.Seconds(), minWorkSeconds)
+	return value / max(c.Work.Seconds(), minWorkSeconds)
 }
 
-// minWorkSeconds keeps requests without work first and the division defined.
+// minWorkSeconds avoids a division by zero and puts requests without work first.
 const minWorkSeconds = 1e-9
 
-// dropExpired drops what callers no longer wait for.
+// dropExpired removes the requests whose callers have stopped waiting.
 func dropExpired(classes []Class, queue []queuedRequests, now int) []queuedRequests {
 	return slices.DeleteFunc(queue, func(w queuedRequests) bool {
 		return time.Duration(now-w.arrivedAt)*time.Second > classes[w.class].Deadline
--- a/coordination/bound/bound_test.go
+++ b/coordination/bound/bound_test.go
@@ -9,6 +9,7 @@
 	"pgregory.net/rapid"
 )
 
+// constantDay returns a day of n seconds with the same capacity and arrivals.
 func constantDay(n int, capacity time.Duration, arrivals ...float64) []Second {
 	out := make([]Second, n)
 	for i := range out {
@@ -45,7 +46,7 @@
 	seconds[0] = Second{Arrivals: []float64{450}, Capacity: seconds[1].Capacity}
 	r := Evaluate(classes, seconds)
 	is.True(near(r.InTime[0], 100.0/450))
-	is.True(near(r.Late[0], 200.0/450)) // in the two seconds after
+	is.True(near(r.Late[0], 200.0/450)) // in the next two seconds
 	is.True(near(r.Earned, 100+0.3*200))
 }
 
@@ -60,7 +61,7 @@
 	is.Equal(write, 4*time.Millisecond) // 20 steps of 2 ms shared by 10
 }
 
-// Nothing is earned twice, and more capacity never earns less.
+// Guards against value that is earned twice, and against more capacity that earns less.
 func TestEarnedIsBoundedAndMonotonic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		classes := []Class{
@@ -77,10 +78,10 @@
 		}
 		a, b := Evaluate(classes, small), Evaluate(classes, large)
 		if a.Earned > a.Offered+1e-6 || a.Earned < 0 {
-			t.Fatalf("earned %v of %v", a.Earned, a.Offered)
+			t.Fatalf("earned %v of %v offered", a.Earned, a.Offered)
 		}
 		if b.Earned < a.Earned-1e-6 {
-			t.Fatalf("three times the capacity earns %v, once %v", b.Earned, a.Earned)
+			t.Fatalf("three times the capacity earns %v, less than %v", b.Earned, a.Earned)
 		}
 	})
 }
