--- a/coordination/follow/history.go
+++ b/coordination/follow/history.go
@@ -117,12 +117,12 @@
 	}
 }
 
-// Merge applies a peer's changes since a revision that this mirror has had. asked is the time at
+// Merge applies a peer's changes since a revision that this mirror has had. sentAt is the time at
 // which the request to the peer was sent.
-func (m *Mirror) Merge(d Delta, from string, asked time.Time) {
+func (m *Mirror) Merge(d Delta, from string, sentAt time.Time) {
 	m.mergeChanges(d, from)
 	if d.Proven {
-		m.recordPeerProof(asked.Add(-d.Age), d.Revision)
+		m.recordPeerProof(sentAt.Add(-d.Age), d.Revision)
 	}
 }
 
--- a/coordination/follow/mirror.go
+++ b/coordination/follow/mirror.go
@@ -222,7 +222,7 @@
 		ctx, cancel = context.WithTimeout(ctx, relistTimeout)
 		defer cancel()
 	}
-	asked, known := m.o.Clock.Now(), m.Revision()
+	sentAt, known := m.o.Clock.Now(), m.Revision()
 	objects, revision, err := m.o.Store.List(ctx, m.o.Kind)
 	if err != nil {
 		return err
@@ -232,7 +232,7 @@
 		return &storeBehindError{store: revision, copied: known}
 	}
 	m.markAnswered()
-	m.recordStoreProof(asked, revision)
+	m.recordStoreProof(sentAt, revision)
 	return nil
 }
 
@@ -246,7 +246,7 @@
 
 // watch waits for changes and applies them. listed is false if the objects must be listed again.
 func (m *Mirror) watch(ctx context.Context) (listed bool, err error) {
-	asked := m.o.Clock.Now()
+	sentAt := m.o.Clock.Now()
 	batch, err := m.fetchChanges(ctx)
 	if err != nil {
 		return true, err
@@ -258,7 +258,7 @@
 	}
 	m.consecutiveGaps = 0
 	m.applyBatch(batch)
-	m.recordStoreProof(asked, batch.Revision)
+	m.recordStoreProof(sentAt, batch.Revision)
 	if len(batch.Events) > 0 && m.o.CoalesceDelay > 0 {
 		return true, m.o.Clock.Sleep(ctx, m.o.CoalesceDelay)
 	}
@@ -325,17 +325,17 @@
 func (m *Mirror) adoptNewerValues(c Copy, from string) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	taken := false
+	adopted := false
 	for _, o := range c.Objects {
 		own, have := m.objects[o.Name]
 		if !have || !m.newer(o, own) {
 			continue
 		}
 		m.o.Log.Info("took an object from a peer that is newer than the restored store's", "kind", m.o.Kind, "name", o.Name, "version", store.FormatVersion(own.Version), "kept", store.FormatVersion(o.Version), "peer", from)
-		own.Value, taken = o.Value, true
+		own.Value, adopted = o.Value, true
 		m.objects[o.Name] = own
 	}
-	if taken {
+	if adopted {
 		m.o.OnChange(m.copyLocked())
 		m.notify()
 	}
--- a/coordination/follow/outage.go
+++ b/coordination/follow/outage.go
@@ -44,12 +44,12 @@
 	if isLeader {
 		return true
 	}
-	bounded, cancel := context.WithTimeout(ctx, relistTimeout)
+	waitCtx, cancel := context.WithTimeout(ctx, relistTimeout)
 	defer cancel()
 	select {
 	case <-recovered:
 		return true
-	case <-bounded.Done():
+	case <-waitCtx.Done():
 		return false
 	}
 }
@@ -64,11 +64,11 @@
 	if isLeader {
 		return m.o.Clock.Sleep(ctx, jitter(pause))
 	}
-	bounded, cancel := context.WithTimeout(ctx, maxRecoveryWait)
+	waitCtx, cancel := context.WithTimeout(ctx, maxRecoveryWait)
 	defer cancel()
 	select {
 	case <-recovered:
-	case <-bounded.Done():
+	case <-waitCtx.Done():
 	}
 	return ctx.Err()
 }
--- a/coordination/follow/proof.go
+++ b/coordination/follow/proof.go
@@ -45,21 +45,21 @@
 	}
 }
 
-// recordStoreProof records that the store answered a call sent at asked with its state at a revision. A
+// recordStoreProof records that the store answered a call sent at sentAt with its state at a revision. A
 // restored store lacks acknowledged writes until they are repeated, so that its answers prove nothing
 // for RecoveryTime.
-func (m *Mirror) recordStoreProof(asked time.Time, revision uint64) {
+func (m *Mirror) recordStoreProof(sentAt time.Time, revision uint64) {
 	if m.proofsSuspended.Load() {
 		return
 	}
 	at := m.restoredAt.Load()
-	if at != nil && store.EpochOf(revision) >= store.EpochOf(m.Revision()) && asked.Before(at.Add(m.o.RecoveryTime)) {
+	if at != nil && store.EpochOf(revision) >= store.EpochOf(m.Revision()) && sentAt.Before(at.Add(m.o.RecoveryTime)) {
 		return
 	}
-	m.recordProof(proof{asked, store.EpochOf(revision)})
+	m.recordProof(proof{sentAt, store.EpochOf(revision)})
 }
 
-// recordPeerProof records the proof of a peer whose copy, at that revision, this mirror has taken. It
+// recordPeerProof records the proof of a peer whose copy, at that revision, this mirror has merged. It
 // is ignored for a copy of another epoch: that may have held writes that this mirror never had.
 func (m *Mirror) recordPeerProof(at time.Time, revision uint64) {
 	if store.EpochOf(revision) == store.EpochOf(m.Revision()) {
@@ -92,34 +92,34 @@
 // Prove asks the store for changes at once and applies them. It may be called while Run runs.
 func (m *Mirror) Prove(ctx context.Context) error {
 	if p, ok := m.o.Store.(Poller); ok && m.Revision() > 0 {
-		if taken, err := m.poll(ctx, p); taken || err != nil {
+		if applied, err := m.poll(ctx, p); applied || err != nil {
 			return err
 		}
 	}
 	return m.proveByList(ctx)
 }
 
-// poll asks the store for the changes since the present copy and applies them; taken is false if
+// poll asks the store for the changes since the present copy and applies them; applied is false if
 // the store no longer has them.
-func (m *Mirror) poll(ctx context.Context, p Poller) (taken bool, err error) {
-	asked := m.o.Clock.Now()
+func (m *Mirror) poll(ctx context.Context, p Poller) (applied bool, err error) {
+	sentAt := m.o.Clock.Now()
 	batch, err := p.Poll(ctx, m.o.Kind, m.Revision())
 	if err != nil || batch.Gap {
 		return false, err
 	}
 	m.applyBatch(batch)
-	m.recordStoreProof(asked, batch.Revision)
+	m.recordStoreProof(sentAt, batch.Revision)
 	return true, nil
 }
 
 // proveByList replaces the copy by a list from the store.
 func (m *Mirror) proveByList(ctx context.Context) error {
-	asked := m.o.Clock.Now()
+	sentAt := m.o.Clock.Now()
 	objects, revision, err := m.o.Store.List(ctx, m.o.Kind)
 	if err != nil {
 		return err
 	}
 	m.applyList(objects, revision)
-	m.recordStoreProof(asked, revision)
+	m.recordStoreProof(sentAt, revision)
 	return nil
 }
--- a/coordination/follow/restored.go
+++ b/coordination/follow/restored.go
@@ -85,14 +85,14 @@
 
 // activateIgnored uses the ignored entries of departed runs again that have outlived the heartbeat
 // timeout, which shows that they are live. It reports whether there were any.
-func (l *Instances) activateIgnored(now time.Time) (activated bool) {
+func (l *Instances) activateIgnored(now time.Time) (any bool) {
 	for id, e := range l.entries {
 		if e.ignoredUntil.IsZero() || now.Before(e.ignoredUntil) {
 			continue
 		}
-		e.ignoredUntil, activated = time.Time{}, true
+		e.ignoredUntil, any = time.Time{}, true
 		l.departed.remove(e.instance.ID)
 		l.o.Log.Info("restored entry of a departed run outlived the heartbeat timeout; used again", "instance", id)
 	}
-	return activated
+	return any
 }
--- a/coordination/store/storetest/storetest.go
+++ b/coordination/store/storetest/storetest.go
@@ -265,12 +265,12 @@
 	limit := time.NewTimer(c.p.maxWait)
 	defer limit.Stop()
 	for {
-		batch, wake := c.p.changesSince(kind, after)
+		batch, changed := c.p.changesSince(kind, after)
 		if batch.Gap || len(batch.Events) > 0 || c.p.maxWait == 0 {
 			return batch, nil
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-limit.C:
 			return batch, nil
 		case <-ctx.Done():
