--- a/coordination/bound/bound.go
+++ b/coordination/bound/bound.go
@@ -1,8 +1,8 @@
-// Package bound works out what a deployment could earn at best on a day whose traffic
-// is known: requests are a fluid, served second by second with the capacity that is up,
-// dearest for its work first, and nothing is lost between them. Faults of the network
-// and of hosts, the order among requests of one second, prices and the memory of engines
-// are left out, so that no system does better.
+// Package bound computes an upper bound on the value that a deployment could earn on a day whose
+// traffic is known. Requests are treated as a fluid and served second by second with the capacity that
+// is up, in order of their value per unit of work, and none is lost in between. Network and host faults,
+// the order of requests within a second, prices and the memory of engines are ignored, which can only
+// raise the result, so that no system can exceed the bound.
 package bound
 
 import (
@@ -11,130 +11,131 @@
 	"time"
 )
 
-// Class is a kind of request.
+// Class describes a class of requests.
 type Class struct {
 	Name    string
 	Service string
-	// Work is the time of a service's capacity that one request takes.
+	// Work is the capacity of the service that one request takes, as busy time.
 	Work time.Duration
-	// Deadline is how long a caller waits.
+	// Deadline is how long a caller waits for its answer.
 	Deadline time.Duration
-	// Worth is earned in time, Late after the objective.
-	Worth, Late float64
+	// Value is earned by an answer within the objective, LateValue by a later one.
+	Value, LateValue float64
 }
 
-// Second is one second of a day.
+// Second is one second of the day.
 type Second struct {
-	// Arrivals are the requests of each class.
+	// Arrivals is the number of requests of each class.
 	Arrivals []float64
-	// Capacity is the work that each service does in this second.
+	// Capacity is the work that each service can do in this second, as busy time, by service.
 	Capacity map[string]time.Duration
 }
 
-// Result is what could be earned.
+// Result is the outcome of Evaluate.
 type Result struct {
-	Owed, Earned float64
-	// InTime and LateServed are shares of each class's requests.
-	InTime, LateServed []float64
-	// Short counts the seconds in which a service's capacity did not do for all that
-	// had arrived, by service.
-	Short map[string]int
+	// Offered is the value of all requests if served in time; Earned is the upper bound.
+	Offered, Earned float64
+	// InTime and Late are the shares of each class's requests that are served in time and late.
+	InTime, Late []float64
+	// SaturatedSeconds counts, by service, the seconds at whose end requests were left waiting.
+	SaturatedSeconds map[string]int
 }
 
-// Share is the part of the credit owed that could be earned.
+// Share returns the share of the offered value that could be earned.
 func (r Result) Share() float64 {
-	if r.Owed == 0 {
+	if r.Offered == 0 {
 		return 0
 	}
-	return r.Earned / r.Owed
+	return r.Earned / r.Offered
 }
 
-// waiting are requests of a class that came in one second and are not yet served.
-type waiting struct {
-	class int
-	since int
-	count float64
+// queuedRequests are requests of a class that arrived in the same second and are still to be served.
+type queuedRequests struct {
+	class     int
+	arrivedAt int
+	count     float64
 }
 
-// Day works out the result of a day.
-func Day(classes []Class, day []Second) Result {
-	r := Result{InTime: make([]float64, len(classes)), LateServed: make([]float64, len(classes)), Short: map[string]int{}}
+// Evaluate computes the result of a day; Second.Arrivals are indexed like classes.
+func Evaluate(classes []Class, day []Second) Result {
+	r := Result{InTime: make([]float64, len(classes)), Late: make([]float64, len(classes)), SaturatedSeconds: map[string]int{}}
 	arrived := make([]float64, len(classes))
-	var queue []waiting
+	var queue []queuedRequests
 	for now, second := range day {
-		queue = expire(classes, queue, now)
+		queue = dropExpired(classes, queue, now)
 		for c, n := range second.Arrivals {
 			arrived[c] += n
-			r.Owed += n * classes[c].Worth
-			queue = append(queue, waiting{c, now, n})
+			r.Offered += n * classes[c].Value
+			queue = append(queue, queuedRequests{c, now, n})
 		}
 		queue = r.serve(classes, queue, now, second.Capacity)
 	}
 	for c, n := range arrived {
 		if n > 0 {
 			r.InTime[c] /= n
-			r.LateServed[c] /= n
+			r.Late[c] /= n
 		}
 	}
 	return r
 }
 
-// serve spends one second's capacity on what waits and returns what is left.
-func (r *Result) serve(classes []Class, queue []waiting, now int, capacity map[string]time.Duration) []waiting {
-	slices.SortStableFunc(queue, func(a, b waiting) int {
-		return cmp.Compare(density(classes[b.class], b, now), density(classes[a.class], a, now))
+// serve spends one second's capacity on the queue and returns the requests that remain.
+func (r *Result) serve(classes []Class, queue []queuedRequests, now int, capacity map[string]time.Duration) []queuedRequests {
+	slices.SortStableFunc(queue, func(a, b queuedRequests) int {
+		return cmp.Compare(valueDensity(classes[b.class], b, now), valueDensity(classes[a.class], a, now))
 	})
-	left := map[string]float64{}
+	available := map[string]float64{}
 	for service, work := range capacity {
-		left[service] = work.Seconds()
+		available[service] = work.Seconds()
 	}
-	short := map[string]bool{}
-	var rest []waiting
+	saturated := map[string]bool{}
+	var remaining []queuedRequests
 	for _, w := range queue {
 		c := classes[w.class]
 		n := w.count
 		if work := c.Work.Seconds(); work > 0 {
-			n = min(n, left[c.Service]/work)
-			left[c.Service] -= n * work
+			n = min(n, available[c.Service]/work)
+			available[c.Service] -= n * work
 		}
-		r.earn(c, w, now, n)
+		r.recordServed(c, w, now, n)
 		if w.count > n {
-			short[c.Service] = true
-			rest = append(rest, waiting{w.class, w.since, w.count - n})
+			saturated[c.Service] = true
+			remaining = append(remaining, queuedRequests{w.class, w.arrivedAt, w.count - n})
 		}
 	}
-	for service := range short {
-		r.Short[service]++
+	for service := range saturated {
+		r.SaturatedSeconds[service]++
 	}
-	return rest
+	return remaining
 }
 
-// earn counts n served requests.
-func (r *Result) earn(c Class, w waiting, now int, n float64) {
-	if w.since == now {
+// recordServed adds n served requests to the result; they are in time if served in the second of
+// their arrival.
+func (r *Result) recordServed(c Class, w queuedRequests, now int, n float64) {
+	if w.arrivedAt == now {
 		r.InTime[w.class] += n
-		r.Earned += n * c.Worth
+		r.Earned += n * c.Value
 		return
 	}
-	r.LateServed[w.class] += n
-	r.Earned += n * c.Late
+	r.Late[w.class] += n
+	r.Earned += n * c.LateValue
 }
 
-// density is what a request earns for its work now.
-func density(c Class, w waiting, now int) float64 {
-	worth := c.Worth
-	if w.since != now {
-		worth = c.Late
+// valueDensity returns what a request served now earns per second of work.
+func valueDensity(c Class, w queuedRequests, now int) float64 {
+	value := c.Value
+	if w.arrivedAt != now {
+		value = c.LateValue
 	}
-	return worth / max(c.Work.Seconds(), leastWork)
+	return value / max(c.Work.Seconds(), minWorkSeconds)
 }
 
-// leastWork keeps requests without work first and the division defined.
-const leastWork = 1e-9
+// minWorkSeconds avoids a division by zero and puts requests without work first.
+const minWorkSeconds = 1e-9
 
-// expire drops what callers no longer wait for.
-func expire(classes []Class, queue []waiting, now int) []waiting {
-	return slices.DeleteFunc(queue, func(w waiting) bool {
-		return time.Duration(now-w.since)*time.Second > classes[w.class].Deadline
+// dropExpired removes the requests whose callers have stopped waiting.
+func dropExpired(classes []Class, queue []queuedRequests, now int) []queuedRequests {
+	return slices.DeleteFunc(queue, func(w queuedRequests) bool {
+		return time.Duration(now-w.arrivedAt)*time.Second > classes[w.class].Deadline
 	})
 }
--- a/coordination/follow/follow_test.go
+++ b/coordination/follow/follow_test.go
@@ -23,18 +23,18 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// follower is a mirror over a test platform with the copies it gave out.
-type follower struct {
+// testMirror is a mirror of a test platform's objects, with the copies that it passed on.
+type testMirror struct {
 	*Mirror
-	seen []Copy
+	copies []Copy
 }
 
-func newFollower(t testing.TB, p *storetest.Platform, gather time.Duration) *follower {
-	f := &follower{}
+func newTestMirror(t testing.TB, p *storetest.Platform, gather time.Duration) *testMirror {
+	f := &testMirror{}
 	m, err := New(Options{
-		Outage: &Outage{},
-		Store:  p.Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", Gather: gather,
-		Changed: func(c Copy) { f.seen = append(f.seen, c) },
+		RetryGroup: &RetryGroup{},
+		Store:      p.Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", CoalesceDelay: gather,
+		OnChange: func(c Copy) { f.copies = append(f.copies, c) },
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -43,6 +43,7 @@
 	return f
 }
 
+// put writes an object of the mirrored kind and returns its new version.
 func put(t testing.TB, p *storetest.Platform, name, value string, version uint64) uint64 {
 	v, err := p.Client("operator").Put(context.Background(), "things", name, version, []byte(value))
 	if err != nil {
@@ -51,6 +52,7 @@
 	return v
 }
 
+// values returns the objects of a copy as sorted NAME=VALUE texts.
 func values(c Copy) []string {
 	var out []string
 	for _, o := range c.Objects {
@@ -60,7 +62,7 @@
 	return out
 }
 
-// run starts the mirror; the returned function ends it.
+// run starts the mirror; the returned function stops it and waits for its end.
 func run(t *testing.T, m *Mirror) func() {
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
@@ -68,12 +70,13 @@
 	return func() { cancel(); <-done }
 }
 
-func TestChangesComeWithoutPolling(t *testing.T) {
+// Guards against a mirror that polls: a change must arrive by a waiting watch.
+func TestWatchDeliversChangesWithoutPolling(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
 		v := put(t, p, "a", "1", store.Absent)
-		f := newFollower(t, p, 0)
+		f := newTestMirror(t, p, 0)
 		defer run(t, f.Mirror)()
 		time.Sleep(10 * time.Second)
 		before := p.Calls()
@@ -81,16 +84,17 @@
 		synctest.Wait()
 		is.Equal(values(f.Export()), []string{"a=2"})
 		time.Sleep(15 * time.Second)
-		is.True(p.Calls()-before <= 3) // the write and a watch or two
+		is.True(p.Calls()-before <= 3) // the write and one or two watches
 	})
 }
 
-func TestChangesInQuickSuccessionCostOneCall(t *testing.T) {
+// Guards against a billed call for each change: changes within CoalesceDelay cost one call.
+func TestCoalescesChangesInQuickSuccession(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
 		v := put(t, p, "a", "0", store.Absent)
-		f := newFollower(t, p, time.Second)
+		f := newTestMirror(t, p, time.Second)
 		defer run(t, f.Mirror)()
 		time.Sleep(2 * time.Second)
 		before := p.Calls()
@@ -104,21 +108,21 @@
 	})
 }
 
-// In an outage the store's refusals are priced like answers: of two copies of a host
-// one asks and the other waits, and both are up to date soon after its end. A copy that
-// asks does so at least every 1.5 s, one that waits every 2 s, whatever the jitter.
-func TestMirrorsAskALostStoreTogether(t *testing.T) {
+// Guards against retries by every mirror of a host during an outage, in which refused calls are billed
+// like answered ones. The leader retries at least every 1.5 s (the longest delay with jitter), the other
+// mirror at most every 2 s, and both are up to date soon after the outage.
+func TestOneMirrorRetriesForAllInOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		const outageTime = 10 * time.Second
 		p := storetest.NewPlatform(20 * time.Second)
 		v := put(t, p, "a", "1", store.Absent)
-		outage := &Outage{}
+		group := &RetryGroup{}
 		callers := []string{"h1", "h2"}
 		var all []*Mirror
 		for _, caller := range callers {
 			m, err := New(Options{
-				Store: polling{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", Outage: outage, Changed: func(Copy) {},
+				Store: pollingClient{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", RetryGroup: group, OnChange: func(Copy) {},
 			})
 			is.NoErr(err)
 			defer run(t, m)()
@@ -142,9 +146,9 @@
 		mu.Lock()
 		most, least := max(refused["h1"], refused["h2"]), min(refused["h1"], refused["h2"])
 		mu.Unlock()
-		is.True(most >= int(outageTime/(3*retryMost/2)))
-		is.True(least <= int(outageTime/waitMost)+1)
-		time.Sleep(2 * retryMost)
+		is.True(most >= int(outageTime/(3*maxRetryDelay/2)))
+		is.True(least <= int(outageTime/maxRecoveryWait)+1)
+		time.Sleep(2 * maxRetryDelay)
 		for _, m := range all {
 			is.Equal(values(m.Export()), []string{"a=2"})
 			is.True(!m.Lost())
@@ -152,15 +156,15 @@
 	})
 }
 
-// A mirror whose fellow isn't answered asks by itself after a while.
-func TestMirrorDoesNotWaitForeverForAnother(t *testing.T) {
+// Guards against a mirror that waits for ever for a leader whose calls fail.
+func TestMirrorRetriesItselfAfterMaxRecoveryWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
-		outage := &Outage{}
+		group := &RetryGroup{}
 		mirror := func(kind, caller string) *Mirror {
 			m, err := New(Options{
-				Store: polling{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: kind, Outage: outage, Changed: func(Copy) {},
+				Store: pollingClient{p.Client(caller)}, Clock: clocktest.Bubble{}, Log: quiet, Kind: kind, RetryGroup: group, OnChange: func(Copy) {},
 			})
 			is.NoErr(err)
 			return m
@@ -177,18 +181,19 @@
 			}
 			return storetest.None
 		})
-		time.Sleep(waitMost + time.Second)
+		time.Sleep(maxRecoveryWait + time.Second)
 		is.True(first.Lost())
 		is.True(!second.Lost())
 	})
 }
 
-func TestForgottenHistoryIsListedAgain(t *testing.T) {
+// Guards against a copy that stays out of date when the store drops its history during an outage.
+func TestRelistsAfterHistoryIsDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
 		v := put(t, p, "a", "1", store.Absent)
-		f := newFollower(t, p, 0)
+		f := newTestMirror(t, p, 0)
 		defer run(t, f.Mirror)()
 		time.Sleep(time.Second)
 		p.SetScript(func(c storetest.Call) storetest.Fault {
@@ -198,7 +203,7 @@
 			return storetest.None
 		})
 		put(t, p, "a", "2", v)
-		p.Forget()
+		p.DropHistory()
 		time.Sleep(30 * time.Second)
 		is.True(f.Lost())
 		p.SetScript(nil)
@@ -209,9 +214,10 @@
 	})
 }
 
-func TestPeersCopyIsTakenOnlyIfNewer(t *testing.T) {
+// Guards against a copy that is replaced by a peer's copy of the same or an earlier revision.
+func TestAdoptsPeerCopyOnlyIfNewer(t *testing.T) {
 	is := is.New(t)
-	f := newFollower(t, storetest.NewPlatform(0), 0)
+	f := newTestMirror(t, storetest.NewPlatform(0), 0)
 	object := func(v uint64, value string) store.Object {
 		return store.Object{Name: "a", Version: v, Value: []byte(value)}
 	}
@@ -221,20 +227,21 @@
 	is.Equal(values(f.Export()), []string{"a=new"})
 }
 
-// TestHoldsConfigNeverReverts mixes the store's changes, lost answers, outages,
-// forgotten history and peers' older copies.
+// Guards against routes that revert to an earlier version, by a random sequence of writes, outages,
+// dropped history and older copies of peers.
 func TestHoldsRoutesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.IntRange(0, 5), 5, 30).Draw(rt, "steps")
 		var problem string
-		synctest.Test(t, func(t *testing.T) { problem = playConfig(t, steps) })
+		synctest.Test(t, func(t *testing.T) { problem = runConfigSteps(t, steps) })
 		if problem != "" {
 			rt.Fatal(problem)
 		}
 	})
 }
 
-func playConfig(t *testing.T, steps []int) string {
+// runConfigSteps applies the steps to a store with a mirror and returns what went wrong, or "".
+func runConfigSteps(t *testing.T, steps []int) string {
 	p := storetest.NewPlatform(2 * time.Second)
 	decode := func(value []byte) (*state.RoutingConfig, error) {
 		v, err := strconv.ParseUint(string(value), 10, 64)
@@ -243,13 +250,13 @@
 	config := NewConfig("main", decode, quiet)
 	problem, last := "", uint64(0)
 	m, err := New(Options{
-		Outage: &Outage{},
-		Store:  p.Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things",
-		Changed: func(c Copy) {
-			config.Changed(c)
+		RetryGroup: &RetryGroup{},
+		Store:      p.Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things",
+		OnChange: func(c Copy) {
+			config.Update(c)
 			if table := config.Table(); table != nil {
 				if table.Version < last {
-					problem = fmt.Sprintf("version %d after %d", table.Version, last)
+					problem = fmt.Sprintf("version %d is in force after version %d", table.Version, last)
 				}
 				last = table.Version
 			}
@@ -279,7 +286,7 @@
 		case 3:
 			p.SetScript(nil)
 		case 4:
-			p.Forget()
+			p.DropHistory()
 		case 5:
 			m.Adopt(old[len(old)/2], "peer")
 		}
@@ -294,7 +301,8 @@
 	return problem
 }
 
-func TestUnreadableConfigKeepsTheLast(t *testing.T) {
+// Guards against the loss of the routes in force when the newest configuration can't be decoded.
+func TestUnreadableConfigKeepsLastTable(t *testing.T) {
 	is := is.New(t)
 	config := NewConfig("main", func(v []byte) (*state.RoutingConfig, error) {
 		if string(v) == "bad" {
@@ -303,14 +311,16 @@
 		return &state.RoutingConfig{Version: 7}, nil
 	}, quiet)
 	is.True(config.Table() == nil)
-	config.Changed(Copy{Objects: []store.Object{{Name: "main", Value: []byte("good")}}})
-	config.Changed(Copy{Objects: []store.Object{{Name: "main", Value: []byte("bad")}}})
+	config.Update(Copy{Objects: []store.Object{{Name: "main", Value: []byte("good")}}})
+	config.Update(Copy{Objects: []store.Object{{Name: "main", Value: []byte("bad")}}})
 	is.Equal(config.Table().Version, uint64(7))
 }
 
+// newInstances returns a list of instances; *outage says whether entries may be missing, and
+// *published is the sorted names of the last published list.
 func newInstances(outage *bool, published *[]string) *Instances {
 	return NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, HoldFor: time.Second, Leaving: func(state.InstanceID) bool { return false }, Unusable: func() {}, Outage: func() bool { return *outage },
+		Clock: clocktest.Bubble{}, Log: quiet, HoldFor: time.Second, Leaving: func(state.InstanceID) bool { return false }, OnUnusable: func() {}, EntriesMayBeMissing: func() bool { return *outage },
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			return state.Instance{ID: state.InstanceID{Name: id}, Addr: id, Draining: string(v) == "draining"}, nil
 		},
@@ -324,6 +334,7 @@
 	})
 }
 
+// entries returns a copy with an entry for each name, at versions 1 and up.
 func entries(names ...string) Copy {
 	var c Copy
 	for i, n := range names {
@@ -332,13 +343,13 @@
 	return c
 }
 
-// A runner restarts under its name: the list has the new run alone, and the order of the
-// store's versions decides, not that of the clocks.
-func TestRestartUnderTheSameNameIsAnotherInstance(t *testing.T) {
+// Guards against two instances under one name after a runner restarts: the version at the store
+// decides which run is the later one, since the clocks of two runs may differ.
+func TestRestartUnderSameNameReplacesInstance(t *testing.T) {
 	is := is.New(t)
 	var published []state.Instance
 	l := NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, Outage: func() bool { return false }, Leaving: func(state.InstanceID) bool { return false }, Unusable: func() {},
+		Clock: clocktest.Bubble{}, Log: quiet, EntriesMayBeMissing: func() bool { return false }, Leaving: func(state.InstanceID) bool { return false }, OnUnusable: func() {},
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			born, err := strconv.ParseInt(string(v), 10, 64)
 			return state.Instance{ID: state.InstanceID{Name: id, Born: born}}, err
@@ -346,21 +357,21 @@
 		Publish: func(list []state.Instance) { published = list },
 	})
 	for version, born := range []int64{500, 700, 600} { // the last run's clock is behind
-		l.Changed(Copy{Objects: []store.Object{{Name: "a", Version: uint64(version + 1), Value: []byte(fmt.Sprint(born))}}})
+		l.Update(Copy{Objects: []store.Object{{Name: "a", Version: uint64(version + 1), Value: []byte(fmt.Sprint(born))}}})
 		is.Equal(len(published), 1)
 		is.Equal(published[0].ID, state.InstanceID{Name: "a", Born: born})
 	}
 }
 
-// An entry that can't be used, also one that replaces a good one, names no instance; the
-// others hold, and the good one counts again when it is back.
-func TestUnusableEntryNamesNoInstance(t *testing.T) {
+// Guards against requests to an instance whose entry can't be decoded, also if that entry replaced a
+// valid one. Other entries aren't affected, and the instance is used again once its entry is valid.
+func TestUnusableEntryIsNotPublished(t *testing.T) {
 	is := is.New(t)
 	var published []string
 	unusable := 0
 	l := NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, Outage: func() bool { return true }, HoldFor: time.Minute, Leaving: func(state.InstanceID) bool { return false },
-		Unusable: func() { unusable++ },
+		Clock: clocktest.Bubble{}, Log: quiet, EntriesMayBeMissing: func() bool { return true }, HoldFor: time.Minute, Leaving: func(state.InstanceID) bool { return false },
+		OnUnusable: func() { unusable++ },
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			if string(v) != "ready" {
 				return state.Instance{}, errors.New("not a runner's entry")
@@ -382,26 +393,26 @@
 		}
 		return c
 	}
-	l.Changed(list(1, "ready", "ready", "nonsense"))
+	l.Update(list(1, "ready", "ready", "nonsense"))
 	is.Equal(published, []string{"a", "b"})
-	l.Changed(list(2, "ready", "nonsense", "nonsense"))
+	l.Update(list(2, "ready", "nonsense", "nonsense"))
 	is.Equal(published, []string{"a"})
 	is.Equal(unusable, 3)
-	l.Changed(list(2, "ready", "nonsense", "nonsense")) // the same again
+	l.Update(list(2, "ready", "nonsense", "nonsense")) // the same copy again
 	is.Equal(unusable, 3)
-	l.Changed(list(3, "ready", "ready", "nonsense"))
+	l.Update(list(3, "ready", "ready", "nonsense"))
 	is.Equal(published, []string{"a", "b"})
-	l.Changed(list(4, "ready", "ready")) // it was no instance, so that nothing is held
+	l.Update(list(4, "ready", "ready")) // a missing entry that was unusable isn't held
 	is.Equal(published, []string{"a", "b"})
 }
 
-// A runner that crashed is still listed when another has taken its address: only the one
-// that wrote last is there.
-func TestAddressBelongsToTheLastThatWrote(t *testing.T) {
+// Guards against two instances at one address: after a runner crashed, its entry remains listed while
+// another runner has taken its address. Only the entry that was written last is used.
+func TestLatestEntryOwnsSharedAddress(t *testing.T) {
 	is := is.New(t)
 	var published []string
 	l := NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, Outage: func() bool { return false }, Leaving: func(state.InstanceID) bool { return false }, Unusable: func() {},
+		Clock: clocktest.Bubble{}, Log: quiet, EntriesMayBeMissing: func() bool { return false }, Leaving: func(state.InstanceID) bool { return false }, OnUnusable: func() {},
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			return state.Instance{ID: state.InstanceID{Name: id}, Addr: string(v)}, nil
 		},
@@ -416,53 +427,58 @@
 	object := func(name, addr string, version uint64) store.Object {
 		return store.Object{Name: name, Version: version, Value: []byte(addr)}
 	}
-	l.Changed(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6)}})
+	l.Update(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6)}})
 	is.Equal(published, []string{"crashed", "other"})
-	l.Changed(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6), object("next", "1", 7)}})
+	l.Update(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6), object("next", "1", 7)}})
 	is.Equal(published, []string{"next", "other"})
-	l.Changed(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6)}})
+	l.Update(Copy{Objects: []store.Object{object("crashed", "1", 5), object("other", "2", 6)}})
 	is.Equal(published, []string{"crashed", "other"})
 }
 
-func TestMissingInstanceIsGoneAtOnceWhileTheStoreIsSound(t *testing.T) {
+// Guards against requests to an instance that left: without an outage it is removed at once.
+func TestMissingInstanceIsRemovedAtOnceWithoutOutage(t *testing.T) {
 	is := is.New(t)
 	outage, published := false, []string{}
 	l := newInstances(&outage, &published)
-	l.Changed(entries("a", "b"))
-	l.Changed(entries("a"))
+	l.Update(entries("a", "b"))
+	l.Update(entries("a"))
 	is.Equal(published, []string{"a"})
 }
 
-func TestMissingInstanceIsHeldAfterAnOutage(t *testing.T) {
+// Guards against the removal of live instances whose entries are missing after an outage. They are
+// held for HoldFor only.
+func TestMissingInstanceIsHeldAfterOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		outage, published := true, []string{}
 		l := newInstances(&outage, &published)
-		l.Changed(entries("a", "b", "c"))
-		l.Changed(entries("a"))
+		l.Update(entries("a", "b", "c"))
+		l.Update(entries("a"))
 		is.Equal(published, []string{"a", "b", "c"})
 		time.Sleep(500 * time.Millisecond)
-		l.Changed(entries("a", "b")) // b is back
+		l.Update(entries("a", "b")) // b has registered again
 		time.Sleep(600 * time.Millisecond)
-		l.sweep()
+		l.removeExpired()
 		is.Equal(published, []string{"a", "b"})
 	})
 }
 
-func TestOldEventsDoNotBringBackWhatANewerCopyLacks(t *testing.T) {
+// Guards against a watch that began before a newer copy was adopted: its events must neither bring
+// back objects that the newer copy lacks nor delete objects that it has.
+func TestOldEventsDoNotOverrideNewerCopy(t *testing.T) {
 	is := is.New(t)
-	f := newFollower(t, storetest.NewPlatform(0), 0)
+	f := newTestMirror(t, storetest.NewPlatform(0), 0)
 	object := func(name string, v uint64) store.Object {
 		return store.Object{Name: name, Version: v, Value: []byte(fmt.Sprint(v))}
 	}
 	is.True(f.Adopt(Copy{Revision: 20, Objects: []store.Object{object("kept", 15)}}, "peer"))
-	// A watch that began before the copy was adopted ends now.
+	// This watch began before the copy was adopted and ends now.
 	f.apply(store.Batch{Revision: 12, Events: []store.Event{
 		{Object: object("gone", 11)}, {Object: object("kept", 10), Deleted: true},
 	}})
 	is.Equal(values(f.Export()), []string{"kept=15"})
 	is.Equal(f.Revision(), uint64(20))
-	// One that goes beyond the copy tells what the copy has, too.
+	// A watch that ends at a later revision also returns events that the copy already reflects.
 	f.apply(store.Batch{Revision: 22, Events: []store.Event{
 		{Object: object("gone", 11)}, {Object: object("kept", 10), Deleted: true}, {Object: object("new", 21)},
 	}})
@@ -471,60 +487,63 @@
 	is.Equal(values(f.Export()), []string{"new=21"})
 }
 
-func TestInstanceIsHeldNoLongerThanTheTimeAfterAnOutage(t *testing.T) {
+// Guards against an instance that is held after the outage window has ended.
+func TestHeldInstanceIsRemovedWhenOutageWindowEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		outage, published := true, []string{}
 		l := newInstances(&outage, &published)
-		l.Changed(entries("a", "b"))
-		l.Changed(entries("a")) // late in that time
+		l.Update(entries("a", "b"))
+		l.Update(entries("a")) // late in the outage window
 		is.Equal(published, []string{"a", "b"})
 		time.Sleep(100 * time.Millisecond)
 		outage = false
-		l.sweep()
-		is.Equal(published, []string{"a"}) // it left in earnest
+		l.removeExpired()
+		is.Equal(published, []string{"a"}) // b has really left
 	})
 }
 
-// polling is a test store with a watch that doesn't wait.
-type polling struct{ *storetest.Client }
+// pollingClient is a test store that implements Poller.
+type pollingClient struct{ *storetest.Client }
 
-func (s polling) Poll(ctx context.Context, kind string, after uint64) (store.Batch, error) {
+func (s pollingClient) Poll(ctx context.Context, kind string, after uint64) (store.Batch, error) {
 	if _, _, err := s.List(ctx, kind); err != nil {
 		return store.Batch{}, err
 	}
 	return store.Batch{Revision: after}, nil
 }
 
-func TestReturnOfAStoreWithoutChangesIsNoticed(t *testing.T) {
+// Guards against a store that counts as lost until something changes: its recovery must be noticed
+// without a change.
+func TestDetectsStoreRecoveryWithoutChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(20 * time.Second)
 		put(t, p, "a", "1", store.Absent)
 		m, err := New(Options{
-			Outage: &Outage{},
-			Store:  polling{p.Client("h")}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", Changed: func(Copy) {},
+			RetryGroup: &RetryGroup{},
+			Store:      pollingClient{p.Client("h")}, Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", OnChange: func(Copy) {},
 		})
 		is.NoErr(err)
 		defer run(t, m)()
 		time.Sleep(time.Second)
 		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.Refuse })
-		time.Sleep(25 * time.Second) // the waiting watch ends and the next ones fail
+		time.Sleep(25 * time.Second) // the waiting watch ends and the next calls fail
 		is.True(m.Lost())
 		p.SetScript(nil)
 		time.Sleep(3 * time.Second)
-		is.True(!m.Lost()) // though nothing has changed
+		is.True(!m.Lost()) // although nothing has changed
 	})
 }
 
-// A run that says itself that it leaves counts as draining at once, whatever its entry says,
-// then and later; another run under its name doesn't.
-func TestRunThatSaysItLeavesIsDraining(t *testing.T) {
+// Guards against new requests to a run that announced that it leaves while its entry still says ready.
+// Another run under the same name isn't affected.
+func TestRunThatAnnouncedLeavingIsDraining(t *testing.T) {
 	is := is.New(t)
 	left := map[state.InstanceID]bool{}
 	var got []state.Instance
 	l := NewInstances(InstancesOptions{
-		Clock: clocktest.Bubble{}, Log: quiet, Outage: func() bool { return false }, Unusable: func() {},
+		Clock: clocktest.Bubble{}, Log: quiet, EntriesMayBeMissing: func() bool { return false }, OnUnusable: func() {},
 		Leaving: func(id state.InstanceID) bool { return left[id] },
 		Decode: func(id string, v []byte) (state.Instance, error) {
 			born, err := strconv.ParseInt(string(v), 10, 64)
@@ -532,13 +551,13 @@
 		},
 		Publish: func(list []state.Instance) { got = list },
 	})
-	l.Changed(Copy{Revision: 1, Objects: []store.Object{{Name: "a", Version: 1, Value: []byte("7")}}})
+	l.Update(Copy{Revision: 1, Objects: []store.Object{{Name: "a", Version: 1, Value: []byte("7")}}})
 	is.True(!got[0].Draining)
 	left[got[0].ID] = true
-	l.Left()
+	l.Republish()
 	is.True(got[0].Draining)
-	l.Changed(Copy{Revision: 2, Objects: []store.Object{{Name: "a", Version: 2, Value: []byte("7")}}}) // ready, says a heartbeat
+	l.Update(Copy{Revision: 2, Objects: []store.Object{{Name: "a", Version: 2, Value: []byte("7")}}}) // a heartbeat writes the entry as ready again
 	is.True(got[0].Draining)
-	l.Changed(Copy{Revision: 3, Objects: []store.Object{{Name: "a", Version: 3, Value: []byte("8")}}})
+	l.Update(Copy{Revision: 3, Objects: []store.Object{{Name: "a", Version: 3, Value: []byte("8")}}})
 	is.True(!got[0].Draining)
 }
--- a/coordination/follow/history.go
+++ b/coordination/follow/history.go
@@ -7,82 +7,85 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// mostDeletions bounds the deletions that a mirror remembers: a release that replaces
-// 1,800 runners, each deleted once, fits twice. Whoever lacks older ones gets a whole copy.
-const mostDeletions = 4096
+// maxDeletions bounds the deletions that a mirror keeps. It holds two releases that each replace
+// 1,800 runners and delete each of them once. A peer that lacks older deletions gets a full copy.
+const maxDeletions = 4096
 
-// history is what a mirror needs to tell what changed since a revision that it has had.
+// history is what a mirror needs to compute the changes since an earlier revision.
 type history struct {
-	// since is the revision from which on no deletion is missing.
-	since uint64
-	// jumpFrom and jumpTo are the revisions before and after the last whole copy. What came
-	// and went in between isn't known: it matters to those alone that were there.
-	jumpFrom, jumpTo uint64
+	// completeSince is the revision after which deletions holds every deletion.
+	completeSince uint64
+	// skippedFrom and skippedTo are the revisions before and after the last full copy. Objects that
+	// were created and deleted between the two are unknown, so that no delta can be computed for a
+	// peer whose revision lies between them.
+	skippedFrom, skippedTo uint64
 	// changedAt is the revision of the last change.
 	changedAt uint64
-	// deletions are those since, the oldest first.
+	// deletions are the deletions after completeSince, oldest first.
 	deletions []deletion
 }
 
+// deletion is an object that was deleted.
 type deletion struct {
 	object store.Object
-	// at is the mirror's revision once it knew.
-	at uint64
+	// revision is the mirror's revision once it had applied the deletion.
+	revision uint64
 }
 
-// jump notes a whole copy, with the objects that it lacks. One jump is remembered: whoever
-// was there before an earlier one gets a whole copy.
-func (h *history) jump(from, to uint64, gone []store.Object) {
+// recordFullCopy records that a full copy replaced the mirror's objects; gone are the objects that
+// the copy lacks. Only the last full copy is kept: a peer at a revision before an earlier one gets
+// a full copy.
+func (h *history) recordFullCopy(from, to uint64, gone []store.Object) {
 	if from == 0 {
-		h.since = to
+		h.completeSince = to
 	}
-	h.since = max(h.since, h.jumpTo)
-	h.jumpFrom, h.jumpTo = from, to
+	h.completeSince = max(h.completeSince, h.skippedTo)
+	h.skippedFrom, h.skippedTo = from, to
 	for _, o := range gone {
-		h.deleted(o, to)
+		h.recordDeletion(o, to)
 	}
 }
 
-// reaches reports whether all that changed after a revision is known.
-func (h *history) reaches(revision uint64) bool {
-	inJump := revision > h.jumpFrom && revision < h.jumpTo
-	return revision >= h.since && revision > 0 && !inJump
+// covers reports whether all changes after a revision are known.
+func (h *history) covers(revision uint64) bool {
+	skipped := revision > h.skippedFrom && revision < h.skippedTo
+	return revision >= h.completeSince && revision > 0 && !skipped
 }
 
-func (h *history) changed(revision uint64) { h.changedAt = revision }
+func (h *history) recordChange(revision uint64) { h.changedAt = revision }
 
-// deleted notes a deletion, also of an object that this mirror never had: a peer may.
-func (h *history) deleted(o store.Object, at uint64) {
-	h.changed(at)
+// recordDeletion records a deletion, also of an object that this mirror never had: a peer may have it.
+func (h *history) recordDeletion(o store.Object, at uint64) {
+	h.recordChange(at)
 	h.deletions = append(h.deletions, deletion{o, at})
-	if over := len(h.deletions) - mostDeletions; over > 0 {
-		h.since = h.deletions[over-1].at
+	if over := len(h.deletions) - maxDeletions; over > 0 {
+		h.completeSince = h.deletions[over-1].revision
 		h.deletions = append([]deletion(nil), h.deletions[over:]...)
 	}
 }
 
-// Delta is what changed in a copy after a revision.
+// Delta holds the changes of a copy after a revision.
 type Delta struct {
-	// Revision is the store's revision that the copy is valid at with the change.
+	// Revision is the store's revision at which the copy is valid once the changes are applied.
 	Revision uint64
-	// Whole says that Objects are all there are; otherwise they are those that changed,
-	// and Deleted those that are gone, each with the version that it had last.
-	Whole            bool
+	// Full says that Objects are all objects of the copy. Otherwise Objects are those that changed,
+	// and Deleted those that were deleted, each with its last version.
+	Full             bool
 	Objects, Deleted []store.Object
-	// Proven says that the copy, with the change, held all that the store had acknowledged
-	// Age ago.
+	// Proven says that the copy with these changes held everything that the store had acknowledged
+	// up to Age ago.
 	Proven bool
 	Age    time.Duration
 }
 
 // Empty reports whether nothing changed.
-func (d Delta) Empty() bool { return !d.Whole && len(d.Objects) == 0 && len(d.Deleted) == 0 }
+func (d Delta) Empty() bool { return !d.Full && len(d.Objects) == 0 && len(d.Deleted) == 0 }
 
-// Since returns what changed after a revision: nothing if that isn't lower than the
-// copy's own, and the whole copy if the history doesn't reach so far back or the store was
+// Since returns the changes after a revision: none if the revision isn't lower than that of the
+// last change, and a full copy if the history doesn't reach back that far or the store was
 // restored since.
 func (m *Mirror) Since(revision uint64) Delta {
-	// The proof is read before the copy, which holds what is proven or more.
+	// The proof is read before the objects, so that they are at least as new as the proof says.
 	proven := m.proof.Load()
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -92,14 +95,15 @@
 	}
 	switch {
 	case revision >= m.history.changedAt:
-	case !m.history.reaches(revision) || store.EpochOf(revision) != store.EpochOf(m.revision):
-		d.Whole, d.Objects = true, m.copyLocked().Objects
+	case !m.history.covers(revision) || store.EpochOf(revision) != store.EpochOf(m.revision):
+		d.Full, d.Objects = true, m.copyLocked().Objects
 	default:
 		m.addChanges(&d, revision)
 	}
 	return d
 }
 
+// addChanges adds the objects that changed and were deleted after a revision; m.mu is held.
 func (m *Mirror) addChanges(d *Delta, revision uint64) {
 	for _, o := range m.objects {
 		if o.Version > revision {
@@ -107,23 +111,23 @@
 		}
 	}
 	for _, gone := range m.history.deletions {
-		if gone.at > revision {
+		if gone.revision > revision {
 			d.Deleted = append(d.Deleted, gone.object)
 		}
 	}
 }
 
-// Merge takes what changed at a peer after a revision that this mirror has had; asked is
-// when the peer was asked.
-func (m *Mirror) Merge(d Delta, from string, asked time.Time) {
+// Merge applies a peer's changes since a revision that this mirror has had. sentAt is the time at
+// which the request to the peer was sent.
+func (m *Mirror) Merge(d Delta, from string, sentAt time.Time) {
 	m.mergeChanges(d, from)
 	if d.Proven {
-		m.proveByPeer(asked.Add(-d.Age), d.Revision)
+		m.recordPeerProof(sentAt.Add(-d.Age), d.Revision)
 	}
 }
 
 func (m *Mirror) mergeChanges(d Delta, from string) {
-	if d.Whole {
+	if d.Full {
 		m.Adopt(Copy{Revision: d.Revision, Objects: d.Objects}, from)
 		return
 	}
@@ -137,12 +141,12 @@
 	m.apply(b)
 }
 
-// Uninformed notes that neither a peer nor the store keeps this mirror up to date.
-func (m *Mirror) Uninformed() { m.lost.Store(true) }
+// MarkLost records that neither the store nor a peer keeps this mirror up to date.
+func (m *Mirror) MarkLost() { m.lost.Store(true) }
 
-// Reached asks the store for changes once and takes them. It must not be called while Run
-// does.
-func (m *Mirror) Reached(ctx context.Context) bool {
+// PollOnce asks the store for changes once, applies them and reports whether the store answered. It
+// must not be called while Run runs.
+func (m *Mirror) PollOnce(ctx context.Context) bool {
 	p, ok := m.o.Store.(Poller)
 	if !ok {
 		return m.list(ctx) == nil
@@ -151,9 +155,10 @@
 	return err == nil
 }
 
-// Informed notes that a peer which follows the store keeps this mirror up to date.
-// regained is how long ago the store answered that peer again, if ever it did not.
-func (m *Mirror) Informed(regained time.Duration, ever bool) {
+// MarkRelayed records that a peer that follows the store keeps this mirror up to date. regained
+// is how long ago the store answered that peer again after an outage; ever is false if that peer
+// saw no outage.
+func (m *Mirror) MarkRelayed(regained time.Duration, ever bool) {
 	m.lost.Store(false)
 	if !ever {
 		return
--- a/coordination/follow/history_test.go
+++ b/coordination/follow/history_test.go
@@ -16,19 +16,20 @@
 	"github.com/thymerack/thymerack/coordination/store/storetest"
 )
 
-// origin is a store that tells every revision's objects, as an oracle.
-type origin struct {
+// modelStore is a model of the store that knows the objects at every revision.
+type modelStore struct {
 	revision uint64
-	// events are those of the present epoch, the first of revision 1, with the revision as their
-	// object's version.
+	// events are the events of the present epoch in order; the first has revision 1. The revision is
+	// also the version of the event's object.
 	events []store.Event
+	// states maps a revision to the versions of its objects by name.
 	states map[uint64]map[string]uint64
 }
 
-func newOrigin() *origin { return &origin{states: map[uint64]map[string]uint64{0: {}}} }
+func newModelStore() *modelStore { return &modelStore{states: map[uint64]map[string]uint64{0: {}}} }
 
 // restore goes back to a revision, in a new epoch.
-func (o *origin) restore(to uint64) {
+func (o *modelStore) restore(to uint64) {
 	epoch := store.EpochOf(o.revision) + 1
 	anew := func(version uint64) uint64 { return store.MakeVersion(epoch, store.RevisionOf(version)) }
 	for r := uint64(0); r <= to; r++ {
@@ -49,7 +50,8 @@
 	o.revision = store.MakeVersion(epoch, to)
 }
 
-func (o *origin) change(name string, deleted bool) {
+// change writes or deletes an object at the next revision.
+func (o *modelStore) change(name string, deleted bool) {
 	state := maps.Clone(o.states[o.revision])
 	if _, there := state[name]; deleted && !there {
 		return
@@ -57,7 +59,7 @@
 	o.revision++
 	e := store.Event{Object: store.Object{Name: name, Version: o.revision, Value: []byte(strconv.FormatUint(o.revision, 10))}, Deleted: deleted}
 	if deleted {
-		e.Object.Version = state[name] // the last one that it had
+		e.Object.Version = state[name] // the object's last version
 		e.Object.Value = nil
 		delete(state, name)
 	} else {
@@ -67,15 +69,16 @@
 	o.states[o.revision] = state
 }
 
-// batch is what a watch after a revision returns.
-func (o *origin) batch(after uint64) store.Batch {
+// batch returns what a watch after a revision returns.
+func (o *modelStore) batch(after uint64) store.Batch {
 	if store.EpochOf(after) != store.EpochOf(o.revision) {
 		return store.Batch{Gap: true}
 	}
 	return store.Batch{Revision: o.revision, Events: o.events[store.RevisionOf(after):]}
 }
 
-func (o *origin) list() Copy {
+// list returns the objects at the present revision.
+func (o *modelStore) list() Copy {
 	c := Copy{Revision: o.revision}
 	for name, version := range o.states[o.revision] {
 		c.Objects = append(c.Objects, store.Object{Name: name, Version: version, Value: []byte(strconv.FormatUint(version, 10))})
@@ -83,7 +86,8 @@
 	return c
 }
 
-func stateOf(m *Mirror) map[string]uint64 {
+// versionsByName returns the versions of a mirror's objects.
+func versionsByName(m *Mirror) map[string]uint64 {
 	out := map[string]uint64{}
 	for _, o := range m.Export().Objects {
 		out[o.Name] = o.Version
@@ -91,15 +95,15 @@
 	return out
 }
 
-// Copies that take lists, watches and each other's changes in any order are always the
-// store's objects at the revision that they name, and never go back.
+// Guards against copies that differ from the store: mirrors that apply lists, watches and each other's
+// changes in any order, across restorations, always hold the store's objects at their revision.
 func TestHoldsCopiesAreTheStoreAtTheirRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := newOrigin()
+		o := newModelStore()
 		var copies []*Mirror
 		for range 4 {
 			m, err := New(Options{
-				Store: storetest.NewPlatform(0).Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", Outage: &Outage{}, Changed: func(Copy) {},
+				Store: storetest.NewPlatform(0).Client("h"), Clock: clocktest.Bubble{}, Log: quiet, Kind: "things", RetryGroup: &RetryGroup{}, OnChange: func(Copy) {},
 			})
 			if err != nil {
 				t.Fatal(err)
@@ -127,7 +131,7 @@
 					m.apply(b)
 				}
 			},
-			"overtaken list": func(t *rapid.T) { // on its way when the store was restored
+			"overtaken list": func(t *rapid.T) { // in flight when the store was restored
 				m, c := anyCopy.Draw(t, "copy"), o.list()
 				o.restore(rapid.Uint64Range(0, store.RevisionOf(o.revision)).Draw(t, "to"))
 				if rapid.Bool().Draw(t, "after the next") {
@@ -141,15 +145,15 @@
 				from, to := anyCopy.Draw(t, "from"), anyCopy.Draw(t, "to")
 				to.Merge(from.Since(to.Revision()), "peer", time.Now())
 			},
-			"late peer": func(t *rapid.T) { // asked at an older revision
+			"late peer": func(t *rapid.T) { // a request made at an older revision
 				from, to := anyCopy.Draw(t, "from"), anyCopy.Draw(t, "to")
 				since := rapid.Uint64Range(0, store.RevisionOf(to.Revision())).Draw(t, "since")
 				to.Merge(from.Since(store.MakeVersion(store.EpochOf(to.Revision()), since)), "peer", time.Now())
 			},
 			"": func(t *rapid.T) {
 				for i, m := range copies {
-					if got, want := stateOf(m), o.states[m.Revision()]; !maps.Equal(got, want) {
-						t.Fatalf("copy %d at %d has %v, not %v", i, m.Revision(), got, want)
+					if got, want := versionsByName(m), o.states[m.Revision()]; !maps.Equal(got, want) {
+						t.Fatalf("copy %d at revision %d: got objects %v, want %v", i, m.Revision(), got, want)
 					}
 				}
 			},
@@ -157,17 +161,17 @@
 	})
 }
 
-// Deletions that are no longer remembered are told by a whole copy.
-func TestLongHistoryIsForgotten(t *testing.T) {
+// Guards against a peer that misses deletions: if some are no longer kept, it gets a full copy.
+func TestDeltaIsFullBeyondDeletionHistory(t *testing.T) {
 	is := is.New(t)
-	f := newFollower(t, storetest.NewPlatform(0), 0)
+	f := newTestMirror(t, storetest.NewPlatform(0), 0)
 	is.True(f.Adopt(Copy{Revision: 1, Objects: []store.Object{{Name: "kept", Version: 1}}}, "peer"))
-	for i := range uint64(mostDeletions + 10) {
+	for i := range uint64(maxDeletions + 10) {
 		f.apply(store.Batch{Revision: i + 2, Events: []store.Event{{Object: store.Object{Name: fmt.Sprint(i), Version: 1}, Deleted: true}}})
 	}
-	is.True(f.Since(5).Whole)
-	d := f.Since(mostDeletions)
-	is.True(!d.Whole)
+	is.True(f.Since(5).Full)
+	d := f.Since(maxDeletions)
+	is.True(!d.Full)
 	is.Equal(len(d.Deleted), 11)
 	is.True(f.Since(f.Revision()).Empty())
 }
--- a/coordination/store/storetest/storetest.go
+++ b/coordination/store/storetest/storetest.go
@@ -1,5 +1,5 @@
-// Package storetest is an in-memory store.Store for tests, with the platform's
-// faults: down, answers lost after the write took effect, and watch gaps.
+// Package storetest is an in-memory store.Store for tests that simulates the platform's faults:
+// outages, answers lost after the write took effect, and gaps in watches.
 package storetest
 
 import (
@@ -13,27 +13,27 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// Fault is what happens to one call.
+// Fault is the fault that is injected into one call.
 type Fault int
 
 // The faults of a call.
 const (
-	// None lets the call pass.
+	// None lets the call succeed.
 	None Fault = iota
-	// Refuse fails the call before it has any effect.
+	// Refuse fails the call before it takes effect.
 	Refuse
-	// LoseAnswer carries the call out and loses its answer.
+	// LoseAnswer performs the call and fails it with a lost answer.
 	LoseAnswer
 )
 
-// Call describes one call to a Script.
+// Call describes a call for a Script.
 type Call struct {
 	Caller string
-	// Op is get, put, delete, list or watch.
+	// Op is get, put, delete, list or watch; Name is empty for list and watch.
 	Op, Kind, Name string
 }
 
-// Script decides the fault of each call; it may block to pause the caller.
+// Script returns the fault of each call; it may block to delay the call.
 type Script func(Call) Fault
 
 var (
@@ -43,38 +43,42 @@
 
 type key struct{ kind, name string }
 
+// change is one write or deletion.
 type change struct {
 	at       time.Time
 	revision uint64
 	event    store.Event
 }
 
-// Platform is the shared state; each caller has a Client of its own.
+// Platform is the store's state, shared by its Clients.
 type Platform struct {
 	mu       sync.Mutex
 	revision uint64
 	objects  map[key]store.Object
-	changes  []change
-	oldest   uint64
-	// past is all changes, for Restore.
-	past    []change
-	wake    chan struct{}
+	// changes are the changes that watches can return, and oldest is the lowest revision that a
+	// watch can continue from.
+	changes []change
+	oldest  uint64
+	// allChanges are all changes since the start; Restore replays them.
+	allChanges []change
+	// changed is closed and replaced at each change, to wake the waiting watches.
+	changed chan struct{}
 	script  Script
 	calls   int
 	maxWait time.Duration
 }
 
-// NewPlatform returns an empty platform whose watches wait for at most maxWait;
-// with 0 they return at once.
+// NewPlatform returns an empty platform whose watches wait for at most maxWait; with 0 they
+// return at once.
 func NewPlatform(maxWait time.Duration) *Platform {
 	return &Platform{
 		objects: map[key]store.Object{},
-		wake:    make(chan struct{}),
+		changed: make(chan struct{}),
 		maxWait: maxWait,
 	}
 }
 
-// SetScript installs the faults of later calls; nil means none.
+// SetScript sets the script that decides the faults of later calls; nil injects none.
 func (p *Platform) SetScript(s Script) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -88,28 +92,30 @@
 	return p.calls
 }
 
-// Forget drops the change history, so that every running watch sees a gap.
-func (p *Platform) Forget() {
+// DropHistory drops the change history, so that watches from earlier revisions get a gap.
+func (p *Platform) DropHistory() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.changes = nil
 	p.oldest = p.revision
-	p.signal()
+	p.wakeWatches()
 }
 
-// Client returns the store as the named caller sees it.
+// Client returns a store.Store whose calls carry the given caller's name.
 func (p *Platform) Client(caller string) *Client { return &Client{p: p, caller: caller} }
 
-func (p *Platform) signal() {
-	close(p.wake)
-	p.wake = make(chan struct{})
+// wakeWatches wakes the waiting watches; p.mu is held.
+func (p *Platform) wakeWatches() {
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
+// record adds a change at the present revision to the history; p.mu is held.
 func (p *Platform) record(e store.Event) {
 	c := change{at: time.Now(), revision: p.revision, event: e}
 	p.changes = append(p.changes, c)
-	p.past = append(p.past, c)
-	p.signal()
+	p.allChanges = append(p.allChanges, c)
+	p.wakeWatches()
 }
 
 // Client implements store.Store.
@@ -120,6 +126,7 @@
 
 var _ store.Store = (*Client)(nil)
 
+// begin counts a call and returns the fault to inject, with its error if the call must not take effect.
 func (c *Client) begin(ctx context.Context, op, kind, name string) (Fault, error) {
 	if err := ctx.Err(); err != nil {
 		return None, err
@@ -138,7 +145,8 @@
 	return f, nil
 }
 
-func lost(f Fault, write bool) error {
+// lostAnswer returns the error of a call whose answer is lost, or nil.
+func lostAnswer(f Fault, write bool) error {
 	if f != LoseAnswer {
 		return nil
 	}
@@ -153,7 +161,7 @@
 	}
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	if err := lost(f, false); err != nil {
+	if err := lostAnswer(f, false); err != nil {
 		return store.Object{}, err
 	}
 	o, ok := c.p.objects[key{kind, name}]
@@ -173,9 +181,9 @@
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
 	k := key{kind, name}
-	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Present: c.p.objects[k].Version}
-	if !c.p.meets(conflict) {
-		if err := lost(f, true); err != nil {
+	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Actual: c.p.objects[k].Version}
+	if !c.p.conditionHolds(conflict) {
+		if err := lostAnswer(f, true); err != nil {
 			return 0, err
 		}
 		return 0, conflict
@@ -187,14 +195,14 @@
 	if conflict.Restored {
 		return 0, conflict
 	}
-	return o.Version, lost(f, true)
+	return o.Version, lostAnswer(f, true)
 }
 
-// meets reports whether a write's condition holds: the store knows its revisions alone, and those
-// of before a restoration may have been given out again.
-func (p *Platform) meets(c *store.ConflictError) bool {
+// conditionHolds reports whether a write's condition holds, and sets c.Restored. Like the real store it
+// compares revisions without their epochs: a revision of before a restoration may have been assigned again.
+func (p *Platform) conditionHolds(c *store.ConflictError) bool {
 	c.Restored = c.Expected != store.Absent && store.EpochOf(c.Expected) < store.EpochOf(p.revision)
-	return store.RevisionOf(c.Expected) == store.RevisionOf(c.Present)
+	return store.RevisionOf(c.Expected) == store.RevisionOf(c.Actual)
 }
 
 // Delete implements store.Store.
@@ -210,8 +218,8 @@
 	if !ok {
 		return store.ErrNotFound
 	}
-	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Present: o.Version}
-	if !c.p.meets(conflict) {
+	conflict := &store.ConflictError{Kind: kind, Name: name, Expected: ifVersion, Actual: o.Version}
+	if !c.p.conditionHolds(conflict) {
 		return conflict
 	}
 	delete(c.p.objects, k)
@@ -220,10 +228,10 @@
 	if conflict.Restored {
 		return conflict
 	}
-	return lost(f, true)
+	return lostAnswer(f, true)
 }
 
-// List implements store.Store. Objects come sorted by name.
+// List implements store.Store. Objects are sorted by name.
 func (c *Client) List(ctx context.Context, kind string) ([]store.Object, uint64, error) {
 	f, err := c.begin(ctx, "list", kind, "")
 	if err != nil {
@@ -231,7 +239,7 @@
 	}
 	c.p.mu.Lock()
 	defer c.p.mu.Unlock()
-	if err := lost(f, false); err != nil {
+	if err := lostAnswer(f, false); err != nil {
 		return nil, 0, err
 	}
 	var out []store.Object
@@ -251,18 +259,18 @@
 	if err != nil {
 		return store.Batch{}, err
 	}
-	if err := lost(f, false); err != nil {
+	if err := lostAnswer(f, false); err != nil {
 		return store.Batch{}, err
 	}
 	limit := time.NewTimer(c.p.maxWait)
 	defer limit.Stop()
 	for {
-		batch, wake := c.p.since(kind, after)
+		batch, changed := c.p.changesSince(kind, after)
 		if batch.Gap || len(batch.Events) > 0 || c.p.maxWait == 0 {
 			return batch, nil
 		}
 		select {
-		case <-wake:
+		case <-changed:
 		case <-limit.C:
 			return batch, nil
 		case <-ctx.Done():
@@ -271,18 +279,20 @@
 	}
 }
 
-func (p *Platform) since(kind string, after uint64) (store.Batch, <-chan struct{}) {
+// changesSince returns the changes of a kind after a revision, and a channel that is closed at the
+// next change of any kind.
+func (p *Platform) changesSince(kind string, after uint64) (store.Batch, <-chan struct{}) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	b := store.Batch{Revision: p.revision}
 	if after < p.oldest || after > p.revision {
 		b.Gap = true
-		return b, p.wake
+		return b, p.changed
 	}
 	for _, ch := range p.changes {
 		if ch.revision > after && ch.event.Object.Kind == kind {
 			b.Events = append(b.Events, ch.event)
 		}
 	}
-	return b, p.wake
+	return b, p.changed
 }
