--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -90,7 +90,9 @@
 }
 
 // inBackoff reports whether a backoff that the runner requested from this host is in force.
-func (d *Dispatcher) inBackoff(i *state.Instance) bool { return !d.o.Advice.BackoffUntil(i.ID).IsZero() }
+func (d *Dispatcher) inBackoff(i *state.Instance) bool {
+	return !d.o.Advice.BackoffUntil(i.ID).IsZero()
+}
 
 // remainingPart is the part of the request that a runner still has to do, after the separate
 // prefill if there is one.
