--- a/coordination/crash/crash.go
+++ b/coordination/crash/crash.go
@@ -175,7 +175,7 @@
 	var fresh, settled []string
 	for _, s := range suspects {
 		text := s.RequestID + "=" + s.Digest.String()
-		if s.Settled {
+		if s.LongRunning {
 			settled = append(settled, text+" settled")
 			continue
 		}
--- a/coordination/crash/crash_test.go
+++ b/coordination/crash/crash_test.go
@@ -81,7 +81,7 @@
 }
 
 func work(n byte, settled bool) quarantine.Suspect {
-	return quarantine.Suspect{Digest: quarantine.Digest{n}, RequestID: string('a' + rune(n)), Settled: settled}
+	return quarantine.Suspect{Digest: quarantine.Digest{n}, RequestID: string('a' + rune(n)), LongRunning: settled}
 }
 
 func TestCrashIsReportedWithAllThatRan(t *testing.T) {
--- a/coordination/dispatch/call.go
+++ b/coordination/dispatch/call.go
@@ -133,7 +133,7 @@
 		return a, name, err
 	}
 	if a.Status < statusFailed {
-		d.o.Quarantine.Answered(r.Digest)
+		d.o.Quarantine.ReportAnswered(r.Digest)
 	}
 	return a, name, nil
 }
--- a/coordination/dispatch/crashes_test.go
+++ b/coordination/dispatch/crashes_test.go
@@ -66,7 +66,7 @@
 func TestHeldRequestReachesNoUpstream(t *testing.T) {
 	hold := func(f *crashFleet, d quarantine.Digest) {
 		for n := range int64(2) {
-			f.tables[0].Note(quarantine.Crash{Run: state.InstanceID{Name: d.String(), Born: n}, Suspects: []quarantine.Suspect{{Digest: d}}}, true)
+			f.tables[0].RecordCrash(quarantine.Crash{Run: state.InstanceID{Name: d.String(), Born: n}, Suspects: []quarantine.Suspect{{Digest: d}}}, true)
 		}
 	}
 	synctest.Test(t, func(t *testing.T) {
@@ -118,7 +118,7 @@
 				is.NoErr(err)
 				time.Sleep(2 * toldAfter)
 				is.Equal(f.ended, c.ended)
-				is.True(f.tables[0].Proven(d))
+				is.True(f.tables[0].AnsweredRecently(d))
 			})
 		})
 	}
--- a/coordination/dispatch/crashfleet_test.go
+++ b/coordination/dispatch/crashfleet_test.go
@@ -59,7 +59,7 @@
 	c := quarantine.Crash{Run: run, Host: h.name, At: time.Now(), Suspects: []quarantine.Suspect{s}}
 	time.AfterFunc(toldAfter, func() {
 		for _, t := range h.f.tables {
-			t.Note(c, t == h.table)
+			t.RecordCrash(c, t == h.table)
 		}
 	})
 }
@@ -67,5 +67,5 @@
 // Held implements dispatch.Quarantine.
 func (h *crashHost) Held(d quarantine.Digest) *quarantine.Hold { return h.table.Held(d) }
 
-// Answered implements dispatch.Quarantine.
-func (h *crashHost) Answered(d quarantine.Digest) { h.table.Answered(d) }
+// ReportAnswered implements dispatch.Quarantine.
+func (h *crashHost) ReportAnswered(d quarantine.Digest) { h.table.ReportAnswered(d) }
--- a/coordination/dispatch/generate.go
+++ b/coordination/dispatch/generate.go
@@ -81,7 +81,7 @@
 		g.d.record(g.r, state.DecisionAnswer, "failed", err.Error(), nil)
 		return
 	}
-	g.d.o.Quarantine.Answered(g.r.Digest)
+	g.d.o.Quarantine.ReportAnswered(g.r.Digest)
 	g.d.record(g.r, state.DecisionAnswer, "whole", fmt.Sprintf("%d tokens given", len(g.sink.Given())), nil)
 }
 
--- a/coordination/dispatch/harness_test.go
+++ b/coordination/dispatch/harness_test.go
@@ -57,7 +57,7 @@
 
 func (nothingCrashes) Held(quarantine.Digest) *quarantine.Hold { return nil }
 
-func (nothingCrashes) Answered(quarantine.Digest) {}
+func (nothingCrashes) ReportAnswered(quarantine.Digest) {}
 
 // newWorld makes engines e1, e2, ... with the given roles and service runners
 // s1, s2, s3.
--- a/coordination/dispatch/quarantine.go
+++ b/coordination/dispatch/quarantine.go
@@ -20,8 +20,8 @@
 type Quarantine interface {
 	// Held returns why a request may reach no upstream, or nil.
 	Held(d quarantine.Digest) *quarantine.Hold
-	// Answered notes that an upstream has answered the request whole.
-	Answered(d quarantine.Digest)
+	// ReportAnswered notes that an upstream has answered the request whole.
+	ReportAnswered(d quarantine.Digest)
 }
 
 // held returns the refusal of a request that crashes what runs it, or nil.
@@ -50,7 +50,7 @@
 	}
 	d.o.Crashes.Broke(e.Runner.Upstream, quarantine.Suspect{
 		Digest: r.Digest, RequestID: r.ID, SentAt: e.started,
-		Settled: answering && d.since(e.started) >= quarantine.SettledAfter,
+		LongRunning: answering && d.since(e.started) >= quarantine.LongRunningAfter,
 	})
 }
 
--- a/coordination/dispatch/unsure_test.go
+++ b/coordination/dispatch/unsure_test.go
@@ -27,7 +27,7 @@
 
 func (emptyQuarantine) Held(quarantine.Digest) *quarantine.Hold { return nil }
 
-func (emptyQuarantine) Answered(quarantine.Digest) {}
+func (emptyQuarantine) ReportAnswered(quarantine.Digest) {}
 
 type noRecorder struct{}
 
--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -163,7 +163,7 @@
 
 func (noQuarantine) Held(quarantine.Digest) *quarantine.Hold { return nil }
 
-func (noQuarantine) Answered(quarantine.Digest) {}
+func (noQuarantine) ReportAnswered(quarantine.Digest) {}
 
 // Advised implements backpressure.Observer.
 func (noObserver) Advised(string, backpressure.Kind) {}
--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -75,7 +75,7 @@
 		rec.add(a.Instance, "run", outcomeFailed, took, nil)
 	} else {
 		runner.Answered(took)
-		d.o.Quarantine.Answered(rec.digest)
+		d.o.Quarantine.ReportAnswered(rec.digest)
 		rec.add(a.Instance, "run", outcomeAnswered, took, nil)
 	}
 	return &Answer{Head: head, Body: body}, outcomeAnswered
@@ -132,7 +132,7 @@
 		return
 	}
 	d.o.Crashes.Broke(runner.Instance, quarantine.Suspect{
-		Digest: rec.digest, RequestID: r.ID, SentAt: d.o.Clock.Now().Add(-took), Settled: answering && took >= quarantine.SettledAfter,
+		Digest: rec.digest, RequestID: r.ID, SentAt: d.o.Clock.Now().Add(-took), LongRunning: answering && took >= quarantine.LongRunningAfter,
 	})
 }
 
--- a/coordination/forward/broken_test.go
+++ b/coordination/forward/broken_test.go
@@ -28,7 +28,7 @@
 		"a call at two runners":            {request(state.RouteSafe, 2, false), []reply{{err: errSent}, {status: 200, after: 2 * movedWithin, readErr: io.ErrUnexpectedEOF}}, []string{fresh, fresh}},
 		"a stream, before its first event": {modelRequest(200, false), []reply{{status: 200, events: true, readErr: errors.New("reset")}}, []string{fresh}},
 		"a stream, after its first event":  {onceStream(), []reply{{status: 200, events: true, body: "id: 1\ndata: x\n\n", readErr: errors.New("reset")}}, []string{fresh}},
-		"a stream, after a while":          {onceStream(), []reply{{status: 200, events: true, body: "id: 1\n\n", stall: quarantine.SettledAfter, readErr: errors.New("reset")}}, []string{settled}},
+		"a stream, after a while":          {onceStream(), []reply{{status: 200, events: true, body: "id: 1\n\n", stall: quarantine.LongRunningAfter, readErr: errors.New("reset")}}, []string{settled}},
 		"a prompt that was being read":     {modelRequest(2000, false), []reply{{err: errSent}, {status: 200, body: "h"}, {status: 200, events: true, body: "id: 1\ndata: x\n\n"}}, []string{fresh}},
 		"nothing was sent":                 {request(state.RouteUnsafe, 1, false), []reply{{err: errUnsent}, {status: 200}}, nil},
 		"refused":                          {request(state.RouteUnsafe, 1, false), []reply{{status: 503, notRun: true}}, nil},
@@ -43,7 +43,7 @@
 			var got []string
 			for _, work := range w.broken.work {
 				is.Equal(work.RequestID, c.request.ID)
-				if work.Settled {
+				if work.LongRunning {
 					got = append(got, settled)
 				} else {
 					got = append(got, fresh)
--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -128,7 +128,7 @@
 		Probe:    up.probe,
 		Listed:   func(i *state.Instance) bool { return h.fleet.Has(i.ID) },
 		Replaced: h.fleet.Replaced,
-		Crashed:  func(r crash.Report) { h.Note(r.Instance.ID, time.Now(), r.Suspects) },
+		Crashed:  func(r crash.Report) { h.ReportCrash(r.Instance.ID, time.Now(), r.Suspects) },
 		Clock:    clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
@@ -165,7 +165,7 @@
 		Host: h.name, Table: quarantine.NewTable(clocktest.Bubble{}), Store: client, FollowsStore: func() bool { return true },
 		Publish: func(n quarantine.Notice) {
 			for _, to := range h.f.hosts {
-				time.AfterFunc(noticeTime, func() { to.Take(n) })
+				time.AfterFunc(noticeTime, func() { to.Receive(n) })
 			}
 		},
 		Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
@@ -174,7 +174,7 @@
 		h.f.t.Fatal(err)
 	}
 	mirror, err := follow.New(follow.Options{
-		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: quarantine.Kind, Changed: h.Changed, Outage: &follow.Outage{},
+		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: quarantine.Kind, Changed: h.ApplyCopy, Outage: &follow.Outage{},
 	})
 	if err != nil {
 		h.f.t.Fatal(err)
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -77,8 +77,8 @@
 type Quarantine interface {
 	// Held returns why a request may reach no runner, or nil.
 	Held(d quarantine.Digest) *quarantine.Hold
-	// Answered notes that a runner has answered the request whole.
-	Answered(d quarantine.Digest)
+	// ReportAnswered notes that a runner has answered the request whole.
+	ReportAnswered(d quarantine.Digest)
 }
 
 // Options configure a Dispatcher. All fields are required.
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -274,7 +274,7 @@
 	return &quarantine.Hold{Evidence: make([]quarantine.Evidence, 2)}
 }
 
-func (q *quarantineOf) Answered(d quarantine.Digest) { q.answered = append(q.answered, d) }
+func (q *quarantineOf) ReportAnswered(d quarantine.Digest) { q.answered = append(q.answered, d) }
 
 // brokenWork notes the work that broke off.
 type brokenWork struct {
--- a/coordination/forward/stream.go
+++ b/coordination/forward/stream.go
@@ -263,7 +263,7 @@
 		s.closed = true
 		if s.eof {
 			s.resp.Finish()
-			s.d.o.Quarantine.Answered(s.rec.digest)
+			s.d.o.Quarantine.ReportAnswered(s.rec.digest)
 			s.rec.add(s.a.Instance, "run", outcomeAnswered, took, nil)
 		} else {
 			s.resp.Cut()
--- a/coordination/quarantine/bystander_test.go
+++ b/coordination/quarantine/bystander_test.go
@@ -60,7 +60,7 @@
 				crashOf(2, fresh(culprit)),
 			}
 			for _, n := range order {
-				table.Note(notices[n], false)
+				table.RecordCrash(notices[n], false)
 				time.Sleep(time.Millisecond)
 			}
 			if table.Held(digest(culprit)) == nil {
@@ -166,7 +166,7 @@
 	for _, h := range o.hosts {
 		if len(byHost[h]) > 0 {
 			suspects := byHost[h]
-			time.AfterFunc(time.Duration(o.rng.IntN(30))*time.Millisecond, func() { h.Note(run(ended), time.Now(), suspects) })
+			time.AfterFunc(time.Duration(o.rng.IntN(30))*time.Millisecond, func() { h.ReportCrash(run(ended), time.Now(), suspects) })
 		}
 	}
 	for _, w := range here {
@@ -216,7 +216,7 @@
 			done := now.Sub(w.suspect.SentAt) >= runTime
 			if done {
 				o.answered++
-				w.host.Answered(w.suspect.Digest)
+				w.host.ReportAnswered(w.suspect.Digest)
 			}
 			return done
 		})
@@ -298,6 +298,6 @@
 			is.True(table.Hold(digest(100+n), nil))
 		}
 		is.True(table.Held(digest(first)) == nil)
-		is.Equal(table.Note(crashOf(9, fresh(other)), false), []Digest{digest(other)}) // its second crash
+		is.Equal(table.RecordCrash(crashOf(9, fresh(other)), false), []Digest{digest(other)}) // its second crash
 	})
 }
--- a/coordination/quarantine/entry.go
+++ b/coordination/quarantine/entry.go
@@ -24,13 +24,13 @@
 // entry is an object of the store.
 type entry struct {
 	Evidence []Evidence `json:"evidence"`
-	// Times is how often the request has been held.
-	Times int `json:"times"`
+	// HoldCount is how often the request has been held.
+	HoldCount int `json:"times"`
 	// Released requests may run until one crashes a runner again.
 	Released bool `json:"released,omitempty"`
-	// Outdone requests were released since another was at all their crashes and at more. What
+	// Bystander requests were released since another was at all their crashes and at more. What
 	// spoke against them isn't forgotten.
-	Outdone bool `json:"outdone,omitempty"`
+	Bystander bool `json:"outdone,omitempty"`
 }
 
 // stored is an entry as this host has it.
@@ -61,7 +61,7 @@
 // holdFor is how long the request is held this time.
 func (e entry) holdFor() time.Duration {
 	out := holdFirst
-	for n := 1; n < e.Times && out < holdLongest; n++ {
+	for n := 1; n < e.HoldCount && out < holdLongest; n++ {
 		out *= 2
 	}
 	return min(out, holdLongest)
--- a/coordination/quarantine/fuzz_test.go
+++ b/coordination/quarantine/fuzz_test.go
@@ -74,7 +74,7 @@
 		tr.innocents = append(tr.innocents, digest(tr.runs*10+n))
 	}
 	tr.crashes = append(tr.crashes, tr.clock.Now())
-	tr.hosts[s.host].Note(run(tr.runs), tr.clock.Now(), suspects)
+	tr.hosts[s.host].ReportCrash(run(tr.runs), tr.clock.Now(), suspects)
 }
 
 func (tr *trial) do(s step) {
--- a/coordination/quarantine/hold.go
+++ b/coordination/quarantine/hold.go
@@ -28,10 +28,10 @@
 	return t.take(d, evidence)
 }
 
-// HoldTold holds a request by the word of another host, if that knows of a crash that this one
+// HoldFromPeer holds a request by the word of another host, if that knows of a crash that this one
 // doesn't: a host that stood still may tell what an answer or a release has cleared since. It
 // reports whether that is new.
-func (t *Table) HoldTold(d Digest, evidence []Evidence) bool {
+func (t *Table) HoldFromPeer(d Digest, evidence []Evidence) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	news := func(e Evidence) bool { return !t.cleared(d, e.run()) }
@@ -70,7 +70,7 @@
 		delete(next, gone)
 		t.unblame(gone)
 	}
-	next[d] = &Hold{Evidence: evidence, Own: r != nil && r.own, At: now}
+	next[d] = &Hold{Evidence: evidence, Local: r != nil && r.own, At: now}
 	t.held.Store(&next)
 	for _, e := range evidence {
 		if run := t.runs[e.run()]; run != nil {
@@ -91,8 +91,8 @@
 	return out
 }
 
-// Release lets a request run again; any further crash holds it again.
-func (t *Table) Release(d Digest) {
+// ReleaseOnTrial lets a request run again; any further crash holds it again.
+func (t *Table) ReleaseOnTrial(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unhold(d)
@@ -100,9 +100,9 @@
 	t.newRecord(d, t.clock.Now()).released = true
 }
 
-// LetGo lets a request run again by another host's word that one outdoes it; any further crash
+// ReleaseBystander lets a request run again by another host's word that one outdoes it; any further crash
 // holds it again.
-func (t *Table) LetGo(d Digest) {
+func (t *Table) ReleaseBystander(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unhold(d)
@@ -114,17 +114,17 @@
 	r.letGo = len(r.crashes)
 }
 
-// Forget clears a request of all that was held against it.
-func (t *Table) Forget(d Digest) {
+// Clear clears a request of all that was held against it.
+func (t *Table) Clear(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.unhold(d)
 	t.drop(d)
 }
 
-// Answered notes that a copy of the request was answered whole, which no request is that
+// ReportAnswered notes that a copy of the request was answered whole, which no request is that
 // crashes its runners. It reports whether anything spoke against it, and whether it was held.
-func (t *Table) Answered(d Digest) (suspected, held bool) {
+func (t *Table) ReportAnswered(d Digest) (suspected, held bool) {
 	t.proven.add(d)
 	if t.suspected.Load() == 0 && t.Held(d) == nil {
 		return false, false
--- a/coordination/quarantine/operator.go
+++ b/coordination/quarantine/operator.go
@@ -10,12 +10,12 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// Listed is an entry of the store, as operators see it.
-type Listed struct {
+// EntryInfo is an entry of the store, as operators see it.
+type EntryInfo struct {
 	Digest   string     `json:"digest"`
 	Evidence []Evidence `json:"evidence"`
-	// Times is how often the request has been held.
-	Times int `json:"times"`
+	// HoldCount is how often the request has been held.
+	HoldCount int `json:"times"`
 	// Released requests run until one crashes a runner again.
 	Released bool `json:"released"`
 }
@@ -30,26 +30,26 @@
 
 // List returns the requests that the store has, by their digests. Objects that can't be read
 // are left out.
-func List(ctx context.Context, s store.Store) ([]Listed, error) {
+func List(ctx context.Context, s store.Store) ([]EntryInfo, error) {
 	objects, _, err := s.List(ctx, Kind)
 	if err != nil {
 		return nil, err
 	}
-	out := []Listed{}
+	out := []EntryInfo{}
 	for _, o := range objects {
 		d, e, err := decodeEntry(o)
 		if err != nil {
 			continue
 		}
-		out = append(out, Listed{Digest: d.String(), Evidence: e.Evidence, Times: e.Times, Released: e.Released})
+		out = append(out, EntryInfo{Digest: d.String(), Evidence: e.Evidence, HoldCount: e.HoldCount, Released: e.Released})
 	}
-	slices.SortFunc(out, func(a, b Listed) int { return cmp.Compare(a.Digest, b.Digest) })
+	slices.SortFunc(out, func(a, b EntryInfo) int { return cmp.Compare(a.Digest, b.Digest) })
 	return out, nil
 }
 
-// Lift releases a request and forgets what was held against it. All hosts learn of it by
+// Release releases a request and forgets what was held against it. All hosts learn of it by
 // their copies of the store. A *NotHeldError says that there is nothing to lift.
-func Lift(ctx context.Context, s store.Store, d Digest) error {
+func Release(ctx context.Context, s store.Store, d Digest) error {
 	o, err := s.Get(ctx, Kind, d.String())
 	if err == nil {
 		err = s.Delete(ctx, Kind, o.Name, o.Version)
--- a/coordination/quarantine/registry.go
+++ b/coordination/quarantine/registry.go
@@ -37,15 +37,15 @@
 type Notice struct {
 	Crashes []Crash
 	// Held are requests that are held, for hosts that missed a crash.
-	Held []Holding
+	Held []HeldRequest
 	// Answered are requests that were suspected or held and have been answered.
 	Answered []Digest
 }
 
 func (n Notice) empty() bool { return len(n.Crashes)+len(n.Held)+len(n.Answered) == 0 }
 
-// Holding is a request that is held.
-type Holding struct {
+// HeldRequest is a request that is held.
+type HeldRequest struct {
 	Digest   Digest
 	Evidence []Evidence
 }
@@ -114,9 +114,9 @@
 // Size is the number of requests that are held.
 func (r *Registry) Size() int { return len(r.o.Table.Holds()) }
 
-// Answered notes that a copy of the request was answered whole.
-func (r *Registry) Answered(d Digest) {
-	suspected, held := r.o.Table.Answered(d)
+// ReportAnswered notes that a copy of the request was answered whole.
+func (r *Registry) ReportAnswered(d Digest) {
+	suspected, held := r.o.Table.ReportAnswered(d)
 	if !suspected {
 		return
 	}
@@ -131,14 +131,14 @@
 	}
 }
 
-// Note counts a crash under this host's requests, and tells all hosts. This host counts it at
+// ReportCrash counts a crash under this host's requests, and tells all hosts. This host counts it at
 // once: an answer that comes before it is told clears it, and is told after it.
-func (r *Registry) Note(run state.InstanceID, at time.Time, suspects []Suspect) {
+func (r *Registry) ReportCrash(run state.InstanceID, at time.Time, suspects []Suspect) {
 	suspects = slices.Clone(suspects)
 	for i := range suspects {
-		suspects[i].Proven = r.o.Table.Proven(suspects[i].Digest)
+		suspects[i].AnsweredBefore = r.o.Table.AnsweredRecently(suspects[i].Digest)
 	}
-	slices.SortStableFunc(suspects, func(a, b Suspect) int { return cmp.Compare(oneIf(a.Settled), oneIf(b.Settled)) })
+	slices.SortStableFunc(suspects, func(a, b Suspect) int { return cmp.Compare(oneIf(a.LongRunning), oneIf(b.LongRunning)) })
 	c := Crash{Run: run, Host: r.o.Host, At: at, Suspects: suspects[:min(len(suspects), mostTold)]}
 	r.mu.Lock()
 	r.pending.Crashes = append(r.pending.Crashes, c)
@@ -160,7 +160,7 @@
 		}
 		return known
 	})
-	found := r.o.Table.Note(c, c.Host == r.o.Host)
+	found := r.o.Table.RecordCrash(c, c.Host == r.o.Host)
 	for _, d := range found {
 		delete(r.outdone, d)
 	}
@@ -188,13 +188,13 @@
 	}
 }
 
-// Take takes what a host tells, this one too. It doesn't wait.
-func (r *Registry) Take(n Notice) {
+// Receive takes what a host tells, this one too. It doesn't wait.
+func (r *Registry) Receive(n Notice) {
 	for _, c := range n.Crashes {
 		r.count(c)
 	}
 	for _, h := range n.Held {
-		if r.o.Table.HoldTold(h.Digest, h.Evidence) {
+		if r.o.Table.HoldFromPeer(h.Digest, h.Evidence) {
 			r.logHeld(h.Digest, "another host")
 		}
 	}
@@ -205,7 +205,7 @@
 
 // forget takes another host's word that a request was answered.
 func (r *Registry) forget(d Digest) {
-	r.o.Table.Forget(d)
+	r.o.Table.Clear(d)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if _, known := r.answered[d]; !known {
@@ -218,11 +218,11 @@
 func (r *Registry) found(d Digest) {
 	r.logHeld(d, "crashes")
 	hold := r.o.Table.Held(d)
-	if hold == nil || !hold.Own {
+	if hold == nil || !hold.Local {
 		return
 	}
 	r.mu.Lock()
-	r.pending.Held = append(r.pending.Held, Holding{d, hold.Evidence})
+	r.pending.Held = append(r.pending.Held, HeldRequest{d, hold.Evidence})
 	r.mu.Unlock()
 	r.rouse()
 }
--- a/coordination/quarantine/registry_test.go
+++ b/coordination/quarantine/registry_test.go
@@ -83,7 +83,7 @@
 		f.t.Fatal(err)
 	}
 	mirror, err := follow.New(follow.Options{
-		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: Kind, Changed: h.Changed, Outage: &follow.Outage{},
+		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: Kind, Changed: h.ApplyCopy, Outage: &follow.Outage{},
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -126,12 +126,12 @@
 
 // publish brings a notice to its own host at once and to the others that hear it.
 func (f *fleet) publish(from *host, n Notice) {
-	from.Take(n)
+	from.Receive(n)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, to := range f.hosts {
 		if to != from && !f.cut[from.name] && !f.cut[to.name] {
-			time.AfterFunc(noticeTime, func() { to.Take(n) })
+			time.AfterFunc(noticeTime, func() { to.Receive(n) })
 		}
 	}
 }
@@ -159,7 +159,7 @@
 			suspects[i].SentAt = time.Now()
 		}
 	}
-	f.hosts[host].Note(run(n), time.Now(), suspects)
+	f.hosts[host].ReportCrash(run(n), time.Now(), suspects)
 }
 
 // written counts the writes at the store.
--- a/coordination/quarantine/release_fuzz_test.go
+++ b/coordination/quarantine/release_fuzz_test.go
@@ -82,13 +82,13 @@
 		tr.note(s.host, tr.runs, fresh(s.request))
 	case "answer":
 		time.Sleep(2*gather + noticeTime) // another host's answer may cross a crash on its way
-		tr.hosts[s.host].Answered(digest(s.request))
+		tr.hosts[s.host].ReportAnswered(digest(s.request))
 		tr.freed[s.request] = true
 		tr.answers[s.request] = tr.event(s.host)
 	case "lift":
 		time.Sleep(tick) // an operator reads first; a crash that is being told then counts after
 		// One that isn't stored has nothing to be lifted.
-		tr.freed[s.request] = Lift(tr.t.Context(), tr.store.Client("operator"), digest(s.request)) == nil
+		tr.freed[s.request] = Release(tr.t.Context(), tr.store.Client("operator"), digest(s.request)) == nil
 		tr.answers[s.request] = event{}
 	case "restart":
 		tr.lose(s.host)
--- a/coordination/quarantine/release_test.go
+++ b/coordination/quarantine/release_test.go
@@ -30,7 +30,7 @@
 		f.crash(0, 3, requests(old, all)...)
 		f.crash(0, 4, requests(old, all)...) // the host writes these for eight seconds
 		for n := range old {
-			is.NoErr(Lift(t.Context(), f.store.Client("operator"), digest(n)))
+			is.NoErr(Release(t.Context(), f.store.Client("operator"), digest(n)))
 		}
 		time.Sleep(20 * time.Second)
 		for n := range all {
@@ -52,7 +52,7 @@
 		f.mu.Unlock()
 		f.crash(0, 1, fresh(1))
 		f.crash(0, 2, fresh(1))
-		is.NoErr(Lift(t.Context(), f.store.Client("operator"), digest(1)))
+		is.NoErr(Release(t.Context(), f.store.Client("operator"), digest(1)))
 		time.Sleep(10 * time.Second)
 		is.Equal(f.holders(digest(1)), 0)
 		_, there := f.entry(digest(1))
@@ -66,8 +66,8 @@
 	play(t, 5, func(is *is.I, f *fleet) {
 		f.crash(0, 1, fresh(1))
 		f.crash(1, 2, fresh(1))
-		late := Notice{Held: []Holding{{digest(1), f.hosts[0].Held(digest(1)).Evidence}}}
-		f.hosts[3].Answered(digest(1)) // a copy that ran all the while
+		late := Notice{Held: []HeldRequest{{digest(1), f.hosts[0].Held(digest(1)).Evidence}}}
+		f.hosts[3].ReportAnswered(digest(1)) // a copy that ran all the while
 		time.Sleep(2 * tick)
 		is.Equal(f.holders(digest(1)), 0)
 		f.publish(f.hosts[0], late)
@@ -76,7 +76,7 @@
 
 		before := time.Now()
 		f.crash(0, 3, fresh(2), fresh(3))
-		f.hosts[3].Answered(digest(2))
+		f.hosts[3].ReportAnswered(digest(2))
 		time.Sleep(2 * tick)
 		had := fresh(2)
 		had.SentAt = before
@@ -95,7 +95,7 @@
 	play(t, 5, func(is *is.I, f *fleet) {
 		f.crash(0, 1, fresh(1))
 		f.note(1, 2, fresh(1))
-		f.hosts[2].Answered(digest(1)) // before the second crash is told
+		f.hosts[2].ReportAnswered(digest(1)) // before the second crash is told
 		time.Sleep(answeredFor)
 		_, there := f.entry(digest(1))
 		is.True(!there)
@@ -111,7 +111,7 @@
 		f.crash(0, 1, fresh(1))
 		f.crash(1, 2, fresh(1))
 		f.set(f.unreachable, true, 2)
-		f.hosts[2].Answered(digest(1))
+		f.hosts[2].ReportAnswered(digest(1))
 		time.Sleep(gather + 2*noticeTime)
 		f.hosts[2].stop()
 		time.Sleep(answeredFor)
@@ -129,7 +129,7 @@
 	play(t, 5, func(is *is.I, f *fleet) {
 		f.note(0, 1, fresh(1))
 		f.note(0, 2, fresh(1))
-		f.hosts[0].Answered(digest(1))
+		f.hosts[0].ReportAnswered(digest(1))
 		time.Sleep(time.Second)
 		is.Equal(f.holders(digest(1)), 0)
 	})
@@ -144,7 +144,7 @@
 		f.slow, f.slowFor = 3*time.Second, f.hosts[0].name
 		f.mu.Unlock()
 		f.crash(0, 2, fresh(1)) // both write
-		is.NoErr(Lift(t.Context(), f.store.Client("operator"), digest(1)))
+		is.NoErr(Release(t.Context(), f.store.Client("operator"), digest(1)))
 		time.Sleep(10 * time.Second)
 		_, there := f.entry(digest(1))
 		is.True(!there)
@@ -161,7 +161,7 @@
 		time.Sleep(gather)
 		f.set(f.cut, true, 3)
 		time.Sleep(4 * gather)
-		f.hosts[0].Answered(digest(1))
+		f.hosts[0].ReportAnswered(digest(1))
 		time.Sleep(3 * tick)
 		f.restart(2)
 		f.note(3, 2, fresh(1)) // this host knows two crashes, and not of the answer between
@@ -184,8 +184,8 @@
 		f.mu.Unlock()
 		f.crash(0, 1, fresh(1))
 		f.set(f.cut, true, 4)
-		f.hosts[4].Take(Notice{Held: []Holding{{digest(1), []Evidence{{Runner: "other"}}}}})
-		f.hosts[0].Answered(digest(1))
+		f.hosts[4].Receive(Notice{Held: []HeldRequest{{digest(1), []Evidence{{Runner: "other"}}}}})
+		f.hosts[0].ReportAnswered(digest(1))
 		time.Sleep(tick)
 		is.True(f.hosts[4].Held(digest(1)) != nil)
 		time.Sleep(holdFirst)
@@ -225,10 +225,10 @@
 		time.Sleep(2*holdFirst - 10*time.Second)
 		is.Equal(f.holders(digest(1)), 5)
 		e, _ := f.entry(digest(1))
-		is.Equal(e.Times, 2)
+		is.Equal(e.HoldCount, 2)
 		time.Sleep(20 * time.Second)
 		is.Equal(f.holders(digest(1)), 0)
-		f.hosts[4].Answered(digest(1)) // the runners have been mended
+		f.hosts[4].ReportAnswered(digest(1)) // the runners have been mended
 		time.Sleep(tick)
 		_, there := f.entry(digest(1))
 		is.True(!there)
@@ -238,14 +238,14 @@
 func TestAnswerReleasesARequestEverywhere(t *testing.T) {
 	play(t, 5, func(is *is.I, f *fleet) {
 		f.crash(0, 1, fresh(1))
-		f.hosts[3].Answered(digest(1))
+		f.hosts[3].ReportAnswered(digest(1))
 		time.Sleep(tick)
 		f.crash(1, 2, fresh(1))
 		is.Equal(f.holders(digest(1)), 0)
 		f.note(2, 3, fresh(1))
 		time.Sleep(gather + noticeTime + time.Millisecond)
 		is.Equal(f.holders(digest(1)), 5)
-		f.hosts[3].Answered(digest(1)) // a copy that ran all the while
+		f.hosts[3].ReportAnswered(digest(1)) // a copy that ran all the while
 		time.Sleep(2 * tick)
 		is.Equal(f.holders(digest(1)), 0)
 		_, there := f.entry(digest(1))
--- a/coordination/quarantine/restored.go
+++ b/coordination/quarantine/restored.go
@@ -30,7 +30,7 @@
 	now := r.o.Clock.Now()
 	if known, there := r.entries[d]; there {
 		known.version = version
-		if known.Released != e.Released || known.Times != e.Times || known.Outdone != e.Outdone {
+		if known.Released != e.Released || known.HoldCount != e.HoldCount || known.Bystander != e.Bystander {
 			known.owedAt = now
 		}
 		return known
--- a/coordination/quarantine/restored_test.go
+++ b/coordination/quarantine/restored_test.go
@@ -49,7 +49,7 @@
 			is.NoErr(c.Delete(f.t.Context(), Kind, digest(1).String(), o.Version))
 		},
 		"by its time":   func(_ *is.I, _ *fleet) { time.Sleep(holdFirst) },
-		"by its answer": func(_ *is.I, f *fleet) { f.hosts[2].Answered(digest(1)) },
+		"by its answer": func(_ *is.I, f *fleet) { f.hosts[2].ReportAnswered(digest(1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			play(t, 5, func(is *is.I, f *fleet) {
@@ -80,8 +80,8 @@
 		f.mu.Lock()
 		f.follows = 0
 		f.mu.Unlock()
-		f.hosts[0].o.Table.Release(digest(1)) // nobody holds it for a crash of its own
-		f.hosts[1].o.Table.Release(digest(1))
+		f.hosts[0].o.Table.ReleaseOnTrial(digest(1)) // nobody holds it for a crash of its own
+		f.hosts[1].o.Table.ReleaseOnTrial(digest(1))
 		f.restore(5 * time.Second)
 		time.Sleep(owedFor)
 		_, err := f.store.Client("operator").Put(f.t.Context(), Kind, digest(9).String(), store.Absent, []byte(`{}`))
--- a/coordination/quarantine/storage.go
+++ b/coordination/quarantine/storage.go
@@ -9,9 +9,9 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// Changed takes a new copy of the store's entries. One that is gone was released by an
+// ApplyCopy takes a new copy of the store's entries. One that is gone was released by an
 // operator, or because its request was answered.
-func (r *Registry) Changed(c follow.Copy) {
+func (r *Registry) ApplyCopy(c follow.Copy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	restored := r.advance(c.Revision)
@@ -33,7 +33,7 @@
 			continue
 		}
 		r.removedNow(d)
-		r.o.Table.Forget(d)
+		r.o.Table.Clear(d)
 		r.o.Log.Info("request no longer held", "digest", d.String(), "revision", store.FormatVersion(c.Revision))
 	}
 	r.entries = present
@@ -61,14 +61,14 @@
 	if _, outdone := r.outdone[d]; answered || (outdone && !e.Released) {
 		return // it was written in ignorance of that
 	}
-	if e.Released && e.Outdone {
-		r.o.Table.LetGo(d)
-		r.o.Log.Info("request let go by the store's word", "digest", d.String(), "times", e.Times)
+	if e.Released && e.Bystander {
+		r.o.Table.ReleaseBystander(d)
+		r.o.Log.Info("request let go by the store's word", "digest", d.String(), "times", e.HoldCount)
 		return
 	}
 	if e.Released {
-		r.o.Table.Release(d)
-		r.o.Log.Info("request released for a trial", "digest", d.String(), "times", e.Times)
+		r.o.Table.ReleaseOnTrial(d)
+		r.o.Log.Info("request released for a trial", "digest", d.String(), "times", e.HoldCount)
 		return
 	}
 	if r.o.Table.Hold(d, e.Evidence) {
@@ -106,10 +106,10 @@
 	}
 	s, there := r.entries[d]
 	late := r.o.Clock.Now().Sub(hold.At) > standInAfter && r.o.FollowsStore()
-	if (there && !s.Released) || !(hold.Own || late) {
+	if (there && !s.Released) || !(hold.Local || late) {
 		return entry{}, 0, false
 	}
-	return entry{Evidence: hold.Evidence, Times: s.Times + 1}, s.version, true
+	return entry{Evidence: hold.Evidence, HoldCount: s.HoldCount + 1}, s.version, true
 }
 
 // put writes an entry at its known version. A conflict says that another host was faster.
@@ -123,7 +123,7 @@
 	switch {
 	case err == nil:
 		r.wrote(d, stored{entry: e, version: now, seenAt: r.o.Clock.Now()})
-		r.o.Log.Info("held request written", "digest", d.String(), "released", e.Released, "times", e.Times, "version", store.FormatVersion(now))
+		r.o.Log.Info("held request written", "digest", d.String(), "released", e.Released, "times", e.HoldCount, "version", store.FormatVersion(now))
 	case store.IsConflict(err):
 		// the copy of the store will show what the other wrote
 	case ctx.Err() == nil:
@@ -161,7 +161,7 @@
 	}
 	for d, hold := range r.o.Table.Holds() {
 		if _, there := r.entries[d]; !there && now.Sub(hold.At) > holdFirst {
-			r.o.Table.Forget(d)
+			r.o.Table.Clear(d)
 			r.o.Log.Info("request no longer held: no entry of it", "digest", d.String(), "held", now.Sub(hold.At))
 		}
 	}
@@ -213,7 +213,7 @@
 		case answered && (a.own || follows), follows && s.Released && age > forgetAfter:
 			remove[d] = s
 		case follows && !s.Released && (outdone || age > s.holdFor()):
-			s.Outdone = outdone
+			s.Bystander = outdone
 			release[d] = s
 		}
 	}
--- a/coordination/quarantine/suspect.go
+++ b/coordination/quarantine/suspect.go
@@ -6,10 +6,10 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// SettledAfter is how long a request must have been at its runner, and its answer have begun,
+// LongRunningAfter is how long a request must have been at its runner, and its answer have begun,
 // for it to be settled. A request that crashes its runner does so when it begins to run, some
 // tenths of a second after it was sent.
-const SettledAfter = time.Second
+const LongRunningAfter = time.Second
 
 // Suspect is a request that ran at a runner when that crashed.
 type Suspect struct {
@@ -18,10 +18,10 @@
 	RequestID string
 	// SentAt is when it was sent to the runner, by the clock of the host that knows it here.
 	SentAt time.Time
-	// Settled says that its answer had been coming for a while.
-	Settled bool
-	// Proven says that a copy of the request was answered before.
-	Proven bool
+	// LongRunning says that its answer had been coming for a while.
+	LongRunning bool
+	// AnsweredBefore says that a copy of the request was answered before.
+	AnsweredBefore bool
 }
 
 // Crash is the end of one run of a runner, with what a host had there.
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -50,8 +50,8 @@
 // Hold is why a request is held.
 type Hold struct {
 	Evidence []Evidence
-	// Own says that this host saw one of the crashes itself.
-	Own bool
+	// Local says that this host saw one of the crashes itself.
+	Local bool
 	// At is when this host began to hold it.
 	At time.Time
 }
@@ -94,12 +94,12 @@
 // Holds returns all that is held; it is not to be changed.
 func (t *Table) Holds() map[Digest]*Hold { return *t.held.Load() }
 
-// Proven reports whether a copy of the request was answered not long ago.
-func (t *Table) Proven(d Digest) bool { return t.proven.has(d) }
+// AnsweredRecently reports whether a copy of the request was answered not long ago.
+func (t *Table) AnsweredRecently(d Digest) bool { return t.proven.has(d) }
 
-// Note counts a crash; own says that this host saw it. It returns the requests that are held
+// RecordCrash counts a crash; own says that this host saw it. It returns the requests that are held
 // by it. One run counts once for a request, however many hosts and copies tell of it.
-func (t *Table) Note(c Crash, own bool) []Digest {
+func (t *Table) RecordCrash(c Crash, own bool) []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
@@ -123,13 +123,13 @@
 	}
 	r.own = r.own || own
 	if i := r.last(c.Run); i >= 0 && !s.SentAt.After(r.crashes[i].at.Add(runSlack)) {
-		r.crashes[i].settled = r.crashes[i].settled && s.Settled
-		r.crashes[i].proven = r.crashes[i].proven || s.Proven
+		r.crashes[i].settled = r.crashes[i].settled && s.LongRunning
+		r.crashes[i].proven = r.crashes[i].proven || s.AnsweredBefore
 		return
 	}
-	if len(r.crashes) < mostEvidence && !(s.Proven && r.sameMoment(now)) {
+	if len(r.crashes) < mostEvidence && !(s.AnsweredBefore && r.sameMoment(now)) {
 		seen := Evidence{Runner: c.Run.Name, Born: c.Run.Born, RequestID: s.RequestID, Host: c.Host, At: c.At}
-		r.crashes = append(r.crashes, exposure{Evidence: seen, settled: s.Settled, proven: s.Proven, at: now})
+		r.crashes = append(r.crashes, exposure{Evidence: seen, settled: s.LongRunning, proven: s.AnsweredBefore, at: now})
 	}
 	e.suspects = append(e.suspects, s.Digest)
 }
--- a/coordination/quarantine/table_test.go
+++ b/coordination/quarantine/table_test.go
@@ -21,13 +21,13 @@
 
 func settled(n int) Suspect {
 	s := fresh(n)
-	s.Settled = true
+	s.LongRunning = true
 	return s
 }
 
 func proved(n int) Suspect {
 	s := fresh(n)
-	s.Proven = true
+	s.AnsweredBefore = true
 	return s
 }
 
@@ -38,7 +38,7 @@
 // crashes has a table note one crash for each list of suspects, a second apart.
 func crashes(t *Table, of ...[]Suspect) (held []Digest) {
 	for n, suspects := range of {
-		held = append(held, t.Note(crashOf(n, suspects...), true)...)
+		held = append(held, t.RecordCrash(crashOf(n, suspects...), true)...)
 		time.Sleep(moment)
 	}
 	return held
@@ -82,12 +82,12 @@
 		for _, host := range []string{"a", "b", "a"} { // two hosts had a copy there, one tells twice
 			c := crashOf(1, fresh(1), fresh(1))
 			c.Host = host
-			is.Equal(len(table.Note(c, host == "a")), 0)
+			is.Equal(len(table.RecordCrash(c, host == "a")), 0)
 		}
 		again := crashOf(1, fresh(1)) // the runner is back under its name
 		again.Run.Born = 2
-		is.Equal(table.Note(again, false), []Digest{digest(1)})
-		is.True(table.Held(digest(1)).Own)
+		is.Equal(table.RecordCrash(again, false), []Digest{digest(1)})
+		is.True(table.Held(digest(1)).Local)
 		is.Equal(len(table.Held(digest(1)).Evidence), 2)
 	})
 }
@@ -99,14 +99,14 @@
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		for n := range 3 * mostEvidence {
-			is.Equal(len(table.Note(crashOf(n, proved(1)), true)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(n, proved(1)), true)), 0)
 		}
 		for n := 100; n < 102; n++ {
 			time.Sleep(moment)
-			is.Equal(len(table.Note(crashOf(n, proved(1)), true)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(n, proved(1)), true)), 0)
 		}
 		time.Sleep(moment)
-		is.Equal(table.Note(crashOf(102, proved(1)), true), []Digest{digest(1)})
+		is.Equal(table.RecordCrash(crashOf(102, proved(1)), true), []Digest{digest(1)})
 	})
 }
 
@@ -116,13 +116,13 @@
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		for n := range 50 {
-			is.Equal(len(table.Note(crashOf(n, proved(1)), false)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(n, proved(1)), false)), 0)
 		}
 		time.Sleep(moment)
-		suspected, held := table.Answered(digest(1)) // by a runner that is left
+		suspected, held := table.ReportAnswered(digest(1)) // by a runner that is left
 		is.True(suspected && !held)
 		for n := range 50 {
-			is.Equal(len(table.Note(crashOf(100+n, proved(1)), false)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(100+n, proved(1)), false)), 0)
 		}
 	})
 }
@@ -131,16 +131,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		suspected, held := table.Answered(digest(1))
+		suspected, held := table.ReportAnswered(digest(1))
 		is.True(!suspected && !held)
-		is.True(table.Proven(digest(1)))
-		is.True(!table.Proven(digest(2)))
-		table.Note(crashOf(1, fresh(2)), true)
-		suspected, held = table.Answered(digest(2))
+		is.True(table.AnsweredRecently(digest(1)))
+		is.True(!table.AnsweredRecently(digest(2)))
+		table.RecordCrash(crashOf(1, fresh(2)), true)
+		suspected, held = table.ReportAnswered(digest(2))
 		is.True(suspected && !held)
-		is.Equal(len(table.Note(crashOf(2, fresh(2)), true)), 0)
-		is.Equal(len(table.Note(crashOf(3, fresh(2)), true)), 1)
-		suspected, held = table.Answered(digest(2)) // a copy that ran when it was held
+		is.Equal(len(table.RecordCrash(crashOf(2, fresh(2)), true)), 0)
+		is.Equal(len(table.RecordCrash(crashOf(3, fresh(2)), true)), 1)
+		suspected, held = table.ReportAnswered(digest(2)) // a copy that ran when it was held
 		is.True(suspected && held)
 		is.True(table.Held(digest(2)) == nil)
 	})
@@ -152,12 +152,12 @@
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		is.Equal(crashes(table, []Suspect{fresh(1), fresh(2)}, []Suspect{fresh(1)}), []Digest{digest(1)})
-		is.Equal(len(table.Note(crashOf(7, fresh(2)), false)), 0) // the first one was explained
-		is.Equal(len(table.Note(crashOf(8, fresh(3)), false)), 0)
-		is.Equal(len(table.Note(crashOf(8, fresh(1)), false)), 0) // another host had it there
-		is.Equal(len(table.Note(crashOf(9, fresh(3)), false)), 0)
+		is.Equal(len(table.RecordCrash(crashOf(7, fresh(2)), false)), 0) // the first one was explained
+		is.Equal(len(table.RecordCrash(crashOf(8, fresh(3)), false)), 0)
+		is.Equal(len(table.RecordCrash(crashOf(8, fresh(1)), false)), 0) // another host had it there
+		is.Equal(len(table.RecordCrash(crashOf(9, fresh(3)), false)), 0)
 		is.True(table.Hold(digest(4), []Evidence{{Runner: run(9).Name, Born: 1}}))
-		is.Equal(len(table.Note(crashOf(10, fresh(3)), false)), 0)
+		is.Equal(len(table.RecordCrash(crashOf(10, fresh(3)), false)), 0)
 	})
 }
 
@@ -166,11 +166,11 @@
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		crashes(table, []Suspect{fresh(1)}, []Suspect{fresh(1)})
-		table.Release(digest(1))
+		table.ReleaseOnTrial(digest(1))
 		is.True(table.Held(digest(1)) == nil)
-		is.Equal(table.Note(crashOf(5, settled(1)), false), []Digest{digest(1)})
-		table.Forget(digest(1))
-		is.Equal(len(table.Note(crashOf(6, fresh(1)), false)), 0)
+		is.Equal(table.RecordCrash(crashOf(5, settled(1)), false), []Digest{digest(1)})
+		table.Clear(digest(1))
+		is.Equal(len(table.RecordCrash(crashOf(6, fresh(1)), false)), 0)
 	})
 }
 
@@ -179,7 +179,7 @@
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		for n := range mostSuspects + 100 {
-			table.Note(crashOf(n, fresh(n)), false)
+			table.RecordCrash(crashOf(n, fresh(n)), false)
 		}
 		is.True(len(table.records) <= mostSuspects+1)
 		is.True(len(table.runs) <= mostSuspects+1)
@@ -190,7 +190,7 @@
 		is.Equal(len(table.Holds()), mostHeld)
 		is.True(table.Held(digest(-1)) == nil) // the oldest went
 		time.Sleep(rememberFor + time.Second)
-		table.Note(crashOf(1, fresh(0)), false)
+		table.RecordCrash(crashOf(1, fresh(0)), false)
 		is.Equal(len(table.records), 1)
 		is.Equal(len(table.runs), 1)
 	})
@@ -207,7 +207,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if table.Held(d) == nil {
-				table.Answered(d)
+				table.ReportAnswered(d)
 			}
 		}
 	})
--- a/ctl/quarantine.go
+++ b/ctl/quarantine.go
@@ -57,7 +57,7 @@
 		if h.Released {
 			state = "released"
 		}
-		return fmt.Sprintf("%s\t%s\t%d\t%s", h.Digest, state, h.Times, crashesOf(h.Evidence))
+		return fmt.Sprintf("%s\t%s\t%d\t%s", h.Digest, state, h.HoldCount, crashesOf(h.Evidence))
 	})
 }
 
@@ -74,7 +74,7 @@
 	if err != nil {
 		return &UsageError{err.Error()}
 	}
-	if err := quarantine.Lift(ctx, s, d); err != nil {
+	if err := quarantine.Release(ctx, s, d); err != nil {
 		return err
 	}
 	_, err = fmt.Fprintf(t.Out, "released %s: hosts let it run within a second\n", d)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -32,9 +32,9 @@
 	if err != nil {
 		return err
 	}
-	quarantines.Register(d.peerServer, d.quarantine.Take)
+	quarantines.Register(d.peerServer, d.quarantine.Receive)
 	held, err := follow.New(follow.Options{
-		Store: d.store, Clock: d.clock, Log: d.log, Kind: quarantine.Kind, Changed: d.quarantine.Changed, Gather: gatherHolds, Outage: &follow.Outage{},
+		Store: d.store, Clock: d.clock, Log: d.log, Kind: quarantine.Kind, Changed: d.quarantine.ApplyCopy, Gather: gatherHolds, Outage: &follow.Outage{},
 	})
 	if err != nil {
 		return err
@@ -43,7 +43,7 @@
 	d.endCrashes = end
 	d.crashes, err = crash.New(ctx, crash.Options{
 		Probe: d.probeRun, Listed: d.listsRun, Replaced: d.replacesRun, Clock: d.clock, Log: d.log,
-		Crashed: func(r crash.Report) { d.quarantine.Note(r.Instance.ID, d.clock.Now(), r.Suspects) },
+		Crashed: func(r crash.Report) { d.quarantine.ReportCrash(r.Instance.ID, d.clock.Now(), r.Suspects) },
 	})
 	if err != nil {
 		return err
@@ -72,7 +72,7 @@
 
 // tellCrashes tells all hosts, this one too.
 func (d *Daemon) tellCrashes(n quarantine.Notice) {
-	d.quarantine.Take(n)
+	d.quarantine.Receive(n)
 	for _, id := range d.member.Hosts() {
 		m, known := d.member.Member(id)
 		if !known || id == d.id {
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -244,7 +244,7 @@
 }
 
 // changedHolds takes a new copy of the requests that are held.
-func (h *Host) changedHolds(c follow.Copy) { h.quarantine.Changed(c) }
+func (h *Host) changedHolds(c follow.Copy) { h.quarantine.ApplyCopy(c) }
 
 // notifyFollowers wakes the hosts that wait for news of this one.
 func (h *Host) notifyFollowers() { h.fanout.Notify() }
--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return err
 	}
-	quarantines.Subscribe(h.fanout, h.quarantine.Take, h.log)
+	quarantines.Subscribe(h.fanout, h.quarantine.Receive, h.log)
 	return h.buildCrashes(ctx)
 }
 
@@ -136,7 +136,7 @@
 		Replaced: h.fleet.Replaced,
 		Crashed: func(r crash.Report) {
 			h.metrics.crashed(r)
-			h.quarantine.Note(r.Instance.ID, h.clock.Now(), r.Suspects)
+			h.quarantine.ReportCrash(r.Instance.ID, h.clock.Now(), r.Suspects)
 		},
 		Clock: h.clock, Log: h.log,
 	})
--- a/transport/quarantines/quarantines.go
+++ b/transport/quarantines/quarantines.go
@@ -109,7 +109,7 @@
 	for _, c := range q.Crashes {
 		out := crash{Runner: c.Run.Name, Born: c.Run.Born, Host: c.Host, AtMS: c.At.UnixMilli()}
 		for _, s := range c.Suspects {
-			out.Suspects = append(out.Suspects, suspect{s.Digest[:], s.RequestID, wallclock.Since(s.SentAt).Milliseconds(), s.Settled, s.Proven})
+			out.Suspects = append(out.Suspects, suspect{s.Digest[:], s.RequestID, wallclock.Since(s.SentAt).Milliseconds(), s.LongRunning, s.AnsweredBefore})
 		}
 		m.Crashes = append(m.Crashes, out)
 	}
@@ -138,7 +138,7 @@
 			if err != nil {
 				return q, err
 			}
-			out.Suspects = append(out.Suspects, quarantine.Suspect{Digest: d, RequestID: s.RequestID, SentAt: sentAt(s.AgeMS), Settled: s.Settled, Proven: s.Proven})
+			out.Suspects = append(out.Suspects, quarantine.Suspect{Digest: d, RequestID: s.RequestID, SentAt: sentAt(s.AgeMS), LongRunning: s.Settled, AnsweredBefore: s.Proven})
 		}
 		q.Crashes = append(q.Crashes, out)
 	}
@@ -147,7 +147,7 @@
 		if err != nil {
 			return q, err
 		}
-		q.Held = append(q.Held, quarantine.Holding{Digest: d, Evidence: h.evidence()})
+		q.Held = append(q.Held, quarantine.HeldRequest{Digest: d, Evidence: h.evidence()})
 	}
 	for _, raw := range m.Answered {
 		d, err := digest(raw)
--- a/transport/quarantines/quarantines_test.go
+++ b/transport/quarantines/quarantines_test.go
@@ -26,10 +26,10 @@
 			Run: state.InstanceID{Name: "e1", Born: 7}, Host: "h1", At: at,
 			Suspects: []quarantine.Suspect{
 				{Digest: d1, RequestID: "a", SentAt: wallclock.Now().Add(-ages[0])},
-				{Digest: d2, RequestID: "b", SentAt: wallclock.Now().Add(-ages[1]), Settled: true, Proven: true},
+				{Digest: d2, RequestID: "b", SentAt: wallclock.Now().Add(-ages[1]), LongRunning: true, AnsweredBefore: true},
 			},
 		}},
-		Held:     []quarantine.Holding{{Digest: d1, Evidence: []quarantine.Evidence{{Runner: "e1", Born: 7, RequestID: "a", Host: "h1", At: at}}}},
+		Held:     []quarantine.HeldRequest{{Digest: d1, Evidence: []quarantine.Evidence{{Runner: "e1", Born: 7, RequestID: "a", Host: "h1", At: at}}}},
 		Answered: []quarantine.Digest{d2},
 	}
 	var heard []quarantine.Notice
