--- a/coordination/quarantine/bystander_test.go
+++ b/coordination/quarantine/bystander_test.go
@@ -66,7 +66,7 @@
 			if table.Held(digest(culprit)) == nil {
 				hidden++
 			}
-			time.Sleep(toldWithin)
+			time.Sleep(reportWindow)
 			table.Review()
 			is.True(table.Held(digest(bystander)) == nil) // the other explains all that spoke against it
 		})
@@ -293,7 +293,7 @@
 		table := NewTable(clocktest.Bubble{})
 		const first, other = 1, 2
 		is.Equal(crashes(table, []Suspect{fresh(first)}, []Suspect{fresh(first), fresh(other)}), []Digest{digest(first)})
-		for n := range mostHeld {
+		for n := range maxHeld {
 			time.Sleep(time.Millisecond)
 			is.True(table.Hold(digest(100+n), nil))
 		}
--- a/coordination/quarantine/digest.go
+++ b/coordination/quarantine/digest.go
@@ -27,7 +27,7 @@
 // DigestOf returns the digest of a request that has been read whole.
 func DigestOf(c Content) Digest {
 	h := sha256.New()
-	buf := make([]byte, 0, stackBytes)
+	buf := make([]byte, 0, headerBufferBytes)
 	for _, part := range []string{c.Caller, c.Method, c.Host, c.URI} {
 		// A length in front of each part keeps one from running into the next.
 		buf = binary.AppendUvarint(buf, uint64(len(part)))
@@ -39,9 +39,9 @@
 	return Digest(h.Sum(sum[:0])[:digestBytes])
 }
 
-// stackBytes holds the head of an ordinary request without an allocation: hosts and paths
+// headerBufferBytes holds the head of an ordinary request without an allocation: hosts and paths
 // have some dozen bytes, a credential some hundred.
-const stackBytes = 512
+const headerBufferBytes = 512
 
 // String returns the digest in hexadecimal, as logs and the platform's store name it.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
--- a/coordination/quarantine/entry.go
+++ b/coordination/quarantine/entry.go
@@ -12,13 +12,13 @@
 const Kind = "thymerack-quarantine"
 
 const (
-	// holdFirst is how long a request is held before it may run again: time to mend the
+	// initialHold is how long a request is held before it may run again: time to mend the
 	// runners. Each further time lasts twice as long, up to holdLongest, so that a request
 	// which nobody mends costs a runner a day in the end.
-	holdFirst   = 10 * time.Minute
-	holdLongest = 24 * time.Hour
-	// forgetAfter is when a request that was released and did no harm is forgotten.
-	forgetAfter = 24 * time.Hour
+	initialHold = 10 * time.Minute
+	maxHold     = 24 * time.Hour
+	// releasedEntryTTL is when a request that was released and did no harm is forgotten.
+	releasedEntryTTL = 24 * time.Hour
 )
 
 // entry is an object of the store.
@@ -33,15 +33,15 @@
 	Bystander bool `json:"outdone,omitempty"`
 }
 
-// stored is an entry as this host has it.
-type stored struct {
+// storedEntry is an entry as this host has it.
+type storedEntry struct {
 	entry
 	version uint64
 	// seenAt is when this host first saw this version.
 	seenAt time.Time
-	// owedAt is when this host saw that a restored store lacks the entry or has an older one; zero
+	// rewritePendingSince is when this host saw that a restored store lacks the entry or has an older one; zero
 	// once it is written again.
-	owedAt time.Time
+	rewritePendingSince time.Time
 }
 
 // decodeEntry reads an object; anybody may write there.
@@ -54,15 +54,15 @@
 	if err := json.Unmarshal(o.Value, &e); err != nil {
 		return Digest{}, entry{}, err
 	}
-	e.Evidence = e.Evidence[:min(len(e.Evidence), mostEvidence)]
+	e.Evidence = e.Evidence[:min(len(e.Evidence), maxEvidence)]
 	return d, e, nil
 }
 
-// holdFor is how long the request is held this time.
-func (e entry) holdFor() time.Duration {
-	out := holdFirst
-	for n := 1; n < e.HoldCount && out < holdLongest; n++ {
+// holdDuration is how long the request is held this time.
+func (e entry) holdDuration() time.Duration {
+	out := initialHold
+	for n := 1; n < e.HoldCount && out < maxHold; n++ {
 		out *= 2
 	}
-	return min(out, holdLongest)
+	return min(out, maxHold)
 }
--- a/coordination/quarantine/fuzz_test.go
+++ b/coordination/quarantine/fuzz_test.go
@@ -114,7 +114,7 @@
 	if tr.late > mostLate {
 		return fmt.Errorf("%d copies reached runners after the bound; %d runners crashed", tr.late, len(tr.crashes))
 	}
-	time.Sleep(holdFirst + time.Minute)
+	time.Sleep(initialHold + time.Minute)
 	for _, d := range tr.innocents {
 		if n := tr.holders(d); n > 0 {
 			return fmt.Errorf("a request that only ran beside the one that crashes runners is held at %d hosts for good", n)
--- a/coordination/quarantine/hold.go
+++ b/coordination/quarantine/hold.go
@@ -25,7 +25,7 @@
 func (t *Table) Hold(d Digest, evidence []Evidence) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.take(d, evidence)
+	return t.holdIfNew(d, evidence)
 }
 
 // HoldFromPeer holds a request by the word of another host, if that knows of a crash that this one
@@ -34,53 +34,53 @@
 func (t *Table) HoldFromPeer(d Digest, evidence []Evidence) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news := func(e Evidence) bool { return !t.cleared(d, e.run()) }
-	if !slices.ContainsFunc(evidence, news) {
+	notCleared := func(e Evidence) bool { return !t.isCleared(d, e.run()) }
+	if !slices.ContainsFunc(evidence, notCleared) {
 		return false
 	}
-	return t.take(d, evidence)
+	return t.holdIfNew(d, evidence)
 }
 
-// take holds a request that isn't held; t.mu is held.
-func (t *Table) take(d Digest, evidence []Evidence) bool {
+// holdIfNew holds a request that isn't held; t.mu is held.
+func (t *Table) holdIfNew(d Digest, evidence []Evidence) bool {
 	if t.Held(d) != nil {
 		return false
 	}
-	t.hold(d, evidence, t.clock.Now())
+	t.addHold(d, evidence, t.clock.Now())
 	return true
 }
 
-// cleared reports whether the crash of a run was counted against a request and has been
-// cleared since, by an answer or a release; t.mu is held.
-func (t *Table) cleared(d Digest, run state.InstanceID) bool {
-	e := t.runs[run]
-	if e == nil || !slices.Contains(e.suspects, d) {
+// isCleared reports whether the crash of a run was counted against a request and has been
+// isCleared since, by an answer or a release; t.mu is held.
+func (t *Table) isCleared(d Digest, run state.InstanceID) bool {
+	crashed := t.runs[run]
+	if crashed == nil || !slices.Contains(crashed.suspects, d) {
 		return false
 	}
 	r := t.records[d]
-	return r == nil || r.last(run) < 0
+	return r == nil || r.lastCrashOf(run) < 0
 }
 
-// hold puts a request on the list; t.mu is held.
-func (t *Table) hold(d Digest, evidence []Evidence, now time.Time) {
+// addHold puts a request on the list; t.mu is held.
+func (t *Table) addHold(d Digest, evidence []Evidence, now time.Time) {
 	r := t.records[d]
 	next := maps.Clone(*t.held.Load())
-	if len(next) >= mostHeld {
-		gone := oldest(next)
-		delete(next, gone)
-		t.unblame(gone)
+	if len(next) >= maxHeld {
+		evicted := oldestHold(next)
+		delete(next, evicted)
+		t.removeHeldSuspect(evicted)
 	}
-	next[d] = &Hold{Evidence: evidence, Local: r != nil && r.own, At: now}
+	next[d] = &Hold{Evidence: evidence, Local: r != nil && r.local, At: now}
 	t.held.Store(&next)
 	for _, e := range evidence {
 		if run := t.runs[e.run()]; run != nil {
-			run.blame(d)
+			run.addHeldSuspect(d)
 		}
 	}
 }
 
-// oldest is what has been held for longest.
-func oldest(held map[Digest]*Hold) Digest {
+// oldestHold is what has been held for longest.
+func oldestHold(held map[Digest]*Hold) Digest {
 	var out Digest
 	var at time.Time
 	for d, h := range held {
@@ -95,9 +95,9 @@
 func (t *Table) ReleaseOnTrial(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unhold(d)
-	t.drop(d)
-	t.newRecord(d, t.clock.Now()).released = true
+	t.removeHold(d)
+	t.deleteRecord(d)
+	t.addRecord(d, t.clock.Now()).released = true
 }
 
 // ReleaseBystander lets a request run again by another host's word that one outdoes it; any further crash
@@ -105,62 +105,62 @@
 func (t *Table) ReleaseBystander(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unhold(d)
+	t.removeHold(d)
 	r := t.records[d]
 	if r == nil {
-		t.newRecord(d, t.clock.Now()).released = true
+		t.addRecord(d, t.clock.Now()).released = true
 		return
 	}
-	r.letGo = len(r.crashes)
+	r.crashesAtRelease = len(r.crashes)
 }
 
 // Clear clears a request of all that was held against it.
 func (t *Table) Clear(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unhold(d)
-	t.drop(d)
+	t.removeHold(d)
+	t.deleteRecord(d)
 }
 
 // ReportAnswered notes that a copy of the request was answered whole, which no request is that
 // crashes its runners. It reports whether anything spoke against it, and whether it was held.
 func (t *Table) ReportAnswered(d Digest) (suspected, held bool) {
-	t.proven.add(d)
+	t.answered.add(d)
 	if t.suspected.Load() == 0 && t.Held(d) == nil {
 		return false, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	suspected, held = t.records[d] != nil, t.Held(d) != nil
-	t.unhold(d)
-	t.drop(d)
+	t.removeHold(d)
+	t.deleteRecord(d)
 	return suspected || held, held
 }
 
-// unhold takes a request off the list; t.mu is held.
-func (t *Table) unhold(d Digest) {
+// removeHold takes a request off the list; t.mu is held.
+func (t *Table) removeHold(d Digest) {
 	if t.Held(d) == nil {
 		return
 	}
 	next := maps.Clone(*t.held.Load())
 	delete(next, d)
 	t.held.Store(&next)
-	t.unblame(d)
+	t.removeHeldSuspect(d)
 }
 
-// unblame has the crashes of a request that is held no more count against others again; t.mu is
+// removeHeldSuspect has the crashes of a request that is held no more count against others again; t.mu is
 // held.
-func (t *Table) unblame(d Digest) {
+func (t *Table) removeHeldSuspect(d Digest) {
 	for _, run := range t.runs {
-		if i := slices.Index(run.causes, d); i >= 0 {
-			run.causes = slices.Delete(run.causes, i, i+1)
-			t.unblamed = true
+		if i := slices.Index(run.heldSuspects, d); i >= 0 {
+			run.heldSuspects = slices.Delete(run.heldSuspects, i, i+1)
+			t.reviewPending = true
 		}
 	}
 }
 
-// drop forgets what speaks against a request; t.mu is held.
-func (t *Table) drop(d Digest) {
+// deleteRecord forgets what speaks against a request; t.mu is held.
+func (t *Table) deleteRecord(d Digest) {
 	delete(t.records, d)
 	t.suspected.Store(int64(len(t.records)))
 }
--- a/coordination/quarantine/record.go
+++ b/coordination/quarantine/record.go
@@ -9,56 +9,56 @@
 
 // record is what is known of one request.
 type record struct {
-	// at is when it was made.
-	at      time.Time
-	crashes []exposure
-	own     bool
+	// createdAt is when it was made.
+	createdAt time.Time
+	crashes   []recordedCrash
+	local     bool
 	// released requests are held again by any crash.
 	released bool
-	// letGo is how many crashes there were when another was found to have been at all of them
+	// crashesAtRelease is how many crashes there were when another was found to have been at all of them
 	// and at more; 0 for none. Any further one holds the request again.
-	letGo int
+	crashesAtRelease int
 }
 
-// exposure is one crash at which a request ran.
-type exposure struct {
+// recordedCrash is one crash at which a request ran.
+type recordedCrash struct {
 	Evidence
-	settled, proven bool
-	at              time.Time
+	longRunning, answeredBefore bool
+	at                          time.Time
 }
 
 // weight is how much the crash speaks against the request.
-func (x exposure) weight() int {
-	if x.proven || x.settled {
-		return settledWeight
+func (c recordedCrash) weight() int {
+	if c.answeredBefore || c.longRunning {
+		return reducedWeight
 	}
-	return freshWeight
+	return fullWeight
 }
 
-// ended is a run that crashed.
-type ended struct {
-	// at is when it was made.
-	at       time.Time
-	suspects []Digest
-	// causes are the requests that ran there and are held: it says nothing against others
+// crashedRun is a run that crashed.
+type crashedRun struct {
+	// createdAt is when it was made.
+	createdAt time.Time
+	suspects  []Digest
+	// heldSuspects are the requests that ran there and are held: it says nothing against others
 	// while they are.
-	causes []Digest
+	heldSuspects []Digest
 }
 
-// explained reports whether a request other than that one is held for the crash.
-func (e *ended) explained(d Digest) bool {
-	return e != nil && slices.ContainsFunc(e.causes, func(cause Digest) bool { return cause != d })
+// explainedByOther reports whether a request other than that one is held for the crash.
+func (c *crashedRun) explainedByOther(d Digest) bool {
+	return c != nil && slices.ContainsFunc(c.heldSuspects, func(held Digest) bool { return held != d })
 }
 
-// blame notes a request that ran there and is held.
-func (e *ended) blame(d Digest) {
-	if !slices.Contains(e.causes, d) {
-		e.causes = append(e.causes, d)
+// addHeldSuspect notes a request that ran there and is held.
+func (c *crashedRun) addHeldSuspect(d Digest) {
+	if !slices.Contains(c.heldSuspects, d) {
+		c.heldSuspects = append(c.heldSuspects, d)
 	}
 }
 
-// last is the index of the last crash that is known of a run, or -1.
-func (r *record) last(run state.InstanceID) int {
+// lastCrashOf is the index of the lastCrashOf crash that is known of a run, or -1.
+func (r *record) lastCrashOf(run state.InstanceID) int {
 	for i := len(r.crashes) - 1; i >= 0; i-- {
 		if r.crashes[i].run() == run {
 			return i
@@ -67,30 +67,30 @@
 	return -1
 }
 
-// sameMoment reports whether a crash at a time belongs to the moment of the last one that the
+// inCurrentBurst reports whether a crash at a time belongs to the moment of the last one that the
 // request was at although a copy had been answered.
-func (r *record) sameMoment(now time.Time) bool {
+func (r *record) inCurrentBurst(now time.Time) bool {
 	for i := len(r.crashes) - 1; i >= 0; i-- {
-		if r.crashes[i].proven {
-			return now.Sub(r.crashes[i].at) < moment
+		if r.crashes[i].answeredBefore {
+			return now.Sub(r.crashes[i].at) < burstWindow
 		}
 	}
 	return false
 }
 
-// outdoes reports whether the request was at all the crashes of another, two or more, and at
+// strictlyCovers reports whether the request was at all the crashes of another, two or more, and at
 // others besides.
-func (r *record) outdoes(runs []state.InstanceID) bool {
-	at := r.runs()
-	return len(runs) > 1 && len(at) > len(runs) && !slices.ContainsFunc(runs, func(run state.InstanceID) bool { return !slices.Contains(at, run) })
+func (r *record) strictlyCovers(runs []state.InstanceID) bool {
+	own := r.runs()
+	return len(runs) > 1 && len(own) > len(runs) && !slices.ContainsFunc(runs, func(run state.InstanceID) bool { return !slices.Contains(own, run) })
 }
 
 // runs are those of the crashes, each once.
 func (r *record) runs() []state.InstanceID {
 	var out []state.InstanceID
-	for _, x := range r.crashes {
-		if !slices.Contains(out, x.run()) {
-			out = append(out, x.run())
+	for _, c := range r.crashes {
+		if !slices.Contains(out, c.run()) {
+			out = append(out, c.run())
 		}
 	}
 	return out
@@ -99,8 +99,8 @@
 // evidence is the crashes as operators see them.
 func (r *record) evidence() []Evidence {
 	out := make([]Evidence, 0, len(r.crashes))
-	for _, x := range r.crashes {
-		out = append(out, x.Evidence)
+	for _, c := range r.crashes {
+		out = append(out, c.Evidence)
 	}
 	return out
 }
--- a/coordination/quarantine/registry.go
+++ b/coordination/quarantine/registry.go
@@ -16,21 +16,21 @@
 )
 
 const (
-	// tick is how often the registry looks after the store's entries, and the pause before a
+	// reviewInterval is how often the registry looks after the store's entries, and the pause before a
 	// write that failed is tried again: hosts that were out of the store's reach have some
 	// seconds to tell it what they know.
-	tick = time.Second
-	// standInAfter is when a host writes what another should have: that one may be gone.
-	standInAfter = 3 * time.Second
-	// gather is the pause in which crashes are collected for one notice: a failure domain
+	reviewInterval = time.Second
+	// takeoverDelay is when a host writes what another should have: that one may be gone.
+	takeoverDelay = 3 * time.Second
+	// batchDelay is the pause in which crashes are collected for one notice: a failure domain
 	// that is lost is told in one by each host, not in one for each runner.
-	gather = 20 * time.Millisecond
-	// answeredFor is how long an entry that is written in ignorance of an answer may be on
+	batchDelay = 20 * time.Millisecond
+	// clearanceTTL is how long an entry that is written in ignorance of an answer may be on
 	// its way: a write and the copy of it.
-	answeredFor = 10 * time.Second
-	// mostTold bounds the requests that a host tells of one crash, those first that had just
+	clearanceTTL = 10 * time.Second
+	// maxSuspectsPerNotice bounds the requests that a host tells of one crash, those first that had just
 	// begun; a full engine has some hundred from all hosts together.
-	mostTold = 128
+	maxSuspectsPerNotice = 128
 )
 
 // Notice is what hosts tell each other.
@@ -42,7 +42,7 @@
 	Answered []Digest
 }
 
-func (n Notice) empty() bool { return len(n.Crashes)+len(n.Held)+len(n.Answered) == 0 }
+func (n Notice) isEmpty() bool { return len(n.Crashes)+len(n.Held)+len(n.Answered) == 0 }
 
 // HeldRequest is a request that is held.
 type HeldRequest struct {
@@ -68,36 +68,36 @@
 // for concurrent use.
 type Registry struct {
 	o Options
-	// news and changed wake what tells the hosts and what writes to the store.
-	news, changed chan struct{}
+	// noticePending and reviewPending wake what tells the hosts and what writes to the store.
+	noticePending, reviewPending chan struct{}
 
-	mu      sync.Mutex
-	pending Notice
-	// cleared are suspected requests that were answered here. They are told with the next
+	mu            sync.Mutex
+	pendingNotice Notice
+	// pendingAnswered are suspected requests that were answered here. They are told with the next
 	// notice or tick: most of those that ran at a crash are.
-	cleared []Digest
+	pendingAnswered []Digest
 	// entries are those of the store as of revision, with what this host has written since,
 	// and unreadable the versions of those that were logged.
-	entries    map[Digest]stored
+	entries    map[Digest]storedEntry
 	revision   uint64
 	unreadable map[string]uint64
-	// outdone are requests that were let go since another was at all their crashes and at
+	// bystanders are requests that were let go since another was at all their crashes and at
 	// more. Their entries are to say so; what speaks against them stays.
-	outdone map[Digest]answer
+	bystanders map[Digest]clearance
 	// answered are suspected requests that were answered of late, at any host, or lifted while
 	// this host was writing. Their entries are to go, also one that a host writes which hasn't
 	// heard of it.
-	answered map[Digest]answer
+	answered map[Digest]clearance
 	// removed is when entries were removed of late.
 	removed map[Digest]time.Time
 }
 
-// answer is what a host knows of the answer to a suspected request.
-type answer struct {
+// clearance is what a host knows of the clearance to a suspected request.
+type clearance struct {
 	at time.Time
-	// own answers were given here: this host removes the entry at once. The few that follow
+	// local answers were given here: this host removes the entry at once. The few that follow
 	// the store do it for another, which may be gone.
-	own bool
+	local bool
 }
 
 // New validates the options.
@@ -105,7 +105,7 @@
 	if o.Host == "" || o.Table == nil || o.Store == nil || o.FollowsStore == nil || o.Publish == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("quarantine: a field of Options is missing; set all of them")
 	}
-	return &Registry{o: o, news: make(chan struct{}, 1), changed: make(chan struct{}, 1), entries: map[Digest]stored{}, unreadable: map[string]uint64{}, answered: map[Digest]answer{}, outdone: map[Digest]answer{}, removed: map[Digest]time.Time{}}, nil
+	return &Registry{o: o, noticePending: make(chan struct{}, 1), reviewPending: make(chan struct{}, 1), entries: map[Digest]storedEntry{}, unreadable: map[string]uint64{}, answered: map[Digest]clearance{}, bystanders: map[Digest]clearance{}, removed: map[Digest]time.Time{}}, nil
 }
 
 // Held returns why a request is held, or nil.
@@ -122,12 +122,12 @@
 	}
 	r.mu.Lock()
 	_, stored := r.entries[d]
-	r.cleared = append(r.cleared, d)
-	r.answered[d] = answer{at: r.o.Clock.Now(), own: true}
+	r.pendingAnswered = append(r.pendingAnswered, d)
+	r.answered[d] = clearance{at: r.o.Clock.Now(), local: true}
 	r.mu.Unlock()
 	if held || stored {
 		r.o.Log.Info("held request answered", "digest", d.String())
-		r.rouse()
+		r.wakeLoops()
 	}
 }
 
@@ -138,49 +138,49 @@
 	for i := range suspects {
 		suspects[i].AnsweredBefore = r.o.Table.AnsweredRecently(suspects[i].Digest)
 	}
-	slices.SortStableFunc(suspects, func(a, b Suspect) int { return cmp.Compare(oneIf(a.LongRunning), oneIf(b.LongRunning)) })
-	c := Crash{Run: run, Host: r.o.Host, At: at, Suspects: suspects[:min(len(suspects), mostTold)]}
+	slices.SortStableFunc(suspects, func(a, b Suspect) int { return cmp.Compare(boolToInt(a.LongRunning), boolToInt(b.LongRunning)) })
+	c := Crash{Run: run, Host: r.o.Host, At: at, Suspects: suspects[:min(len(suspects), maxSuspectsPerNotice)]}
 	r.mu.Lock()
-	r.pending.Crashes = append(r.pending.Crashes, c)
+	r.pendingNotice.Crashes = append(r.pendingNotice.Crashes, c)
 	r.mu.Unlock()
-	r.count(c)
-	r.rouse()
+	r.countCrash(c)
+	r.wakeLoops()
 }
 
-// count counts a crash against the requests that ran there. An answer speaks for all copies
+// countCrash counts a crash against the requests that ran there. An answer speaks for all copies
 // that were sent before it, also when their crash is told after it; one that was sent later
 // begins the suspicion anew.
-func (r *Registry) count(c Crash) {
+func (r *Registry) countCrash(c Crash) {
 	r.mu.Lock()
 	c.Suspects = slices.DeleteFunc(slices.Clone(c.Suspects), func(s Suspect) bool {
-		a, known := r.answered[s.Digest]
-		if known && s.SentAt.After(a.at) {
+		a, cleared := r.answered[s.Digest]
+		if cleared && s.SentAt.After(a.at) {
 			delete(r.answered, s.Digest)
 			return false
 		}
-		return known
+		return cleared
 	})
-	found := r.o.Table.RecordCrash(c, c.Host == r.o.Host)
-	for _, d := range found {
-		delete(r.outdone, d)
+	held := r.o.Table.RecordCrash(c, c.Host == r.o.Host)
+	for _, d := range held {
+		delete(r.bystanders, d)
 	}
 	r.mu.Unlock()
-	for _, d := range found {
-		r.found(d)
+	for _, d := range held {
+		r.reportHold(d)
 	}
 }
 
-// oneIf is 1 for true and 0 for false.
-func oneIf(is bool) int {
-	if is {
+// boolToInt is 1 for true and 0 for false.
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// rouse has news told and the store written.
-func (r *Registry) rouse() {
-	for _, wake := range []chan struct{}{r.news, r.changed} {
+// wakeLoops has news told and the store written.
+func (r *Registry) wakeLoops() {
+	for _, wake := range []chan struct{}{r.noticePending, r.reviewPending} {
 		select {
 		case wake <- struct{}{}:
 		default:
@@ -191,50 +191,50 @@
 // Receive takes what a host tells, this one too. It doesn't wait.
 func (r *Registry) Receive(n Notice) {
 	for _, c := range n.Crashes {
-		r.count(c)
+		r.countCrash(c)
 	}
 	for _, h := range n.Held {
 		if r.o.Table.HoldFromPeer(h.Digest, h.Evidence) {
-			r.logHeld(h.Digest, "another host")
+			r.logHold(h.Digest, "another host")
 		}
 	}
 	for _, d := range n.Answered {
-		r.forget(d)
+		r.receiveAnswered(d)
 	}
 }
 
-// forget takes another host's word that a request was answered.
-func (r *Registry) forget(d Digest) {
+// receiveAnswered takes another host's word that a request was answered.
+func (r *Registry) receiveAnswered(d Digest) {
 	r.o.Table.Clear(d)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, known := r.answered[d]; !known {
-		r.answered[d] = answer{at: r.o.Clock.Now()}
+	if _, cleared := r.answered[d]; !cleared {
+		r.answered[d] = clearance{at: r.o.Clock.Now()}
 	}
 }
 
-// found tells the others what this host has found, if one of the crashes was its own: a
+// reportHold tells the others what this host has reportHold, if one of the crashes was its own: a
 // host that saw none leaves it to those that did.
-func (r *Registry) found(d Digest) {
-	r.logHeld(d, "crashes")
+func (r *Registry) reportHold(d Digest) {
+	r.logHold(d, "crashes")
 	hold := r.o.Table.Held(d)
 	if hold == nil || !hold.Local {
 		return
 	}
 	r.mu.Lock()
-	r.pending.Held = append(r.pending.Held, HeldRequest{d, hold.Evidence})
+	r.pendingNotice.Held = append(r.pendingNotice.Held, HeldRequest{d, hold.Evidence})
 	r.mu.Unlock()
-	r.rouse()
+	r.wakeLoops()
 }
 
-// logHeld writes the line from which a refusal is explained.
-func (r *Registry) logHeld(d Digest, by string) {
+// logHold writes the line from which a refusal is explained.
+func (r *Registry) logHold(d Digest, source string) {
 	if hold := r.o.Table.Held(d); hold != nil {
-		r.o.Log.Warn("request held: runners crash under it", "digest", d.String(), "by", by, "crashes", len(hold.Evidence), "evidence", describe(hold.Evidence))
+		r.o.Log.Warn("request held: runners crash under it", "digest", d.String(), "by", source, "crashes", len(hold.Evidence), "evidence", describeEvidence(hold.Evidence))
 	}
 }
 
-func describe(evidence []Evidence) []string {
+func describeEvidence(evidence []Evidence) []string {
 	out := make([]string, 0, len(evidence))
 	for _, e := range evidence {
 		out = append(out, e.run().String()+" under "+e.RequestID+" of "+e.Host+" at "+e.At.UTC().Format(time.RFC3339Nano))
@@ -246,58 +246,58 @@
 // wait for the other: the store may hang.
 func (r *Registry) Run(ctx context.Context) {
 	var loops conc.WaitGroup
-	loops.Go(func() { r.each(ctx, r.news, r.tell) })
+	loops.Go(func() { r.loop(ctx, r.noticePending, r.publishPending) })
 	loops.Go(func() {
-		r.each(ctx, r.changed, func() {
-			r.review()
-			r.writeAgain(ctx)
-			r.write(ctx)
-			r.sweep(ctx)
+		r.loop(ctx, r.reviewPending, func() {
+			r.reviewHolds()
+			r.rewriteEntries(ctx)
+			r.writeHolds(ctx)
+			r.expireEntries(ctx)
 			r.reconcile()
 		})
 	})
 	loops.Wait()
 }
 
-// review lets bystanders go, and holds what they hid. Each host does so by itself; those that
+// reviewHolds lets bystanders go, and holds what they hid. Each host does so by itself; those that
 // follow the store note it in the entries.
-func (r *Registry) review() {
+func (r *Registry) reviewHolds() {
 	r.mu.Lock()
-	letGo, found := r.o.Table.Review()
-	for _, d := range letGo {
-		r.outdone[d] = answer{at: r.o.Clock.Now()}
+	released, held := r.o.Table.Review()
+	for _, d := range released {
+		r.bystanders[d] = clearance{at: r.o.Clock.Now()}
 	}
-	for _, d := range found {
-		delete(r.outdone, d)
+	for _, d := range held {
+		delete(r.bystanders, d)
 	}
 	r.mu.Unlock()
-	for _, d := range found {
-		r.found(d)
+	for _, d := range held {
+		r.reportHold(d)
 	}
-	for _, d := range letGo {
+	for _, d := range released {
 		r.o.Log.Info("held request let go: another was at all its crashes and at more", "digest", d.String())
 	}
 }
 
-// each calls do a moment after it was woken, and at each tick.
-func (r *Registry) each(ctx context.Context, wake <-chan struct{}, do func()) {
+// loop calls do a moment after it was woken, and at loop tick.
+func (r *Registry) loop(ctx context.Context, wake <-chan struct{}, do func()) {
 	for ctx.Err() == nil {
-		r.await(ctx, wake)
-		if r.o.Clock.Sleep(ctx, gather) != nil {
+		r.waitForWake(ctx, wake)
+		if r.o.Clock.Sleep(ctx, batchDelay) != nil {
 			return
 		}
 		do()
 	}
 }
 
-// await waits to be woken, or for the next tick.
-func (r *Registry) await(ctx context.Context, wake <-chan struct{}) {
-	bounded, cancel := context.WithCancel(ctx)
+// waitForWake waits to be woken, or for the next tick.
+func (r *Registry) waitForWake(ctx context.Context, wake <-chan struct{}) {
+	sleepCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = r.o.Clock.Sleep(bounded, tick) // its end is all that counts
+		_ = r.o.Clock.Sleep(sleepCtx, reviewInterval) // its end is all that counts
 	}()
 	select {
 	case <-wake:
@@ -305,14 +305,14 @@
 	}
 }
 
-// tell tells all hosts what is new.
-func (r *Registry) tell() {
+// publishPending tells all hosts what is new.
+func (r *Registry) publishPending() {
 	r.mu.Lock()
-	n := r.pending
-	n.Answered, r.cleared = r.cleared, nil
-	r.pending = Notice{}
+	n := r.pendingNotice
+	n.Answered, r.pendingAnswered = r.pendingAnswered, nil
+	r.pendingNotice = Notice{}
 	r.mu.Unlock()
-	if n.empty() {
+	if n.isEmpty() {
 		return
 	}
 	if len(n.Answered) > 0 {
--- a/coordination/quarantine/registry_test.go
+++ b/coordination/quarantine/registry_test.go
@@ -64,7 +64,7 @@
 		f.hosts = append(f.hosts, f.start(fmt.Sprint("h", n), n))
 	}
 	f.mu.Unlock()
-	time.Sleep(tick)
+	time.Sleep(reviewInterval)
 	return f
 }
 
@@ -261,14 +261,14 @@
 				f.t.Error("not held while the store is away")
 			}
 			f.set(f.unreachable, false, 0, 1, 2, 3, 4)
-			time.Sleep(2 * tick)
+			time.Sleep(2 * reviewInterval)
 			f.restart(4) // it knows from the store
 		},
 		"those that saw it are killed before they can write": func(f *fleet) {
 			f.set(f.unreachable, true, 0, 1)
 			f.crash(0, 1, fresh(1))
 			f.crash(1, 2, fresh(1))
-			time.Sleep(standInAfter)
+			time.Sleep(takeoverDelay)
 			f.set(f.unreachable, false, 0, 1)
 			f.restart(0)
 			f.restart(1)
@@ -277,7 +277,7 @@
 			f.crash(0, 1, fresh(1))
 			f.restart(0)
 			f.crash(0, 2, fresh(1)) // it has forgotten the first; the others haven't
-			time.Sleep(standInAfter + tick)
+			time.Sleep(takeoverDelay + reviewInterval)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -316,7 +316,7 @@
 			_, err := operator.Put(t.Context(), Kind, name, store.Absent, []byte(value))
 			is.NoErr(err)
 		}
-		time.Sleep(tick)
+		time.Sleep(reviewInterval)
 		is.Equal(f.holders(digest(1)), 0)
 		is.Equal(f.holders(digest(2)), 3) // an operator may hold a request by hand
 	})
--- a/coordination/quarantine/release_fuzz_test.go
+++ b/coordination/quarantine/release_fuzz_test.go
@@ -46,7 +46,7 @@
 }
 
 // tellFor is how long a host takes to tell of an event at most, and the store to be told.
-const tellFor = 3 * tick
+const tellFor = 3 * reviewInterval
 
 // lose marks the events that a host can't have told yet.
 func (tr *releasing) lose(host int) {
@@ -81,12 +81,12 @@
 		}
 		tr.note(s.host, tr.runs, fresh(s.request))
 	case "answer":
-		time.Sleep(2*gather + noticeTime) // another host's answer may cross a crash on its way
+		time.Sleep(2*batchDelay + noticeTime) // another host's answer may cross a crash on its way
 		tr.hosts[s.host].ReportAnswered(digest(s.request))
 		tr.freed[s.request] = true
 		tr.answers[s.request] = tr.event(s.host)
 	case "lift":
-		time.Sleep(tick) // an operator reads first; a crash that is being told then counts after
+		time.Sleep(reviewInterval) // an operator reads first; a crash that is being told then counts after
 		// One that isn't stored has nothing to be lifted.
 		tr.freed[s.request] = Release(tr.t.Context(), tr.store.Client("operator"), digest(s.request)) == nil
 		tr.answers[s.request] = event{}
--- a/coordination/quarantine/release_test.go
+++ b/coordination/quarantine/release_test.go
@@ -68,16 +68,16 @@
 		f.crash(1, 2, fresh(1))
 		late := Notice{Held: []HeldRequest{{digest(1), f.hosts[0].Held(digest(1)).Evidence}}}
 		f.hosts[3].ReportAnswered(digest(1)) // a copy that ran all the while
-		time.Sleep(2 * tick)
+		time.Sleep(2 * reviewInterval)
 		is.Equal(f.holders(digest(1)), 0)
 		f.publish(f.hosts[0], late)
-		time.Sleep(standInAfter + 2*tick)
+		time.Sleep(takeoverDelay + 2*reviewInterval)
 		is.Equal(f.holders(digest(1)), 0)
 
 		before := time.Now()
 		f.crash(0, 3, fresh(2), fresh(3))
 		f.hosts[3].ReportAnswered(digest(2))
-		time.Sleep(2 * tick)
+		time.Sleep(2 * reviewInterval)
 		had := fresh(2)
 		had.SentAt = before
 		f.crash(1, 3, had) // this host had a copy there, and tells it now
@@ -96,11 +96,11 @@
 		f.crash(0, 1, fresh(1))
 		f.note(1, 2, fresh(1))
 		f.hosts[2].ReportAnswered(digest(1)) // before the second crash is told
-		time.Sleep(answeredFor)
+		time.Sleep(clearanceTTL)
 		_, there := f.entry(digest(1))
 		is.True(!there)
 		f.restart(3)
-		time.Sleep(tick)
+		time.Sleep(reviewInterval)
 		is.Equal(f.holders(digest(1)), 0)
 	})
 }
@@ -112,13 +112,13 @@
 		f.crash(1, 2, fresh(1))
 		f.set(f.unreachable, true, 2)
 		f.hosts[2].ReportAnswered(digest(1))
-		time.Sleep(gather + 2*noticeTime)
+		time.Sleep(batchDelay + 2*noticeTime)
 		f.hosts[2].stop()
-		time.Sleep(answeredFor)
+		time.Sleep(clearanceTTL)
 		_, there := f.entry(digest(1))
 		is.True(!there)
 		f.restart(3)
-		time.Sleep(tick)
+		time.Sleep(reviewInterval)
 		is.Equal(f.hosts[3].Held(digest(1)), nil)
 	})
 }
@@ -158,14 +158,14 @@
 func TestEntryThatWasPassedOverCountsAgain(t *testing.T) {
 	play(t, 5, func(is *is.I, f *fleet) {
 		f.note(0, 1, fresh(1))
-		time.Sleep(gather)
+		time.Sleep(batchDelay)
 		f.set(f.cut, true, 3)
-		time.Sleep(4 * gather)
+		time.Sleep(4 * batchDelay)
 		f.hosts[0].ReportAnswered(digest(1))
-		time.Sleep(3 * tick)
+		time.Sleep(3 * reviewInterval)
 		f.restart(2)
 		f.note(3, 2, fresh(1)) // this host knows two crashes, and not of the answer between
-		time.Sleep(3 * gather)
+		time.Sleep(3 * batchDelay)
 		f.note(1, 3, fresh(1)) // before those with the answer have removed the entry
 		f.set(f.cut, false, 3)
 		time.Sleep(10 * time.Second)
@@ -186,9 +186,9 @@
 		f.set(f.cut, true, 4)
 		f.hosts[4].Receive(Notice{Held: []HeldRequest{{digest(1), []Evidence{{Runner: "other"}}}}})
 		f.hosts[0].ReportAnswered(digest(1))
-		time.Sleep(tick)
+		time.Sleep(reviewInterval)
 		is.True(f.hosts[4].Held(digest(1)) != nil)
-		time.Sleep(holdFirst)
+		time.Sleep(initialHold)
 		is.Equal(f.holders(digest(1)), 0)
 	})
 }
@@ -201,7 +201,7 @@
 		o, err := operator.Get(t.Context(), Kind, digest(1).String())
 		is.NoErr(err)
 		is.NoErr(operator.Delete(t.Context(), Kind, o.Name, o.Version))
-		time.Sleep(2 * tick)
+		time.Sleep(2 * reviewInterval)
 		is.Equal(f.holders(digest(1)), 0)
 		_, there := f.entry(digest(1))
 		is.True(!there) // nobody writes it again
@@ -216,20 +216,20 @@
 	play(t, 5, func(is *is.I, f *fleet) {
 		f.crash(0, 1, fresh(1))
 		f.crash(1, 2, fresh(1))
-		time.Sleep(holdFirst - 10*time.Second)
+		time.Sleep(initialHold - 10*time.Second)
 		is.Equal(f.holders(digest(1)), 5)
 		time.Sleep(20 * time.Second)
 		is.Equal(f.holders(digest(1)), 0)
 		f.crash(2, 3, fresh(1)) // one more runner, and it is held for twice as long
 		is.Equal(f.holders(digest(1)), 5)
-		time.Sleep(2*holdFirst - 10*time.Second)
+		time.Sleep(2*initialHold - 10*time.Second)
 		is.Equal(f.holders(digest(1)), 5)
 		e, _ := f.entry(digest(1))
 		is.Equal(e.HoldCount, 2)
 		time.Sleep(20 * time.Second)
 		is.Equal(f.holders(digest(1)), 0)
 		f.hosts[4].ReportAnswered(digest(1)) // the runners have been mended
-		time.Sleep(tick)
+		time.Sleep(reviewInterval)
 		_, there := f.entry(digest(1))
 		is.True(!there)
 	})
@@ -239,14 +239,14 @@
 	play(t, 5, func(is *is.I, f *fleet) {
 		f.crash(0, 1, fresh(1))
 		f.hosts[3].ReportAnswered(digest(1))
-		time.Sleep(tick)
+		time.Sleep(reviewInterval)
 		f.crash(1, 2, fresh(1))
 		is.Equal(f.holders(digest(1)), 0)
 		f.note(2, 3, fresh(1))
-		time.Sleep(gather + noticeTime + time.Millisecond)
+		time.Sleep(batchDelay + noticeTime + time.Millisecond)
 		is.Equal(f.holders(digest(1)), 5)
 		f.hosts[3].ReportAnswered(digest(1)) // a copy that ran all the while
-		time.Sleep(2 * tick)
+		time.Sleep(2 * reviewInterval)
 		is.Equal(f.holders(digest(1)), 0)
 		_, there := f.entry(digest(1))
 		is.True(!there)
--- a/coordination/quarantine/restored_test.go
+++ b/coordination/quarantine/restored_test.go
@@ -12,7 +12,7 @@
 // restore brings the store back as it was so long ago, and gives hosts time to notice.
 func (f *fleet) restore(ago time.Duration) {
 	f.store.RestoreBefore(ago)
-	time.Sleep(2 * tick)
+	time.Sleep(2 * reviewInterval)
 }
 
 // Guards against a request that crashes its runners again, because a restored store lost that it
@@ -33,7 +33,7 @@
 			is.True(there)
 			is.True(f.written()-before <= 12) // the hosts that follow the store, and those that saw a crash
 		}
-		time.Sleep(owedFor + tick)
+		time.Sleep(rewriteTimeout + reviewInterval)
 		is.Equal(f.holders(digest(1)), 300)
 	})
 }
@@ -48,7 +48,7 @@
 			is.NoErr(err)
 			is.NoErr(c.Delete(f.t.Context(), Kind, digest(1).String(), o.Version))
 		},
-		"by its time":   func(_ *is.I, _ *fleet) { time.Sleep(holdFirst) },
+		"by its time":   func(_ *is.I, _ *fleet) { time.Sleep(initialHold) },
 		"by its answer": func(_ *is.I, f *fleet) { f.hosts[2].ReportAnswered(digest(1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -58,10 +58,10 @@
 				is.Equal(f.holders(digest(1)), 5)
 				held := store.RevisionOf(f.store.Revision())
 				release(is, f)
-				time.Sleep(5 * tick)
+				time.Sleep(5 * reviewInterval)
 				is.Equal(f.holders(digest(1)), 0)
 				f.store.Restore(held)
-				time.Sleep(5 * tick)
+				time.Sleep(5 * reviewInterval)
 				is.Equal(f.holders(digest(1)), 0)
 				if e, there := f.entry(digest(1)); there {
 					is.True(e.Released)
@@ -83,10 +83,10 @@
 		f.hosts[0].o.Table.ReleaseOnTrial(digest(1)) // nobody holds it for a crash of its own
 		f.hosts[1].o.Table.ReleaseOnTrial(digest(1))
 		f.restore(5 * time.Second)
-		time.Sleep(owedFor)
+		time.Sleep(rewriteTimeout)
 		_, err := f.store.Client("operator").Put(f.t.Context(), Kind, digest(9).String(), store.Absent, []byte(`{}`))
 		is.NoErr(err)
-		time.Sleep(tick)
+		time.Sleep(reviewInterval)
 		_, there := f.entry(digest(1))
 		is.True(!there)
 		is.Equal(f.holders(digest(1)), 0)
--- a/coordination/quarantine/storage.go
+++ b/coordination/quarantine/storage.go
@@ -14,51 +14,51 @@
 func (r *Registry) ApplyCopy(c follow.Copy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	restored := r.advance(c.Revision)
-	present := make(map[Digest]stored, len(c.Objects))
+	restored := r.advanceRevision(c.Revision)
+	present := make(map[Digest]storedEntry, len(c.Objects))
 	for _, o := range c.Objects {
 		d, e, err := decodeEntry(o)
 		if err != nil {
-			r.noteUnreadable(o, err)
+			r.logUnreadable(o, err)
 			continue
 		}
-		present[d] = r.take(d, e, o.Version, restored)
+		present[d] = r.applyEntry(d, e, o.Version, restored)
 	}
 	for d, s := range r.entries {
-		if _, there := present[d]; there {
+		if _, found := present[d]; found {
 			continue
 		}
-		if kept, is := r.keep(s, c.Revision, restored); is {
+		if kept, ok := r.keepMissing(s, c.Revision, restored); ok {
 			present[d] = kept
 			continue
 		}
-		r.removedNow(d)
+		r.recordRemoval(d)
 		r.o.Table.Clear(d)
 		r.o.Log.Info("request no longer held", "digest", d.String(), "revision", store.FormatVersion(c.Revision))
 	}
 	r.entries = present
 	if restored {
-		r.rouse()
+		r.wakeLoops()
 	}
 }
 
-// take takes an entry of a copy; r.mu is held.
-func (r *Registry) take(d Digest, e entry, version uint64, restored bool) stored {
-	before, known := r.entries[d]
+// applyEntry takes an entry of a copy; r.mu is held.
+func (r *Registry) applyEntry(d Digest, e entry, version uint64, restored bool) storedEntry {
+	current, known := r.entries[d]
 	switch {
 	case restored:
-		return r.takeRestored(d, e, version)
-	case known && before.version == version:
-		return before
+		return r.applyRestored(d, e, version)
+	case known && current.version == version:
+		return current
 	}
-	r.adopt(d, e)
-	return stored{entry: e, version: version, seenAt: r.o.Clock.Now()}
+	r.updateTable(d, e)
+	return storedEntry{entry: e, version: version, seenAt: r.o.Clock.Now()}
 }
 
-// adopt takes a new version of an entry; r.mu is held.
-func (r *Registry) adopt(d Digest, e entry) {
+// updateTable takes a new version of an entry; r.mu is held.
+func (r *Registry) updateTable(d Digest, e entry) {
 	_, answered := r.answered[d]
-	if _, outdone := r.outdone[d]; answered || (outdone && !e.Released) {
+	if _, bystander := r.bystanders[d]; answered || (bystander && !e.Released) {
 		return // it was written in ignorance of that
 	}
 	if e.Released && e.Bystander {
@@ -72,58 +72,58 @@
 		return
 	}
 	if r.o.Table.Hold(d, e.Evidence) {
-		r.logHeld(d, "the store")
+		r.logHold(d, "the store")
 	}
 }
 
-func (r *Registry) noteUnreadable(o store.Object, err error) {
+func (r *Registry) logUnreadable(o store.Object, err error) {
 	if r.unreadable[o.Name] != o.Version {
 		r.unreadable[o.Name] = o.Version
 		r.o.Log.Warn("entry of a held request not readable", "name", o.Name, "version", store.FormatVersion(o.Version), "cause", err.Error())
 	}
 }
 
-// write brings to the store what is held and isn't there. The hosts that saw a crash
+// writeHolds brings to the store what is held and isn't there. The hosts that saw a crash
 // themselves do it at once, others that follow the store when it is still missing later.
-func (r *Registry) write(ctx context.Context) {
+func (r *Registry) writeHolds(ctx context.Context) {
 	for d := range r.o.Table.Holds() {
-		if e, version, missing := r.missing(d); missing {
-			r.put(ctx, d, e, version)
+		if e, version, missing := r.missingEntry(d); missing {
+			r.putEntry(ctx, d, e, version)
 		}
 	}
 }
 
-// missing returns the entry that this host owes the store for a request, and the version to
+// missingEntry returns the entry that this host owes the store for a request, and the version to
 // replace. The hold is read under the lock under which releases are taken: one that was read
 // before, while a write waited for the store, would look like a hold that nobody has written,
 // and writing it would undo the release at all hosts.
-func (r *Registry) missing(d Digest) (e entry, version uint64, missing bool) {
+func (r *Registry) missingEntry(d Digest) (e entry, version uint64, missing bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	hold := r.o.Table.Held(d)
-	if hold == nil || len(r.entries) >= mostHeld {
+	if hold == nil || len(r.entries) >= maxHeld {
 		return entry{}, 0, false
 	}
-	s, there := r.entries[d]
-	late := r.o.Clock.Now().Sub(hold.At) > standInAfter && r.o.FollowsStore()
-	if (there && !s.Released) || !(hold.Local || late) {
+	s, found := r.entries[d]
+	takeOver := r.o.Clock.Now().Sub(hold.At) > takeoverDelay && r.o.FollowsStore()
+	if (found && !s.Released) || !(hold.Local || takeOver) {
 		return entry{}, 0, false
 	}
 	return entry{Evidence: hold.Evidence, HoldCount: s.HoldCount + 1}, s.version, true
 }
 
-// put writes an entry at its known version. A conflict says that another host was faster.
-func (r *Registry) put(ctx context.Context, d Digest, e entry, version uint64) {
+// putEntry writes an entry at its known version. A conflict says that another host was faster.
+func (r *Registry) putEntry(ctx context.Context, d Digest, e entry, version uint64) {
 	value, err := json.Marshal(e)
 	if err != nil {
 		r.o.Log.Error("held request not written", "digest", d.String(), "cause", err.Error())
 		return
 	}
-	now, err := r.o.Store.Put(ctx, Kind, d.String(), version, value)
+	newVersion, err := r.o.Store.Put(ctx, Kind, d.String(), version, value)
 	switch {
 	case err == nil:
-		r.wrote(d, stored{entry: e, version: now, seenAt: r.o.Clock.Now()})
-		r.o.Log.Info("held request written", "digest", d.String(), "released", e.Released, "times", e.HoldCount, "version", store.FormatVersion(now))
+		r.recordWrite(d, storedEntry{entry: e, version: newVersion, seenAt: r.o.Clock.Now()})
+		r.o.Log.Info("held request written", "digest", d.String(), "released", e.Released, "times", e.HoldCount, "version", store.FormatVersion(newVersion))
 	case store.IsConflict(err):
 		// the copy of the store will show what the other wrote
 	case ctx.Err() == nil:
@@ -131,21 +131,21 @@
 	}
 }
 
-// wrote takes an entry that this host has written, until a copy of the store shows it. A copy
+// recordWrite takes an entry that this host has written, until a copy of the store shows it. A copy
 // that is as new has shown it already, or its removal, which an answer that was long on its way
 // would undo at this host alone. A hold that was let go while the write was on its way has its
 // entry removed again: a store can't tell one that was removed from one that was never there.
-func (r *Registry) wrote(d Digest, s stored) {
+func (r *Registry) recordWrite(d Digest, s storedEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !s.Released && r.o.Table.Held(d) == nil {
-		r.answered[d] = answer{at: s.seenAt, own: true}
+		r.answered[d] = clearance{at: s.seenAt, local: true}
 	}
 	if s.version <= r.revision || s.version <= r.entries[d].version {
 		return
 	}
 	r.entries[d] = s
-	r.adopt(d, s.entry)
+	r.updateTable(d, s.entry)
 }
 
 // reconcile holds what has an entry, and lets go what has none although there was time to
@@ -156,24 +156,24 @@
 	defer r.mu.Unlock()
 	for d, s := range r.entries {
 		if !s.Released && r.o.Table.Held(d) == nil {
-			r.adopt(d, s.entry)
+			r.updateTable(d, s.entry)
 		}
 	}
 	for d, hold := range r.o.Table.Holds() {
-		if _, there := r.entries[d]; !there && now.Sub(hold.At) > holdFirst {
+		if _, found := r.entries[d]; !found && now.Sub(hold.At) > initialHold {
 			r.o.Table.Clear(d)
 			r.o.Log.Info("request no longer held: no entry of it", "digest", d.String(), "held", now.Sub(hold.At))
 		}
 	}
 }
 
-// sweep releases entries whose time is over and removes those that are needed no more. The
+// expireEntries releases entries whose time is over and removes those that are needed no more. The
 // hosts that follow the store do it; the first one's write is the one that counts.
-func (r *Registry) sweep(ctx context.Context) {
-	release, remove := r.due()
+func (r *Registry) expireEntries(ctx context.Context) {
+	release, remove := r.dueEntries()
 	for d, s := range release {
 		s.Released = true
-		r.put(ctx, d, s.entry, s.version)
+		r.putEntry(ctx, d, s.entry, s.version)
 	}
 	for d, s := range remove {
 		err := r.o.Store.Delete(ctx, Kind, d.String(), s.version)
@@ -188,17 +188,17 @@
 	}
 }
 
-// due are the entries to be released and to be removed.
-func (r *Registry) due() (release, remove map[Digest]stored) {
-	follows := r.o.FollowsStore()
+// dueEntries are the entries to be released and to be removed.
+func (r *Registry) dueEntries() (release, remove map[Digest]storedEntry) {
+	followsStore := r.o.FollowsStore()
 	now := r.o.Clock.Now()
-	release, remove = map[Digest]stored{}, map[Digest]stored{}
+	release, remove = map[Digest]storedEntry{}, map[Digest]storedEntry{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, gone := range []map[Digest]answer{r.answered, r.outdone} {
-		for d, a := range gone {
-			if _, there := r.entries[d]; !there && now.Sub(a.at) > answeredFor {
-				delete(gone, d)
+	for _, cleared := range []map[Digest]clearance{r.answered, r.bystanders} {
+		for d, a := range cleared {
+			if _, found := r.entries[d]; !found && now.Sub(a.at) > clearanceTTL {
+				delete(cleared, d)
 			}
 		}
 	}
@@ -208,12 +208,12 @@
 		}
 		age := now.Sub(s.seenAt)
 		a, answered := r.answered[d]
-		_, outdone := r.outdone[d]
+		_, bystander := r.bystanders[d]
 		switch {
-		case answered && (a.own || follows), follows && s.Released && age > forgetAfter:
+		case answered && (a.local || followsStore), followsStore && s.Released && age > releasedEntryTTL:
 			remove[d] = s
-		case follows && !s.Released && (outdone || age > s.holdFor()):
-			s.Bystander = outdone
+		case followsStore && !s.Released && (bystander || age > s.holdDuration()):
+			s.Bystander = bystander
 			release[d] = s
 		}
 	}
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -10,41 +10,41 @@
 )
 
 const (
-	// holdWeight is the weight of crashes at which a request is held. Two crashes do: each
+	// holdThreshold is the weight of crashes at which a request is held. Two crashes do: each
 	// more costs a runner for seconds, and one alone would hold all that ran beside the
 	// request that did it. To be held for nothing, a request must be at two runners that
 	// crash within its own retries, and unanswered between.
-	holdWeight = 4
-	// sharedHoldWeight is the weight at which a request is held though others are held for its
+	holdThreshold = 4
+	// explainedHoldThreshold is the weight at which a request is held though others are held for its
 	// crashes: nobody is a bystander four times without an answer between.
-	sharedHoldWeight = 2 * holdWeight
-	// freshWeight is that of a crash soon after the request began to run, which is when one
+	explainedHoldThreshold = 2 * holdThreshold
+	// fullWeight is that of a crash soon after the request began to run, which is when one
 	// that crashes its runner does so. settledWeight is that of one whose answer had been
 	// coming for a while, as streams last for seconds and are hit by what others do, and of
 	// one that was answered before.
-	freshWeight   = 2
-	settledWeight = 1
-	// toldWithin is the time in which all hosts tell of a crash: the gathering of work that broke
+	fullWeight    = 2
+	reducedWeight = 1
+	// reportWindow is the time in which all hosts tell of a crash: the gathering of work that broke
 	// off and of notices, and their way.
-	toldWithin = 500 * time.Millisecond
-	// moment is the time in which the crashes of a request that is answered elsewhere count
+	reportWindow = 500 * time.Millisecond
+	// burstWindow is the time in which the crashes of a request that is answered elsewhere count
 	// as one: runners that are lost together say nothing of what they all run.
-	moment = time.Second
-	// runSlack is how much later than a run was known to have ended a request may seem to
+	burstWindow = time.Second
+	// runEndSlack is how much later than a run was known to have ended a request may seem to
 	// have been sent to it. One that was sent later was at the runner's next run: that takes
 	// work under the same name before the list tells the two apart.
-	runSlack = 200 * time.Millisecond
-	// rememberFor is how long a crash counts: a request that comes less often costs less
+	runEndSlack = 200 * time.Millisecond
+	// recordTTL is how long a crash counts: a request that comes less often costs less
 	// than the memory of all that ever ran at a crash.
-	rememberFor = time.Hour
-	// mostSuspects bounds the requests that are remembered, about 300 bytes each: what ran
+	recordTTL = time.Hour
+	// maxRecords bounds the requests that are remembered, about 300 bytes each: what ran
 	// at the last two hundred crashes of full engines.
-	mostSuspects = 1 << 14
-	// mostHeld bounds the requests that are held: each cost two runners, so that a fleet
+	maxRecords = 1 << 14
+	// maxHeld bounds the requests that are held: each cost two runners, so that a fleet
 	// has other worries before it is reached.
-	mostHeld = 1024
-	// mostEvidence bounds the crashes that are remembered of one request.
-	mostEvidence = 8
+	maxHeld = 1024
+	// maxEvidence bounds the crashes that are remembered of one request.
+	maxEvidence = 8
 )
 
 // Hold is why a request is held.
@@ -64,16 +64,16 @@
 	held atomic.Pointer[map[Digest]*Hold]
 	// suspected is the size of records, read without a lock.
 	suspected atomic.Int64
-	proven    proven
+	answered  answeredSet
 
 	mu      sync.Mutex
 	records map[Digest]*record
-	runs    map[state.InstanceID]*ended
-	// unblamed is set when a request was let go: its crashes count against others again.
-	unblamed bool
-	// queue and runQueue hold the keys of both in the order of their arrival.
-	queue    []queued[Digest]
-	runQueue []queued[state.InstanceID]
+	runs    map[state.InstanceID]*crashedRun
+	// reviewPending is set when a request was let go: its crashes count against others again.
+	reviewPending bool
+	// recordQueue and runQueue hold the keys of both in the order of their arrival.
+	recordQueue []queued[Digest]
+	runQueue    []queued[state.InstanceID]
 }
 
 type queued[K any] struct {
@@ -83,7 +83,7 @@
 
 // NewTable returns an empty table.
 func NewTable(clock state.Clock) *Table {
-	t := &Table{clock: clock, records: map[Digest]*record{}, runs: map[state.InstanceID]*ended{}}
+	t := &Table{clock: clock, records: map[Digest]*record{}, runs: map[state.InstanceID]*crashedRun{}}
 	t.held.Store(&map[Digest]*Hold{})
 	return t
 }
@@ -95,78 +95,78 @@
 func (t *Table) Holds() map[Digest]*Hold { return *t.held.Load() }
 
 // AnsweredRecently reports whether a copy of the request was answered not long ago.
-func (t *Table) AnsweredRecently(d Digest) bool { return t.proven.has(d) }
+func (t *Table) AnsweredRecently(d Digest) bool { return t.answered.has(d) }
 
 // RecordCrash counts a crash; own says that this host saw it. It returns the requests that are held
 // by it. One run counts once for a request, however many hosts and copies tell of it.
-func (t *Table) RecordCrash(c Crash, own bool) []Digest {
+func (t *Table) RecordCrash(c Crash, local bool) []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	t.expire(now)
-	e := t.endedRun(c.Run, now)
+	crashed := t.crashedRun(c.Run, now)
 	for _, s := range c.Suspects {
-		t.expose(e, c, s, own, now)
+		t.recordSuspect(crashed, c, s, local, now)
 	}
-	return t.decide(c, e, now)
+	return t.holdSuspects(c, crashed, now)
 }
 
-// expose counts a crash for one request; t.mu is held.
-func (t *Table) expose(e *ended, c Crash, s Suspect, own bool, now time.Time) {
+// recordSuspect counts a crash for one request; t.mu is held.
+func (t *Table) recordSuspect(crashed *crashedRun, c Crash, s Suspect, local bool, now time.Time) {
 	// What an answer has cleared isn't counted again because another host tells it late.
-	if t.cleared(s.Digest, c.Run) && !s.SentAt.After(e.at.Add(runSlack)) {
+	if t.isCleared(s.Digest, c.Run) && !s.SentAt.After(crashed.createdAt.Add(runEndSlack)) {
 		return
 	}
 	r := t.records[s.Digest]
 	if r == nil {
-		r = t.newRecord(s.Digest, now)
+		r = t.addRecord(s.Digest, now)
 	}
-	r.own = r.own || own
-	if i := r.last(c.Run); i >= 0 && !s.SentAt.After(r.crashes[i].at.Add(runSlack)) {
-		r.crashes[i].settled = r.crashes[i].settled && s.LongRunning
-		r.crashes[i].proven = r.crashes[i].proven || s.AnsweredBefore
+	r.local = r.local || local
+	if i := r.lastCrashOf(c.Run); i >= 0 && !s.SentAt.After(r.crashes[i].at.Add(runEndSlack)) {
+		r.crashes[i].longRunning = r.crashes[i].longRunning && s.LongRunning
+		r.crashes[i].answeredBefore = r.crashes[i].answeredBefore || s.AnsweredBefore
 		return
 	}
-	if len(r.crashes) < mostEvidence && !(s.AnsweredBefore && r.sameMoment(now)) {
-		seen := Evidence{Runner: c.Run.Name, Born: c.Run.Born, RequestID: s.RequestID, Host: c.Host, At: c.At}
-		r.crashes = append(r.crashes, exposure{Evidence: seen, settled: s.LongRunning, proven: s.AnsweredBefore, at: now})
+	if len(r.crashes) < maxEvidence && !(s.AnsweredBefore && r.inCurrentBurst(now)) {
+		evidence := Evidence{Runner: c.Run.Name, Born: c.Run.Born, RequestID: s.RequestID, Host: c.Host, At: c.At}
+		r.crashes = append(r.crashes, recordedCrash{Evidence: evidence, longRunning: s.LongRunning, answeredBefore: s.AnsweredBefore, at: now})
 	}
-	e.suspects = append(e.suspects, s.Digest)
+	crashed.suspects = append(crashed.suspects, s.Digest)
 }
 
-// decide holds the requests against which enough speaks after a crash; t.mu is held.
-func (t *Table) decide(c Crash, e *ended, now time.Time) []Digest {
-	var found []Digest
+// holdSuspects holds the requests against which enough speaks after a crash; t.mu is held.
+func (t *Table) holdSuspects(c Crash, crashed *crashedRun, now time.Time) []Digest {
+	var held []Digest
 	for _, s := range c.Suspects {
 		r := t.records[s.Digest]
 		switch {
 		case t.Held(s.Digest) != nil:
-			e.blame(s.Digest)
-		case r != nil && t.enough(s.Digest, r):
-			if !slices.Contains(found, s.Digest) {
-				found = append(found, s.Digest)
+			crashed.addHeldSuspect(s.Digest)
+		case r != nil && t.mustHold(s.Digest, r):
+			if !slices.Contains(held, s.Digest) {
+				held = append(held, s.Digest)
 			}
 		}
 	}
-	for _, d := range found {
-		t.hold(d, t.records[d].evidence(), now)
+	for _, d := range held {
+		t.addHold(d, t.records[d].evidence(), now)
 	}
-	return found
+	return held
 }
 
-// enough reports whether enough speaks against a request: the crashes that no other explains,
+// mustHold reports whether mustHold speaks against a request: the crashes that no other explains,
 // twice as many that others do, a further one if it was let go before, or all of them if it was
 // at all those of one that is held and at more, which was the bystander then. t.mu is held.
-func (t *Table) enough(d Digest, r *record) bool {
-	alone, total := t.weigh(d, r)
-	if alone >= holdWeight || total >= sharedHoldWeight || (r.released && alone > 0) || (r.letGo > 0 && len(r.crashes) > r.letGo) {
+func (t *Table) mustHold(d Digest, r *record) bool {
+	unexplained, total := t.weigh(d, r)
+	if unexplained >= holdThreshold || total >= explainedHoldThreshold || (r.released && unexplained > 0) || (r.crashesAtRelease > 0 && len(r.crashes) > r.crashesAtRelease) {
 		return true
 	}
-	if total < holdWeight || alone == 0 {
+	if total < holdThreshold || unexplained == 0 {
 		return false
 	}
 	for other := range *t.held.Load() {
-		if bystander := t.records[other]; other != d && bystander != nil && r.outdoes(bystander.runs()) {
+		if bystander := t.records[other]; other != d && bystander != nil && r.strictlyCovers(bystander.runs()) {
 			return true
 		}
 	}
@@ -175,86 +175,86 @@
 
 // weigh tells how much speaks against a request: alone counts the crashes that no other explains.
 // The others are never forgotten: who is held first may have been a bystander. t.mu is held.
-func (t *Table) weigh(d Digest, r *record) (alone, total int) {
-	for _, x := range r.crashes {
-		total += x.weight()
-		if !t.runs[x.run()].explained(d) {
-			alone += x.weight()
+func (t *Table) weigh(d Digest, r *record) (unexplained, total int) {
+	for _, c := range r.crashes {
+		total += c.weight()
+		if !t.runs[c.run()].explainedByOther(d) {
+			unexplained += c.weight()
 		}
 	}
-	return alone, total
+	return unexplained, total
 }
 
 // Review lets the requests go that a held one outdoes, and holds those for whose crashes nobody
 // else is held any more. It returns both. Holding is done at once otherwise, as it protects
 // runners; letting go waits until all hosts can have told of the crashes.
-func (t *Table) Review() (letGo, found []Digest) {
+func (t *Table) Review() (released, held []Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	now := t.clock.Now()
 	for d := range *t.held.Load() {
 		bystander := t.records[d]
-		if bystander == nil || !t.outdone(d, bystander.runs(), now.Add(-toldWithin)) {
+		if bystander == nil || !t.coveredByHeld(d, bystander.runs(), now.Add(-reportWindow)) {
 			continue
 		}
-		t.unhold(d)
-		letGo = append(letGo, d)
-		bystander.letGo = len(bystander.crashes)
+		t.removeHold(d)
+		released = append(released, d)
+		bystander.crashesAtRelease = len(bystander.crashes)
 	}
-	if !t.unblamed {
-		return letGo, nil
+	if !t.reviewPending {
+		return released, nil
 	}
-	t.unblamed = false
+	t.reviewPending = false
 	for d, r := range t.records {
-		if t.Held(d) == nil && t.enough(d, r) {
-			t.hold(d, r.evidence(), now)
-			found = append(found, d)
+		if t.Held(d) == nil && t.mustHold(d, r) {
+			t.addHold(d, r.evidence(), now)
+			held = append(held, d)
 		}
 	}
-	return letGo, found
+	return released, held
 }
 
-// outdone reports whether a request that is held was at all these crashes and at more, with none
+// coveredByHeld reports whether a request that is held was at all these crashes and at more, with none
 // of its own or theirs newer than known; t.mu is held.
-func (t *Table) outdone(d Digest, runs []state.InstanceID, known time.Time) bool {
+func (t *Table) coveredByHeld(d Digest, runs []state.InstanceID, before time.Time) bool {
 	for other := range *t.held.Load() {
 		r := t.records[other]
-		if other != d && r != nil && r.outdoes(runs) && r.crashes[len(r.crashes)-1].at.Before(known) {
+		if other != d && r != nil && r.strictlyCovers(runs) && r.crashes[len(r.crashes)-1].at.Before(before) {
 			return true
 		}
 	}
 	return false
 }
 
-// newRecord begins to remember a request; t.mu is held.
-func (t *Table) newRecord(d Digest, now time.Time) *record {
-	r := &record{at: now}
+// addRecord begins to remember a request; t.mu is held.
+func (t *Table) addRecord(d Digest, now time.Time) *record {
+	r := &record{createdAt: now}
 	t.records[d] = r
-	t.queue = append(t.queue, queued[Digest]{d, now})
+	t.recordQueue = append(t.recordQueue, queued[Digest]{d, now})
 	t.suspected.Store(int64(len(t.records)))
 	return r
 }
 
-// endedRun is what is known of a run that crashed; t.mu is held.
-func (t *Table) endedRun(id state.InstanceID, now time.Time) *ended {
-	e := t.runs[id]
-	if e == nil {
-		e = &ended{at: now}
-		t.runs[id] = e
+// crashedRun is what is known of a run that crashed; t.mu is held.
+func (t *Table) crashedRun(id state.InstanceID, now time.Time) *crashedRun {
+	run := t.runs[id]
+	if run == nil {
+		run = &crashedRun{createdAt: now}
+		t.runs[id] = run
 		t.runQueue = append(t.runQueue, queued[state.InstanceID]{id, now})
 	}
-	return e
+	return run
 }
 
 // expire drops what is too old or too much; t.mu is held.
 func (t *Table) expire(now time.Time) {
-	for len(t.queue) > 0 && (now.Sub(t.queue[0].at) > rememberFor || len(t.queue) > mostSuspects) {
-		if r := t.records[t.queue[0].key]; r != nil && r.at.Equal(t.queue[0].at) {
-			delete(t.records, t.queue[0].key)
+	for len(t.recordQueue) > 0 && (now.Sub(t.recordQueue[0].at) > recordTTL || len(t.recordQueue) > maxRecords) {
+		if r := t.records[t.recordQueue[0].key]; r != nil && r.createdAt.Equal(t.recordQueue[0].at) {
+			delete(t.records, t.recordQueue[0].key)
 		}
-		t.queue = t.queue[1:]
+		t.recordQueue = t.recordQueue[1:]
 	}
-	for len(t.runQueue) > 0 && (now.Sub(t.runQueue[0].at) > rememberFor || len(t.runQueue) > mostSuspects) {
+	for len(t.runQueue) > 0 && (now.Sub(t.runQueue[0].at) > recordTTL || len(t.runQueue) > maxRecords) {
 		delete(t.runs, t.runQueue[0].key)
 		t.runQueue = t.runQueue[1:]
 	}
--- a/coordination/quarantine/table_test.go
+++ b/coordination/quarantine/table_test.go
@@ -39,7 +39,7 @@
 func crashes(t *Table, of ...[]Suspect) (held []Digest) {
 	for n, suspects := range of {
 		held = append(held, t.RecordCrash(crashOf(n, suspects...), true)...)
-		time.Sleep(moment)
+		time.Sleep(burstWindow)
 	}
 	return held
 }
@@ -98,14 +98,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		for n := range 3 * mostEvidence {
+		for n := range 3 * maxEvidence {
 			is.Equal(len(table.RecordCrash(crashOf(n, proved(1)), true)), 0)
 		}
 		for n := 100; n < 102; n++ {
-			time.Sleep(moment)
+			time.Sleep(burstWindow)
 			is.Equal(len(table.RecordCrash(crashOf(n, proved(1)), true)), 0)
 		}
-		time.Sleep(moment)
+		time.Sleep(burstWindow)
 		is.Equal(table.RecordCrash(crashOf(102, proved(1)), true), []Digest{digest(1)})
 	})
 }
@@ -118,7 +118,7 @@
 		for n := range 50 {
 			is.Equal(len(table.RecordCrash(crashOf(n, proved(1)), false)), 0)
 		}
-		time.Sleep(moment)
+		time.Sleep(burstWindow)
 		suspected, held := table.ReportAnswered(digest(1)) // by a runner that is left
 		is.True(suspected && !held)
 		for n := range 50 {
@@ -178,18 +178,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		for n := range mostSuspects + 100 {
+		for n := range maxRecords + 100 {
 			table.RecordCrash(crashOf(n, fresh(n)), false)
 		}
-		is.True(len(table.records) <= mostSuspects+1)
-		is.True(len(table.runs) <= mostSuspects+1)
-		for n := range mostHeld + 10 {
+		is.True(len(table.records) <= maxRecords+1)
+		is.True(len(table.runs) <= maxRecords+1)
+		for n := range maxHeld + 10 {
 			table.Hold(digest(-1-n), nil)
 			time.Sleep(time.Millisecond)
 		}
-		is.Equal(len(table.Holds()), mostHeld)
+		is.Equal(len(table.Holds()), maxHeld)
 		is.True(table.Held(digest(-1)) == nil) // the oldest went
-		time.Sleep(rememberFor + time.Second)
+		time.Sleep(recordTTL + time.Second)
 		table.RecordCrash(crashOf(1, fresh(0)), false)
 		is.Equal(len(table.records), 1)
 		is.Equal(len(table.runs), 1)
