--- a/coordination/quarantine/bystander_test.go
+++ b/coordination/quarantine/bystander_test.go
@@ -47,7 +47,7 @@
 	add()
 }
 
-func TestBystanderHidesNobody(t *testing.T) {
+func TestBystanderDoesNotHideCulprit(t *testing.T) {
 	const bystander, culprit = 1, 2
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -91,33 +91,33 @@
 
 // engineRun is one engine; its present run has the number run and begins at upAt.
 type engineRun struct {
-	run  int
-	upAt time.Time
-	here []*work
+	run     int
+	upAt    time.Time
+	running []*attempt
 }
 
 func (e *engineRun) up() bool { return !time.Now().Before(e.upAt) }
 
-// work is a request at an engine.
-type work struct {
+// attempt is a request at an engine.
+type attempt struct {
 	host    *host
 	suspect Suspect
-	// tries are how often it is sent again.
-	tries int
-	at    *engineRun
+	// retries are how often it is sent again.
+	retries int
+	engine  *engineRun
 }
 
 type culprit struct {
-	suspect        Suspect
-	ends, arrivals []time.Time
+	suspect           Suspect
+	crashes, arrivals []time.Time
 }
 
 const (
-	// lifeUnder is how long an engine lives under a request that ends it, runTime how long
+	// timeToCrash is how long an engine lives under a request that ends it, runTime how long
 	// other requests run and backAfter when an engine is there again.
-	lifeUnder = 80 * time.Millisecond
-	runTime   = 150 * time.Millisecond
-	backAfter = 3 * time.Second
+	timeToCrash = 80 * time.Millisecond
+	answerTime  = 150 * time.Millisecond
+	restartTime = 3 * time.Second
 )
 
 func newOutbreak(t *testing.T, rng *rand.Rand, engines, culprits int) *outbreak {
@@ -133,34 +133,34 @@
 }
 
 // send sends a request from a host to any engine that is up; it is lost if there is none.
-func (o *outbreak) send(w *work) {
+func (o *outbreak) send(a *attempt) {
 	var up []*engineRun
 	for _, e := range o.engines {
 		if e.up() {
 			up = append(up, e)
 		}
 	}
-	if len(up) == 0 || w.host.Held(w.suspect.Digest) != nil {
+	if len(up) == 0 || a.host.Held(a.suspect.Digest) != nil {
 		return
 	}
-	w.at = up[o.rng.IntN(len(up))]
-	w.suspect.SentAt = time.Now()
-	w.at.here = append(w.at.here, w)
+	a.engine = up[o.rng.IntN(len(up))]
+	a.suspect.SentAt = time.Now()
+	a.engine.running = append(a.engine.running, a)
 	for _, c := range o.culprits {
-		if c.suspect.Digest == w.suspect.Digest {
+		if c.suspect.Digest == a.suspect.Digest {
 			c.arrivals = append(c.arrivals, time.Now())
 		}
 	}
 }
 
-// end ends an engine: each host tells what it had there, and sends it again.
-func (o *outbreak) end(e *engineRun) {
-	e.upAt = time.Now().Add(backAfter)
-	here := e.here
-	e.here = nil
+// crash ends an engine: each host tells what it had there, and sends it again.
+func (o *outbreak) crash(e *engineRun) {
+	e.upAt = time.Now().Add(restartTime)
+	running := e.running
+	e.running = nil
 	byHost := map[*host][]Suspect{}
-	for _, w := range here {
-		byHost[w.host] = append(byHost[w.host], w.suspect)
+	for _, a := range running {
+		byHost[a.host] = append(byHost[a.host], a.suspect)
 	}
 	ended := e.run
 	for _, h := range o.hosts {
@@ -169,28 +169,28 @@
 			time.AfterFunc(time.Duration(o.rng.IntN(30))*time.Millisecond, func() { h.ReportCrash(run(ended), time.Now(), suspects) })
 		}
 	}
-	for _, w := range here {
-		if w.tries > 0 {
-			w.tries--
-			o.send(w)
+	for _, a := range running {
+		if a.retries > 0 {
+			a.retries--
+			o.send(a)
 		}
 	}
 	o.runs++
 	e.run = o.runs
 }
 
-// play lets others come, some a second, and culprits, each some times a second.
-func (o *outbreak) play(long time.Duration, others, copies float64) {
+// run lets others come, some a second, and culprits, each some times a second.
+func (o *outbreak) run(duration time.Duration, others, copies float64) {
 	const step = 5 * time.Millisecond
 	chance := func(perSecond float64) bool { return o.rng.Float64() < perSecond*step.Seconds() }
-	for end := time.Now().Add(long); time.Now().Before(end); time.Sleep(step) {
+	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(step) {
 		if chance(others) {
 			o.others++
-			o.send(&work{host: o.hosts[o.rng.IntN(len(o.hosts))], suspect: fresh(o.others), tries: 2})
+			o.send(&attempt{host: o.hosts[o.rng.IntN(len(o.hosts))], suspect: fresh(o.others), retries: 2})
 		}
 		for _, c := range o.culprits {
 			if chance(copies) {
-				o.send(&work{host: o.hosts[o.rng.IntN(len(o.hosts))], suspect: c.suspect, tries: 1})
+				o.send(&attempt{host: o.hosts[o.rng.IntN(len(o.hosts))], suspect: c.suspect, retries: 1})
 			}
 		}
 		o.step()
@@ -202,36 +202,36 @@
 	now := time.Now()
 	for _, e := range o.engines {
 		for _, c := range o.culprits {
-			if e.up() && slices.ContainsFunc(e.here, func(w *work) bool {
-				return w.suspect.Digest == c.suspect.Digest && now.Sub(w.suspect.SentAt) >= lifeUnder
+			if e.up() && slices.ContainsFunc(e.running, func(a *attempt) bool {
+				return a.suspect.Digest == c.suspect.Digest && now.Sub(a.suspect.SentAt) >= timeToCrash
 			}) {
-				c.ends = append(c.ends, now)
-				o.end(e)
+				c.crashes = append(c.crashes, now)
+				o.crash(e)
 			}
 		}
 		if !e.up() {
 			continue
 		}
-		e.here = slices.DeleteFunc(e.here, func(w *work) bool {
-			done := now.Sub(w.suspect.SentAt) >= runTime
+		e.running = slices.DeleteFunc(e.running, func(a *attempt) bool {
+			done := now.Sub(a.suspect.SentAt) >= answerTime
 			if done {
 				o.answered++
-				w.host.ReportAnswered(w.suspect.Digest)
+				a.host.ReportAnswered(a.suspect.Digest)
 			}
 			return done
 		})
 	}
 }
 
-// late counts the copies of a request that were sent later than the time in which all must know
+// lateSends counts the copies of a request that were sent later than the time in which all must know
 // of its third runner.
-func (c *culprit) late() int {
-	if len(c.ends) < 3 {
+func (c *culprit) lateSends() int {
+	if len(c.crashes) < 3 {
 		return 0
 	}
 	n := 0
 	for _, at := range c.arrivals {
-		if at.After(c.ends[2].Add(contact)) {
+		if at.After(c.crashes[2].Add(convergenceTime)) {
 			n++
 		}
 	}
@@ -250,10 +250,10 @@
 		var problems []string
 		synctest.Test(t, func(t *testing.T) {
 			o := newOutbreak(t, rand.New(rand.NewPCG(seed, 38)), engines, culprits)
-			o.play(20*time.Second, others, copies)
+			o.run(20*time.Second, others, copies)
 			for n, c := range o.culprits {
-				if c.late() > mostLate {
-					problems = append(problems, fmt.Sprintf("request %d ended %d runners and was sent %d times too late", n, len(c.ends), c.late()))
+				if c.lateSends() > maxLateSends {
+					problems = append(problems, fmt.Sprintf("request %d ended %d runners and was sent %d times too late", n, len(c.crashes), c.lateSends()))
 				}
 			}
 			for _, h := range o.hosts {
@@ -273,10 +273,10 @@
 	for seed := range uint64(100) {
 		synctest.Test(t, func(t *testing.T) {
 			o := newOutbreak(t, rand.New(rand.NewPCG(seed, 38)), 4, 4)
-			o.play(15*time.Second, 50, 8)
+			o.run(15*time.Second, 50, 8)
 			for n, c := range o.culprits {
-				if c.late() > mostLate {
-					t.Errorf("seed %d: request %d ended %d runners and was sent %d times too late", seed, n, len(c.ends), c.late())
+				if c.lateSends() > maxLateSends {
+					t.Errorf("seed %d: request %d ended %d runners and was sent %d times too late", seed, n, len(c.crashes), c.lateSends())
 				}
 			}
 			for _, h := range o.hosts {
@@ -287,12 +287,12 @@
 }
 
 // A request that drops out of the list as too many are held hides no other any more.
-func TestRequestThatIsHeldNoMoreHidesNobody(t *testing.T) {
+func TestEvictedHoldNoLongerExplainsCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		const first, other = 1, 2
-		is.Equal(crashes(table, []Suspect{fresh(first)}, []Suspect{fresh(first), fresh(other)}), []Digest{digest(first)})
+		is.Equal(recordCrashes(table, []Suspect{fresh(first)}, []Suspect{fresh(first), fresh(other)}), []Digest{digest(first)})
 		for n := range maxHeld {
 			time.Sleep(time.Millisecond)
 			is.True(table.Hold(digest(100+n), nil))
--- a/coordination/quarantine/digest_test.go
+++ b/coordination/quarantine/digest_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestDigestIsThatOfTheContent(t *testing.T) {
+func TestDigestDependsOnEachPartOfContent(t *testing.T) {
 	is := is.New(t)
 	c := Content{Caller: "key", Method: "POST", Host: "h", URI: "/a/b", Body: []byte("body")}
 	same := c
@@ -30,14 +30,14 @@
 	}
 }
 
-func TestDigestIsReadBack(t *testing.T) {
+func TestParseDigestReadsString(t *testing.T) {
 	is := is.New(t)
 	d := DigestOf(Content{URI: "/a"})
 	got, err := ParseDigest(d.String())
 	is.NoErr(err)
 	is.Equal(got, d)
-	for _, wrong := range []string{"", "zz", d.String()[2:], d.String() + "00"} {
-		_, err := ParseDigest(wrong)
+	for _, invalid := range []string{"", "zz", d.String()[2:], d.String() + "00"} {
+		_, err := ParseDigest(invalid)
 		is.True(err != nil)
 	}
 }
--- a/coordination/quarantine/registry_test.go
+++ b/coordination/quarantine/registry_test.go
@@ -17,8 +17,8 @@
 	"github.com/thymerack/thymerack/coordination/store/storetest"
 )
 
-// noticeTime is the way of a notice.
-const noticeTime = 5 * time.Millisecond
+// noticeDelay is the way of a notice.
+const noticeDelay = 5 * time.Millisecond
 
 // fleet is hosts with a store and notices between them.
 type fleet struct {
@@ -29,13 +29,13 @@
 	mu sync.Mutex
 	// cut hosts hear no other and aren't heard, unreachable ones don't reach the store.
 	cut, unreachable map[string]bool
-	// slow is how long the store takes for a write, and slowAnswer how long the answer of one
+	// writeDelay is how long the store takes for a write, and answerDelay how long the answer of one
 	// that has taken effect is on its way.
-	slow, slowAnswer time.Duration
-	// slowFor is the host whose writes are slow, "" for all.
-	slowFor string
+	writeDelay, answerDelay time.Duration
+	// slowHost is the host whose writes are slow, "" for all.
+	slowHost string
 
-	writes, follows int
+	writes, followers int
 }
 
 type host struct {
@@ -46,9 +46,9 @@
 
 func newFleet(t *testing.T, hosts int) *fleet {
 	t.Helper()
-	f := &fleet{t: t, store: storetest.NewPlatform(20 * time.Second), cut: map[string]bool{}, unreachable: map[string]bool{}, follows: hosts}
+	f := &fleet{t: t, store: storetest.NewPlatform(20 * time.Second), cut: map[string]bool{}, unreachable: map[string]bool{}, followers: hosts}
 	f.store.SetScript(func(c storetest.Call) storetest.Fault {
-		time.Sleep(f.storeDelay(c))
+		time.Sleep(f.delayOf(c))
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if c.Op == "put" || c.Op == "delete" {
@@ -76,7 +76,7 @@
 	client := f.store.Client(name)
 	var err error
 	h.Registry, err = New(Options{
-		Host: name, Table: NewTable(clocktest.Bubble{}), Store: lateAnswers{client, f}, FollowsStore: func() bool { return f.follow(rank) },
+		Host: name, Table: NewTable(clocktest.Bubble{}), Store: delayedAnswers{client, f}, FollowsStore: func() bool { return f.isFollower(rank) },
 		Publish: func(n Notice) { f.publish(h, n) }, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
@@ -93,35 +93,35 @@
 	return h
 }
 
-func (f *fleet) storeDelay(c storetest.Call) time.Duration {
+func (f *fleet) delayOf(c storetest.Call) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if c.Op != "put" || (f.slowFor != "" && f.slowFor != c.Caller) {
+	if c.Op != "put" || (f.slowHost != "" && f.slowHost != c.Caller) {
 		return 0
 	}
-	return f.slow
+	return f.writeDelay
 }
 
-// lateAnswers is a store whose answers to writes are on their way for some time.
-type lateAnswers struct {
+// delayedAnswers is a store whose answers to writes are on their way for some time.
+type delayedAnswers struct {
 	store.Store
 	f *fleet
 }
 
-func (s lateAnswers) Put(ctx context.Context, kind, name string, ifVersion uint64, value []byte) (uint64, error) {
+func (s delayedAnswers) Put(ctx context.Context, kind, name string, ifVersion uint64, value []byte) (uint64, error) {
 	version, err := s.Store.Put(ctx, kind, name, ifVersion, value)
 	s.f.mu.Lock()
-	delay := s.f.slowAnswer
+	delay := s.f.answerDelay
 	s.f.mu.Unlock()
 	time.Sleep(delay)
 	return version, err
 }
 
-// follow reports whether hosts of that rank follow the store.
-func (f *fleet) follow(rank int) bool {
+// isFollower reports whether hosts of that rank isFollower the store.
+func (f *fleet) isFollower(rank int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return rank < f.follows
+	return rank < f.followers
 }
 
 // publish brings a notice to its own host at once and to the others that hear it.
@@ -131,7 +131,7 @@
 	defer f.mu.Unlock()
 	for _, to := range f.hosts {
 		if to != from && !f.cut[from.name] && !f.cut[to.name] {
-			time.AfterFunc(noticeTime, func() { to.Receive(n) })
+			time.AfterFunc(noticeDelay, func() { to.Receive(n) })
 		}
 	}
 }
@@ -146,14 +146,14 @@
 	time.Sleep(10 * time.Millisecond)
 }
 
-// crash lets a host see a run end under requests that had just been sent.
-func (f *fleet) crash(host, n int, suspects ...Suspect) {
-	f.note(host, n, suspects...)
+// crashAndWait lets a host see a run end under requests that had just been sent.
+func (f *fleet) crashAndWait(host, n int, suspects ...Suspect) {
+	f.reportCrash(host, n, suspects...)
 	time.Sleep(time.Second)
 }
 
-// note is crash without a pause after it.
-func (f *fleet) note(host, n int, suspects ...Suspect) {
+// reportCrash is crash without a pause after it.
+func (f *fleet) reportCrash(host, n int, suspects ...Suspect) {
 	for i := range suspects {
 		if suspects[i].SentAt.IsZero() {
 			suspects[i].SentAt = time.Now()
@@ -178,8 +178,8 @@
 	}
 }
 
-// holders counts the hosts that hold a request.
-func (f *fleet) holders(d Digest) int {
+// holderCount counts the hosts that hold a request.
+func (f *fleet) holderCount(d Digest) int {
 	n := 0
 	for _, h := range f.hosts {
 		if h.Held(d) != nil {
@@ -198,8 +198,8 @@
 	return e, err == nil
 }
 
-// play runs a scenario with so many hosts in a bubble of its own.
-func play(t *testing.T, hosts int, scenario func(is *is.I, f *fleet)) {
+// runFleet runs a scenario with so many hosts in a bubble of its own.
+func runFleet(t *testing.T, hosts int, scenario func(is *is.I, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, hosts)
@@ -214,50 +214,50 @@
 	})
 }
 
-func TestAllHostsHoldARequestAfterItsSecondCrash(t *testing.T) {
-	play(t, 300, func(is *is.I, f *fleet) {
+func TestSecondCrashHoldsRequestAtAllHosts(t *testing.T) {
+	runFleet(t, 300, func(is *is.I, f *fleet) {
 		f.mu.Lock()
-		f.follows = 10
+		f.followers = 10
 		f.mu.Unlock()
-		f.crash(1, 1, fresh(1), fresh(2))
+		f.crashAndWait(1, 1, fresh(1), fresh(2))
 		is.Equal(f.written(), 0) // an ordinary crash costs the store nothing
-		f.crash(200, 2, fresh(1), fresh(3))
-		is.Equal(f.holders(digest(1)), 300)
-		is.Equal(f.holders(digest(2))+f.holders(digest(3)), 0)
+		f.crashAndWait(200, 2, fresh(1), fresh(3))
+		is.Equal(f.holderCount(digest(1)), 300)
+		is.Equal(f.holderCount(digest(2))+f.holderCount(digest(3)), 0)
 		is.True(f.written() <= 2) // the two hosts that saw a crash
-		e, there := f.entry(digest(1))
-		is.True(there)
+		e, found := f.entry(digest(1))
+		is.True(found)
 		is.Equal(len(e.Evidence), 2)
 		is.Equal(e.Evidence[0].RequestID, "q1")
 		is.Equal(e.Evidence[0].Host, "h1")
 	})
 }
 
-func TestHeldRequestStaysHeldWhateverHappensToHosts(t *testing.T) {
+func TestHoldSurvivesRestartsAndPartitions(t *testing.T) {
 	for name, scenario := range map[string]func(f *fleet){
 		"all hosts restart": func(f *fleet) {
-			f.crash(0, 1, fresh(1))
-			f.crash(1, 2, fresh(1))
+			f.crashAndWait(0, 1, fresh(1))
+			f.crashAndWait(1, 2, fresh(1))
 			for n := range f.hosts {
 				f.restart(n)
 			}
 		},
 		"one is cut off from the others": func(f *fleet) {
 			f.set(f.cut, true, 3)
-			f.crash(0, 1, fresh(1))
-			f.crash(1, 2, fresh(1))
+			f.crashAndWait(0, 1, fresh(1))
+			f.crashAndWait(1, 2, fresh(1))
 		},
 		"each half of the hosts is cut off from the other": func(f *fleet) {
 			f.set(f.cut, true, 3) // the halves are one host and the others
-			f.crash(0, 1, fresh(1))
-			f.crash(3, 2, fresh(1)) // neither knows of two
-			f.crash(0, 3, fresh(1))
+			f.crashAndWait(0, 1, fresh(1))
+			f.crashAndWait(3, 2, fresh(1)) // neither knows of two
+			f.crashAndWait(0, 3, fresh(1))
 		},
 		"the store is away": func(f *fleet) {
 			f.set(f.unreachable, true, 0, 1, 2, 3, 4)
-			f.crash(0, 1, fresh(1))
-			f.crash(1, 2, fresh(1))
-			if f.holders(digest(1)) != 5 {
+			f.crashAndWait(0, 1, fresh(1))
+			f.crashAndWait(1, 2, fresh(1))
+			if f.holderCount(digest(1)) != 5 {
 				f.t.Error("not held while the store is away")
 			}
 			f.set(f.unreachable, false, 0, 1, 2, 3, 4)
@@ -266,58 +266,58 @@
 		},
 		"those that saw it are killed before they can write": func(f *fleet) {
 			f.set(f.unreachable, true, 0, 1)
-			f.crash(0, 1, fresh(1))
-			f.crash(1, 2, fresh(1))
+			f.crashAndWait(0, 1, fresh(1))
+			f.crashAndWait(1, 2, fresh(1))
 			time.Sleep(takeoverDelay)
 			f.set(f.unreachable, false, 0, 1)
 			f.restart(0)
 			f.restart(1)
 		},
 		"the first that saw it restarts": func(f *fleet) {
-			f.crash(0, 1, fresh(1))
+			f.crashAndWait(0, 1, fresh(1))
 			f.restart(0)
-			f.crash(0, 2, fresh(1)) // it has forgotten the first; the others haven't
+			f.crashAndWait(0, 2, fresh(1)) // it has forgotten the first; the others haven't
 			time.Sleep(takeoverDelay + reviewInterval)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 5, func(is *is.I, f *fleet) {
+			runFleet(t, 5, func(is *is.I, f *fleet) {
 				scenario(f)
 				time.Sleep(50 * time.Millisecond)
-				is.Equal(f.holders(digest(1)), 5)
-				_, there := f.entry(digest(1))
-				is.True(there)
+				is.Equal(f.holderCount(digest(1)), 5)
+				_, found := f.entry(digest(1))
+				is.True(found)
 			})
 		})
 	}
 }
 
 // What hosts tell each other doesn't wait for a store that hangs.
-func TestCrashesAreToldWhileTheStoreHangs(t *testing.T) {
-	play(t, 5, func(is *is.I, f *fleet) {
+func TestNoticesDoNotWaitForTheStore(t *testing.T) {
+	runFleet(t, 5, func(is *is.I, f *fleet) {
 		f.mu.Lock()
-		f.slow = time.Minute
+		f.writeDelay = time.Minute
 		f.mu.Unlock()
-		f.crash(0, 1, fresh(1))
-		f.crash(0, 2, fresh(1)) // the host begins to write what it holds
-		is.Equal(f.holders(digest(1)), 5)
-		f.note(0, 3, fresh(2))
-		f.note(0, 4, fresh(2))
+		f.crashAndWait(0, 1, fresh(1))
+		f.crashAndWait(0, 2, fresh(1)) // the host begins to write what it holds
+		is.Equal(f.holderCount(digest(1)), 5)
+		f.reportCrash(0, 3, fresh(2))
+		f.reportCrash(0, 4, fresh(2))
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(f.holders(digest(2)), 5)
+		is.Equal(f.holderCount(digest(2)), 5)
 		time.Sleep(10 * time.Minute) // the store's answers come in the end
 	})
 }
 
-func TestEntriesOfOthersAreLeftAlone(t *testing.T) {
-	play(t, 3, func(is *is.I, f *fleet) {
+func TestUnreadableEntriesAreIgnored(t *testing.T) {
+	runFleet(t, 3, func(is *is.I, f *fleet) {
 		operator := f.store.Client("operator")
 		for name, value := range map[string]string{"nonsense": "{}", digest(1).String(): "[", digest(2).String(): `{"evidence":[{"runner":"x"}],"times":1}`} {
 			_, err := operator.Put(t.Context(), Kind, name, store.Absent, []byte(value))
 			is.NoErr(err)
 		}
 		time.Sleep(reviewInterval)
-		is.Equal(f.holders(digest(1)), 0)
-		is.Equal(f.holders(digest(2)), 3) // an operator may hold a request by hand
+		is.Equal(f.holderCount(digest(1)), 0)
+		is.Equal(f.holderCount(digest(2)), 3) // an operator may hold a request by hand
 	})
 }
--- a/coordination/quarantine/release_fuzz_test.go
+++ b/coordination/quarantine/release_fuzz_test.go
@@ -9,50 +9,50 @@
 	"pgregory.net/rapid"
 )
 
-// release is one thing that happens to requests, a pause after the one before.
-type release struct {
-	what    string
+// releaseStep is one thing that happens to requests, a pause after the one before.
+type releaseStep struct {
+	action  string
 	request int
 	host    int
 	pause   time.Duration
 }
 
-func releases(rt *rapid.T, hosts, requests int) []release {
-	what := rapid.SampledFrom([]string{"crash", "crash", "answer", "lift", "restart", "cut", "heal", "slow store", "late answers", "sound store"})
-	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) release {
-		return release{
-			what: what.Draw(rt, "what"), request: rapid.IntRange(0, requests-1).Draw(rt, "request"), host: rapid.IntRange(0, hosts-1).Draw(rt, "host"),
+func drawReleaseSteps(rt *rapid.T, hosts, requests int) []releaseStep {
+	action := rapid.SampledFrom([]string{"crash", "crash", "answer", "lift", "restart", "cut", "heal", "slow store", "late answers", "sound store"})
+	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) releaseStep {
+		return releaseStep{
+			action: action.Draw(rt, "what"), request: rapid.IntRange(0, requests-1).Draw(rt, "request"), host: rapid.IntRange(0, hosts-1).Draw(rt, "host"),
 			pause: time.Duration(rapid.IntRange(0, 3000).Draw(rt, "pause")) * time.Millisecond,
 		}
 	}), 5, 60).Draw(rt, "steps")
 }
 
-// releasing plays releases and knows which requests were let go after their last crash.
-type releasing struct {
+// releaseTrial plays releases and knows which requests were let go after their last crash.
+type releaseTrial struct {
 	*fleet
-	runs  int
-	freed map[int]bool
+	runs     int
+	released map[int]bool
 	// answers and crashes are the last of each request. What only a host knew that was killed
 	// or cut off before it could tell is lost with it, or can't be compared by others.
-	answers, crashes map[int]event
+	answers, crashes map[int]hostEvent
 }
 
-// event is what a host has had.
-type event struct {
+// hostEvent is what a host has had.
+type hostEvent struct {
 	host int
 	at   time.Time
 	// lost says that the others weren't told.
 	lost bool
 }
 
-// tellFor is how long a host takes to tell of an event at most, and the store to be told.
-const tellFor = 3 * reviewInterval
+// reportTime is how long a host takes to tell of an event at most, and the store to be told.
+const reportTime = 3 * reviewInterval
 
-// lose marks the events that a host can't have told yet.
-func (tr *releasing) lose(host int) {
-	for _, events := range []map[int]event{tr.answers, tr.crashes} {
+// markLost marks the events that a host can't have told yet.
+func (tr *releaseTrial) markLost(host int) {
+	for _, events := range []map[int]hostEvent{tr.answers, tr.crashes} {
 		for n, e := range events {
-			if e.host == host && time.Since(e.at) < tellFor {
+			if e.host == host && time.Since(e.at) < reportTime {
 				e.lost = true
 				events[n] = e
 			}
@@ -60,74 +60,74 @@
 	}
 }
 
-// event is what a host has at this moment.
-func (tr *releasing) event(host int) event {
-	return event{host: host, at: time.Now(), lost: tr.cut[tr.hosts[host].name]}
+// newEvent is what a host has at this moment.
+func (tr *releaseTrial) newEvent(host int) hostEvent {
+	return hostEvent{host: host, at: time.Now(), lost: tr.cut[tr.hosts[host].name]}
 }
 
-func (tr *releasing) do(s release) {
+func (tr *releaseTrial) do(s releaseStep) {
 	time.Sleep(s.pause)
-	switch s.what {
+	switch s.action {
 	case "crash":
 		if tr.hosts[s.host].Held(digest(s.request)) != nil {
 			return
 		}
 		tr.runs++
-		tr.freed[s.request] = false
+		tr.released[s.request] = false
 		before := tr.crashes[s.request]
-		tr.crashes[s.request] = tr.event(s.host)
+		tr.crashes[s.request] = tr.newEvent(s.host)
 		if before.lost {
 			tr.crashes[s.request] = before
 		}
-		tr.note(s.host, tr.runs, fresh(s.request))
+		tr.reportCrash(s.host, tr.runs, fresh(s.request))
 	case "answer":
-		time.Sleep(2*batchDelay + noticeTime) // another host's answer may cross a crash on its way
+		time.Sleep(2*batchDelay + noticeDelay) // another host's answer may cross a crash on its way
 		tr.hosts[s.host].ReportAnswered(digest(s.request))
-		tr.freed[s.request] = true
-		tr.answers[s.request] = tr.event(s.host)
+		tr.released[s.request] = true
+		tr.answers[s.request] = tr.newEvent(s.host)
 	case "lift":
 		time.Sleep(reviewInterval) // an operator reads first; a crash that is being told then counts after
 		// One that isn't stored has nothing to be lifted.
-		tr.freed[s.request] = Release(tr.t.Context(), tr.store.Client("operator"), digest(s.request)) == nil
-		tr.answers[s.request] = event{}
+		tr.released[s.request] = Release(tr.t.Context(), tr.store.Client("operator"), digest(s.request)) == nil
+		tr.answers[s.request] = hostEvent{}
 	case "restart":
-		tr.lose(s.host)
+		tr.markLost(s.host)
 		tr.restart(s.host)
 	case "cut":
-		tr.lose(s.host)
+		tr.markLost(s.host)
 		tr.set(tr.cut, true, s.host)
 	case "heal":
 		tr.set(tr.cut, false, s.host)
 	case "slow store", "late answers", "sound store":
-		tr.delay(s.what == "slow store", s.what == "late answers")
+		tr.delayStore(s.action == "slow store", s.action == "late answers")
 	}
 }
 
-// delay sets which part of a write takes long.
-func (f *fleet) delay(write, answer bool) {
+// delayStore sets which part of a write takes long.
+func (f *fleet) delayStore(write, answer bool) {
 	const long = 2 * time.Second
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.slow, f.slowAnswer = 0, 0
+	f.writeDelay, f.answerDelay = 0, 0
 	if write {
-		f.slow = long
+		f.writeDelay = long
 	}
 	if answer {
-		f.slowAnswer = long
+		f.answerDelay = long
 	}
 }
 
-// end heals all and judges what has been let go.
-func (tr *releasing) end(requests int) error {
+// check heals all and judges what has been let go.
+func (tr *releaseTrial) check(requests int) error {
 	tr.set(tr.cut, false, 0, 1, 2, 3, 4)
-	tr.delay(false, false)
+	tr.delayStore(false, false)
 	time.Sleep(time.Minute)
 	for n := range requests {
-		holders := tr.holders(digest(n))
-		_, there := tr.entry(digest(n))
-		told := !tr.answers[n].lost && !tr.crashes[n].lost
-		if tr.freed[n] && told && (holders > 0 || there) {
-			return fmt.Errorf("request %d was let go after its last crash; %d hosts hold it, an entry: %v", n, holders, there)
+		holders := tr.holderCount(digest(n))
+		_, found := tr.entry(digest(n))
+		reported := !tr.answers[n].lost && !tr.crashes[n].lost
+		if tr.released[n] && reported && (holders > 0 || found) {
+			return fmt.Errorf("request %d was let go after its last crash; %d hosts hold it, an entry: %v", n, holders, found)
 		}
 		if holders > 0 && holders < len(tr.hosts) {
 			return fmt.Errorf("request %d is held at %d of %d hosts", n, holders, len(tr.hosts))
@@ -140,23 +140,23 @@
 // is held nowhere, and in the end all hosts hold the same.
 func TestHoldsReleasesStand(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		if err := playReleases(t, releases(rt, 5, requests)); err != nil {
+		if err := runReleaseSteps(t, drawReleaseSteps(rt, 5, releaseRequests)); err != nil {
 			rt.Fatal(err)
 		}
 	})
 }
 
-// requests is how many requests the releases are of.
-const requests = 3
+// releaseRequests is how many releaseRequests the releases are of.
+const releaseRequests = 3
 
-func playReleases(t *testing.T, plan []release) (err error) {
+func runReleaseSteps(t *testing.T, plan []releaseStep) (err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		tr := &releasing{fleet: newFleet(t, 5), freed: map[int]bool{}, answers: map[int]event{}, crashes: map[int]event{}}
+		tr := &releaseTrial{fleet: newFleet(t, 5), released: map[int]bool{}, answers: map[int]hostEvent{}, crashes: map[int]hostEvent{}}
 		for _, s := range plan {
 			tr.do(s)
 		}
-		err = tr.end(requests)
+		err = tr.check(releaseRequests)
 		for _, h := range tr.hosts {
 			h.stop()
 		}
@@ -166,9 +166,9 @@
 
 // Plans that failed once, as the property test had shortened them; their order within a moment
 // differs from run to run, so that each is played some times.
-func TestReleasesStandInPlansThatFailedOnce(t *testing.T) {
+func TestReleasesPersistInRegressionPlans(t *testing.T) {
 	ms := time.Millisecond
-	for name, plan := range map[string][]release{
+	for name, plan := range map[string][]releaseStep{
 		"answered in the midst of several crashes": {
 			{"crash", 0, 0, 0}, {"crash", 0, 0, 0}, {"crash", 0, 0, 0}, {"crash", 0, 0, 0}, {"answer", 0, 0, 0},
 		},
@@ -192,7 +192,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			for range 20 {
-				if err := playReleases(t, plan); err != nil {
+				if err := runReleaseSteps(t, plan); err != nil {
 					t.Fatal(err)
 				}
 			}
--- a/coordination/quarantine/restored_test.go
+++ b/coordination/quarantine/restored_test.go
@@ -9,38 +9,38 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// restore brings the store back as it was so long ago, and gives hosts time to notice.
-func (f *fleet) restore(ago time.Duration) {
+// restoreStore brings the store back as it was so long ago, and gives hosts time to notice.
+func (f *fleet) restoreStore(ago time.Duration) {
 	f.store.RestoreBefore(ago)
 	time.Sleep(2 * reviewInterval)
 }
 
 // Guards against a request that crashes its runners again, because a restored store lost that it
 // is held: it stays held at all hosts, and its entry is written again once, not by every host.
-func TestHeldRequestStaysHeldThoughTheStoreLostIt(t *testing.T) {
-	play(t, 300, func(is *is.I, f *fleet) {
+func TestHoldSurvivesStoreRestore(t *testing.T) {
+	runFleet(t, 300, func(is *is.I, f *fleet) {
 		f.mu.Lock()
-		f.follows = 10
+		f.followers = 10
 		f.mu.Unlock()
-		f.crash(0, 1, fresh(1))
-		f.crash(1, 2, fresh(1))
-		is.Equal(f.holders(digest(1)), 300)
+		f.crashAndWait(0, 1, fresh(1))
+		f.crashAndWait(1, 2, fresh(1))
+		is.Equal(f.holderCount(digest(1)), 300)
 		for range 2 { // two restorations in a row
 			before := f.written()
-			f.restore(5 * time.Second)
-			is.Equal(f.holders(digest(1)), 300)
-			_, there := f.entry(digest(1))
-			is.True(there)
+			f.restoreStore(5 * time.Second)
+			is.Equal(f.holderCount(digest(1)), 300)
+			_, found := f.entry(digest(1))
+			is.True(found)
 			is.True(f.written()-before <= 12) // the hosts that follow the store, and those that saw a crash
 		}
 		time.Sleep(rewriteTimeout + reviewInterval)
-		is.Equal(f.holders(digest(1)), 300)
+		is.Equal(f.holderCount(digest(1)), 300)
 	})
 }
 
 // Guards against a request that is held anew, because a restored store lost that an operator
 // released it or that its time was over.
-func TestReleaseOutlivesARestoredStore(t *testing.T) {
+func TestReleaseSurvivesStoreRestore(t *testing.T) {
 	for name, release := range map[string]func(is *is.I, f *fleet){
 		"by an operator": func(is *is.I, f *fleet) {
 			c := f.store.Client("operator")
@@ -52,18 +52,18 @@
 		"by its answer": func(_ *is.I, f *fleet) { f.hosts[2].ReportAnswered(digest(1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			play(t, 5, func(is *is.I, f *fleet) {
-				f.crash(0, 1, fresh(1))
-				f.crash(1, 2, fresh(1))
-				is.Equal(f.holders(digest(1)), 5)
+			runFleet(t, 5, func(is *is.I, f *fleet) {
+				f.crashAndWait(0, 1, fresh(1))
+				f.crashAndWait(1, 2, fresh(1))
+				is.Equal(f.holderCount(digest(1)), 5)
 				held := store.RevisionOf(f.store.Revision())
 				release(is, f)
 				time.Sleep(5 * reviewInterval)
-				is.Equal(f.holders(digest(1)), 0)
+				is.Equal(f.holderCount(digest(1)), 0)
 				f.store.Restore(held)
 				time.Sleep(5 * reviewInterval)
-				is.Equal(f.holders(digest(1)), 0)
-				if e, there := f.entry(digest(1)); there {
+				is.Equal(f.holderCount(digest(1)), 0)
+				if e, found := f.entry(digest(1)); found {
 					is.True(e.Released)
 				}
 			})
@@ -73,22 +73,22 @@
 
 // Guards against an entry that counts for ever at the hosts that knew it, though nobody could write
 // it again.
-func TestLostEntryThatNobodyWritesAgainIsGoneInTheEnd(t *testing.T) {
-	play(t, 2, func(is *is.I, f *fleet) {
-		f.crash(0, 1, fresh(1))
-		f.crash(1, 2, fresh(1))
+func TestLostEntryExpiresUnlessRewritten(t *testing.T) {
+	runFleet(t, 2, func(is *is.I, f *fleet) {
+		f.crashAndWait(0, 1, fresh(1))
+		f.crashAndWait(1, 2, fresh(1))
 		f.mu.Lock()
-		f.follows = 0
+		f.followers = 0
 		f.mu.Unlock()
 		f.hosts[0].o.Table.ReleaseOnTrial(digest(1)) // nobody holds it for a crash of its own
 		f.hosts[1].o.Table.ReleaseOnTrial(digest(1))
-		f.restore(5 * time.Second)
+		f.restoreStore(5 * time.Second)
 		time.Sleep(rewriteTimeout)
 		_, err := f.store.Client("operator").Put(f.t.Context(), Kind, digest(9).String(), store.Absent, []byte(`{}`))
 		is.NoErr(err)
 		time.Sleep(reviewInterval)
-		_, there := f.entry(digest(1))
-		is.True(!there)
-		is.Equal(f.holders(digest(1)), 0)
+		_, found := f.entry(digest(1))
+		is.True(!found)
+		is.Equal(f.holderCount(digest(1)), 0)
 	})
 }
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -158,7 +158,7 @@
 // twice as many that others do, a further one if it was let go before, or all of them if it was
 // at all those of one that is held and at more, which was the bystander then. t.mu is held.
 func (t *Table) mustHold(d Digest, r *record) bool {
-	unexplained, total := t.weigh(d, r)
+	unexplained, total := t.weighCrashes(d, r)
 	if unexplained >= holdThreshold || total >= explainedHoldThreshold || (r.released && unexplained > 0) || (r.crashesAtRelease > 0 && len(r.crashes) > r.crashesAtRelease) {
 		return true
 	}
@@ -173,9 +173,9 @@
 	return false
 }
 
-// weigh tells how much speaks against a request: alone counts the crashes that no other explains.
+// weighCrashes tells how much speaks against a request: alone counts the crashes that no other explains.
 // The others are never forgotten: who is held first may have been a bystander. t.mu is held.
-func (t *Table) weigh(d Digest, r *record) (unexplained, total int) {
+func (t *Table) weighCrashes(d Digest, r *record) (unexplained, total int) {
 	for _, c := range r.crashes {
 		total += c.weight()
 		if !t.runs[c.run()].explainedByOther(d) {
--- a/coordination/quarantine/table_test.go
+++ b/coordination/quarantine/table_test.go
@@ -19,13 +19,13 @@
 // fresh and settled are requests that ran at a crash.
 func fresh(n int) Suspect { return Suspect{Digest: digest(n), RequestID: fmt.Sprint("q", n)} }
 
-func settled(n int) Suspect {
+func longRunning(n int) Suspect {
 	s := fresh(n)
 	s.LongRunning = true
 	return s
 }
 
-func proved(n int) Suspect {
+func answeredBefore(n int) Suspect {
 	s := fresh(n)
 	s.AnsweredBefore = true
 	return s
@@ -35,8 +35,8 @@
 	return Crash{Run: run(n), Host: "h", At: time.Unix(int64(n), 0), Suspects: suspects}
 }
 
-// crashes has a table note one crash for each list of suspects, a second apart.
-func crashes(t *Table, of ...[]Suspect) (held []Digest) {
+// recordCrashes has a table note one crash for each list of suspects, a second apart.
+func recordCrashes(t *Table, of ...[]Suspect) (held []Digest) {
 	for n, suspects := range of {
 		held = append(held, t.RecordCrash(crashOf(n, suspects...), true)...)
 		time.Sleep(burstWindow)
@@ -44,7 +44,7 @@
 	return held
 }
 
-func TestRequestIsHeldByItsCrashes(t *testing.T) {
+func TestHoldThreshold(t *testing.T) {
 	one := func(s Suspect) []Suspect { return []Suspect{s} }
 	for name, c := range map[string]struct {
 		crashes [][]Suspect
@@ -52,11 +52,11 @@
 	}{
 		"one crash holds nothing":                 {[][]Suspect{{fresh(1), fresh(2)}}, nil},
 		"two soon after it began":                 {[][]Suspect{one(fresh(1)), one(fresh(1))}, []Digest{digest(1)}},
-		"three of a settled answer don't":         {[][]Suspect{one(settled(1)), one(settled(1)), one(settled(1))}, nil},
-		"four of a settled answer":                {[][]Suspect{one(settled(1)), one(settled(1)), one(settled(1)), one(settled(1))}, []Digest{digest(1)}},
-		"one soon after it began, two settled":    {[][]Suspect{one(fresh(1)), one(settled(1)), one(settled(1))}, []Digest{digest(1)}},
-		"answered before, three crashes don't":    {[][]Suspect{one(proved(1)), one(proved(1)), one(proved(1))}, nil},
-		"answered before, four crashes":           {[][]Suspect{one(proved(1)), one(proved(1)), one(proved(1)), one(proved(1))}, []Digest{digest(1)}},
+		"three of a settled answer don't":         {[][]Suspect{one(longRunning(1)), one(longRunning(1)), one(longRunning(1))}, nil},
+		"four of a settled answer":                {[][]Suspect{one(longRunning(1)), one(longRunning(1)), one(longRunning(1)), one(longRunning(1))}, []Digest{digest(1)}},
+		"one soon after it began, two settled":    {[][]Suspect{one(fresh(1)), one(longRunning(1)), one(longRunning(1))}, []Digest{digest(1)}},
+		"answered before, three crashes don't":    {[][]Suspect{one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1))}, nil},
+		"answered before, four crashes":           {[][]Suspect{one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1))}, []Digest{digest(1)}},
 		"others beside it are not held":           {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(3)}, {fresh(2)}, {fresh(3)}}, []Digest{digest(1)}},
 		"two that run beside each other are both": {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(2)}}, []Digest{digest(1), digest(2)}},
 		"each of two by itself":                   {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1)}, {fresh(2)}, {fresh(2)}}, []Digest{digest(1), digest(2)}},
@@ -65,7 +65,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				table := NewTable(clocktest.Bubble{})
-				is.Equal(crashes(table, c.crashes...), c.held)
+				is.Equal(recordCrashes(table, c.crashes...), c.held)
 				for _, d := range c.held {
 					is.True(table.Held(d) != nil)
 				}
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestRunCountsOnce(t *testing.T) {
+func TestCrashOfOneRunCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
@@ -94,40 +94,40 @@
 
 // Many copies at once of a request that was answered before, and ends its runners since they
 // were released anew, are one moment; those after it count all the same.
-func TestMomentsCountHoweverManyCrashesTheyHave(t *testing.T) {
+func TestBurstsCountOnceEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		for n := range 3 * maxEvidence {
-			is.Equal(len(table.RecordCrash(crashOf(n, proved(1)), true)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(n, answeredBefore(1)), true)), 0)
 		}
 		for n := 100; n < 102; n++ {
 			time.Sleep(burstWindow)
-			is.Equal(len(table.RecordCrash(crashOf(n, proved(1)), true)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(n, answeredBefore(1)), true)), 0)
 		}
 		time.Sleep(burstWindow)
-		is.Equal(table.RecordCrash(crashOf(102, proved(1)), true), []Digest{digest(1)})
+		is.Equal(table.RecordCrash(crashOf(102, answeredBefore(1)), true), []Digest{digest(1)})
 	})
 }
 
 // Runners that are lost together say nothing of what all of them run.
-func TestWidespreadLossHoldsNoRequestThatIsAnswered(t *testing.T) {
+func TestBurstDoesNotHoldAnsweredRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		for n := range 50 {
-			is.Equal(len(table.RecordCrash(crashOf(n, proved(1)), false)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(n, answeredBefore(1)), false)), 0)
 		}
 		time.Sleep(burstWindow)
 		suspected, held := table.ReportAnswered(digest(1)) // by a runner that is left
 		is.True(suspected && !held)
 		for n := range 50 {
-			is.Equal(len(table.RecordCrash(crashOf(100+n, proved(1)), false)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(100+n, answeredBefore(1)), false)), 0)
 		}
 	})
 }
 
-func TestAnswerClears(t *testing.T) {
+func TestAnswerClearsCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
@@ -147,11 +147,11 @@
 }
 
 // What a held request has done isn't held against those beside it, whenever it is told.
-func TestExplainedCrashesAreForgiven(t *testing.T) {
+func TestExplainedCrashesDoNotHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		is.Equal(crashes(table, []Suspect{fresh(1), fresh(2)}, []Suspect{fresh(1)}), []Digest{digest(1)})
+		is.Equal(recordCrashes(table, []Suspect{fresh(1), fresh(2)}, []Suspect{fresh(1)}), []Digest{digest(1)})
 		is.Equal(len(table.RecordCrash(crashOf(7, fresh(2)), false)), 0) // the first one was explained
 		is.Equal(len(table.RecordCrash(crashOf(8, fresh(3)), false)), 0)
 		is.Equal(len(table.RecordCrash(crashOf(8, fresh(1)), false)), 0) // another host had it there
@@ -161,14 +161,14 @@
 	})
 }
 
-func TestReleasedRequestIsHeldByItsNextCrash(t *testing.T) {
+func TestNextCrashHoldsRequestOnTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		crashes(table, []Suspect{fresh(1)}, []Suspect{fresh(1)})
+		recordCrashes(table, []Suspect{fresh(1)}, []Suspect{fresh(1)})
 		table.ReleaseOnTrial(digest(1))
 		is.True(table.Held(digest(1)) == nil)
-		is.Equal(table.RecordCrash(crashOf(5, settled(1)), false), []Digest{digest(1)})
+		is.Equal(table.RecordCrash(crashOf(5, longRunning(1)), false), []Digest{digest(1)})
 		table.Clear(digest(1))
 		is.Equal(len(table.RecordCrash(crashOf(6, fresh(1)), false)), 0)
 	})
