--- a/coordination/quarantine/bystander_test.go
+++ b/coordination/quarantine/bystander_test.go
@@ -14,19 +14,7 @@
 	"github.com/thymerack/thymerack/coordination/clocktest"
 )
 
-// What was seen: one request ended six runners, and was held only after the sixth; another, which
-// had run beside it at the first and been resumed beside it at the second, was held first.
-//
-// How it came about: three runners ended within 0.2 s. Which host's notice arrives first is
-// chance; the bystander's two crashes were complete before the other's.
-//
-// Cause: the first request against which enough speaks was taken to explain its crashes, and what
-// they say against all others was deleted, and not counted when it was told later.
-//
-// Proof: in some orders of the same five notices the request that was at all three crashes is
-// held by none of them, nor by its next one.
-
-// permutations calls do with each order of n things.
+// permutations calls do with each order of n indexes.
 func permutations(n int, do func(order []int)) {
 	order := make([]int, 0, n)
 	var add func()
@@ -47,6 +35,13 @@
 	add()
 }
 
+// Guards against a culprit that crashes six runners before it is held, because a bystander is held
+// first.
+//
+// The bystander runs beside the culprit at two of its first three crashes, which are within 0.2 s.
+// The notices of the crashes arrive in any order, so that the two crashes of the bystander may be
+// complete first. If the crashes of a held request no longer counted against other requests, the
+// culprit would not reach the threshold, not even with its next crash.
 func TestBystanderDoesNotHideCulprit(t *testing.T) {
 	const bystander, culprit = 1, 2
 	synctest.Test(t, func(t *testing.T) {
@@ -68,28 +63,29 @@
 			}
 			time.Sleep(reportWindow)
 			table.Review()
-			is.True(table.Held(digest(bystander)) == nil) // the other explains all that spoke against it
+			is.True(table.Held(digest(bystander)) == nil) // the culprit explains all its crashes
 		})
-		t.Logf("hidden in %d of 120 orders", hidden)
+		t.Logf("culprit not held in %d of 120 orders", hidden)
 		is.Equal(hidden, 0)
 	})
 }
 
-// outbreak is engines that end under requests which come again and again at any host, beside
-// others that are sent again when their engine is lost.
+// outbreak simulates engines that crash under culprits, which arrive again and again at any host,
+// beside other requests, which are retried when their engine is lost.
 type outbreak struct {
 	*fleet
 	rng     *rand.Rand
 	engines []*engineRun
 	// runs counts the runs of all engines.
 	runs int
-	// culprits are by their number.
+	// culprits are indexed by their number.
 	culprits []*culprit
-	// others counts the other requests, and answered those of them that were.
+	// others counts the requests that are no culprits, and answered those of them that were
+	// answered.
 	others, answered int
 }
 
-// engineRun is one engine; its present run has the number run and begins at upAt.
+// engineRun is an engine; its current run has the number run and starts at upAt.
 type engineRun struct {
 	run     int
 	upAt    time.Time
@@ -98,23 +94,25 @@
 
 func (e *engineRun) up() bool { return !time.Now().Before(e.upAt) }
 
-// attempt is a request at an engine.
+// attempt is a request that runs at an engine.
 type attempt struct {
 	host    *host
 	suspect Suspect
-	// retries are how often it is sent again.
+	// retries is how often the request may still be sent again.
 	retries int
 	engine  *engineRun
 }
 
+// culprit is a request that crashes its engines. crashes has the times at which it did, and
+// arrivals the times at which a copy was sent.
 type culprit struct {
 	suspect           Suspect
 	crashes, arrivals []time.Time
 }
 
 const (
-	// timeToCrash is how long an engine lives under a request that ends it, runTime how long
-	// other requests run and backAfter when an engine is there again.
+	// timeToCrash is how long an engine runs a culprit before it crashes, answerTime how long it
+	// takes to answer another request, and restartTime how long a crashed engine is down.
 	timeToCrash = 80 * time.Millisecond
 	answerTime  = 150 * time.Millisecond
 	restartTime = 3 * time.Second
@@ -132,7 +130,7 @@
 	return o
 }
 
-// send sends a request from a host to any engine that is up; it is lost if there is none.
+// send sends a request from a host to any engine that is up. The request is lost if there is none.
 func (o *outbreak) send(a *attempt) {
 	var up []*engineRun
 	for _, e := range o.engines {
@@ -153,7 +151,8 @@
 	}
 }
 
-// crash ends an engine: each host tells what it had there, and sends it again.
+// crash ends the run of an engine: each host reports the requests that it had there and retries
+// them.
 func (o *outbreak) crash(e *engineRun) {
 	e.upAt = time.Now().Add(restartTime)
 	running := e.running
@@ -179,7 +178,8 @@
 	e.run = o.runs
 }
 
-// run lets others come, some a second, and culprits, each some times a second.
+// run runs the simulation. others is the number of other requests per second, copies the number of
+// copies of each culprit per second.
 func (o *outbreak) run(duration time.Duration, others, copies float64) {
 	const step = 5 * time.Millisecond
 	chance := func(perSecond float64) bool { return o.rng.Float64() < perSecond*step.Seconds() }
@@ -197,7 +197,8 @@
 	}
 }
 
-// step ends what is due: engines under culprits, and others that are answered.
+// step crashes the engines whose culprits have run for timeToCrash, and answers the other requests
+// that have run for answerTime.
 func (o *outbreak) step() {
 	now := time.Now()
 	for _, e := range o.engines {
@@ -223,8 +224,7 @@
 	}
 }
 
-// lateSends counts the copies of a request that were sent later than the time in which all must know
-// of its third runner.
+// lateSends counts the copies that were sent after all hosts had to know of the third crash.
 func (c *culprit) lateSends() int {
 	if len(c.crashes) < 3 {
 		return 0
@@ -238,8 +238,8 @@
 	return n
 }
 
-// Whoever runs beside them, and in whatever order hosts tell, no request under which three
-// runners ended is sent more than a few times after all must know.
+// Whatever requests run beside it and in whatever order hosts report, each culprit is sent only a
+// few times after the time in which all hosts must know of its third crash.
 func TestHoldsEachOfSeveralCulprits(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -253,7 +253,7 @@
 			o.run(20*time.Second, others, copies)
 			for n, c := range o.culprits {
 				if c.lateSends() > maxLateSends {
-					problems = append(problems, fmt.Sprintf("request %d ended %d runners and was sent %d times too late", n, len(c.crashes), c.lateSends()))
+					problems = append(problems, fmt.Sprintf("culprit %d crashed %d runners and was sent %d times too late", n, len(c.crashes), c.lateSends()))
 				}
 			}
 			for _, h := range o.hosts {
@@ -266,9 +266,9 @@
 	})
 }
 
-// Four requests that end engines, each of which comes eight times a second, on four engines: three
-// crashes within a tenth of a second say as much against one as against another, and the next
-// copies all come at once when the engines are back.
+// Four culprits arrive eight times a second each at four engines. Three crashes within a tenth of a
+// second count against one culprit as much as against another, and the next copies arrive together
+// when the engines are back.
 func TestHoldsCulpritsThatComeAtOnce(t *testing.T) {
 	for seed := range uint64(100) {
 		synctest.Test(t, func(t *testing.T) {
@@ -276,7 +276,7 @@
 			o.run(15*time.Second, 50, 8)
 			for n, c := range o.culprits {
 				if c.lateSends() > maxLateSends {
-					t.Errorf("seed %d: request %d ended %d runners and was sent %d times too late", seed, n, len(c.crashes), c.lateSends())
+					t.Errorf("seed %d: culprit %d crashed %d runners and was sent %d times too late", seed, n, len(c.crashes), c.lateSends())
 				}
 			}
 			for _, h := range o.hosts {
@@ -286,7 +286,8 @@
 	}
 }
 
-// A request that drops out of the list as too many are held hides no other any more.
+// The crashes of a request whose hold was evicted, since too many requests are held, count against
+// other requests again.
 func TestEvictedHoldNoLongerExplainsCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coordination/quarantine/digest.go
+++ b/coordination/quarantine/digest.go
@@ -7,29 +7,31 @@
 	"fmt"
 )
 
-// Digest identifies a request by what it asks, the same at every host and for each of its
-// copies, whatever id and deadline they bear. Nobody can make a request of theirs equal
-// another's: it is the first half of a SHA-256.
+// Digest identifies a request by its content. It is the same at every host and for every copy of
+// the request, whatever its request id and deadline. It is the first half of a SHA-256, so that
+// nobody can craft a request that has the digest of another one.
 type Digest [digestBytes]byte
 
 const digestBytes = sha256.Size / 2
 
-// Content is what makes two requests the same.
+// Content has the parts of a request that identify it.
 type Content struct {
-	// Caller is the customer who asks, or the credential that the caller shows where there are
-	// no customers; "" for none. A caller can't have what another one asks held against it.
+	// Caller is the customer, or the credential that the caller presents where there are no
+	// customers; "" for none. It is part of the digest so that a caller can't get the requests of
+	// another one held.
 	Caller string
 	// Method, Host and URI are as the caller sent them.
 	Method, Host, URI string
 	Body              []byte
 }
 
-// DigestOf returns the digest of a request that has been read whole.
+// DigestOf returns the digest of a request whose body has been read completely.
 func DigestOf(c Content) Digest {
 	h := sha256.New()
 	buf := make([]byte, 0, headerBufferBytes)
 	for _, part := range []string{c.Caller, c.Method, c.Host, c.URI} {
-		// A length in front of each part keeps one from running into the next.
+		// Each part is prefixed with its length, so that different parts can't encode to the same
+		// bytes.
 		buf = binary.AppendUvarint(buf, uint64(len(part)))
 		buf = append(buf, part...)
 	}
@@ -39,14 +41,16 @@
 	return Digest(h.Sum(sum[:0])[:digestBytes])
 }
 
-// headerBufferBytes holds the head of an ordinary request without an allocation: hosts and paths
-// have some dozen bytes, a credential some hundred.
+// headerBufferBytes is the size of the buffer for all parts but the body. It fits an ordinary
+// request without an allocation: hosts and paths have a few dozen bytes, a credential a few
+// hundred.
 const headerBufferBytes = 512
 
-// String returns the digest in hexadecimal, as logs and the platform's store name it.
+// String returns the digest in hexadecimal, as it is written in logs and in the names of the
+// store's objects.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads what String returns.
+// ParseDigest parses what String returns.
 func ParseDigest(text string) (Digest, error) {
 	raw, err := hex.DecodeString(text)
 	if err != nil || len(raw) != digestBytes {
--- a/coordination/quarantine/digest_test.go
+++ b/coordination/quarantine/digest_test.go
@@ -19,8 +19,8 @@
 		"host":   func(c *Content) { c.Host = "h2" },
 		"uri":    func(c *Content) { c.URI = "/a/b?x" },
 		"body":   func(c *Content) { c.Body = []byte("body ") },
-		// The parts together are the same bytes.
-		"a border between parts": func(c *Content) { c.Host, c.URI = "h/", "a/b" },
+		// The concatenation of the parts is the same.
+		"boundary between parts": func(c *Content) { c.Host, c.URI = "h/", "a/b" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			other := c
@@ -42,7 +42,7 @@
 	}
 }
 
-// Measured in ns, bytes and allocations for each request.
+// BenchmarkDigest measures the time and the allocations of DigestOf for one request.
 func BenchmarkDigest(b *testing.B) {
 	for _, size := range []int{0, 440, 18_000, 4 << 20} {
 		c := Content{Method: "POST", Host: "fleet.example", URI: "/migo720/6f/628f", Body: make([]byte, size)}
--- a/coordination/quarantine/doc.go
+++ b/coordination/quarantine/doc.go
@@ -1,14 +1,16 @@
-// Package quarantine keeps requests that crash the runners which run them away from the
-// rest of the fleet.
+// Package quarantine holds requests that crash the runners which run them, so that they reach no
+// further runner.
 //
-// A request is known again by its Digest, at any host. When a runner crashes, each host
-// publishes what it had there. All hosts count: the request that did it was there at each of
-// its crashes and was never answered, while the others are answered when they are sent again.
-// What is held is refused at once, everywhere.
+// A request is identified by its Digest, which is the same at every host. When a runner crashes,
+// each host publishes the requests that it was running there, the suspects. A culprit runs at each
+// of the crashes that it causes and is never answered. A bystander, which only ran beside a
+// culprit, is answered when it is retried. Each host counts the crashes that all hosts report; a
+// request that reaches the threshold is held, and every host refuses it at once. When a hold
+// expires, the request is released on trial: its next crash holds it again, for twice as long.
 //
-// Three things carry this, in the order of their speed. Notices tell all hosts of each crash
-// within milliseconds; a host that counts enough with its own crashes among them publishes
-// that, for hosts that missed one. The platform's store keeps what is held, for hosts that
-// start, come back or were cut off from the others, and until an operator or time releases
-// it.
+// Holds spread in three ways, the fastest first. Notices report each crash to all hosts within
+// milliseconds. A host that counts enough crashes, and saw at least one of them itself, also
+// publishes the hold, for hosts that missed a notice. The platform's store has an entry for each
+// held request, for hosts that start, rejoin or were partitioned from the others, until an operator
+// releases the request or the hold expires.
 package quarantine
--- a/coordination/quarantine/entry.go
+++ b/coordination/quarantine/entry.go
@@ -7,44 +7,46 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// Kind is the kind of the store's objects. Each is named by the digest of a request that is
-// held; an operator releases the request by deleting its object.
+// Kind is the kind of the store's objects that contain the entries. Each object is named by the
+// digest of a held request; an operator releases the request by deleting its object.
 const Kind = "thymerack-quarantine"
 
 const (
-	// initialHold is how long a request is held before it may run again: time to mend the
-	// runners. Each further time lasts twice as long, up to holdLongest, so that a request
-	// which nobody mends costs a runner a day in the end.
+	// initialHold is how long the first hold of a request lasts before the request is tried again,
+	// which leaves time to fix the runners. Each further hold lasts twice as long, up to maxHold,
+	// so that a request that is never fixed costs one runner a day in the end.
 	initialHold = 10 * time.Minute
 	maxHold     = 24 * time.Hour
-	// releasedEntryTTL is when a request that was released and did no harm is forgotten.
+	// releasedEntryTTL is how long the entry of a request on trial is kept if the request crashes
+	// no runner.
 	releasedEntryTTL = 24 * time.Hour
 )
 
-// entry is an object of the store.
+// entry is the content of an object of the store.
 type entry struct {
 	Evidence []Evidence `json:"evidence"`
 	// HoldCount is how often the request has been held.
 	HoldCount int `json:"times"`
-	// Released requests may run until one crashes a runner again.
+	// Released marks a request on trial: it may run until it crashes a runner again.
 	Released bool `json:"released,omitempty"`
-	// Bystander requests were released since another was at all their crashes and at more. What
-	// spoke against them isn't forgotten.
+	// Bystander marks a request that was released because another held request ran at all its
+	// crashes and at others. The crashes recorded against it are kept.
 	Bystander bool `json:"outdone,omitempty"`
 }
 
-// storedEntry is an entry as this host has it.
+// storedEntry is an entry as this host knows it.
 type storedEntry struct {
 	entry
 	version uint64
 	// seenAt is when this host first saw this version.
 	seenAt time.Time
-	// rewritePendingSince is when this host saw that a restored store lacks the entry or has an older one; zero
-	// once it is written again.
+	// rewritePendingSince is when this host found that the store, restored to an earlier state,
+	// lacks the entry or has an older one; zero once the entry is written again.
 	rewritePendingSince time.Time
 }
 
-// decodeEntry reads an object; anybody may write there.
+// decodeEntry decodes an object of the store. Anyone may write such objects, so the evidence is cut
+// to maxEvidence.
 func decodeEntry(o store.Object) (Digest, entry, error) {
 	d, err := ParseDigest(o.Name)
 	if err != nil {
@@ -58,7 +60,7 @@
 	return d, e, nil
 }
 
-// holdDuration is how long the request is held this time.
+// holdDuration returns how long the current hold lasts.
 func (e entry) holdDuration() time.Duration {
 	out := initialHold
 	for n := 1; n < e.HoldCount && out < maxHold; n++ {
--- a/coordination/quarantine/fuzz_test.go
+++ b/coordination/quarantine/fuzz_test.go
@@ -12,25 +12,26 @@
 )
 
 const (
-	// convergenceTime is the time in which all hosts must know of the third crash, and for which a
-	// host must have been undisturbed for a bound to apply to it.
+	// convergenceTime is the time in which all hosts must know of the third crash. A bound applies
+	// to a host only if it has been undisturbed for as long.
 	convergenceTime = 3 * time.Second
 	// maxLateSends bounds the copies that undisturbed hosts send after that.
 	maxLateSends = 3
-	// maxWipes bounds how often all hosts lose their memory at once: each time, a crash
-	// that wasn't the second yet is forgotten.
+	// maxWipes bounds how often all hosts lose their state at once. Each time, a first crash that
+	// wasn't followed by a second one yet is lost.
 	maxWipes = 2
 )
 
-// step is one thing that happens, a pause after the one before.
+// step is one event of the simulation, after a pause.
 type step struct {
 	action string
 	host   int
 	pause  time.Duration
-	// others is how many other requests run where a copy does.
+	// others is the number of other requests that run at the same runner as a copy.
 	others int
 }
 
+// drawSteps draws the events of one trial.
 func drawSteps(rt *rapid.T, hosts int) []step {
 	action := rapid.SampledFrom([]string{"copy", "copy", "copy", "restart", "restart all", "cut", "heal", "lose store", "regain store"})
 	out := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) step {
@@ -42,11 +43,11 @@
 	return out
 }
 
-// trial plays steps and judges by what reaches the runners.
+// trial runs steps and checks how many copies of a culprit reach the runners.
 type trial struct {
 	*fleet
 	clock clocktest.Bubble
-	// disturbed is when each host was last restarted or without the store.
+	// disturbed is when each host was last restarted or cut off from the store.
 	disturbed []time.Time
 	crashes   []time.Time
 	runs      int
@@ -56,8 +57,8 @@
 	bystanders []Digest
 }
 
-// sendCopy lets a sendCopy of the request come to a host: it crashes the runner that it reaches, with
-// others beside it that come again and are answered.
+// sendCopy sends a copy of the culprit from a host. It crashes its runner; the other requests there
+// are retried and answered.
 func (tr *trial) sendCopy(s step) {
 	if tr.hosts[s.host].Held(digest(0)) != nil {
 		return
@@ -106,7 +107,8 @@
 	}
 }
 
-// check heals all and lets the time pass after which a request is tried again.
+// check heals all faults, waits until holds have expired and returns an error if too many copies
+// were sent or a bystander is still held.
 func (tr *trial) check() error {
 	all := []int{0, 1, 2, 3, 4}
 	tr.set(tr.cut, false, all...)
@@ -117,14 +119,14 @@
 	time.Sleep(initialHold + time.Minute)
 	for _, d := range tr.bystanders {
 		if n := tr.holderCount(d); n > 0 {
-			return fmt.Errorf("a request that only ran beside the one that crashes runners is held at %d hosts for good", n)
+			return fmt.Errorf("a bystander is still held at %d hosts after the first hold has expired", n)
 		}
 	}
 	return nil
 }
 
-// However hosts restart, are cut off from each other or lose the store, few copies reach a
-// runner once three have crashed, and no other request is held for good.
+// However hosts restart or lose the connection to each other or to the store, few copies of a
+// culprit reach a runner after its third crash, and no bystander stays held.
 func TestHoldsFewCopiesReachRunners(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		plan := drawSteps(rt, 5)
--- a/coordination/quarantine/hold.go
+++ b/coordination/quarantine/hold.go
@@ -9,10 +9,10 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// HeldError says that a request is kept from all runners.
+// HeldError says that a request is held and was not sent to any runner.
 type HeldError struct {
 	Digest Digest
-	// Crashes is how many runners are known to have crashed under it.
+	// Crashes is the number of runners that are known to have crashed while they ran the request.
 	Crashes int
 }
 
@@ -21,16 +21,16 @@
 	return fmt.Sprintf("%d runners crashed while they ran the same request: don't send it again unchanged; an operator can release it by its digest %s", e.Crashes, e.Digest)
 }
 
-// Hold holds a request by the word of the store. It reports whether that is new.
+// Hold holds a request because the store has an entry for it. It reports whether the hold is new.
 func (t *Table) Hold(d Digest, evidence []Evidence) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.holdIfNew(d, evidence)
 }
 
-// HoldFromPeer holds a request by the word of another host, if that knows of a crash that this one
-// doesn't: a host that stood still may tell what an answer or a release has cleared since. It
-// reports whether that is new.
+// HoldFromPeer holds a request because another host holds it, unless this host has cleared all
+// crashes of the evidence: a host that was suspended may report crashes that an answer or a release
+// has cleared since. It reports whether the hold is new.
 func (t *Table) HoldFromPeer(d Digest, evidence []Evidence) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,7 +41,7 @@
 	return t.holdIfNew(d, evidence)
 }
 
-// holdIfNew holds a request that isn't held; t.mu is held.
+// holdIfNew holds a request that isn't held yet, and reports whether it did. t.mu must be held.
 func (t *Table) holdIfNew(d Digest, evidence []Evidence) bool {
 	if t.Held(d) != nil {
 		return false
@@ -50,8 +50,8 @@
 	return true
 }
 
-// isCleared reports whether the crash of a run was counted against a request and has been
-// isCleared since, by an answer or a release; t.mu is held.
+// isCleared reports whether the crash of a run was counted against a request and has been cleared
+// since, by an answer or a release. t.mu must be held.
 func (t *Table) isCleared(d Digest, run state.InstanceID) bool {
 	crashed := t.runs[run]
 	if crashed == nil || !slices.Contains(crashed.suspects, d) {
@@ -61,7 +61,8 @@
 	return r == nil || r.lastCrashOf(run) < 0
 }
 
-// addHold puts a request on the list; t.mu is held.
+// addHold adds a hold, and evicts the oldest one if there are maxHeld. The crashes of the evidence
+// count as explained by the request from then on. t.mu must be held.
 func (t *Table) addHold(d Digest, evidence []Evidence, now time.Time) {
 	r := t.records[d]
 	next := maps.Clone(*t.held.Load())
@@ -79,7 +80,7 @@
 	}
 }
 
-// oldestHold is what has been held for longest.
+// oldestHold returns the request that has been held for longest.
 func oldestHold(held map[Digest]*Hold) Digest {
 	var out Digest
 	var at time.Time
@@ -91,7 +92,8 @@
 	return out
 }
 
-// ReleaseOnTrial lets a request run again; any further crash holds it again.
+// ReleaseOnTrial releases a request and deletes the crashes counted against it. The next crash that
+// no other held request explains holds it again.
 func (t *Table) ReleaseOnTrial(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -100,8 +102,8 @@
 	t.addRecord(d, t.clock.Now()).released = true
 }
 
-// ReleaseBystander lets a request run again by another host's word that one outdoes it; any further crash
-// holds it again.
+// ReleaseBystander releases a request that another host found to be a bystander. The crashes
+// counted against it are kept, and any further crash holds it again.
 func (t *Table) ReleaseBystander(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -114,7 +116,7 @@
 	r.crashesAtRelease = len(r.crashes)
 }
 
-// Clear clears a request of all that was held against it.
+// Clear releases a request and deletes all that is recorded of it.
 func (t *Table) Clear(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -122,8 +124,9 @@
 	t.deleteRecord(d)
 }
 
-// ReportAnswered notes that a copy of the request was answered whole, which no request is that
-// crashes its runners. It reports whether anything spoke against it, and whether it was held.
+// ReportAnswered notes that a copy of the request was answered completely, which never happens to a
+// request that crashes its runners. It clears the request, and reports whether it had been
+// suspected or held, and whether it had been held.
 func (t *Table) ReportAnswered(d Digest) (suspected, held bool) {
 	t.answered.add(d)
 	if t.suspected.Load() == 0 && t.Held(d) == nil {
@@ -137,7 +140,7 @@
 	return suspected || held, held
 }
 
-// removeHold takes a request off the list; t.mu is held.
+// removeHold removes a hold, if there is one. t.mu must be held.
 func (t *Table) removeHold(d Digest) {
 	if t.Held(d) == nil {
 		return
@@ -148,8 +151,8 @@
 	t.removeHeldSuspect(d)
 }
 
-// removeHeldSuspect has the crashes of a request that is held no more count against others again; t.mu is
-// held.
+// removeHeldSuspect removes a request that is no longer held from the crashes that it explained, so
+// that they count against other requests again. t.mu must be held.
 func (t *Table) removeHeldSuspect(d Digest) {
 	for _, run := range t.runs {
 		if i := slices.Index(run.heldSuspects, d); i >= 0 {
@@ -159,7 +162,7 @@
 	}
 }
 
-// deleteRecord forgets what speaks against a request; t.mu is held.
+// deleteRecord deletes the crashes counted against a request. t.mu must be held.
 func (t *Table) deleteRecord(d Digest) {
 	delete(t.records, d)
 	t.suspected.Store(int64(len(t.records)))
--- a/coordination/quarantine/operator.go
+++ b/coordination/quarantine/operator.go
@@ -10,17 +10,17 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// EntryInfo is an entry of the store, as operators see it.
+// EntryInfo is an entry of the store, as shown to operators.
 type EntryInfo struct {
 	Digest   string     `json:"digest"`
 	Evidence []Evidence `json:"evidence"`
 	// HoldCount is how often the request has been held.
 	HoldCount int `json:"times"`
-	// Released requests run until one crashes a runner again.
+	// Released requests are on trial: they run until they crash a runner again.
 	Released bool `json:"released"`
 }
 
-// NotHeldError says that the store has no such entry.
+// NotHeldError says that the store has no entry for the request.
 type NotHeldError struct{ Digest Digest }
 
 // Error implements error.
@@ -28,8 +28,8 @@
 	return fmt.Sprintf("no request with the digest %s is held; list those that are", e.Digest)
 }
 
-// List returns the requests that the store has, by their digests. Objects that can't be read
-// are left out.
+// List returns the entries of the store, sorted by digest. Objects that can't be decoded are left
+// out.
 func List(ctx context.Context, s store.Store) ([]EntryInfo, error) {
 	objects, _, err := s.List(ctx, Kind)
 	if err != nil {
@@ -47,8 +47,8 @@
 	return out, nil
 }
 
-// Release releases a request and forgets what was held against it. All hosts learn of it by
-// their copies of the store. A *NotHeldError says that there is nothing to lift.
+// Release deletes the entry of a request. Each host releases the request and clears its crashes
+// once its copy of the store shows the deletion. A *NotHeldError says that there is no such entry.
 func Release(ctx context.Context, s store.Store, d Digest) error {
 	o, err := s.Get(ctx, Kind, d.String())
 	if err == nil {
--- a/coordination/quarantine/proven.go
+++ b/coordination/quarantine/proven.go
@@ -5,29 +5,30 @@
 	"sync/atomic"
 )
 
-// answeredSlots is how many answered requests a host remembers, in 128 KiB: at a hundred
-// requests a second those of the last two minutes and more.
+// answeredSlots is the number of answered requests that a host remembers, in 128 KiB. At a hundred
+// requests per second these are the requests of more than two minutes.
 const answeredSlots = 1 << 14
 
-// answeredSet remembers requests that were answered. A request that shares its slot with a newer
-// one is forgotten.
+// answeredSet remembers recently answered requests. Of two requests that share a slot, only the
+// newer one is remembered.
 type answeredSet struct {
 	slots [answeredSlots]atomic.Uint64
 }
 
-func (p *answeredSet) slot(d Digest) (*atomic.Uint64, uint64) {
+// slot returns the slot of a request, and the value that identifies the request in it.
+func (s *answeredSet) slot(d Digest) (*atomic.Uint64, uint64) {
 	id := binary.LittleEndian.Uint64(d[:])
-	return &p.slots[id%answeredSlots], id
+	return &s.slots[id%answeredSlots], id
 }
 
-func (p *answeredSet) add(d Digest) {
-	slot, id := p.slot(d)
+func (s *answeredSet) add(d Digest) {
+	slot, id := s.slot(d)
 	if slot.Load() != id {
 		slot.Store(id)
 	}
 }
 
-func (p *answeredSet) has(d Digest) bool {
-	slot, id := p.slot(d)
+func (s *answeredSet) has(d Digest) bool {
+	slot, id := s.slot(d)
 	return slot.Load() == id
 }
--- a/coordination/quarantine/registry.go
+++ b/coordination/quarantine/registry.go
@@ -16,27 +16,28 @@
 )
 
 const (
-	// reviewInterval is how often the registry looks after the store's entries, and the pause before a
-	// write that failed is tried again: hosts that were out of the store's reach have some
-	// seconds to tell it what they know.
+	// reviewInterval is how often the registry reviews its holds and the store's entries. It is
+	// also the pause before a failed write is retried: hosts that could not reach the store have a
+	// few seconds to write what they know.
 	reviewInterval = time.Second
-	// takeoverDelay is when a host writes what another should have: that one may be gone.
+	// takeoverDelay is how old a hold is when a host that follows the store writes its entry in
+	// place of a host that saw a crash, which may be gone.
 	takeoverDelay = 3 * time.Second
-	// batchDelay is the pause in which crashes are collected for one notice: a failure domain
-	// that is lost is told in one by each host, not in one for each runner.
+	// batchDelay is how long crashes are collected for one notice: if a failure domain is lost,
+	// each host sends one notice instead of one per runner.
 	batchDelay = 20 * time.Millisecond
-	// clearanceTTL is how long an entry that is written in ignorance of an answer may be on
-	// its way: a write and the copy of it.
+	// clearanceTTL is how long an entry whose writer didn't know of an answer may be in flight: the
+	// write, and the copy of it to this host.
 	clearanceTTL = 10 * time.Second
-	// maxSuspectsPerNotice bounds the requests that a host tells of one crash, those first that had just
-	// begun; a full engine has some hundred from all hosts together.
+	// maxSuspectsPerNotice bounds the requests that a host reports for one crash; those that had
+	// just begun come first. A full engine runs a few hundred requests of all hosts together.
 	maxSuspectsPerNotice = 128
 )
 
-// Notice is what hosts tell each other.
+// Notice is a message from a host to all hosts.
 type Notice struct {
 	Crashes []Crash
-	// Held are requests that are held, for hosts that missed a crash.
+	// Held are held requests, for hosts that missed a crash.
 	Held []HeldRequest
 	// Answered are requests that were suspected or held and have been answered.
 	Answered []Digest
@@ -44,7 +45,7 @@
 
 func (n Notice) isEmpty() bool { return len(n.Crashes)+len(n.Held)+len(n.Answered) == 0 }
 
-// HeldRequest is a request that is held.
+// HeldRequest is a held request and the crashes counted against it.
 type HeldRequest struct {
 	Digest   Digest
 	Evidence []Evidence
@@ -52,69 +53,75 @@
 
 // Options configure a Registry. All fields are required.
 type Options struct {
-	// Host is this host's name in what it tells.
+	// Host is this host's name, as it appears in crashes and evidence.
 	Host  string
 	Table *Table
 	Store store.Store
-	// FollowsStore reports whether this host is one of those that follow the store.
+	// FollowsStore reports whether this host is one of those that follow the store. They maintain
+	// the entries.
 	FollowsStore func() bool
-	// Publish tells all hosts, this one too, by Take. It doesn't wait.
+	// Publish sends a notice to all hosts, including this one, whose Receive it reaches. It doesn't
+	// block.
 	Publish func(Notice)
 	Clock   state.Clock
 	Log     *slog.Logger
 }
 
-// Registry counts crashes with the other hosts and keeps at the store what is held. It is safe
-// for concurrent use.
+// Registry exchanges crashes and holds with the other hosts, and keeps the holds in the store. It
+// is safe for concurrent use.
 type Registry struct {
 	o Options
-	// noticePending and reviewPending wake what tells the hosts and what writes to the store.
-	noticePending, reviewPending chan struct{}
+	// wakePublish wakes the loop that publishes notices, and wakeReview the loop that reviews the
+	// holds and writes to the store.
+	wakePublish, wakeReview chan struct{}
 
 	mu            sync.Mutex
 	pendingNotice Notice
-	// pendingAnswered are suspected requests that were answered here. They are told with the next
-	// notice or tick: most of those that ran at a crash are.
+	// pendingAnswered are suspected requests that were answered here. They are published with the
+	// next notice or at the next reviewInterval, without a notice of their own: most requests that
+	// ran at a crash are answered.
 	pendingAnswered []Digest
-	// entries are those of the store as of revision, with what this host has written since,
-	// and unreadable the versions of those that were logged.
+	// entries are those of the store as of revision, and what this host has written since.
+	// unreadable has the versions of the undecodable objects that were logged, by name.
 	entries    map[Digest]storedEntry
 	revision   uint64
 	unreadable map[string]uint64
-	// bystanders are requests that were let go since another was at all their crashes and at
-	// more. Their entries are to say so; what speaks against them stays.
+	// bystanders are requests that were released because another held request ran at all their
+	// crashes and at others. Their entries are to be marked so; the crashes counted against them
+	// are kept.
 	bystanders map[Digest]clearance
-	// answered are suspected requests that were answered of late, at any host, or lifted while
-	// this host was writing. Their entries are to go, also one that a host writes which hasn't
-	// heard of it.
+	// answered are suspected requests that were answered recently, at any host, or released while
+	// this host was writing their entry. Their entries are to be removed, also one that is written
+	// later by a host that doesn't know of the answer yet.
 	answered map[Digest]clearance
-	// removed is when entries were removed of late.
+	// removed has the times at which entries were removed recently.
 	removed map[Digest]time.Time
 }
 
-// clearance is what a host knows of the clearance to a suspected request.
+// clearance records that a request was answered or released, and when.
 type clearance struct {
 	at time.Time
-	// local answers were given here: this host removes the entry at once. The few that follow
-	// the store do it for another, which may be gone.
+	// local clearances come from this host, which removes the entry at once. The hosts that follow
+	// the store do so for another host, which may be gone.
 	local bool
 }
 
-// New validates the options.
+// New returns a Registry, or an error if an option is missing.
 func New(o Options) (*Registry, error) {
 	if o.Host == "" || o.Table == nil || o.Store == nil || o.FollowsStore == nil || o.Publish == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("quarantine: a field of Options is missing; set all of them")
 	}
-	return &Registry{o: o, noticePending: make(chan struct{}, 1), reviewPending: make(chan struct{}, 1), entries: map[Digest]storedEntry{}, unreadable: map[string]uint64{}, answered: map[Digest]clearance{}, bystanders: map[Digest]clearance{}, removed: map[Digest]time.Time{}}, nil
+	return &Registry{o: o, wakePublish: make(chan struct{}, 1), wakeReview: make(chan struct{}, 1), entries: map[Digest]storedEntry{}, unreadable: map[string]uint64{}, answered: map[Digest]clearance{}, bystanders: map[Digest]clearance{}, removed: map[Digest]time.Time{}}, nil
 }
 
-// Held returns why a request is held, or nil.
+// Held returns the hold of a request, or nil if it isn't held.
 func (r *Registry) Held(d Digest) *Hold { return r.o.Table.Held(d) }
 
-// Size is the number of requests that are held.
+// Size returns the number of held requests.
 func (r *Registry) Size() int { return len(r.o.Table.Holds()) }
 
-// ReportAnswered notes that a copy of the request was answered whole.
+// ReportAnswered notes that a copy of the request was answered completely. If the request was
+// suspected or held, that is published to all hosts.
 func (r *Registry) ReportAnswered(d Digest) {
 	suspected, held := r.o.Table.ReportAnswered(d)
 	if !suspected {
@@ -131,8 +138,9 @@
 	}
 }
 
-// ReportCrash counts a crash under this host's requests, and tells all hosts. This host counts it at
-// once: an answer that comes before it is told clears it, and is told after it.
+// ReportCrash counts a crash of a run against the requests that this host had there, and publishes
+// it. This host counts the crash before the notice is sent: an answer in between clears it, and is
+// published with or after it.
 func (r *Registry) ReportCrash(run state.InstanceID, at time.Time, suspects []Suspect) {
 	suspects = slices.Clone(suspects)
 	for i := range suspects {
@@ -147,9 +155,8 @@
 	r.wakeLoops()
 }
 
-// countCrash counts a crash against the requests that ran there. An answer speaks for all copies
-// that were sent before it, also when their crash is told after it; one that was sent later
-// begins the suspicion anew.
+// countCrash counts a crash against its suspects. An answer clears all copies that were sent before
+// it, also if their crash is reported later. A copy that was sent after the answer counts again.
 func (r *Registry) countCrash(c Crash) {
 	r.mu.Lock()
 	c.Suspects = slices.DeleteFunc(slices.Clone(c.Suspects), func(s Suspect) bool {
@@ -170,7 +177,7 @@
 	}
 }
 
-// boolToInt is 1 for true and 0 for false.
+// boolToInt returns 1 for true and 0 for false.
 func boolToInt(b bool) int {
 	if b {
 		return 1
@@ -178,9 +185,9 @@
 	return 0
 }
 
-// wakeLoops has news told and the store written.
+// wakeLoops triggers the loops that publish notices and that review the holds.
 func (r *Registry) wakeLoops() {
-	for _, wake := range []chan struct{}{r.noticePending, r.reviewPending} {
+	for _, wake := range []chan struct{}{r.wakePublish, r.wakeReview} {
 		select {
 		case wake <- struct{}{}:
 		default:
@@ -188,7 +195,7 @@
 	}
 }
 
-// Receive takes what a host tells, this one too. It doesn't wait.
+// Receive applies a notice of any host, including this one. It doesn't block.
 func (r *Registry) Receive(n Notice) {
 	for _, c := range n.Crashes {
 		r.countCrash(c)
@@ -203,7 +210,7 @@
 	}
 }
 
-// receiveAnswered takes another host's word that a request was answered.
+// receiveAnswered clears a request that a host reports as answered.
 func (r *Registry) receiveAnswered(d Digest) {
 	r.o.Table.Clear(d)
 	r.mu.Lock()
@@ -213,8 +220,8 @@
 	}
 }
 
-// reportHold tells the others what this host has reportHold, if one of the crashes was its own: a
-// host that saw none leaves it to those that did.
+// reportHold logs a new hold. It also publishes the hold if this host saw one of the crashes
+// itself; a host that saw none leaves that to those that did.
 func (r *Registry) reportHold(d Digest) {
 	r.logHold(d, "crashes")
 	hold := r.o.Table.Held(d)
@@ -227,13 +234,14 @@
 	r.wakeLoops()
 }
 
-// logHold writes the line from which a refusal is explained.
+// logHold logs why a request is held. Refusals of the request are explained by this line.
 func (r *Registry) logHold(d Digest, source string) {
 	if hold := r.o.Table.Held(d); hold != nil {
-		r.o.Log.Warn("request held: runners crash under it", "digest", d.String(), "by", source, "crashes", len(hold.Evidence), "evidence", describeEvidence(hold.Evidence))
+		r.o.Log.Warn("request held: it crashes runners", "digest", d.String(), "by", source, "crashes", len(hold.Evidence), "evidence", describeEvidence(hold.Evidence))
 	}
 }
 
+// describeEvidence formats crashes for the log.
 func describeEvidence(evidence []Evidence) []string {
 	out := make([]string, 0, len(evidence))
 	for _, e := range evidence {
@@ -242,13 +250,13 @@
 	return out
 }
 
-// Run tells the other hosts and looks after the store's entries until ctx ends. One doesn't
-// wait for the other: the store may hang.
+// Run publishes notices, reviews the holds and maintains the store's entries until ctx ends.
+// Notices have a loop of their own, as the store may hang.
 func (r *Registry) Run(ctx context.Context) {
 	var loops conc.WaitGroup
-	loops.Go(func() { r.loop(ctx, r.noticePending, r.publishPending) })
+	loops.Go(func() { r.loop(ctx, r.wakePublish, r.publishPending) })
 	loops.Go(func() {
-		r.loop(ctx, r.reviewPending, func() {
+		r.loop(ctx, r.wakeReview, func() {
 			r.reviewHolds()
 			r.rewriteEntries(ctx)
 			r.writeHolds(ctx)
@@ -259,8 +267,8 @@
 	loops.Wait()
 }
 
-// reviewHolds lets bystanders go, and holds what they hid. Each host does so by itself; those that
-// follow the store note it in the entries.
+// reviewHolds releases bystanders, and holds the requests whose crashes they explained. Each host
+// does so by itself; the hosts that follow the store also mark the entries.
 func (r *Registry) reviewHolds() {
 	r.mu.Lock()
 	released, held := r.o.Table.Review()
@@ -275,11 +283,11 @@
 		r.reportHold(d)
 	}
 	for _, d := range released {
-		r.o.Log.Info("held request let go: another was at all its crashes and at more", "digest", d.String())
+		r.o.Log.Info("held request released: another held request ran at all its crashes and at others", "digest", d.String())
 	}
 }
 
-// loop calls do a moment after it was woken, and at loop tick.
+// loop calls do after each wake-up or reviewInterval, delayed by batchDelay, until ctx ends.
 func (r *Registry) loop(ctx context.Context, wake <-chan struct{}, do func()) {
 	for ctx.Err() == nil {
 		r.waitForWake(ctx, wake)
@@ -290,14 +298,14 @@
 	}
 }
 
-// waitForWake waits to be woken, or for the next tick.
+// waitForWake returns when wake is signaled, when reviewInterval has passed or when ctx ends.
 func (r *Registry) waitForWake(ctx context.Context, wake <-chan struct{}) {
 	sleepCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = r.o.Clock.Sleep(sleepCtx, reviewInterval) // its end is all that counts
+		_ = r.o.Clock.Sleep(sleepCtx, reviewInterval) // an interrupted sleep ends the wait as well
 	}()
 	select {
 	case <-wake:
@@ -305,7 +313,7 @@
 	}
 }
 
-// publishPending tells all hosts what is new.
+// publishPending publishes the crashes, holds and answers that were not published yet.
 func (r *Registry) publishPending() {
 	r.mu.Lock()
 	n := r.pendingNotice
--- a/coordination/quarantine/registry_test.go
+++ b/coordination/quarantine/registry_test.go
@@ -17,24 +17,25 @@
 	"github.com/thymerack/thymerack/coordination/store/storetest"
 )
 
-// noticeDelay is the way of a notice.
+// noticeDelay is the delivery time of a notice.
 const noticeDelay = 5 * time.Millisecond
 
-// fleet is hosts with a store and notices between them.
+// fleet simulates hosts with a store, and notices between the hosts.
 type fleet struct {
 	t     *testing.T
 	store *storetest.Platform
 	hosts []*host
 
 	mu sync.Mutex
-	// cut hosts hear no other and aren't heard, unreachable ones don't reach the store.
+	// Hosts in cut exchange no notices with others. Hosts in unreachable don't reach the store.
 	cut, unreachable map[string]bool
-	// writeDelay is how long the store takes for a write, and answerDelay how long the answer of one
-	// that has taken effect is on its way.
+	// writeDelay is how long a write takes to take effect at the store, and answerDelay how long
+	// the store's answer takes after that.
 	writeDelay, answerDelay time.Duration
-	// slowHost is the host whose writes are slow, "" for all.
+	// slowHost is the host to whose writes writeDelay applies; "" for all.
 	slowHost string
 
+	// writes counts the writes at the store. The first followers hosts follow the store.
 	writes, followers int
 }
 
@@ -59,7 +60,7 @@
 		}
 		return storetest.None
 	})
-	f.mu.Lock() // no host publishes before all are there
+	f.mu.Lock() // no host publishes before all have started
 	for n := range hosts {
 		f.hosts = append(f.hosts, f.start(fmt.Sprint("h", n), n))
 	}
@@ -68,7 +69,7 @@
 	return f
 }
 
-// start starts a host; those of a lower rank than f.follows follow the store.
+// start starts a host. Hosts with a rank below f.followers follow the store.
 func (f *fleet) start(name string, rank int) *host {
 	f.t.Helper()
 	ctx, stop := context.WithCancel(context.Background())
@@ -93,6 +94,7 @@
 	return h
 }
 
+// delayOf returns how long a call takes to take effect at the store.
 func (f *fleet) delayOf(c storetest.Call) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -102,7 +104,7 @@
 	return f.writeDelay
 }
 
-// delayedAnswers is a store whose answers to writes are on their way for some time.
+// delayedAnswers is a store whose answers to writes are delayed.
 type delayedAnswers struct {
 	store.Store
 	f *fleet
@@ -117,14 +119,15 @@
 	return version, err
 }
 
-// isFollower reports whether hosts of that rank isFollower the store.
+// isFollower reports whether a host of that rank follows the store.
 func (f *fleet) isFollower(rank int) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return rank < f.followers
 }
 
-// publish brings a notice to its own host at once and to the others that hear it.
+// publish delivers a notice to its own host at once, and to the other connected hosts after
+// noticeDelay.
 func (f *fleet) publish(from *host, n Notice) {
 	from.Receive(n)
 	f.mu.Lock()
@@ -136,7 +139,7 @@
 	}
 }
 
-// restart replaces a host by one that knows nothing.
+// restart replaces a host by one without state.
 func (f *fleet) restart(n int) {
 	f.hosts[n].stop()
 	h := f.start(f.hosts[n].name, n)
@@ -146,13 +149,14 @@
 	time.Sleep(10 * time.Millisecond)
 }
 
-// crashAndWait lets a host see a run end under requests that had just been sent.
+// crashAndWait reports a crash at a host and waits until all hosts know of it. By default the
+// suspects had just been sent.
 func (f *fleet) crashAndWait(host, n int, suspects ...Suspect) {
 	f.reportCrash(host, n, suspects...)
 	time.Sleep(time.Second)
 }
 
-// reportCrash is crash without a pause after it.
+// reportCrash reports the crash of run n at a host.
 func (f *fleet) reportCrash(host, n int, suspects ...Suspect) {
 	for i := range suspects {
 		if suspects[i].SentAt.IsZero() {
@@ -162,14 +166,14 @@
 	f.hosts[host].ReportCrash(run(n), time.Now(), suspects)
 }
 
-// written counts the writes at the store.
+// written returns the number of writes at the store.
 func (f *fleet) written() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.writes
 }
 
-// set changes what befalls hosts.
+// set sets or clears a fault for hosts.
 func (f *fleet) set(state map[string]bool, is bool, hosts ...int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -178,7 +182,7 @@
 	}
 }
 
-// holderCount counts the hosts that hold a request.
+// holderCount returns the number of hosts that hold a request.
 func (f *fleet) holderCount(d Digest) int {
 	n := 0
 	for _, h := range f.hosts {
@@ -189,6 +193,7 @@
 	return n
 }
 
+// entry returns the entry of a request in the store, if there is one.
 func (f *fleet) entry(d Digest) (entry, bool) {
 	o, err := f.store.Client("operator").Get(f.t.Context(), Kind, d.String())
 	if err != nil {
@@ -198,13 +203,13 @@
 	return e, err == nil
 }
 
-// runFleet runs a scenario with so many hosts in a bubble of its own.
+// runFleet runs a scenario with a new fleet in a bubble of its own.
 func runFleet(t *testing.T, hosts int, scenario func(is *is.I, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, hosts)
-		// Also after a check that fails: the bubble can't end before its goroutines, and its
-		// panic would hide what failed.
+		// Hosts are stopped after a failed check too: the bubble can't end before its goroutines,
+		// and its panic would hide the failure.
 		defer func() {
 			for _, h := range f.hosts {
 				h.stop()
@@ -220,7 +225,7 @@
 		f.followers = 10
 		f.mu.Unlock()
 		f.crashAndWait(1, 1, fresh(1), fresh(2))
-		is.Equal(f.written(), 0) // an ordinary crash costs the store nothing
+		is.Equal(f.written(), 0) // a single crash causes no writes
 		f.crashAndWait(200, 2, fresh(1), fresh(3))
 		is.Equal(f.holderCount(digest(1)), 300)
 		is.Equal(f.holderCount(digest(2))+f.holderCount(digest(3)), 0)
@@ -242,29 +247,29 @@
 				f.restart(n)
 			}
 		},
-		"one is cut off from the others": func(f *fleet) {
+		"one host is partitioned": func(f *fleet) {
 			f.set(f.cut, true, 3)
 			f.crashAndWait(0, 1, fresh(1))
 			f.crashAndWait(1, 2, fresh(1))
 		},
-		"each half of the hosts is cut off from the other": func(f *fleet) {
-			f.set(f.cut, true, 3) // the halves are one host and the others
+		"both sides of a partition see crashes": func(f *fleet) {
+			f.set(f.cut, true, 3) // one side is host 3, the other side the rest
 			f.crashAndWait(0, 1, fresh(1))
-			f.crashAndWait(3, 2, fresh(1)) // neither knows of two
+			f.crashAndWait(3, 2, fresh(1)) // neither side knows of two crashes
 			f.crashAndWait(0, 3, fresh(1))
 		},
-		"the store is away": func(f *fleet) {
+		"store unreachable": func(f *fleet) {
 			f.set(f.unreachable, true, 0, 1, 2, 3, 4)
 			f.crashAndWait(0, 1, fresh(1))
 			f.crashAndWait(1, 2, fresh(1))
 			if f.holderCount(digest(1)) != 5 {
-				f.t.Error("not held while the store is away")
+				f.t.Error("not held at all hosts while the store is unreachable")
 			}
 			f.set(f.unreachable, false, 0, 1, 2, 3, 4)
 			time.Sleep(2 * reviewInterval)
-			f.restart(4) // it knows from the store
+			f.restart(4) // the host loads the hold from the store
 		},
-		"those that saw it are killed before they can write": func(f *fleet) {
+		"hosts that saw the crashes restart before they can write": func(f *fleet) {
 			f.set(f.unreachable, true, 0, 1)
 			f.crashAndWait(0, 1, fresh(1))
 			f.crashAndWait(1, 2, fresh(1))
@@ -273,10 +278,10 @@
 			f.restart(0)
 			f.restart(1)
 		},
-		"the first that saw it restarts": func(f *fleet) {
+		"host that saw the first crash restarts": func(f *fleet) {
 			f.crashAndWait(0, 1, fresh(1))
 			f.restart(0)
-			f.crashAndWait(0, 2, fresh(1)) // it has forgotten the first; the others haven't
+			f.crashAndWait(0, 2, fresh(1)) // this host has lost the first crash; the others have it
 			time.Sleep(takeoverDelay + reviewInterval)
 		},
 	} {
@@ -292,20 +297,20 @@
 	}
 }
 
-// What hosts tell each other doesn't wait for a store that hangs.
+// Guards against notices that are delayed by a store that hangs.
 func TestNoticesDoNotWaitForTheStore(t *testing.T) {
 	runFleet(t, 5, func(is *is.I, f *fleet) {
 		f.mu.Lock()
 		f.writeDelay = time.Minute
 		f.mu.Unlock()
 		f.crashAndWait(0, 1, fresh(1))
-		f.crashAndWait(0, 2, fresh(1)) // the host begins to write what it holds
+		f.crashAndWait(0, 2, fresh(1)) // the host begins to write the hold
 		is.Equal(f.holderCount(digest(1)), 5)
 		f.reportCrash(0, 3, fresh(2))
 		f.reportCrash(0, 4, fresh(2))
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(f.holderCount(digest(2)), 5)
-		time.Sleep(10 * time.Minute) // the store's answers come in the end
+		time.Sleep(10 * time.Minute) // until the store has answered
 	})
 }
 
--- a/coordination/quarantine/release_fuzz_test.go
+++ b/coordination/quarantine/release_fuzz_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// releaseStep is one thing that happens to requests, a pause after the one before.
+// releaseStep is one event of the simulation, after a pause.
 type releaseStep struct {
 	action  string
 	request int
@@ -17,8 +17,9 @@
 	pause   time.Duration
 }
 
+// drawReleaseSteps draws the events of one trial.
 func drawReleaseSteps(rt *rapid.T, hosts, requests int) []releaseStep {
-	action := rapid.SampledFrom([]string{"crash", "crash", "answer", "lift", "restart", "cut", "heal", "slow store", "late answers", "sound store"})
+	action := rapid.SampledFrom([]string{"crash", "crash", "answer", "release", "restart", "cut", "heal", "slow store", "late answers", "fast store"})
 	return rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) releaseStep {
 		return releaseStep{
 			action: action.Draw(rt, "what"), request: rapid.IntRange(0, requests-1).Draw(rt, "request"), host: rapid.IntRange(0, hosts-1).Draw(rt, "host"),
@@ -27,28 +28,30 @@
 	}), 5, 60).Draw(rt, "steps")
 }
 
-// releaseTrial plays releases and knows which requests were let go after their last crash.
+// releaseTrial runs steps and tracks which requests were answered or released after their last
+// crash.
 type releaseTrial struct {
 	*fleet
 	runs     int
 	released map[int]bool
-	// answers and crashes are the last of each request. What only a host knew that was killed
-	// or cut off before it could tell is lost with it, or can't be compared by others.
+	// answers and crashes are the last ones of each request. An event is lost if its host was
+	// restarted or cut off before it could report the event.
 	answers, crashes map[int]hostEvent
 }
 
-// hostEvent is what a host has had.
+// hostEvent is an answer or a crash at a host.
 type hostEvent struct {
 	host int
 	at   time.Time
-	// lost says that the others weren't told.
+	// lost says that the event wasn't reported to the other hosts.
 	lost bool
 }
 
-// reportTime is how long a host takes to tell of an event at most, and the store to be told.
+// reportTime is the maximum time that a host takes to report an event to the other hosts and the
+// store.
 const reportTime = 3 * reviewInterval
 
-// markLost marks the events that a host can't have told yet.
+// markLost marks the events that a host may not have reported yet as lost.
 func (tr *releaseTrial) markLost(host int) {
 	for _, events := range []map[int]hostEvent{tr.answers, tr.crashes} {
 		for n, e := range events {
@@ -60,7 +63,7 @@
 	}
 }
 
-// newEvent is what a host has at this moment.
+// newEvent returns an event that happens now at a host.
 func (tr *releaseTrial) newEvent(host int) hostEvent {
 	return hostEvent{host: host, at: time.Now(), lost: tr.cut[tr.hosts[host].name]}
 }
@@ -81,13 +84,13 @@
 		}
 		tr.reportCrash(s.host, tr.runs, fresh(s.request))
 	case "answer":
-		time.Sleep(2*batchDelay + noticeDelay) // another host's answer may cross a crash on its way
+		time.Sleep(2*batchDelay + noticeDelay) // so that the answer of another host doesn't overtake a crash in flight
 		tr.hosts[s.host].ReportAnswered(digest(s.request))
 		tr.released[s.request] = true
 		tr.answers[s.request] = tr.newEvent(s.host)
-	case "lift":
-		time.Sleep(reviewInterval) // an operator reads first; a crash that is being told then counts after
-		// One that isn't stored has nothing to be lifted.
+	case "release":
+		time.Sleep(reviewInterval) // an operator reads the entry first; this lets a crash in flight arrive before the release
+		// Releasing a request fails if it has no entry.
 		tr.released[s.request] = Release(tr.t.Context(), tr.store.Client("operator"), digest(s.request)) == nil
 		tr.answers[s.request] = hostEvent{}
 	case "restart":
@@ -98,12 +101,12 @@
 		tr.set(tr.cut, true, s.host)
 	case "heal":
 		tr.set(tr.cut, false, s.host)
-	case "slow store", "late answers", "sound store":
+	case "slow store", "late answers", "fast store":
 		tr.delayStore(s.action == "slow store", s.action == "late answers")
 	}
 }
 
-// delayStore sets which part of a write takes long.
+// delayStore sets which part of a write takes two seconds.
 func (f *fleet) delayStore(write, answer bool) {
 	const long = 2 * time.Second
 	f.mu.Lock()
@@ -117,7 +120,8 @@
 	}
 }
 
-// check heals all and judges what has been let go.
+// check heals all faults and checks that released requests are held nowhere and that all hosts hold
+// the same requests.
 func (tr *releaseTrial) check(requests int) error {
 	tr.set(tr.cut, false, 0, 1, 2, 3, 4)
 	tr.delayStore(false, false)
@@ -127,7 +131,7 @@
 		_, found := tr.entry(digest(n))
 		reported := !tr.answers[n].lost && !tr.crashes[n].lost
 		if tr.released[n] && reported && (holders > 0 || found) {
-			return fmt.Errorf("request %d was let go after its last crash; %d hosts hold it, an entry: %v", n, holders, found)
+			return fmt.Errorf("request %d was answered or released after its last crash, but %d hosts hold it; entry in the store: %v", n, holders, found)
 		}
 		if holders > 0 && holders < len(tr.hosts) {
 			return fmt.Errorf("request %d is held at %d of %d hosts", n, holders, len(tr.hosts))
@@ -136,8 +140,8 @@
 	return nil
 }
 
-// Whatever order the news comes in, a request that was answered or lifted after its last crash
-// is held nowhere, and in the end all hosts hold the same.
+// In whatever order crashes, answers and releases reach the hosts, a request that was answered or
+// released after its last crash is held nowhere, and in the end all hosts hold the same requests.
 func TestHoldsReleasesStand(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		if err := runReleaseSteps(t, drawReleaseSteps(rt, 5, releaseRequests)); err != nil {
@@ -146,9 +150,10 @@
 	})
 }
 
-// releaseRequests is how many releaseRequests the releases are of.
+// releaseRequests is the number of requests in a trial.
 const releaseRequests = 3
 
+// runReleaseSteps runs one trial and returns the error of its check.
 func runReleaseSteps(t *testing.T, plan []releaseStep) (err error) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -164,29 +169,29 @@
 	return err
 }
 
-// Plans that failed once, as the property test had shortened them; their order within a moment
-// differs from run to run, so that each is played some times.
+// Regression tests with failing plans that the property test had shrunk. Each plan runs several
+// times, since the order of simultaneous events differs from run to run.
 func TestReleasesPersistInRegressionPlans(t *testing.T) {
 	ms := time.Millisecond
 	for name, plan := range map[string][]releaseStep{
-		"answered in the midst of several crashes": {
+		"answered during several crashes": {
 			{"crash", 0, 0, 0}, {"crash", 0, 0, 0}, {"crash", 0, 0, 0}, {"crash", 0, 0, 0}, {"answer", 0, 0, 0},
 		},
-		"a hold that crosses an answer, and a restart": {
+		"hold concurrent with an answer, and a restart": {
 			{"cut", 0, 1, 728 * ms}, {"answer", 0, 0, 2 * ms}, {"crash", 0, 0, 221 * ms}, {"crash", 2, 2, 2110 * ms}, {"heal", 0, 4, 160 * ms},
 			{"answer", 1, 4, ms}, {"answer", 1, 4, 6 * ms}, {"crash", 2, 0, 49 * ms}, {"answer", 2, 2, 2 * ms}, {"crash", 0, 2, 3 * ms},
 			{"late answers", 1, 1, 5 * ms}, {"restart", 2, 1, 3000 * ms}, {"crash", 1, 0, 3000 * ms}, {"slow store", 2, 0, 1500 * ms},
-			{"sound store", 0, 3, ms}, {"crash", 2, 4, 22 * ms}, {"late answers", 2, 0, 112 * ms},
+			{"fast store", 0, 3, ms}, {"crash", 2, 4, 22 * ms}, {"late answers", 2, 0, 112 * ms},
 		},
-		"lifted while a slow store has writes": {
+		"released while a slow store has pending writes": {
 			{"crash", 2, 0, 0}, {"crash", 0, 0, 20 * ms}, {"restart", 2, 1, 0}, {"slow store", 0, 2, 6 * ms}, {"crash", 2, 1, 0},
-			{"answer", 1, 4, 2428 * ms}, {"lift", 2, 4, 315 * ms},
+			{"answer", 1, 4, 2428 * ms}, {"release", 2, 4, 315 * ms},
 		},
-		"lifted while one of two writers is slow": {
-			{"slow store", 0, 0, 0}, {"crash", 0, 4, 0}, {"heal", 1, 1, 9 * ms}, {"crash", 0, 0, 10 * ms}, {"sound store", 0, 3, 25 * ms},
-			{"lift", 0, 0, 0}, {"lift", 1, 4, ms},
+		"released while one of two writers is slow": {
+			{"slow store", 0, 0, 0}, {"crash", 0, 4, 0}, {"heal", 1, 1, 9 * ms}, {"crash", 0, 0, 10 * ms}, {"fast store", 0, 3, 25 * ms},
+			{"release", 0, 0, 0}, {"release", 1, 4, ms},
 		},
-		"a host that was cut off at the answer holds": {
+		"held by a host that was cut off during the answer": {
 			{"crash", 0, 0, 0}, {"cut", 0, 3, 20 * ms}, {"answer", 0, 0, 46 * ms}, {"restart", 0, 2, 3000 * ms}, {"crash", 0, 3, ms}, {"crash", 0, 1, 66 * ms},
 		},
 	} {
--- a/coordination/quarantine/release_test.go
+++ b/coordination/quarantine/release_test.go
@@ -7,11 +7,10 @@
 	"github.com/matryer/is"
 )
 
-// A released request was held again at once, at all hosts, in some runs: nobody had seen
-// another crash. A host went through what it held from a list made before, while its write for
-// another request waited for the store; when it reached one that had been released meanwhile,
-// it took its missing entry for one still to be written. A slow store, many old requests and a
-// few new ones bring that about whatever the order of the list.
+// Guards against a released request that is held again at all hosts without a further crash. A host
+// goes through its holds while its write for another request waits for the store. If a request is
+// released in the meantime, the host must not mistake the removed entry for one that is still to be
+// written. A slow store, many old holds and a few new ones cause this in any order of the list.
 func TestReleasePersistsDespiteSlowWriter(t *testing.T) {
 	const old, all = 16, 20
 	runFleet(t, 3, func(is *is.I, f *fleet) {
@@ -28,7 +27,7 @@
 		f.writeDelay = 2 * time.Second
 		f.mu.Unlock()
 		f.crashAndWait(0, 3, requests(old, all)...)
-		f.crashAndWait(0, 4, requests(old, all)...) // the host writes these for eight seconds
+		f.crashAndWait(0, 4, requests(old, all)...) // the host takes eight seconds to write these
 		for n := range old {
 			is.NoErr(Release(t.Context(), f.store.Client("operator"), digest(n)))
 		}
@@ -42,9 +41,10 @@
 	})
 }
 
-// A host that wrote a hold held the request again, alone and without end, when the answer of its
-// write came after the entry had been removed: it took the entry for one still to be shown by its
-// copy of the store, which had shown it, and its removal, before.
+// Guards against a request that its writer alone holds forever after a release. The store's answer
+// to the write arrives after the entry was removed, and the writer must not mistake the entry for
+// one that its copy of the store doesn't show yet: the copy has already shown the entry and its
+// removal.
 func TestReleasePersistsDespiteDelayedStoreAnswer(t *testing.T) {
 	runFleet(t, 3, func(is *is.I, f *fleet) {
 		f.mu.Lock()
@@ -60,14 +60,14 @@
 	})
 }
 
-// A request that was answered was held again by what a host told that had stood still before
-// telling it. The crashes had been counted, and the answer had cleared the request of them.
+// Guards against an answered request that is held again by the late notice of a host that was
+// suspended. The crashes in the notice have been counted, and the answer has cleared them.
 func TestAnswerOverridesLateNotices(t *testing.T) {
 	runFleet(t, 5, func(is *is.I, f *fleet) {
 		f.crashAndWait(0, 1, fresh(1))
 		f.crashAndWait(1, 2, fresh(1))
 		late := Notice{Held: []HeldRequest{{digest(1), f.hosts[0].Held(digest(1)).Evidence}}}
-		f.hosts[3].ReportAnswered(digest(1)) // a copy that ran all the while
+		f.hosts[3].ReportAnswered(digest(1)) // a copy that was still running
 		time.Sleep(2 * reviewInterval)
 		is.Equal(f.holderCount(digest(1)), 0)
 		f.publish(f.hosts[0], late)
@@ -80,7 +80,7 @@
 		time.Sleep(2 * reviewInterval)
 		had := fresh(2)
 		had.SentAt = before
-		f.crashAndWait(1, 3, had) // this host had a copy there, and tells it now
+		f.crashAndWait(1, 3, had) // this host had a copy there, and reports it late
 		f.crashAndWait(0, 4, fresh(2))
 		is.Equal(f.holderCount(digest(2)), 0)
 		f.crashAndWait(0, 5, fresh(2))
@@ -88,14 +88,14 @@
 	})
 }
 
-// A request was held by each host that started, and by no other: it had been answered in the
-// moment in which another host counted its second crash and wrote that to the store. The host
-// with the answer knew of no hold, so that nobody removed the entry.
+// Guards against a request that is held only at hosts that start later. One host counts the second
+// crash and writes the entry while another one has the answer. The host with the answer knows of no
+// hold, and the entry must be removed all the same.
 func TestAnswerRemovesEntryOfConcurrentHold(t *testing.T) {
 	runFleet(t, 5, func(is *is.I, f *fleet) {
 		f.crashAndWait(0, 1, fresh(1))
 		f.reportCrash(1, 2, fresh(1))
-		f.hosts[2].ReportAnswered(digest(1)) // before the second crash is told
+		f.hosts[2].ReportAnswered(digest(1)) // before the second crash is published
 		time.Sleep(clearanceTTL)
 		_, found := f.entry(digest(1))
 		is.True(!found)
@@ -105,7 +105,8 @@
 	})
 }
 
-// The host with the answer is gone before it reaches the store: the others finish it.
+// If the host with the answer is lost before it reaches the store, the hosts that follow the store
+// remove the entry.
 func TestFollowersRemoveEntryForCrashedHost(t *testing.T) {
 	runFleet(t, 5, func(is *is.I, f *fleet) {
 		f.crashAndWait(0, 1, fresh(1))
@@ -123,8 +124,9 @@
 	})
 }
 
-// A plain call whose runners are lost together is answered by a third within milliseconds, while
-// the crashes still wait to be told with others. The answer was lost, and the call held.
+// Guards against an answer that is lost because its crashes are not published yet. The runners of a
+// call are lost together, and a third one answers it within milliseconds, while the crashes still
+// wait for the next notice.
 func TestAnswerClearsUnpublishedCrashes(t *testing.T) {
 	runFleet(t, 5, func(is *is.I, f *fleet) {
 		f.reportCrash(0, 1, fresh(1))
@@ -135,15 +137,16 @@
 	})
 }
 
-// Two hosts write the same hold. An operator removes the entry of the faster one while the other's
-// write is still on its way: it finds no entry, as it expects, and puts back what was removed.
+// Guards against a hold that a second writer restores after its release. Two hosts write the same
+// hold, and an operator removes the entry of the faster one while the write of the other is in
+// flight. That write expects no entry, finds none and takes effect.
 func TestReleasePersistsDespiteSecondWriter(t *testing.T) {
 	runFleet(t, 5, func(is *is.I, f *fleet) {
 		f.crashAndWait(1, 1, fresh(1))
 		f.mu.Lock()
 		f.writeDelay, f.slowHost = 3*time.Second, f.hosts[0].name
 		f.mu.Unlock()
-		f.crashAndWait(0, 2, fresh(1)) // both write
+		f.crashAndWait(0, 2, fresh(1)) // hosts 0 and 1 write
 		is.NoErr(Release(t.Context(), f.store.Client("operator"), digest(1)))
 		time.Sleep(10 * time.Second)
 		_, found := f.entry(digest(1))
@@ -152,9 +155,9 @@
 	})
 }
 
-// A host that had the answer of a request passed over an entry, as one written in ignorance of
-// the answer. The crashes in it had come after the answer, as another crash showed, but the host
-// never came back to the entry: the others held the request, this one didn't.
+// Guards against an entry that one host ignores forever. The host knows of an answer and ignores
+// the entry, as its writer didn't know of the answer. The crashes of the entry came after the
+// answer, which a further crash shows: the host must apply the entry then, as the others do.
 func TestIgnoredEntryIsReconciled(t *testing.T) {
 	runFleet(t, 5, func(is *is.I, f *fleet) {
 		f.reportCrash(0, 1, fresh(1))
@@ -164,9 +167,9 @@
 		f.hosts[0].ReportAnswered(digest(1))
 		time.Sleep(3 * reviewInterval)
 		f.restart(2)
-		f.reportCrash(3, 2, fresh(1)) // this host knows two crashes, and not of the answer between
+		f.reportCrash(3, 2, fresh(1)) // this host knows of two crashes, but not of the answer in between
 		time.Sleep(3 * batchDelay)
-		f.reportCrash(1, 3, fresh(1)) // before those with the answer have removed the entry
+		f.reportCrash(1, 3, fresh(1)) // before the hosts that know of the answer have removed the entry
 		f.set(f.cut, false, 3)
 		time.Sleep(10 * time.Second)
 		holders := f.holderCount(digest(1))
@@ -176,7 +179,8 @@
 	})
 }
 
-// A host missed that a request was let go before it had seen the entry: nothing ever told it.
+// Guards against a hold that never ends at a host that missed the release of the request before it
+// saw the entry.
 func TestHoldWithoutEntryExpires(t *testing.T) {
 	runFleet(t, 5, func(is *is.I, f *fleet) {
 		f.mu.Lock()
@@ -204,9 +208,9 @@
 		time.Sleep(2 * reviewInterval)
 		is.Equal(f.holderCount(digest(1)), 0)
 		_, found := f.entry(digest(1))
-		is.True(!found) // nobody writes it again
+		is.True(!found) // no host writes it again
 		f.crashAndWait(0, 3, fresh(1))
-		is.Equal(f.holderCount(digest(1)), 0) // it begins anew
+		is.Equal(f.holderCount(digest(1)), 0) // counting starts again
 		f.crashAndWait(0, 4, fresh(1))
 		is.Equal(f.holderCount(digest(1)), 5)
 	})
@@ -220,7 +224,7 @@
 		is.Equal(f.holderCount(digest(1)), 5)
 		time.Sleep(20 * time.Second)
 		is.Equal(f.holderCount(digest(1)), 0)
-		f.crashAndWait(2, 3, fresh(1)) // one more runner, and it is held for twice as long
+		f.crashAndWait(2, 3, fresh(1)) // one more crash holds it for twice as long
 		is.Equal(f.holderCount(digest(1)), 5)
 		time.Sleep(2*initialHold - 10*time.Second)
 		is.Equal(f.holderCount(digest(1)), 5)
@@ -228,7 +232,7 @@
 		is.Equal(e.HoldCount, 2)
 		time.Sleep(20 * time.Second)
 		is.Equal(f.holderCount(digest(1)), 0)
-		f.hosts[4].ReportAnswered(digest(1)) // the runners have been mended
+		f.hosts[4].ReportAnswered(digest(1)) // the runners have been fixed
 		time.Sleep(reviewInterval)
 		_, found := f.entry(digest(1))
 		is.True(!found)
@@ -245,7 +249,7 @@
 		f.reportCrash(2, 3, fresh(1))
 		time.Sleep(batchDelay + noticeDelay + time.Millisecond)
 		is.Equal(f.holderCount(digest(1)), 5)
-		f.hosts[3].ReportAnswered(digest(1)) // a copy that ran all the while
+		f.hosts[3].ReportAnswered(digest(1)) // a copy that was still running
 		time.Sleep(2 * reviewInterval)
 		is.Equal(f.holderCount(digest(1)), 0)
 		_, found := f.entry(digest(1))
--- a/coordination/quarantine/restored.go
+++ b/coordination/quarantine/restored.go
@@ -8,24 +8,25 @@
 )
 
 const (
-	// rewriteTimeout is how long an entry that a restored store has lost counts until it is written
-	// again: a few tries of each host that follows the store.
+	// rewriteTimeout is how long an entry that a restored store lost stays in force until it is
+	// written again. It leaves time for a few attempts of each host that follows the store.
 	rewriteTimeout = 30 * time.Second
-	// removalTTL is how long it is remembered that an entry was removed: a restored store may
-	// have it again.
+	// removalTTL is how long the removal of an entry is remembered: a restored store may have the
+	// entry again.
 	removalTTL = 5 * time.Minute
 )
 
-// advanceRevision takes a copy's revision and reports whether the store was restored since the last copy.
-// r.mu is held.
+// advanceRevision sets the revision of the latest copy, and reports whether the store was restored
+// to an earlier state since the previous one. r.mu must be held.
 func (r *Registry) advanceRevision(revision uint64) (restored bool) {
 	restored = store.RestoredBetween(r.revision, revision)
 	r.revision = revision
 	return restored
 }
 
-// applyRestored takes an entry of the first copy after a restoration. What this host knew of it is
-// newer and is written again; one that had been removed goes again. r.mu is held.
+// applyRestored applies an entry of the first copy after a restore. If this host knows the entry,
+// its own state is newer and is written again. An entry that had been removed before is removed
+// again. r.mu must be held.
 func (r *Registry) applyRestored(d Digest, e entry, version uint64) storedEntry {
 	now := r.o.Clock.Now()
 	if known, found := r.entries[d]; found {
@@ -37,14 +38,14 @@
 	}
 	if _, removed := r.removed[d]; removed {
 		r.answered[d] = clearance{at: now}
-		r.o.Log.Info("restored entry was removed before; removed again", "digest", d.String(), "version", store.FormatVersion(version))
+		r.o.Log.Info("restored entry had been removed before; removing it again", "digest", d.String(), "version", store.FormatVersion(version))
 	}
 	r.updateTable(d, e)
 	return storedEntry{entry: e, version: version, seenAt: now}
 }
 
-// keepMissing returns an entry that a copy lacks and that counts all the same: it was written since the
-// copy, or a restored store lost it. r.mu is held.
+// keepMissing returns an entry that a copy lacks, and reports whether it stays in force: it was
+// written after the copy, or a restored store lost it. r.mu must be held.
 func (r *Registry) keepMissing(s storedEntry, revision uint64, restored bool) (kept storedEntry, ok bool) {
 	now := r.o.Clock.Now()
 	switch {
@@ -57,7 +58,7 @@
 	return s, s.version == store.Absent && now.Sub(s.rewritePendingSince) < rewriteTimeout
 }
 
-// recordRemoval notes that an entry was removed; r.mu is held.
+// recordRemoval records that an entry was removed. r.mu must be held.
 func (r *Registry) recordRemoval(d Digest) {
 	now := r.o.Clock.Now()
 	for other, at := range r.removed {
@@ -68,8 +69,8 @@
 	r.removed[d] = now
 }
 
-// rewriteEntries writes the entries that a restored store has lost, or has as they were before. The
-// hosts that follow the store do it; the first one's write is the one that counts.
+// rewriteEntries writes the entries that a restored store lost or has in an older state. All hosts
+// that follow the store do so; the first write takes effect and the others conflict.
 func (r *Registry) rewriteEntries(ctx context.Context) {
 	if !r.o.FollowsStore() {
 		return
--- a/coordination/quarantine/restored_test.go
+++ b/coordination/quarantine/restored_test.go
@@ -9,14 +9,16 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// restoreStore brings the store back as it was so long ago, and gives hosts time to notice.
+// restoreStore restores the store to its state of some time ago, and waits until the hosts have
+// noticed.
 func (f *fleet) restoreStore(ago time.Duration) {
 	f.store.RestoreBefore(ago)
 	time.Sleep(2 * reviewInterval)
 }
 
-// Guards against a request that crashes its runners again, because a restored store lost that it
-// is held: it stays held at all hosts, and its entry is written again once, not by every host.
+// Guards against a culprit that crashes runners again because a restored store lost its entry. The
+// request stays held at all hosts, and the hosts that follow the store write the entry again, not
+// every host.
 func TestHoldSurvivesStoreRestore(t *testing.T) {
 	runFleet(t, 300, func(is *is.I, f *fleet) {
 		f.mu.Lock()
@@ -31,15 +33,14 @@
 			is.Equal(f.holderCount(digest(1)), 300)
 			_, found := f.entry(digest(1))
 			is.True(found)
-			is.True(f.written()-before <= 12) // the hosts that follow the store, and those that saw a crash
+			is.True(f.written()-before <= 12) // the hosts that follow the store and those that saw a crash
 		}
 		time.Sleep(rewriteTimeout + reviewInterval)
 		is.Equal(f.holderCount(digest(1)), 300)
 	})
 }
 
-// Guards against a request that is held anew, because a restored store lost that an operator
-// released it or that its time was over.
+// Guards against a request that is held again because a restored store lost its release.
 func TestReleaseSurvivesStoreRestore(t *testing.T) {
 	for name, release := range map[string]func(is *is.I, f *fleet){
 		"by an operator": func(is *is.I, f *fleet) {
@@ -48,7 +49,7 @@
 			is.NoErr(err)
 			is.NoErr(c.Delete(f.t.Context(), Kind, digest(1).String(), o.Version))
 		},
-		"by its time":   func(_ *is.I, _ *fleet) { time.Sleep(initialHold) },
+		"by its expiry": func(_ *is.I, _ *fleet) { time.Sleep(initialHold) },
 		"by its answer": func(_ *is.I, f *fleet) { f.hosts[2].ReportAnswered(digest(1)) },
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -71,8 +72,8 @@
 	}
 }
 
-// Guards against an entry that counts for ever at the hosts that knew it, though nobody could write
-// it again.
+// Guards against a lost entry that stays in force forever at the hosts that knew it, although no
+// host can write it again.
 func TestLostEntryExpiresUnlessRewritten(t *testing.T) {
 	runFleet(t, 2, func(is *is.I, f *fleet) {
 		f.crashAndWait(0, 1, fresh(1))
@@ -80,7 +81,7 @@
 		f.mu.Lock()
 		f.followers = 0
 		f.mu.Unlock()
-		f.hosts[0].o.Table.ReleaseOnTrial(digest(1)) // nobody holds it for a crash of its own
+		f.hosts[0].o.Table.ReleaseOnTrial(digest(1)) // no host would write the hold
 		f.hosts[1].o.Table.ReleaseOnTrial(digest(1))
 		f.restoreStore(5 * time.Second)
 		time.Sleep(rewriteTimeout)
--- a/coordination/quarantine/storage.go
+++ b/coordination/quarantine/storage.go
@@ -9,8 +9,8 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// ApplyCopy takes a new copy of the store's entries. One that is gone was released by an
-// operator, or because its request was answered.
+// ApplyCopy applies a new copy of the store's entries. An entry that it lacks was removed: an
+// operator released the request, or the request was answered.
 func (r *Registry) ApplyCopy(c follow.Copy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -42,7 +42,8 @@
 	}
 }
 
-// applyEntry takes an entry of a copy; r.mu is held.
+// applyEntry returns an entry of a copy with this host's state of it. It updates the table if the
+// version is new. r.mu must be held.
 func (r *Registry) applyEntry(d Digest, e entry, version uint64, restored bool) storedEntry {
 	current, known := r.entries[d]
 	switch {
@@ -55,20 +56,20 @@
 	return storedEntry{entry: e, version: version, seenAt: r.o.Clock.Now()}
 }
 
-// updateTable takes a new version of an entry; r.mu is held.
+// updateTable holds or releases a request as its entry says. r.mu must be held.
 func (r *Registry) updateTable(d Digest, e entry) {
 	_, answered := r.answered[d]
 	if _, bystander := r.bystanders[d]; answered || (bystander && !e.Released) {
-		return // it was written in ignorance of that
+		return // the writer of the entry didn't know of the answer or the release
 	}
 	if e.Released && e.Bystander {
 		r.o.Table.ReleaseBystander(d)
-		r.o.Log.Info("request let go by the store's word", "digest", d.String(), "times", e.HoldCount)
+		r.o.Log.Info("request released as a bystander by its entry", "digest", d.String(), "times", e.HoldCount)
 		return
 	}
 	if e.Released {
 		r.o.Table.ReleaseOnTrial(d)
-		r.o.Log.Info("request released for a trial", "digest", d.String(), "times", e.HoldCount)
+		r.o.Log.Info("request released on trial by its entry", "digest", d.String(), "times", e.HoldCount)
 		return
 	}
 	if r.o.Table.Hold(d, e.Evidence) {
@@ -76,15 +77,17 @@
 	}
 }
 
+// logUnreadable logs an object that can't be decoded, once for each version. r.mu must be held.
 func (r *Registry) logUnreadable(o store.Object, err error) {
 	if r.unreadable[o.Name] != o.Version {
 		r.unreadable[o.Name] = o.Version
-		r.o.Log.Warn("entry of a held request not readable", "name", o.Name, "version", store.FormatVersion(o.Version), "cause", err.Error())
+		r.o.Log.Warn("entry of a held request not decodable", "name", o.Name, "version", store.FormatVersion(o.Version), "cause", err.Error())
 	}
 }
 
-// writeHolds brings to the store what is held and isn't there. The hosts that saw a crash
-// themselves do it at once, others that follow the store when it is still missing later.
+// writeHolds writes the holds that have no entry in the store. Hosts that saw one of the crashes
+// write at once. Other hosts that follow the store write if the entry is still missing after
+// takeoverDelay.
 func (r *Registry) writeHolds(ctx context.Context) {
 	for d := range r.o.Table.Holds() {
 		if e, version, missing := r.missingEntry(d); missing {
@@ -93,10 +96,11 @@
 	}
 }
 
-// missingEntry returns the entry that this host owes the store for a request, and the version to
-// replace. The hold is read under the lock under which releases are taken: one that was read
-// before, while a write waited for the store, would look like a hold that nobody has written,
-// and writing it would undo the release at all hosts.
+// missingEntry returns the entry that this host must write for a request, and the version that it
+// replaces. The hold is read under r.mu, which is held while releases are applied. A hold that was
+// read earlier, while another write waited for the store, may have been released and its entry
+// removed since: it would look like a hold without an entry, and writing it would undo the release
+// at all hosts.
 func (r *Registry) missingEntry(d Digest) (e entry, version uint64, missing bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -112,29 +116,31 @@
 	return entry{Evidence: hold.Evidence, HoldCount: s.HoldCount + 1}, s.version, true
 }
 
-// putEntry writes an entry at its known version. A conflict says that another host was faster.
+// putEntry writes an entry over its known version. A conflict means that another host wrote first.
 func (r *Registry) putEntry(ctx context.Context, d Digest, e entry, version uint64) {
 	value, err := json.Marshal(e)
 	if err != nil {
-		r.o.Log.Error("held request not written", "digest", d.String(), "cause", err.Error())
+		r.o.Log.Error("entry of a held request not written", "digest", d.String(), "cause", err.Error())
 		return
 	}
 	newVersion, err := r.o.Store.Put(ctx, Kind, d.String(), version, value)
 	switch {
 	case err == nil:
 		r.recordWrite(d, storedEntry{entry: e, version: newVersion, seenAt: r.o.Clock.Now()})
-		r.o.Log.Info("held request written", "digest", d.String(), "released", e.Released, "times", e.HoldCount, "version", store.FormatVersion(newVersion))
+		r.o.Log.Info("entry of a held request written", "digest", d.String(), "released", e.Released, "times", e.HoldCount, "version", store.FormatVersion(newVersion))
 	case store.IsConflict(err):
-		// the copy of the store will show what the other wrote
+		// the next copy of the store shows the other host's entry
 	case ctx.Err() == nil:
-		r.o.Log.Warn("held request not written", "digest", d.String(), "cause", err.Error())
+		r.o.Log.Warn("entry of a held request not written", "digest", d.String(), "cause", err.Error())
 	}
 }
 
-// recordWrite takes an entry that this host has written, until a copy of the store shows it. A copy
-// that is as new has shown it already, or its removal, which an answer that was long on its way
-// would undo at this host alone. A hold that was let go while the write was on its way has its
-// entry removed again: a store can't tell one that was removed from one that was never there.
+// recordWrite keeps an entry that this host has written until a copy of the store shows it. If the
+// latest copy is as new as the write, it has already shown the entry or its removal; applying the
+// entry after a delayed answer of the store would undo the removal at this host alone. If the
+// request was released while the write was in flight, the entry is removed again: the store
+// accepted the write, since it can't distinguish an entry that was removed from one that never
+// existed.
 func (r *Registry) recordWrite(d Digest, s storedEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,8 +154,9 @@
 	r.updateTable(d, s.entry)
 }
 
-// reconcile holds what has an entry, and lets go what has none although there was time to
-// write it: news of an entry may have come when an answer spoke against it, or not at all.
+// reconcile holds requests that have an entry, and releases those that still have none after
+// initialHold. It corrects two cases: this host ignored an entry because it knew of an answer, or
+// it missed the release of a request whose entry it had never seen.
 func (r *Registry) reconcile() {
 	now := r.o.Clock.Now()
 	r.mu.Lock()
@@ -162,13 +169,14 @@
 	for d, hold := range r.o.Table.Holds() {
 		if _, found := r.entries[d]; !found && now.Sub(hold.At) > initialHold {
 			r.o.Table.Clear(d)
-			r.o.Log.Info("request no longer held: no entry of it", "digest", d.String(), "held", now.Sub(hold.At))
+			r.o.Log.Info("request no longer held: the store has no entry for it", "digest", d.String(), "held", now.Sub(hold.At))
 		}
 	}
 }
 
-// expireEntries releases entries whose time is over and removes those that are needed no more. The
-// hosts that follow the store do it; the first one's write is the one that counts.
+// expireEntries releases entries whose hold has expired and removes entries that are no longer
+// needed. All hosts that follow the store do so; the first write takes effect and the others
+// conflict.
 func (r *Registry) expireEntries(ctx context.Context) {
 	release, remove := r.dueEntries()
 	for d, s := range release {
@@ -188,7 +196,7 @@
 	}
 }
 
-// dueEntries are the entries to be released and to be removed.
+// dueEntries returns the entries to release and those to remove. It also drops expired clearances.
 func (r *Registry) dueEntries() (release, remove map[Digest]storedEntry) {
 	followsStore := r.o.FollowsStore()
 	now := r.o.Clock.Now()
@@ -204,7 +212,7 @@
 	}
 	for d, s := range r.entries {
 		if s.version == store.Absent {
-			continue // lost by the store, and not written again yet
+			continue // a restored store lost it, and it is not written again yet
 		}
 		age := now.Sub(s.seenAt)
 		a, answered := r.answered[d]
--- a/coordination/quarantine/suspect.go
+++ b/coordination/quarantine/suspect.go
@@ -6,39 +6,42 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// LongRunningAfter is how long a request must have been at its runner, and its answer have begun,
-// for it to be settled. A request that crashes its runner does so when it begins to run, some
+// LongRunningAfter is how long a request must have been at its runner, with its answer begun, to
+// count as long-running. A request that crashes its runner does so when it begins to run, a few
 // tenths of a second after it was sent.
 const LongRunningAfter = time.Second
 
-// Suspect is a request that ran at a runner when that crashed.
+// Suspect is a request that ran at a runner when the runner crashed.
 type Suspect struct {
 	Digest Digest
-	// RequestID is that of the caller's attempt.
+	// RequestID is the request id of the caller's attempt.
 	RequestID string
-	// SentAt is when it was sent to the runner, by the clock of the host that knows it here.
+	// SentAt is when the request was sent to the runner, by the clock of the host that has the
+	// Suspect: it is converted when a notice arrives.
 	SentAt time.Time
-	// LongRunning says that its answer had been coming for a while.
+	// LongRunning says that the request had been at the runner for LongRunningAfter and its answer
+	// had begun.
 	LongRunning bool
-	// AnsweredBefore says that a copy of the request was answered before.
+	// AnsweredBefore says that the reporting host had recently seen a copy of the request answered.
 	AnsweredBefore bool
 }
 
-// Crash is the end of one run of a runner, with what a host had there.
+// Crash is the crash of one run of a runner, with the requests that one host had there.
 type Crash struct {
 	Run state.InstanceID
-	// Host is the one that tells, At the time of day at which it noticed.
+	// Host is the host that reports the crash, and At the time of day at which it noticed the
+	// crash.
 	Host     string
 	At       time.Time
 	Suspects []Suspect
 }
 
-// Evidence is a crash that is held against a request, as operators see it.
+// Evidence is a crash that counts against a request, as shown to operators.
 type Evidence struct {
 	Runner string `json:"runner"`
-	// Born is when the run of the runner began, in Unix milliseconds; 0 if it isn't known.
+	// Born is when the run of the runner began, in Unix milliseconds; 0 if unknown.
 	Born int64 `json:"born,omitempty"`
-	// RequestID is the caller's attempt that ran, and Host the one that sent it.
+	// RequestID is the request id of the caller's attempt that ran, and Host the host that sent it.
 	RequestID string    `json:"request_id"`
 	Host      string    `json:"host"`
 	At        time.Time `json:"at"`
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -10,72 +10,75 @@
 )
 
 const (
-	// holdThreshold is the weight of crashes at which a request is held. Two crashes do: each
-	// more costs a runner for seconds, and one alone would hold all that ran beside the
-	// request that did it. To be held for nothing, a request must be at two runners that
-	// crash within its own retries, and unanswered between.
+	// holdThreshold is the weight of unexplained crashes at which a request is held. Two crashes
+	// reach it: each further one costs a runner for seconds, while one alone would hold all
+	// requests that ran beside the culprit. A bystander is only held if two of its runners crash
+	// within its own retries and it isn't answered in between.
 	holdThreshold = 4
-	// explainedHoldThreshold is the weight at which a request is held though others are held for its
-	// crashes: nobody is a bystander four times without an answer between.
+	// explainedHoldThreshold is the weight at which a request is held even if other held requests
+	// explain its crashes: no bystander runs at four crashes without an answer in between.
 	explainedHoldThreshold = 2 * holdThreshold
-	// fullWeight is that of a crash soon after the request began to run, which is when one
-	// that crashes its runner does so. settledWeight is that of one whose answer had been
-	// coming for a while, as streams last for seconds and are hit by what others do, and of
-	// one that was answered before.
+	// fullWeight is the weight of a crash soon after the request began to run, which is when a
+	// culprit crashes its runner. reducedWeight is the weight of a crash of a long-running request,
+	// since streams last for seconds and are hit by the crashes of others, and of a request that
+	// was answered before.
 	fullWeight    = 2
 	reducedWeight = 1
-	// reportWindow is the time in which all hosts tell of a crash: the gathering of work that broke
-	// off and of notices, and their way.
+	// reportWindow is the time within which all hosts report a crash: the batching of interrupted
+	// attempts and of notices, and the delivery.
 	reportWindow = 500 * time.Millisecond
-	// burstWindow is the time in which the crashes of a request that is answered elsewhere count
-	// as one: runners that are lost together say nothing of what they all run.
+	// burstWindow is the time within which the crashes of a request that is answered elsewhere
+	// count as one: runners that are lost together say nothing about the requests that all of them
+	// run.
 	burstWindow = time.Second
-	// runEndSlack is how much later than a run was known to have ended a request may seem to
-	// have been sent to it. One that was sent later was at the runner's next run: that takes
-	// work under the same name before the list tells the two apart.
+	// runEndSlack is how much later than the recorded end of a run a request may appear to have
+	// been sent to it. A request that was sent later was at the next run of the runner, which takes
+	// work under the same name before the list of runners distinguishes the two.
 	runEndSlack = 200 * time.Millisecond
-	// recordTTL is how long a crash counts: a request that comes less often costs less
-	// than the memory of all that ever ran at a crash.
+	// recordTTL is how long a crash counts. The crashes of a request that comes less often cost
+	// less than the memory for all requests that ever ran at a crash.
 	recordTTL = time.Hour
-	// maxRecords bounds the requests that are remembered, about 300 bytes each: what ran
-	// at the last two hundred crashes of full engines.
+	// maxRecords bounds the suspected requests that are remembered, at about 300 bytes each, and
+	// the runs that crashed. It fits the requests of the last two hundred crashes of full engines.
 	maxRecords = 1 << 14
-	// maxHeld bounds the requests that are held: each cost two runners, so that a fleet
-	// has other worries before it is reached.
+	// maxHeld bounds the held requests. Each of them cost two runners, so a fleet has larger
+	// problems before it reaches the bound.
 	maxHeld = 1024
 	// maxEvidence bounds the crashes that are remembered of one request.
 	maxEvidence = 8
 )
 
-// Hold is why a request is held.
+// Hold says why a request is held.
 type Hold struct {
 	Evidence []Evidence
 	// Local says that this host saw one of the crashes itself.
 	Local bool
-	// At is when this host began to hold it.
+	// At is when this host began to hold the request.
 	At time.Time
 }
 
-// Table counts, at one host, the crashes at which requests ran, and tells which are held. It
-// is safe for concurrent use.
+// Table counts the crashes at which requests ran, and decides which requests are held, at one host.
+// It is safe for concurrent use.
 type Table struct {
 	clock state.Clock
-	// held is replaced whole, so that a request's path reads it without a lock.
+	// held is replaced as a whole, so that each request is checked without a lock.
 	held atomic.Pointer[map[Digest]*Hold]
-	// suspected is the size of records, read without a lock.
+	// suspected is len(records), for reads without a lock.
 	suspected atomic.Int64
 	answered  answeredSet
 
 	mu      sync.Mutex
 	records map[Digest]*record
 	runs    map[state.InstanceID]*crashedRun
-	// reviewPending is set when a request was let go: its crashes count against others again.
+	// reviewPending is set when a hold is removed and its crashes count against other requests
+	// again.
 	reviewPending bool
-	// recordQueue and runQueue hold the keys of both in the order of their arrival.
+	// recordQueue and runQueue have the keys of records and runs in the order of their creation.
 	recordQueue []queued[Digest]
 	runQueue    []queued[state.InstanceID]
 }
 
+// queued is a key and the time at which it was added.
 type queued[K any] struct {
 	key K
 	at  time.Time
@@ -88,17 +91,18 @@
 	return t
 }
 
-// Held returns why a request is held, or nil.
+// Held returns the hold of a request, or nil if it isn't held.
 func (t *Table) Held(d Digest) *Hold { return (*t.held.Load())[d] }
 
-// Holds returns all that is held; it is not to be changed.
+// Holds returns all holds. The map must not be changed.
 func (t *Table) Holds() map[Digest]*Hold { return *t.held.Load() }
 
-// AnsweredRecently reports whether a copy of the request was answered not long ago.
+// AnsweredRecently reports whether a copy of the request was answered recently.
 func (t *Table) AnsweredRecently(d Digest) bool { return t.answered.has(d) }
 
-// RecordCrash counts a crash; own says that this host saw it. It returns the requests that are held
-// by it. One run counts once for a request, however many hosts and copies tell of it.
+// RecordCrash counts a crash against its suspects; local says that this host saw the crash itself.
+// It returns the requests that are held because of it. A run counts once for a request, however
+// many hosts and copies report it.
 func (t *Table) RecordCrash(c Crash, local bool) []Digest {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,9 +115,9 @@
 	return t.holdSuspects(c, crashed, now)
 }
 
-// recordSuspect counts a crash for one request; t.mu is held.
+// recordSuspect counts a crash against one suspect. t.mu must be held.
 func (t *Table) recordSuspect(crashed *crashedRun, c Crash, s Suspect, local bool, now time.Time) {
-	// What an answer has cleared isn't counted again because another host tells it late.
+	// A crash that an answer has cleared doesn't count again when another host reports it late.
 	if t.isCleared(s.Digest, c.Run) && !s.SentAt.After(crashed.createdAt.Add(runEndSlack)) {
 		return
 	}
@@ -134,7 +138,8 @@
 	crashed.suspects = append(crashed.suspects, s.Digest)
 }
 
-// holdSuspects holds the requests against which enough speaks after a crash; t.mu is held.
+// holdSuspects holds those suspects of a crash that mustHold selects, and returns them. t.mu must
+// be held.
 func (t *Table) holdSuspects(c Crash, crashed *crashedRun, now time.Time) []Digest {
 	var held []Digest
 	for _, s := range c.Suspects {
@@ -154,9 +159,15 @@
 	return held
 }
 
-// mustHold reports whether mustHold speaks against a request: the crashes that no other explains,
-// twice as many that others do, a further one if it was let go before, or all of them if it was
-// at all those of one that is held and at more, which was the bystander then. t.mu is held.
+// mustHold reports whether a request is to be held, which is the case if
+//   - its unexplained crashes reach holdThreshold,
+//   - all its crashes reach explainedHoldThreshold,
+//   - it is on trial and has an unexplained crash,
+//   - it was released as a bystander and has a further crash, or
+//   - all its crashes reach holdThreshold, one of them is unexplained, and they strictly cover
+//     those of a held request, which was the bystander then.
+//
+// t.mu must be held.
 func (t *Table) mustHold(d Digest, r *record) bool {
 	unexplained, total := t.weighCrashes(d, r)
 	if unexplained >= holdThreshold || total >= explainedHoldThreshold || (r.released && unexplained > 0) || (r.crashesAtRelease > 0 && len(r.crashes) > r.crashesAtRelease) {
@@ -173,8 +184,9 @@
 	return false
 }
 
-// weighCrashes tells how much speaks against a request: alone counts the crashes that no other explains.
-// The others are never forgotten: who is held first may have been a bystander. t.mu is held.
+// weighCrashes returns the weight of the crashes that no other held request explains, and of all
+// crashes. The explained ones are kept, since the request that is held first may be a bystander.
+// t.mu must be held.
 func (t *Table) weighCrashes(d Digest, r *record) (unexplained, total int) {
 	for _, c := range r.crashes {
 		total += c.weight()
@@ -185,9 +197,10 @@
 	return unexplained, total
 }
 
-// Review lets the requests go that a held one outdoes, and holds those for whose crashes nobody
-// else is held any more. It returns both. Holding is done at once otherwise, as it protects
-// runners; letting go waits until all hosts can have told of the crashes.
+// Review releases the held requests whose crashes another held request strictly covers, and holds
+// the requests whose crashes no held request explains any more. It returns both. Requests are
+// otherwise held at once, which protects runners; bystanders are released only when all hosts can
+// have reported the crashes.
 func (t *Table) Review() (released, held []Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,8 +227,8 @@
 	return released, held
 }
 
-// coveredByHeld reports whether a request that is held was at all these crashes and at more, with none
-// of its own or theirs newer than known; t.mu is held.
+// coveredByHeld reports whether a held request other than d ran at all these crashes and at others,
+// with its last crash recorded before the given time. t.mu must be held.
 func (t *Table) coveredByHeld(d Digest, runs []state.InstanceID, before time.Time) bool {
 	for other := range *t.held.Load() {
 		r := t.records[other]
@@ -226,7 +239,7 @@
 	return false
 }
 
-// addRecord begins to remember a request; t.mu is held.
+// addRecord creates the record of a request. t.mu must be held.
 func (t *Table) addRecord(d Digest, now time.Time) *record {
 	r := &record{createdAt: now}
 	t.records[d] = r
@@ -235,7 +248,8 @@
 	return r
 }
 
-// crashedRun is what is known of a run that crashed; t.mu is held.
+// crashedRun returns the state of a run that crashed, and creates it for a new one. t.mu must be
+// held.
 func (t *Table) crashedRun(id state.InstanceID, now time.Time) *crashedRun {
 	run := t.runs[id]
 	if run == nil {
@@ -246,7 +260,8 @@
 	return run
 }
 
-// expire drops what is too old or too much; t.mu is held.
+// expire deletes the oldest records and runs that exceed recordTTL or maxRecords. t.mu must be
+// held.
 func (t *Table) expire(now time.Time) {
 	for len(t.recordQueue) > 0 && (now.Sub(t.recordQueue[0].at) > recordTTL || len(t.recordQueue) > maxRecords) {
 		if r := t.records[t.recordQueue[0].key]; r != nil && r.createdAt.Equal(t.recordQueue[0].at) {
--- a/coordination/quarantine/table_test.go
+++ b/coordination/quarantine/table_test.go
@@ -12,30 +12,36 @@
 	"github.com/thymerack/thymerack/state"
 )
 
+// run returns the id of the run with that number.
 func run(n int) state.InstanceID { return state.InstanceID{Name: fmt.Sprint("r", n), Born: 1} }
 
+// digest returns the digest of the request with that number.
 func digest(n int) Digest { return DigestOf(Content{URI: fmt.Sprint(n)}) }
 
-// fresh and settled are requests that ran at a crash.
+// fresh returns a suspect that had just been sent to its runner.
 func fresh(n int) Suspect { return Suspect{Digest: digest(n), RequestID: fmt.Sprint("q", n)} }
 
+// longRunning returns a suspect whose answer had begun long before the crash.
 func longRunning(n int) Suspect {
 	s := fresh(n)
 	s.LongRunning = true
 	return s
 }
 
+// answeredBefore returns a suspect of which a copy had been answered.
 func answeredBefore(n int) Suspect {
 	s := fresh(n)
 	s.AnsweredBefore = true
 	return s
 }
 
+// crashOf returns the crash of the run with that number.
 func crashOf(n int, suspects ...Suspect) Crash {
 	return Crash{Run: run(n), Host: "h", At: time.Unix(int64(n), 0), Suspects: suspects}
 }
 
-// recordCrashes has a table note one crash for each list of suspects, a second apart.
+// recordCrashes records one crash for each list of suspects, burstWindow apart, and returns the
+// requests that are held.
 func recordCrashes(t *Table, of ...[]Suspect) (held []Digest) {
 	for n, suspects := range of {
 		held = append(held, t.RecordCrash(crashOf(n, suspects...), true)...)
@@ -50,16 +56,16 @@
 		crashes [][]Suspect
 		held    []Digest
 	}{
-		"one crash holds nothing":                 {[][]Suspect{{fresh(1), fresh(2)}}, nil},
-		"two soon after it began":                 {[][]Suspect{one(fresh(1)), one(fresh(1))}, []Digest{digest(1)}},
-		"three of a settled answer don't":         {[][]Suspect{one(longRunning(1)), one(longRunning(1)), one(longRunning(1))}, nil},
-		"four of a settled answer":                {[][]Suspect{one(longRunning(1)), one(longRunning(1)), one(longRunning(1)), one(longRunning(1))}, []Digest{digest(1)}},
-		"one soon after it began, two settled":    {[][]Suspect{one(fresh(1)), one(longRunning(1)), one(longRunning(1))}, []Digest{digest(1)}},
-		"answered before, three crashes don't":    {[][]Suspect{one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1))}, nil},
-		"answered before, four crashes":           {[][]Suspect{one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1))}, []Digest{digest(1)}},
-		"others beside it are not held":           {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(3)}, {fresh(2)}, {fresh(3)}}, []Digest{digest(1)}},
-		"two that run beside each other are both": {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(2)}}, []Digest{digest(1), digest(2)}},
-		"each of two by itself":                   {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1)}, {fresh(2)}, {fresh(2)}}, []Digest{digest(1), digest(2)}},
+		"one crash":                                                {[][]Suspect{{fresh(1), fresh(2)}}, nil},
+		"two crashes of a new request":                             {[][]Suspect{one(fresh(1)), one(fresh(1))}, []Digest{digest(1)}},
+		"three crashes of a long-running request":                  {[][]Suspect{one(longRunning(1)), one(longRunning(1)), one(longRunning(1))}, nil},
+		"four crashes of a long-running request":                   {[][]Suspect{one(longRunning(1)), one(longRunning(1)), one(longRunning(1)), one(longRunning(1))}, []Digest{digest(1)}},
+		"one crash of a new request and two of a long-running one": {[][]Suspect{one(fresh(1)), one(longRunning(1)), one(longRunning(1))}, []Digest{digest(1)}},
+		"three crashes, answered before":                           {[][]Suspect{one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1))}, nil},
+		"four crashes, answered before":                            {[][]Suspect{one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1))}, []Digest{digest(1)}},
+		"bystanders are not held":                                  {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(3)}, {fresh(2)}, {fresh(3)}}, []Digest{digest(1)}},
+		"two culprits at the same crashes":                         {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(2)}}, []Digest{digest(1), digest(2)}},
+		"two culprits at separate crashes":                         {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1)}, {fresh(2)}, {fresh(2)}}, []Digest{digest(1), digest(2)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -79,12 +85,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		for _, host := range []string{"a", "b", "a"} { // two hosts had a copy there, one tells twice
+		for _, host := range []string{"a", "b", "a"} { // two hosts had a copy there, one reports twice
 			c := crashOf(1, fresh(1), fresh(1))
 			c.Host = host
 			is.Equal(len(table.RecordCrash(c, host == "a")), 0)
 		}
-		again := crashOf(1, fresh(1)) // the runner is back under its name
+		again := crashOf(1, fresh(1)) // the next run of the same runner
 		again.Run.Born = 2
 		is.Equal(table.RecordCrash(again, false), []Digest{digest(1)})
 		is.True(table.Held(digest(1)).Local)
@@ -92,8 +98,8 @@
 	})
 }
 
-// Many copies at once of a request that was answered before, and ends its runners since they
-// were released anew, are one moment; those after it count all the same.
+// Crashes of a request that was answered before count once for each burst. Many copies at a time
+// may crash many runners, and the bursts after them must still count.
 func TestBurstsCountOnceEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -110,7 +116,8 @@
 	})
 }
 
-// Runners that are lost together say nothing of what all of them run.
+// Runners that are lost together don't count as separate crashes of a request that all of them ran
+// and that was answered before.
 func TestBurstDoesNotHoldAnsweredRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -119,7 +126,7 @@
 			is.Equal(len(table.RecordCrash(crashOf(n, answeredBefore(1)), false)), 0)
 		}
 		time.Sleep(burstWindow)
-		suspected, held := table.ReportAnswered(digest(1)) // by a runner that is left
+		suspected, held := table.ReportAnswered(digest(1)) // by a remaining runner
 		is.True(suspected && !held)
 		for n := range 50 {
 			is.Equal(len(table.RecordCrash(crashOf(100+n, answeredBefore(1)), false)), 0)
@@ -140,19 +147,20 @@
 		is.True(suspected && !held)
 		is.Equal(len(table.RecordCrash(crashOf(2, fresh(2)), true)), 0)
 		is.Equal(len(table.RecordCrash(crashOf(3, fresh(2)), true)), 1)
-		suspected, held = table.ReportAnswered(digest(2)) // a copy that ran when it was held
+		suspected, held = table.ReportAnswered(digest(2)) // a copy that was running when the request was held
 		is.True(suspected && held)
 		is.True(table.Held(digest(2)) == nil)
 	})
 }
 
-// What a held request has done isn't held against those beside it, whenever it is told.
+// Crashes that a held request explains don't hold the requests beside it, in whatever order they
+// are reported.
 func TestExplainedCrashesDoNotHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		is.Equal(recordCrashes(table, []Suspect{fresh(1), fresh(2)}, []Suspect{fresh(1)}), []Digest{digest(1)})
-		is.Equal(len(table.RecordCrash(crashOf(7, fresh(2)), false)), 0) // the first one was explained
+		is.Equal(len(table.RecordCrash(crashOf(7, fresh(2)), false)), 0) // its first crash is explained
 		is.Equal(len(table.RecordCrash(crashOf(8, fresh(3)), false)), 0)
 		is.Equal(len(table.RecordCrash(crashOf(8, fresh(1)), false)), 0) // another host had it there
 		is.Equal(len(table.RecordCrash(crashOf(9, fresh(3)), false)), 0)
@@ -188,7 +196,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		is.Equal(len(table.Holds()), maxHeld)
-		is.True(table.Held(digest(-1)) == nil) // the oldest went
+		is.True(table.Held(digest(-1)) == nil) // the oldest one was evicted
 		time.Sleep(recordTTL + time.Second)
 		table.RecordCrash(crashOf(1, fresh(0)), false)
 		is.Equal(len(table.records), 1)
@@ -196,7 +204,8 @@
 	})
 }
 
-// Measured in ns and allocations for each request of a host that holds a hundred others.
+// BenchmarkRequestPath measures the time and the allocations that the table costs each request,
+// with a hundred others held.
 func BenchmarkRequestPath(b *testing.B) {
 	table := NewTable(clocktest.Bubble{})
 	for n := range 100 {
