--- a/coordination/quarantine/digest.go
+++ b/coordination/quarantine/digest.go
@@ -42,8 +42,7 @@
 }
 
 // headerBufferBytes is the size of the buffer for all parts but the body. It fits an ordinary
-// request without an allocation: hosts and paths have a few dozen bytes, a credential a few
-// hundred.
+// request without an allocation: hosts and paths have tens of bytes, a credential about a hundred.
 const headerBufferBytes = 512
 
 // String returns the digest in hexadecimal, as it is written in logs and in the names of the
--- a/coordination/quarantine/registry.go
+++ b/coordination/quarantine/registry.go
@@ -30,7 +30,7 @@
 	// write, and the copy of it to this host.
 	clearanceTTL = 10 * time.Second
 	// maxSuspectsPerNotice bounds the requests that a host reports for one crash; those that had
-	// just begun come first. A full engine runs a few hundred requests of all hosts together.
+	// just begun come first. A full engine runs about a hundred requests, counted over all hosts.
 	maxSuspectsPerNotice = 128
 )
 
--- a/coordination/quarantine/table.go
+++ b/coordination/quarantine/table.go
@@ -35,8 +35,8 @@
 	// been sent to it. A request that was sent later was at the next run of the runner, which takes
 	// work under the same name before the list of runners distinguishes the two.
 	runEndSlack = 200 * time.Millisecond
-	// recordTTL is how long a crash counts. The crashes of a request that comes less often cost
-	// less than the memory for all requests that ever ran at a crash.
+	// recordTTL is how long a crash counts. A request that crashes runners less often costs less
+	// than remembering every request that ever ran at a crash.
 	recordTTL = time.Hour
 	// maxRecords bounds the suspected requests that are remembered, at about 300 bytes each, and
 	// the runs that crashed. It fits the requests of the last two hundred crashes of full engines.
