--- a/coordination/quarantine/release_fuzz_test.go
+++ b/coordination/quarantine/release_fuzz_test.go
@@ -171,27 +171,27 @@
 
 // Regression tests with failing plans that the property test had shrunk. Each plan runs several
 // times, since the order of simultaneous events differs from run to run.
-func TestReleasesPersistInRegressionPlans(t *testing.T) {
+func TestReleasesStandInPlansThatFailedOnce(t *testing.T) {
 	ms := time.Millisecond
 	for name, plan := range map[string][]releaseStep{
-		"answered during several crashes": {
+		"answered in the midst of several crashes": {
 			{"crash", 0, 0, 0}, {"crash", 0, 0, 0}, {"crash", 0, 0, 0}, {"crash", 0, 0, 0}, {"answer", 0, 0, 0},
 		},
-		"hold concurrent with an answer, and a restart": {
+		"a hold that crosses an answer, and a restart": {
 			{"cut", 0, 1, 728 * ms}, {"answer", 0, 0, 2 * ms}, {"crash", 0, 0, 221 * ms}, {"crash", 2, 2, 2110 * ms}, {"heal", 0, 4, 160 * ms},
 			{"answer", 1, 4, ms}, {"answer", 1, 4, 6 * ms}, {"crash", 2, 0, 49 * ms}, {"answer", 2, 2, 2 * ms}, {"crash", 0, 2, 3 * ms},
 			{"late answers", 1, 1, 5 * ms}, {"restart", 2, 1, 3000 * ms}, {"crash", 1, 0, 3000 * ms}, {"slow store", 2, 0, 1500 * ms},
 			{"fast store", 0, 3, ms}, {"crash", 2, 4, 22 * ms}, {"late answers", 2, 0, 112 * ms},
 		},
-		"released while a slow store has pending writes": {
+		"lifted while a slow store has writes": {
 			{"crash", 2, 0, 0}, {"crash", 0, 0, 20 * ms}, {"restart", 2, 1, 0}, {"slow store", 0, 2, 6 * ms}, {"crash", 2, 1, 0},
 			{"answer", 1, 4, 2428 * ms}, {"release", 2, 4, 315 * ms},
 		},
-		"released while one of two writers is slow": {
+		"lifted while one of two writers is slow": {
 			{"slow store", 0, 0, 0}, {"crash", 0, 4, 0}, {"heal", 1, 1, 9 * ms}, {"crash", 0, 0, 10 * ms}, {"fast store", 0, 3, 25 * ms},
 			{"release", 0, 0, 0}, {"release", 1, 4, ms},
 		},
-		"held by a host that was cut off during the answer": {
+		"a host that was cut off at the answer holds": {
 			{"crash", 0, 0, 0}, {"cut", 0, 3, 20 * ms}, {"answer", 0, 0, 46 * ms}, {"restart", 0, 2, 3000 * ms}, {"crash", 0, 3, ms}, {"crash", 0, 1, 66 * ms},
 		},
 	} {
