--- a/coordination/crash/crash.go
+++ b/coordination/crash/crash.go
@@ -187,7 +187,7 @@
 	var recent, settled []string
 	for _, s := range suspects {
 		text := s.RequestID + "=" + s.Digest.String()
-		if s.Settled {
+		if s.LongRunning {
 			settled = append(settled, text+" settled")
 			continue
 		}
--- a/coordination/crash/crash_test.go
+++ b/coordination/crash/crash_test.go
@@ -84,7 +84,7 @@
 
 // suspect returns the request number n.
 func suspect(n byte, settled bool) quarantine.Suspect {
-	return quarantine.Suspect{Digest: quarantine.Digest{n}, RequestID: string('a' + rune(n)), Settled: settled}
+	return quarantine.Suspect{Digest: quarantine.Digest{n}, RequestID: string('a' + rune(n)), LongRunning: settled}
 }
 
 // A crash is reported once with all requests that broke off at that time, and again with
--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -75,7 +75,7 @@
 		rec.addStep(a.Instance, "run", outcomeFailed, took, nil)
 	} else {
 		runner.Answered(took)
-		d.o.Quarantine.Answered(rec.digest)
+		d.o.Quarantine.ReportAnswered(rec.digest)
 		rec.addStep(a.Instance, "run", outcomeAnswered, took, nil)
 	}
 	return &Answer{Head: head, Body: body}, outcomeAnswered
@@ -133,7 +133,7 @@
 		return
 	}
 	d.o.Crashes.ReportBroken(runner.Instance, quarantine.Suspect{
-		Digest: rec.digest, RequestID: r.ID, SentAt: d.o.Clock.Now().Add(-took), Settled: answering && took >= quarantine.SettledAfter,
+		Digest: rec.digest, RequestID: r.ID, SentAt: d.o.Clock.Now().Add(-took), LongRunning: answering && took >= quarantine.LongRunningAfter,
 	})
 }
 
--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -126,7 +126,7 @@
 		Probe:    up.probe,
 		Listed:   func(i *state.Instance) bool { return h.fleet.Has(i.ID) },
 		Replaced: h.fleet.Replaced,
-		OnCrash:  func(r crash.Report) { h.Note(r.Instance.ID, time.Now(), r.Suspects) },
+		OnCrash:  func(r crash.Report) { h.ReportCrash(r.Instance.ID, time.Now(), r.Suspects) },
 		Clock:    clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
@@ -163,7 +163,7 @@
 		Host: h.name, Table: quarantine.NewTable(clocktest.Bubble{}), Store: client, FollowsStore: func() bool { return true },
 		Publish: func(n quarantine.Notice) {
 			for _, to := range h.f.hosts {
-				time.AfterFunc(noticeDelay, func() { to.Take(n) })
+				time.AfterFunc(noticeDelay, func() { to.Receive(n) })
 			}
 		},
 		Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
@@ -172,7 +172,7 @@
 		h.f.t.Fatal(err)
 	}
 	mirror, err := follow.New(follow.Options{
-		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: quarantine.Kind, OnChange: h.Changed, RetryGroup: &follow.RetryGroup{},
+		Store: client, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler), Kind: quarantine.Kind, OnChange: h.ApplyCopy, RetryGroup: &follow.RetryGroup{},
 	})
 	if err != nil {
 		h.f.t.Fatal(err)
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -82,8 +82,8 @@
 type Quarantine interface {
 	// Held returns the hold of a request that no runner may get, or nil.
 	Held(d quarantine.Digest) *quarantine.Hold
-	// Answered records that a runner answered the request completely.
-	Answered(d quarantine.Digest)
+	// ReportAnswered records that a runner answered the request completely.
+	ReportAnswered(d quarantine.Digest)
 }
 
 // Options configure a Dispatcher. All fields are required.
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -274,7 +274,7 @@
 	return &quarantine.Hold{Evidence: make([]quarantine.Evidence, 2)}
 }
 
-func (q *fakeQuarantine) Answered(d quarantine.Digest) { q.answered = append(q.answered, d) }
+func (q *fakeQuarantine) ReportAnswered(d quarantine.Digest) { q.answered = append(q.answered, d) }
 
 // fakeCrashes records the requests that broke off.
 type fakeCrashes struct {
--- a/coordination/forward/sim_harness_test.go
+++ b/coordination/forward/sim_harness_test.go
@@ -165,7 +165,7 @@
 
 func (noQuarantine) Held(quarantine.Digest) *quarantine.Hold { return nil }
 
-func (noQuarantine) Answered(quarantine.Digest) {}
+func (noQuarantine) ReportAnswered(quarantine.Digest) {}
 
 // ObserveAdvice implements backpressure.Observer.
 func (noObserver) ObserveAdvice(string, backpressure.Kind) {}
--- a/coordination/forward/suspect_test.go
+++ b/coordination/forward/suspect_test.go
@@ -28,7 +28,7 @@
 		"call, at two runners":           {request(state.RouteSafe, 2, false), []reply{{err: errSent}, {status: 200, delay: 2 * crashNoticeDelay, readErr: io.ErrUnexpectedEOF}}, []string{fresh, fresh}},
 		"stream, before its first event": {modelRequest(200, false), []reply{{status: 200, events: true, readErr: errors.New("reset")}}, []string{fresh}},
 		"stream, after its first event":  {singleAttemptStream(), []reply{{status: 200, events: true, body: "id: 1\ndata: x\n\n", readErr: errors.New("reset")}}, []string{fresh}},
-		"stream, after a settled answer": {singleAttemptStream(), []reply{{status: 200, events: true, body: "id: 1\n\n", stall: quarantine.SettledAfter, readErr: errors.New("reset")}}, []string{settled}},
+		"stream, after a settled answer": {singleAttemptStream(), []reply{{status: 200, events: true, body: "id: 1\n\n", stall: quarantine.LongRunningAfter, readErr: errors.New("reset")}}, []string{settled}},
 		"separate prefill":               {modelRequest(2000, false), []reply{{err: errSent}, {status: 200, body: "h"}, {status: 200, events: true, body: "id: 1\ndata: x\n\n"}}, []string{fresh}},
 		"unsent":                         {request(state.RouteUnsafe, 1, false), []reply{{err: errUnsent}, {status: 200}}, nil},
 		"refused":                        {request(state.RouteUnsafe, 1, false), []reply{{status: 503, notRun: true}}, nil},
@@ -43,7 +43,7 @@
 			var got []string
 			for _, suspect := range w.crashes.suspects {
 				is.Equal(suspect.RequestID, c.request.ID)
-				if suspect.Settled {
+				if suspect.LongRunning {
 					got = append(got, settled)
 				} else {
 					got = append(got, fresh)
--- a/coordination/quarantine/digest_test.go
+++ b/coordination/quarantine/digest_test.go
@@ -7,7 +7,7 @@
 	"github.com/matryer/is"
 )
 
-func TestDigestIsThatOfTheContent(t *testing.T) {
+func TestDigestDependsOnEachPartOfContent(t *testing.T) {
 	is := is.New(t)
 	c := Content{Caller: "key", Method: "POST", Host: "h", URI: "/a/b", Body: []byte("body")}
 	same := c
@@ -19,8 +19,8 @@
 		"host":   func(c *Content) { c.Host = "h2" },
 		"uri":    func(c *Content) { c.URI = "/a/b?x" },
 		"body":   func(c *Content) { c.Body = []byte("body ") },
-		// The parts together are the same bytes.
-		"a border between parts": func(c *Content) { c.Host, c.URI = "h/", "a/b" },
+		// The concatenation of the parts is the same.
+		"boundary between parts": func(c *Content) { c.Host, c.URI = "h/", "a/b" },
 	} {
 		t.Run(name, func(t *testing.T) {
 			other := c
@@ -30,19 +30,19 @@
 	}
 }
 
-func TestDigestIsReadBack(t *testing.T) {
+func TestParseDigestReadsString(t *testing.T) {
 	is := is.New(t)
 	d := DigestOf(Content{URI: "/a"})
 	got, err := ParseDigest(d.String())
 	is.NoErr(err)
 	is.Equal(got, d)
-	for _, wrong := range []string{"", "zz", d.String()[2:], d.String() + "00"} {
-		_, err := ParseDigest(wrong)
+	for _, invalid := range []string{"", "zz", d.String()[2:], d.String() + "00"} {
+		_, err := ParseDigest(invalid)
 		is.True(err != nil)
 	}
 }
 
-// Measured in ns, bytes and allocations for each request.
+// BenchmarkDigest measures the time and the allocations of DigestOf for one request.
 func BenchmarkDigest(b *testing.B) {
 	for _, size := range []int{0, 440, 18_000, 4 << 20} {
 		c := Content{Method: "POST", Host: "fleet.example", URI: "/migo720/6f/628f", Body: make([]byte, size)}
--- a/coordination/quarantine/hold.go
+++ b/coordination/quarantine/hold.go
@@ -9,10 +9,10 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// HeldError says that a request is kept from all runners.
+// HeldError says that a request is held and was not sent to any runner.
 type HeldError struct {
 	Digest Digest
-	// Crashes is how many runners are known to have crashed under it.
+	// Crashes is the number of runners that are known to have crashed while they ran the request.
 	Crashes int
 }
 
@@ -21,66 +21,67 @@
 	return fmt.Sprintf("%d runners crashed while they ran the same request: don't send it again unchanged; an operator can release it by its digest %s", e.Crashes, e.Digest)
 }
 
-// Hold holds a request by the word of the store. It reports whether that is new.
+// Hold holds a request because the store has an entry for it. It reports whether the hold is new.
 func (t *Table) Hold(d Digest, evidence []Evidence) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.take(d, evidence)
+	return t.holdIfNew(d, evidence)
 }
 
-// HoldTold holds a request by the word of another host, if that knows of a crash that this one
-// doesn't: a host that stood still may tell what an answer or a release has cleared since. It
-// reports whether that is new.
-func (t *Table) HoldTold(d Digest, evidence []Evidence) bool {
+// HoldFromPeer holds a request because another host holds it, unless this host has cleared all
+// crashes of the evidence: a host that was suspended may report crashes that an answer or a release
+// has cleared since. It reports whether the hold is new.
+func (t *Table) HoldFromPeer(d Digest, evidence []Evidence) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	news := func(e Evidence) bool { return !t.cleared(d, e.run()) }
-	if !slices.ContainsFunc(evidence, news) {
+	notCleared := func(e Evidence) bool { return !t.isCleared(d, e.run()) }
+	if !slices.ContainsFunc(evidence, notCleared) {
 		return false
 	}
-	return t.take(d, evidence)
+	return t.holdIfNew(d, evidence)
 }
 
-// take holds a request that isn't held; t.mu is held.
-func (t *Table) take(d Digest, evidence []Evidence) bool {
+// holdIfNew holds a request that isn't held yet, and reports whether it did. t.mu must be held.
+func (t *Table) holdIfNew(d Digest, evidence []Evidence) bool {
 	if t.Held(d) != nil {
 		return false
 	}
-	t.hold(d, evidence, t.clock.Now())
+	t.addHold(d, evidence, t.clock.Now())
 	return true
 }
 
-// cleared reports whether the crash of a run was counted against a request and has been
-// cleared since, by an answer or a release; t.mu is held.
-func (t *Table) cleared(d Digest, run state.InstanceID) bool {
-	e := t.runs[run]
-	if e == nil || !slices.Contains(e.suspects, d) {
+// isCleared reports whether the crash of a run was counted against a request and has been cleared
+// since, by an answer or a release. t.mu must be held.
+func (t *Table) isCleared(d Digest, run state.InstanceID) bool {
+	crashed := t.runs[run]
+	if crashed == nil || !slices.Contains(crashed.suspects, d) {
 		return false
 	}
 	r := t.records[d]
-	return r == nil || r.last(run) < 0
+	return r == nil || r.lastCrashOf(run) < 0
 }
 
-// hold puts a request on the list; t.mu is held.
-func (t *Table) hold(d Digest, evidence []Evidence, now time.Time) {
+// addHold adds a hold, and evicts the oldest one if there are maxHeld. The crashes of the evidence
+// count as explained by the request from then on. t.mu must be held.
+func (t *Table) addHold(d Digest, evidence []Evidence, now time.Time) {
 	r := t.records[d]
 	next := maps.Clone(*t.held.Load())
-	if len(next) >= mostHeld {
-		gone := oldest(next)
-		delete(next, gone)
-		t.unblame(gone)
+	if len(next) >= maxHeld {
+		evicted := oldestHold(next)
+		delete(next, evicted)
+		t.removeHeldSuspect(evicted)
 	}
-	next[d] = &Hold{Evidence: evidence, Own: r != nil && r.own, At: now}
+	next[d] = &Hold{Evidence: evidence, Local: r != nil && r.local, At: now}
 	t.held.Store(&next)
 	for _, e := range evidence {
 		if run := t.runs[e.run()]; run != nil {
-			run.blame(d)
+			run.addHeldSuspect(d)
 		}
 	}
 }
 
-// oldest is what has been held for longest.
-func oldest(held map[Digest]*Hold) Digest {
+// oldestHold returns the request that has been held for longest.
+func oldestHold(held map[Digest]*Hold) Digest {
 	var out Digest
 	var at time.Time
 	for d, h := range held {
@@ -91,76 +92,78 @@
 	return out
 }
 
-// Release lets a request run again; any further crash holds it again.
-func (t *Table) Release(d Digest) {
+// ReleaseOnTrial releases a request and deletes the crashes counted against it. The next crash that
+// no other held request explains holds it again.
+func (t *Table) ReleaseOnTrial(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unhold(d)
-	t.drop(d)
-	t.newRecord(d, t.clock.Now()).released = true
+	t.removeHold(d)
+	t.deleteRecord(d)
+	t.addRecord(d, t.clock.Now()).released = true
 }
 
-// LetGo lets a request run again by another host's word that one outdoes it; any further crash
-// holds it again.
-func (t *Table) LetGo(d Digest) {
+// ReleaseBystander releases a request that another host found to be a bystander. The crashes
+// counted against it are kept, and any further crash holds it again.
+func (t *Table) ReleaseBystander(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unhold(d)
+	t.removeHold(d)
 	r := t.records[d]
 	if r == nil {
-		t.newRecord(d, t.clock.Now()).released = true
+		t.addRecord(d, t.clock.Now()).released = true
 		return
 	}
-	r.letGo = len(r.crashes)
+	r.crashesAtRelease = len(r.crashes)
 }
 
-// Forget clears a request of all that was held against it.
-func (t *Table) Forget(d Digest) {
+// Clear releases a request and deletes all that is recorded of it.
+func (t *Table) Clear(d Digest) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.unhold(d)
-	t.drop(d)
+	t.removeHold(d)
+	t.deleteRecord(d)
 }
 
-// Answered notes that a copy of the request was answered whole, which no request is that
-// crashes its runners. It reports whether anything spoke against it, and whether it was held.
-func (t *Table) Answered(d Digest) (suspected, held bool) {
-	t.proven.add(d)
+// ReportAnswered notes that a copy of the request was answered completely, which never happens to a
+// request that crashes its runners. It clears the request, and reports whether it had been
+// suspected or held, and whether it had been held.
+func (t *Table) ReportAnswered(d Digest) (suspected, held bool) {
+	t.answered.add(d)
 	if t.suspected.Load() == 0 && t.Held(d) == nil {
 		return false, false
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	suspected, held = t.records[d] != nil, t.Held(d) != nil
-	t.unhold(d)
-	t.drop(d)
+	t.removeHold(d)
+	t.deleteRecord(d)
 	return suspected || held, held
 }
 
-// unhold takes a request off the list; t.mu is held.
-func (t *Table) unhold(d Digest) {
+// removeHold removes a hold, if there is one. t.mu must be held.
+func (t *Table) removeHold(d Digest) {
 	if t.Held(d) == nil {
 		return
 	}
 	next := maps.Clone(*t.held.Load())
 	delete(next, d)
 	t.held.Store(&next)
-	t.unblame(d)
+	t.removeHeldSuspect(d)
 }
 
-// unblame has the crashes of a request that is held no more count against others again; t.mu is
-// held.
-func (t *Table) unblame(d Digest) {
+// removeHeldSuspect removes a request that is no longer held from the crashes that it explained, so
+// that they count against other requests again. t.mu must be held.
+func (t *Table) removeHeldSuspect(d Digest) {
 	for _, run := range t.runs {
-		if i := slices.Index(run.causes, d); i >= 0 {
-			run.causes = slices.Delete(run.causes, i, i+1)
-			t.unblamed = true
+		if i := slices.Index(run.heldSuspects, d); i >= 0 {
+			run.heldSuspects = slices.Delete(run.heldSuspects, i, i+1)
+			t.reviewPending = true
 		}
 	}
 }
 
-// drop forgets what speaks against a request; t.mu is held.
-func (t *Table) drop(d Digest) {
+// deleteRecord deletes the crashes counted against a request. t.mu must be held.
+func (t *Table) deleteRecord(d Digest) {
 	delete(t.records, d)
 	t.suspected.Store(int64(len(t.records)))
 }
--- a/coordination/quarantine/operator.go
+++ b/coordination/quarantine/operator.go
@@ -10,17 +10,17 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// Listed is an entry of the store, as operators see it.
-type Listed struct {
+// EntryInfo is an entry of the store, as shown to operators.
+type EntryInfo struct {
 	Digest   string     `json:"digest"`
 	Evidence []Evidence `json:"evidence"`
-	// Times is how often the request has been held.
-	Times int `json:"times"`
-	// Released requests run until one crashes a runner again.
+	// HoldCount is how often the request has been held.
+	HoldCount int `json:"times"`
+	// Released requests are on trial: they run until they crash a runner again.
 	Released bool `json:"released"`
 }
 
-// NotHeldError says that the store has no such entry.
+// NotHeldError says that the store has no entry for the request.
 type NotHeldError struct{ Digest Digest }
 
 // Error implements error.
@@ -28,28 +28,28 @@
 	return fmt.Sprintf("no request with the digest %s is held; list those that are", e.Digest)
 }
 
-// List returns the requests that the store has, by their digests. Objects that can't be read
-// are left out.
-func List(ctx context.Context, s store.Store) ([]Listed, error) {
+// List returns the entries of the store, sorted by digest. Objects that can't be decoded are left
+// out.
+func List(ctx context.Context, s store.Store) ([]EntryInfo, error) {
 	objects, _, err := s.List(ctx, Kind)
 	if err != nil {
 		return nil, err
 	}
-	out := []Listed{}
+	out := []EntryInfo{}
 	for _, o := range objects {
 		d, e, err := decodeEntry(o)
 		if err != nil {
 			continue
 		}
-		out = append(out, Listed{Digest: d.String(), Evidence: e.Evidence, Times: e.Times, Released: e.Released})
+		out = append(out, EntryInfo{Digest: d.String(), Evidence: e.Evidence, HoldCount: e.HoldCount, Released: e.Released})
 	}
-	slices.SortFunc(out, func(a, b Listed) int { return cmp.Compare(a.Digest, b.Digest) })
+	slices.SortFunc(out, func(a, b EntryInfo) int { return cmp.Compare(a.Digest, b.Digest) })
 	return out, nil
 }
 
-// Lift releases a request and forgets what was held against it. All hosts learn of it by
-// their copies of the store. A *NotHeldError says that there is nothing to lift.
-func Lift(ctx context.Context, s store.Store, d Digest) error {
+// Release deletes the entry of a request. Each host releases the request and clears its crashes
+// once its copy of the store shows the deletion. A *NotHeldError says that there is no such entry.
+func Release(ctx context.Context, s store.Store, d Digest) error {
 	o, err := s.Get(ctx, Kind, d.String())
 	if err == nil {
 		err = s.Delete(ctx, Kind, o.Name, o.Version)
--- a/coordination/quarantine/record.go
+++ b/coordination/quarantine/record.go
@@ -7,58 +7,60 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// record is what is known of one request.
+// record has the crashes that count against one request.
 type record struct {
-	// at is when it was made.
-	at      time.Time
-	crashes []exposure
-	own     bool
-	// released requests are held again by any crash.
+	// createdAt is when this host created the record.
+	createdAt time.Time
+	crashes   []recordedCrash
+	// local says that this host saw one of the crashes itself.
+	local bool
+	// released says that the request is on trial: the next unexplained crash holds it again.
 	released bool
-	// letGo is how many crashes there were when another was found to have been at all of them
-	// and at more; 0 for none. Any further one holds the request again.
-	letGo int
+	// crashesAtRelease is len(crashes) at the time when the request was released as a bystander; 0
+	// if it wasn't. Any further crash holds the request again.
+	crashesAtRelease int
 }
 
-// exposure is one crash at which a request ran.
-type exposure struct {
+// recordedCrash is one crash at which a request ran. longRunning and answeredBefore are as in
+// Suspect; at is when this host recorded the crash.
+type recordedCrash struct {
 	Evidence
-	settled, proven bool
-	at              time.Time
+	longRunning, answeredBefore bool
+	at                          time.Time
 }
 
-// weight is how much the crash speaks against the request.
-func (x exposure) weight() int {
-	if x.proven || x.settled {
-		return settledWeight
+// weight returns how much the crash counts against the request.
+func (c recordedCrash) weight() int {
+	if c.answeredBefore || c.longRunning {
+		return reducedWeight
 	}
-	return freshWeight
+	return fullWeight
 }
 
-// ended is a run that crashed.
-type ended struct {
-	// at is when it was made.
-	at       time.Time
-	suspects []Digest
-	// causes are the requests that ran there and are held: it says nothing against others
-	// while they are.
-	causes []Digest
+// crashedRun is one run of a runner that crashed.
+type crashedRun struct {
+	// createdAt is when this host first recorded the crash.
+	createdAt time.Time
+	suspects  []Digest
+	// heldSuspects are the requests that ran there and are held. While there are any, they explain
+	// the crash to all other requests.
+	heldSuspects []Digest
 }
 
-// explained reports whether a request other than that one is held for the crash.
-func (e *ended) explained(d Digest) bool {
-	return e != nil && slices.ContainsFunc(e.causes, func(cause Digest) bool { return cause != d })
+// explainedByOther reports whether a request other than d is held for the crash.
+func (c *crashedRun) explainedByOther(d Digest) bool {
+	return c != nil && slices.ContainsFunc(c.heldSuspects, func(held Digest) bool { return held != d })
 }
 
-// blame notes a request that ran there and is held.
-func (e *ended) blame(d Digest) {
-	if !slices.Contains(e.causes, d) {
-		e.causes = append(e.causes, d)
+// addHeldSuspect adds a held request that ran there.
+func (c *crashedRun) addHeldSuspect(d Digest) {
+	if !slices.Contains(c.heldSuspects, d) {
+		c.heldSuspects = append(c.heldSuspects, d)
 	}
 }
 
-// last is the index of the last crash that is known of a run, or -1.
-func (r *record) last(run state.InstanceID) int {
+// lastCrashOf returns the index of the last recorded crash of a run, or -1.
+func (r *record) lastCrashOf(run state.InstanceID) int {
 	for i := len(r.crashes) - 1; i >= 0; i-- {
 		if r.crashes[i].run() == run {
 			return i
@@ -67,40 +69,40 @@
 	return -1
 }
 
-// sameMoment reports whether a crash at a time belongs to the moment of the last one that the
-// request was at although a copy had been answered.
-func (r *record) sameMoment(now time.Time) bool {
+// inCurrentBurst reports whether a crash at the given time belongs to the same burst as the last
+// recorded crash of a copy that was answered before.
+func (r *record) inCurrentBurst(now time.Time) bool {
 	for i := len(r.crashes) - 1; i >= 0; i-- {
-		if r.crashes[i].proven {
-			return now.Sub(r.crashes[i].at) < moment
+		if r.crashes[i].answeredBefore {
+			return now.Sub(r.crashes[i].at) < burstWindow
 		}
 	}
 	return false
 }
 
-// outdoes reports whether the request was at all the crashes of another, two or more, and at
-// others besides.
-func (r *record) outdoes(runs []state.InstanceID) bool {
-	at := r.runs()
-	return len(runs) > 1 && len(at) > len(runs) && !slices.ContainsFunc(runs, func(run state.InstanceID) bool { return !slices.Contains(at, run) })
+// strictlyCovers reports whether the request ran at all the crashes of another one, which must be
+// two or more, and at others besides.
+func (r *record) strictlyCovers(runs []state.InstanceID) bool {
+	own := r.runs()
+	return len(runs) > 1 && len(own) > len(runs) && !slices.ContainsFunc(runs, func(run state.InstanceID) bool { return !slices.Contains(own, run) })
 }
 
-// runs are those of the crashes, each once.
+// runs returns the runs that crashed, each once.
 func (r *record) runs() []state.InstanceID {
 	var out []state.InstanceID
-	for _, x := range r.crashes {
-		if !slices.Contains(out, x.run()) {
-			out = append(out, x.run())
+	for _, c := range r.crashes {
+		if !slices.Contains(out, c.run()) {
+			out = append(out, c.run())
 		}
 	}
 	return out
 }
 
-// evidence is the crashes as operators see them.
+// evidence returns the crashes as shown to operators.
 func (r *record) evidence() []Evidence {
 	out := make([]Evidence, 0, len(r.crashes))
-	for _, x := range r.crashes {
-		out = append(out, x.Evidence)
+	for _, c := range r.crashes {
+		out = append(out, c.Evidence)
 	}
 	return out
 }
--- a/coordination/quarantine/registry.go
+++ b/coordination/quarantine/registry.go
@@ -16,171 +16,178 @@
 )
 
 const (
-	// tick is how often the registry looks after the store's entries, and the pause before a
-	// write that failed is tried again: hosts that were out of the store's reach have some
-	// seconds to tell it what they know.
-	tick = time.Second
-	// standInAfter is when a host writes what another should have: that one may be gone.
-	standInAfter = 3 * time.Second
-	// gather is the pause in which crashes are collected for one notice: a failure domain
-	// that is lost is told in one by each host, not in one for each runner.
-	gather = 20 * time.Millisecond
-	// answeredFor is how long an entry that is written in ignorance of an answer may be on
-	// its way: a write and the copy of it.
-	answeredFor = 10 * time.Second
-	// mostTold bounds the requests that a host tells of one crash, those first that had just
-	// begun; a full engine has some hundred from all hosts together.
-	mostTold = 128
+	// reviewInterval is how often the registry reviews its holds and the store's entries. It is
+	// also the pause before a failed write is retried: hosts that could not reach the store have a
+	// few seconds to write what they know.
+	reviewInterval = time.Second
+	// takeoverDelay is how old a hold is when a host that follows the store writes its entry in
+	// place of a host that saw a crash, which may be gone.
+	takeoverDelay = 3 * time.Second
+	// batchDelay is how long crashes are collected for one notice: if a failure domain is lost,
+	// each host sends one notice instead of one per runner.
+	batchDelay = 20 * time.Millisecond
+	// clearanceTTL is how long an entry whose writer didn't know of an answer may be in flight: the
+	// write, and the copy of it to this host.
+	clearanceTTL = 10 * time.Second
+	// maxSuspectsPerNotice bounds the requests that a host reports for one crash; those that had
+	// just begun come first. A full engine runs about a hundred requests, counted over all hosts.
+	maxSuspectsPerNotice = 128
 )
 
-// Notice is what hosts tell each other.
+// Notice is a message from a host to all hosts.
 type Notice struct {
 	Crashes []Crash
-	// Held are requests that are held, for hosts that missed a crash.
-	Held []Holding
+	// Held are held requests, for hosts that missed a crash.
+	Held []HeldRequest
 	// Answered are requests that were suspected or held and have been answered.
 	Answered []Digest
 }
 
-func (n Notice) empty() bool { return len(n.Crashes)+len(n.Held)+len(n.Answered) == 0 }
+func (n Notice) isEmpty() bool { return len(n.Crashes)+len(n.Held)+len(n.Answered) == 0 }
 
-// Holding is a request that is held.
-type Holding struct {
+// HeldRequest is a held request and the crashes counted against it.
+type HeldRequest struct {
 	Digest   Digest
 	Evidence []Evidence
 }
 
 // Options configure a Registry. All fields are required.
 type Options struct {
-	// Host is this host's name in what it tells.
+	// Host is this host's name, as it appears in crashes and evidence.
 	Host  string
 	Table *Table
 	Store store.Store
-	// FollowsStore reports whether this host is one of those that follow the store.
+	// FollowsStore reports whether this host is one of those that follow the store. They maintain
+	// the entries.
 	FollowsStore func() bool
-	// Publish tells all hosts, this one too, by Take. It doesn't wait.
+	// Publish sends a notice to all hosts, including this one, whose Receive it reaches. It doesn't
+	// block.
 	Publish func(Notice)
 	Clock   state.Clock
 	Log     *slog.Logger
 }
 
-// Registry counts crashes with the other hosts and keeps at the store what is held. It is safe
-// for concurrent use.
+// Registry exchanges crashes and holds with the other hosts, and keeps the holds in the store. It
+// is safe for concurrent use.
 type Registry struct {
 	o Options
-	// news and changed wake what tells the hosts and what writes to the store.
-	news, changed chan struct{}
+	// wakePublish wakes the loop that publishes notices, and wakeReview the loop that reviews the
+	// holds and writes to the store.
+	wakePublish, wakeReview chan struct{}
 
-	mu      sync.Mutex
-	pending Notice
-	// cleared are suspected requests that were answered here. They are told with the next
-	// notice or tick: most of those that ran at a crash are.
-	cleared []Digest
-	// entries are those of the store as of revision, with what this host has written since,
-	// and unreadable the versions of those that were logged.
-	entries    map[Digest]stored
+	mu            sync.Mutex
+	pendingNotice Notice
+	// pendingAnswered are suspected requests that were answered here. They are published with the
+	// next notice or at the next reviewInterval, without a notice of their own: most requests that
+	// ran at a crash are answered.
+	pendingAnswered []Digest
+	// entries are those of the store as of revision, and what this host has written since.
+	// unreadable has the versions of the undecodable objects that were logged, by name.
+	entries    map[Digest]storedEntry
 	revision   uint64
 	unreadable map[string]uint64
-	// outdone are requests that were let go since another was at all their crashes and at
-	// more. Their entries are to say so; what speaks against them stays.
-	outdone map[Digest]answer
-	// answered are suspected requests that were answered of late, at any host, or lifted while
-	// this host was writing. Their entries are to go, also one that a host writes which hasn't
-	// heard of it.
-	answered map[Digest]answer
-	// removed is when entries were removed of late.
+	// bystanders are requests that were released because another held request ran at all their
+	// crashes and at others. Their entries are to be marked so; the crashes counted against them
+	// are kept.
+	bystanders map[Digest]clearance
+	// answered are suspected requests that were answered recently, at any host, or released while
+	// this host was writing their entry. Their entries are to be removed, also one that is written
+	// later by a host that doesn't know of the answer yet.
+	answered map[Digest]clearance
+	// removed has the times at which entries were removed recently.
 	removed map[Digest]time.Time
 }
 
-// answer is what a host knows of the answer to a suspected request.
-type answer struct {
+// clearance records that a request was answered or released, and when.
+type clearance struct {
 	at time.Time
-	// own answers were given here: this host removes the entry at once. The few that follow
-	// the store do it for another, which may be gone.
-	own bool
+	// local clearances come from this host, which removes the entry at once. The hosts that follow
+	// the store do so for another host, which may be gone.
+	local bool
 }
 
-// New validates the options.
+// New returns a Registry, or an error if an option is missing.
 func New(o Options) (*Registry, error) {
 	if o.Host == "" || o.Table == nil || o.Store == nil || o.FollowsStore == nil || o.Publish == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("quarantine: a field of Options is missing; set all of them")
 	}
-	return &Registry{o: o, news: make(chan struct{}, 1), changed: make(chan struct{}, 1), entries: map[Digest]stored{}, unreadable: map[string]uint64{}, answered: map[Digest]answer{}, outdone: map[Digest]answer{}, removed: map[Digest]time.Time{}}, nil
+	return &Registry{o: o, wakePublish: make(chan struct{}, 1), wakeReview: make(chan struct{}, 1), entries: map[Digest]storedEntry{}, unreadable: map[string]uint64{}, answered: map[Digest]clearance{}, bystanders: map[Digest]clearance{}, removed: map[Digest]time.Time{}}, nil
 }
 
-// Held returns why a request is held, or nil.
+// Held returns the hold of a request, or nil if it isn't held.
 func (r *Registry) Held(d Digest) *Hold { return r.o.Table.Held(d) }
 
-// Size is the number of requests that are held.
+// Size returns the number of held requests.
 func (r *Registry) Size() int { return len(r.o.Table.Holds()) }
 
-// Answered notes that a copy of the request was answered whole.
-func (r *Registry) Answered(d Digest) {
-	suspected, held := r.o.Table.Answered(d)
+// ReportAnswered notes that a copy of the request was answered completely. If the request was
+// suspected or held, that is published to all hosts.
+func (r *Registry) ReportAnswered(d Digest) {
+	suspected, held := r.o.Table.ReportAnswered(d)
 	if !suspected {
 		return
 	}
 	r.mu.Lock()
 	_, stored := r.entries[d]
-	r.cleared = append(r.cleared, d)
-	r.answered[d] = answer{at: r.o.Clock.Now(), own: true}
+	r.pendingAnswered = append(r.pendingAnswered, d)
+	r.answered[d] = clearance{at: r.o.Clock.Now(), local: true}
 	r.mu.Unlock()
 	if held || stored {
 		r.o.Log.Info("held request answered", "digest", d.String())
-		r.rouse()
+		r.wakeLoops()
 	}
 }
 
-// Note counts a crash under this host's requests, and tells all hosts. This host counts it at
-// once: an answer that comes before it is told clears it, and is told after it.
-func (r *Registry) Note(run state.InstanceID, at time.Time, suspects []Suspect) {
+// ReportCrash counts a crash of a run against the requests that this host had there, and publishes
+// it. This host counts the crash before the notice is sent: an answer in between clears it, and is
+// published with or after it.
+func (r *Registry) ReportCrash(run state.InstanceID, at time.Time, suspects []Suspect) {
 	suspects = slices.Clone(suspects)
 	for i := range suspects {
-		suspects[i].Proven = r.o.Table.Proven(suspects[i].Digest)
+		suspects[i].AnsweredBefore = r.o.Table.AnsweredRecently(suspects[i].Digest)
 	}
-	slices.SortStableFunc(suspects, func(a, b Suspect) int { return cmp.Compare(oneIf(a.Settled), oneIf(b.Settled)) })
-	c := Crash{Run: run, Host: r.o.Host, At: at, Suspects: suspects[:min(len(suspects), mostTold)]}
+	slices.SortStableFunc(suspects, func(a, b Suspect) int { return cmp.Compare(boolToInt(a.LongRunning), boolToInt(b.LongRunning)) })
+	c := Crash{Run: run, Host: r.o.Host, At: at, Suspects: suspects[:min(len(suspects), maxSuspectsPerNotice)]}
 	r.mu.Lock()
-	r.pending.Crashes = append(r.pending.Crashes, c)
+	r.pendingNotice.Crashes = append(r.pendingNotice.Crashes, c)
 	r.mu.Unlock()
-	r.count(c)
-	r.rouse()
+	r.countCrash(c)
+	r.wakeLoops()
 }
 
-// count counts a crash against the requests that ran there. An answer speaks for all copies
-// that were sent before it, also when their crash is told after it; one that was sent later
-// begins the suspicion anew.
-func (r *Registry) count(c Crash) {
+// countCrash counts a crash against its suspects. An answer clears all copies that were sent before
+// it, also if their crash is reported later. A copy that was sent after the answer counts again.
+func (r *Registry) countCrash(c Crash) {
 	r.mu.Lock()
 	c.Suspects = slices.DeleteFunc(slices.Clone(c.Suspects), func(s Suspect) bool {
-		a, known := r.answered[s.Digest]
-		if known && s.SentAt.After(a.at) {
+		a, cleared := r.answered[s.Digest]
+		if cleared && s.SentAt.After(a.at) {
 			delete(r.answered, s.Digest)
 			return false
 		}
-		return known
+		return cleared
 	})
-	found := r.o.Table.Note(c, c.Host == r.o.Host)
-	for _, d := range found {
-		delete(r.outdone, d)
+	held := r.o.Table.RecordCrash(c, c.Host == r.o.Host)
+	for _, d := range held {
+		delete(r.bystanders, d)
 	}
 	r.mu.Unlock()
-	for _, d := range found {
-		r.found(d)
+	for _, d := range held {
+		r.reportHold(d)
 	}
 }
 
-// oneIf is 1 for true and 0 for false.
-func oneIf(is bool) int {
-	if is {
+// boolToInt returns 1 for true and 0 for false.
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// rouse has news told and the store written.
-func (r *Registry) rouse() {
-	for _, wake := range []chan struct{}{r.news, r.changed} {
+// wakeLoops triggers the loops that publish notices and that review the holds.
+func (r *Registry) wakeLoops() {
+	for _, wake := range []chan struct{}{r.wakePublish, r.wakeReview} {
 		select {
 		case wake <- struct{}{}:
 		default:
@@ -188,53 +195,54 @@
 	}
 }
 
-// Take takes what a host tells, this one too. It doesn't wait.
-func (r *Registry) Take(n Notice) {
+// Receive applies a notice of any host, including this one. It doesn't block.
+func (r *Registry) Receive(n Notice) {
 	for _, c := range n.Crashes {
-		r.count(c)
+		r.countCrash(c)
 	}
 	for _, h := range n.Held {
-		if r.o.Table.HoldTold(h.Digest, h.Evidence) {
-			r.logHeld(h.Digest, "another host")
+		if r.o.Table.HoldFromPeer(h.Digest, h.Evidence) {
+			r.logHold(h.Digest, "another host")
 		}
 	}
 	for _, d := range n.Answered {
-		r.forget(d)
+		r.receiveAnswered(d)
 	}
 }
 
-// forget takes another host's word that a request was answered.
-func (r *Registry) forget(d Digest) {
-	r.o.Table.Forget(d)
+// receiveAnswered clears a request that a host reports as answered.
+func (r *Registry) receiveAnswered(d Digest) {
+	r.o.Table.Clear(d)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if _, known := r.answered[d]; !known {
-		r.answered[d] = answer{at: r.o.Clock.Now()}
+	if _, cleared := r.answered[d]; !cleared {
+		r.answered[d] = clearance{at: r.o.Clock.Now()}
 	}
 }
 
-// found tells the others what this host has found, if one of the crashes was its own: a
-// host that saw none leaves it to those that did.
-func (r *Registry) found(d Digest) {
-	r.logHeld(d, "crashes")
+// reportHold logs a new hold. It also publishes the hold if this host saw one of the crashes
+// itself; a host that saw none leaves that to those that did.
+func (r *Registry) reportHold(d Digest) {
+	r.logHold(d, "crashes")
 	hold := r.o.Table.Held(d)
-	if hold == nil || !hold.Own {
+	if hold == nil || !hold.Local {
 		return
 	}
 	r.mu.Lock()
-	r.pending.Held = append(r.pending.Held, Holding{d, hold.Evidence})
+	r.pendingNotice.Held = append(r.pendingNotice.Held, HeldRequest{d, hold.Evidence})
 	r.mu.Unlock()
-	r.rouse()
+	r.wakeLoops()
 }
 
-// logHeld writes the line from which a refusal is explained.
-func (r *Registry) logHeld(d Digest, by string) {
+// logHold logs why a request is held. Refusals of the request are explained by this line.
+func (r *Registry) logHold(d Digest, source string) {
 	if hold := r.o.Table.Held(d); hold != nil {
-		r.o.Log.Warn("request held: runners crash under it", "digest", d.String(), "by", by, "crashes", len(hold.Evidence), "evidence", describe(hold.Evidence))
+		r.o.Log.Warn("request held: it crashes runners", "digest", d.String(), "by", source, "crashes", len(hold.Evidence), "evidence", describeEvidence(hold.Evidence))
 	}
 }
 
-func describe(evidence []Evidence) []string {
+// describeEvidence formats crashes for the log.
+func describeEvidence(evidence []Evidence) []string {
 	out := make([]string, 0, len(evidence))
 	for _, e := range evidence {
 		out = append(out, e.run().String()+" under "+e.RequestID+" of "+e.Host+" at "+e.At.UTC().Format(time.RFC3339Nano))
@@ -242,62 +250,62 @@
 	return out
 }
 
-// Run tells the other hosts and looks after the store's entries until ctx ends. One doesn't
-// wait for the other: the store may hang.
+// Run publishes notices, reviews the holds and maintains the store's entries until ctx ends.
+// Notices have a loop of their own, as the store may hang.
 func (r *Registry) Run(ctx context.Context) {
 	var loops conc.WaitGroup
-	loops.Go(func() { r.each(ctx, r.news, r.tell) })
+	loops.Go(func() { r.loop(ctx, r.wakePublish, r.publishPending) })
 	loops.Go(func() {
-		r.each(ctx, r.changed, func() {
-			r.review()
-			r.writeAgain(ctx)
-			r.write(ctx)
-			r.sweep(ctx)
+		r.loop(ctx, r.wakeReview, func() {
+			r.reviewHolds()
+			r.rewriteEntries(ctx)
+			r.writeHolds(ctx)
+			r.expireEntries(ctx)
 			r.reconcile()
 		})
 	})
 	loops.Wait()
 }
 
-// review lets bystanders go, and holds what they hid. Each host does so by itself; those that
-// follow the store note it in the entries.
-func (r *Registry) review() {
+// reviewHolds releases bystanders, and holds the requests whose crashes they explained. Each host
+// does so by itself; the hosts that follow the store also mark the entries.
+func (r *Registry) reviewHolds() {
 	r.mu.Lock()
-	letGo, found := r.o.Table.Review()
-	for _, d := range letGo {
-		r.outdone[d] = answer{at: r.o.Clock.Now()}
+	released, held := r.o.Table.Review()
+	for _, d := range released {
+		r.bystanders[d] = clearance{at: r.o.Clock.Now()}
 	}
-	for _, d := range found {
-		delete(r.outdone, d)
+	for _, d := range held {
+		delete(r.bystanders, d)
 	}
 	r.mu.Unlock()
-	for _, d := range found {
-		r.found(d)
+	for _, d := range held {
+		r.reportHold(d)
 	}
-	for _, d := range letGo {
-		r.o.Log.Info("held request let go: another was at all its crashes and at more", "digest", d.String())
+	for _, d := range released {
+		r.o.Log.Info("held request released: another held request ran at all its crashes and at others", "digest", d.String())
 	}
 }
 
-// each calls do a moment after it was woken, and at each tick.
-func (r *Registry) each(ctx context.Context, wake <-chan struct{}, do func()) {
+// loop calls do after each wake-up or reviewInterval, delayed by batchDelay, until ctx ends.
+func (r *Registry) loop(ctx context.Context, wake <-chan struct{}, do func()) {
 	for ctx.Err() == nil {
-		r.await(ctx, wake)
-		if r.o.Clock.Sleep(ctx, gather) != nil {
+		r.waitForWake(ctx, wake)
+		if r.o.Clock.Sleep(ctx, batchDelay) != nil {
 			return
 		}
 		do()
 	}
 }
 
-// await waits to be woken, or for the next tick.
-func (r *Registry) await(ctx context.Context, wake <-chan struct{}) {
-	bounded, cancel := context.WithCancel(ctx)
+// waitForWake returns when wake is signaled, when reviewInterval has passed or when ctx ends.
+func (r *Registry) waitForWake(ctx context.Context, wake <-chan struct{}) {
+	sleepCtx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = r.o.Clock.Sleep(bounded, tick) // its end is all that counts
+		_ = r.o.Clock.Sleep(sleepCtx, reviewInterval) // an interrupted sleep ends the wait as well
 	}()
 	select {
 	case <-wake:
@@ -305,14 +313,14 @@
 	}
 }
 
-// tell tells all hosts what is new.
-func (r *Registry) tell() {
+// publishPending publishes the crashes, holds and answers that were not published yet.
+func (r *Registry) publishPending() {
 	r.mu.Lock()
-	n := r.pending
-	n.Answered, r.cleared = r.cleared, nil
-	r.pending = Notice{}
+	n := r.pendingNotice
+	n.Answered, r.pendingAnswered = r.pendingAnswered, nil
+	r.pendingNotice = Notice{}
 	r.mu.Unlock()
-	if n.empty() {
+	if n.isEmpty() {
 		return
 	}
 	if len(n.Answered) > 0 {
--- a/coordination/quarantine/storage.go
+++ b/coordination/quarantine/storage.go
@@ -9,171 +9,179 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// Changed takes a new copy of the store's entries. One that is gone was released by an
-// operator, or because its request was answered.
-func (r *Registry) Changed(c follow.Copy) {
+// ApplyCopy applies a new copy of the store's entries. An entry that it lacks was removed: an
+// operator released the request, or the request was answered.
+func (r *Registry) ApplyCopy(c follow.Copy) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	restored := r.advance(c.Revision)
-	present := make(map[Digest]stored, len(c.Objects))
+	restored := r.advanceRevision(c.Revision)
+	present := make(map[Digest]storedEntry, len(c.Objects))
 	for _, o := range c.Objects {
 		d, e, err := decodeEntry(o)
 		if err != nil {
-			r.noteUnreadable(o, err)
+			r.logUnreadable(o, err)
 			continue
 		}
-		present[d] = r.take(d, e, o.Version, restored)
+		present[d] = r.applyEntry(d, e, o.Version, restored)
 	}
 	for d, s := range r.entries {
-		if _, there := present[d]; there {
+		if _, found := present[d]; found {
 			continue
 		}
-		if kept, is := r.keep(s, c.Revision, restored); is {
+		if kept, ok := r.keepMissing(s, c.Revision, restored); ok {
 			present[d] = kept
 			continue
 		}
-		r.removedNow(d)
-		r.o.Table.Forget(d)
+		r.recordRemoval(d)
+		r.o.Table.Clear(d)
 		r.o.Log.Info("request no longer held", "digest", d.String(), "revision", store.FormatVersion(c.Revision))
 	}
 	r.entries = present
 	if restored {
-		r.rouse()
+		r.wakeLoops()
 	}
 }
 
-// take takes an entry of a copy; r.mu is held.
-func (r *Registry) take(d Digest, e entry, version uint64, restored bool) stored {
-	before, known := r.entries[d]
+// applyEntry returns an entry of a copy with this host's state of it. It updates the table if the
+// version is new. r.mu must be held.
+func (r *Registry) applyEntry(d Digest, e entry, version uint64, restored bool) storedEntry {
+	current, known := r.entries[d]
 	switch {
 	case restored:
-		return r.takeRestored(d, e, version)
-	case known && before.version == version:
-		return before
+		return r.applyRestored(d, e, version)
+	case known && current.version == version:
+		return current
 	}
-	r.adopt(d, e)
-	return stored{entry: e, version: version, seenAt: r.o.Clock.Now()}
+	r.updateTable(d, e)
+	return storedEntry{entry: e, version: version, seenAt: r.o.Clock.Now()}
 }
 
-// adopt takes a new version of an entry; r.mu is held.
-func (r *Registry) adopt(d Digest, e entry) {
+// updateTable holds or releases a request as its entry says. r.mu must be held.
+func (r *Registry) updateTable(d Digest, e entry) {
 	_, answered := r.answered[d]
-	if _, outdone := r.outdone[d]; answered || (outdone && !e.Released) {
-		return // it was written in ignorance of that
+	if _, bystander := r.bystanders[d]; answered || (bystander && !e.Released) {
+		return // the writer of the entry didn't know of the answer or the release
 	}
-	if e.Released && e.Outdone {
-		r.o.Table.LetGo(d)
-		r.o.Log.Info("request let go by the store's word", "digest", d.String(), "times", e.Times)
+	if e.Released && e.Bystander {
+		r.o.Table.ReleaseBystander(d)
+		r.o.Log.Info("request released as a bystander by its entry", "digest", d.String(), "times", e.HoldCount)
 		return
 	}
 	if e.Released {
-		r.o.Table.Release(d)
-		r.o.Log.Info("request released for a trial", "digest", d.String(), "times", e.Times)
+		r.o.Table.ReleaseOnTrial(d)
+		r.o.Log.Info("request released on trial by its entry", "digest", d.String(), "times", e.HoldCount)
 		return
 	}
 	if r.o.Table.Hold(d, e.Evidence) {
-		r.logHeld(d, "the store")
+		r.logHold(d, "the store")
 	}
 }
 
-func (r *Registry) noteUnreadable(o store.Object, err error) {
+// logUnreadable logs an object that can't be decoded, once for each version. r.mu must be held.
+func (r *Registry) logUnreadable(o store.Object, err error) {
 	if r.unreadable[o.Name] != o.Version {
 		r.unreadable[o.Name] = o.Version
-		r.o.Log.Warn("entry of a held request not readable", "name", o.Name, "version", store.FormatVersion(o.Version), "cause", err.Error())
+		r.o.Log.Warn("entry of a held request not decodable", "name", o.Name, "version", store.FormatVersion(o.Version), "cause", err.Error())
 	}
 }
 
-// write brings to the store what is held and isn't there. The hosts that saw a crash
-// themselves do it at once, others that follow the store when it is still missing later.
-func (r *Registry) write(ctx context.Context) {
+// writeHolds writes the holds that have no entry in the store. Hosts that saw one of the crashes
+// write at once. Other hosts that follow the store write if the entry is still missing after
+// takeoverDelay.
+func (r *Registry) writeHolds(ctx context.Context) {
 	for d := range r.o.Table.Holds() {
-		if e, version, missing := r.missing(d); missing {
-			r.put(ctx, d, e, version)
+		if e, version, missing := r.missingEntry(d); missing {
+			r.putEntry(ctx, d, e, version)
 		}
 	}
 }
 
-// missing returns the entry that this host owes the store for a request, and the version to
-// replace. The hold is read under the lock under which releases are taken: one that was read
-// before, while a write waited for the store, would look like a hold that nobody has written,
-// and writing it would undo the release at all hosts.
-func (r *Registry) missing(d Digest) (e entry, version uint64, missing bool) {
+// missingEntry returns the entry that this host must write for a request, and the version that it
+// replaces. The hold is read under r.mu, which is held while releases are applied. A hold that was
+// read earlier, while another write waited for the store, may have been released and its entry
+// removed since: it would look like a hold without an entry, and writing it would undo the release
+// at all hosts.
+func (r *Registry) missingEntry(d Digest) (e entry, version uint64, missing bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	hold := r.o.Table.Held(d)
-	if hold == nil || len(r.entries) >= mostHeld {
+	if hold == nil || len(r.entries) >= maxHeld {
 		return entry{}, 0, false
 	}
-	s, there := r.entries[d]
-	late := r.o.Clock.Now().Sub(hold.At) > standInAfter && r.o.FollowsStore()
-	if (there && !s.Released) || !(hold.Own || late) {
+	s, found := r.entries[d]
+	takeOver := r.o.Clock.Now().Sub(hold.At) > takeoverDelay && r.o.FollowsStore()
+	if (found && !s.Released) || !(hold.Local || takeOver) {
 		return entry{}, 0, false
 	}
-	return entry{Evidence: hold.Evidence, Times: s.Times + 1}, s.version, true
+	return entry{Evidence: hold.Evidence, HoldCount: s.HoldCount + 1}, s.version, true
 }
 
-// put writes an entry at its known version. A conflict says that another host was faster.
-func (r *Registry) put(ctx context.Context, d Digest, e entry, version uint64) {
+// putEntry writes an entry over its known version. A conflict means that another host wrote first.
+func (r *Registry) putEntry(ctx context.Context, d Digest, e entry, version uint64) {
 	value, err := json.Marshal(e)
 	if err != nil {
-		r.o.Log.Error("held request not written", "digest", d.String(), "cause", err.Error())
+		r.o.Log.Error("entry of a held request not written", "digest", d.String(), "cause", err.Error())
 		return
 	}
-	now, err := r.o.Store.Put(ctx, Kind, d.String(), version, value)
+	newVersion, err := r.o.Store.Put(ctx, Kind, d.String(), version, value)
 	switch {
 	case err == nil:
-		r.wrote(d, stored{entry: e, version: now, seenAt: r.o.Clock.Now()})
-		r.o.Log.Info("held request written", "digest", d.String(), "released", e.Released, "times", e.Times, "version", store.FormatVersion(now))
+		r.recordWrite(d, storedEntry{entry: e, version: newVersion, seenAt: r.o.Clock.Now()})
+		r.o.Log.Info("entry of a held request written", "digest", d.String(), "released", e.Released, "times", e.HoldCount, "version", store.FormatVersion(newVersion))
 	case store.IsConflict(err):
-		// the copy of the store will show what the other wrote
+		// the next copy of the store shows the other host's entry
 	case ctx.Err() == nil:
-		r.o.Log.Warn("held request not written", "digest", d.String(), "cause", err.Error())
+		r.o.Log.Warn("entry of a held request not written", "digest", d.String(), "cause", err.Error())
 	}
 }
 
-// wrote takes an entry that this host has written, until a copy of the store shows it. A copy
-// that is as new has shown it already, or its removal, which an answer that was long on its way
-// would undo at this host alone. A hold that was let go while the write was on its way has its
-// entry removed again: a store can't tell one that was removed from one that was never there.
-func (r *Registry) wrote(d Digest, s stored) {
+// recordWrite keeps an entry that this host has written until a copy of the store shows it. If the
+// latest copy is as new as the write, it has already shown the entry or its removal; applying the
+// entry after a delayed answer of the store would undo the removal at this host alone. If the
+// request was released while the write was in flight, the entry is removed again: the store
+// accepted the write, since it can't distinguish an entry that was removed from one that never
+// existed.
+func (r *Registry) recordWrite(d Digest, s storedEntry) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !s.Released && r.o.Table.Held(d) == nil {
-		r.answered[d] = answer{at: s.seenAt, own: true}
+		r.answered[d] = clearance{at: s.seenAt, local: true}
 	}
 	if s.version <= r.revision || s.version <= r.entries[d].version {
 		return
 	}
 	r.entries[d] = s
-	r.adopt(d, s.entry)
+	r.updateTable(d, s.entry)
 }
 
-// reconcile holds what has an entry, and lets go what has none although there was time to
-// write it: news of an entry may have come when an answer spoke against it, or not at all.
+// reconcile holds requests that have an entry, and releases those that still have none after
+// initialHold. It corrects two cases: this host ignored an entry because it knew of an answer, or
+// it missed the release of a request whose entry it had never seen.
 func (r *Registry) reconcile() {
 	now := r.o.Clock.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for d, s := range r.entries {
 		if !s.Released && r.o.Table.Held(d) == nil {
-			r.adopt(d, s.entry)
+			r.updateTable(d, s.entry)
 		}
 	}
 	for d, hold := range r.o.Table.Holds() {
-		if _, there := r.entries[d]; !there && now.Sub(hold.At) > holdFirst {
-			r.o.Table.Forget(d)
-			r.o.Log.Info("request no longer held: no entry of it", "digest", d.String(), "held", now.Sub(hold.At))
+		if _, found := r.entries[d]; !found && now.Sub(hold.At) > initialHold {
+			r.o.Table.Clear(d)
+			r.o.Log.Info("request no longer held: the store has no entry for it", "digest", d.String(), "held", now.Sub(hold.At))
 		}
 	}
 }
 
-// sweep releases entries whose time is over and removes those that are needed no more. The
-// hosts that follow the store do it; the first one's write is the one that counts.
-func (r *Registry) sweep(ctx context.Context) {
-	release, remove := r.due()
+// expireEntries releases entries whose hold has expired and removes entries that are no longer
+// needed. All hosts that follow the store do so; the first write takes effect and the others
+// conflict.
+func (r *Registry) expireEntries(ctx context.Context) {
+	release, remove := r.dueEntries()
 	for d, s := range release {
 		s.Released = true
-		r.put(ctx, d, s.entry, s.version)
+		r.putEntry(ctx, d, s.entry, s.version)
 	}
 	for d, s := range remove {
 		err := r.o.Store.Delete(ctx, Kind, d.String(), s.version)
@@ -188,32 +196,32 @@
 	}
 }
 
-// due are the entries to be released and to be removed.
-func (r *Registry) due() (release, remove map[Digest]stored) {
-	follows := r.o.FollowsStore()
+// dueEntries returns the entries to release and those to remove. It also drops expired clearances.
+func (r *Registry) dueEntries() (release, remove map[Digest]storedEntry) {
+	followsStore := r.o.FollowsStore()
 	now := r.o.Clock.Now()
-	release, remove = map[Digest]stored{}, map[Digest]stored{}
+	release, remove = map[Digest]storedEntry{}, map[Digest]storedEntry{}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, gone := range []map[Digest]answer{r.answered, r.outdone} {
-		for d, a := range gone {
-			if _, there := r.entries[d]; !there && now.Sub(a.at) > answeredFor {
-				delete(gone, d)
+	for _, cleared := range []map[Digest]clearance{r.answered, r.bystanders} {
+		for d, a := range cleared {
+			if _, found := r.entries[d]; !found && now.Sub(a.at) > clearanceTTL {
+				delete(cleared, d)
 			}
 		}
 	}
 	for d, s := range r.entries {
 		if s.version == store.Absent {
-			continue // lost by the store, and not written again yet
+			continue // a restored store lost it, and it is not written again yet
 		}
 		age := now.Sub(s.seenAt)
 		a, answered := r.answered[d]
-		_, outdone := r.outdone[d]
+		_, bystander := r.bystanders[d]
 		switch {
-		case answered && (a.own || follows), follows && s.Released && age > forgetAfter:
+		case answered && (a.local || followsStore), followsStore && s.Released && age > releasedEntryTTL:
 			remove[d] = s
-		case follows && !s.Released && (outdone || age > s.holdFor()):
-			s.Outdone = outdone
+		case followsStore && !s.Released && (bystander || age > s.holdDuration()):
+			s.Bystander = bystander
 			release[d] = s
 		}
 	}
--- a/coordination/quarantine/table_test.go
+++ b/coordination/quarantine/table_test.go
@@ -12,60 +12,66 @@
 	"github.com/thymerack/thymerack/state"
 )
 
+// run returns the id of the run with that number.
 func run(n int) state.InstanceID { return state.InstanceID{Name: fmt.Sprint("r", n), Born: 1} }
 
+// digest returns the digest of the request with that number.
 func digest(n int) Digest { return DigestOf(Content{URI: fmt.Sprint(n)}) }
 
-// fresh and settled are requests that ran at a crash.
+// fresh returns a suspect that had just been sent to its runner.
 func fresh(n int) Suspect { return Suspect{Digest: digest(n), RequestID: fmt.Sprint("q", n)} }
 
-func settled(n int) Suspect {
+// longRunning returns a suspect whose answer had begun long before the crash.
+func longRunning(n int) Suspect {
 	s := fresh(n)
-	s.Settled = true
+	s.LongRunning = true
 	return s
 }
 
-func proved(n int) Suspect {
+// answeredBefore returns a suspect of which a copy had been answered.
+func answeredBefore(n int) Suspect {
 	s := fresh(n)
-	s.Proven = true
+	s.AnsweredBefore = true
 	return s
 }
 
+// crashOf returns the crash of the run with that number.
 func crashOf(n int, suspects ...Suspect) Crash {
 	return Crash{Run: run(n), Host: "h", At: time.Unix(int64(n), 0), Suspects: suspects}
 }
 
-// crashes has a table note one crash for each list of suspects, a second apart.
-func crashes(t *Table, of ...[]Suspect) (held []Digest) {
+// recordCrashes records one crash for each list of suspects, burstWindow apart, and returns the
+// requests that are held.
+func recordCrashes(t *Table, of ...[]Suspect) (held []Digest) {
 	for n, suspects := range of {
-		held = append(held, t.Note(crashOf(n, suspects...), true)...)
-		time.Sleep(moment)
+		held = append(held, t.RecordCrash(crashOf(n, suspects...), true)...)
+		time.Sleep(burstWindow)
 	}
 	return held
 }
 
-func TestRequestIsHeldByItsCrashes(t *testing.T) {
+func TestHoldThreshold(t *testing.T) {
 	one := func(s Suspect) []Suspect { return []Suspect{s} }
 	for name, c := range map[string]struct {
 		crashes [][]Suspect
 		held    []Digest
 	}{
-		"one crash holds nothing":                 {[][]Suspect{{fresh(1), fresh(2)}}, nil},
-		"two soon after it began":                 {[][]Suspect{one(fresh(1)), one(fresh(1))}, []Digest{digest(1)}},
-		"three of a settled answer don't":         {[][]Suspect{one(settled(1)), one(settled(1)), one(settled(1))}, nil},
-		"four of a settled answer":                {[][]Suspect{one(settled(1)), one(settled(1)), one(settled(1)), one(settled(1))}, []Digest{digest(1)}},
-		"one soon after it began, two settled":    {[][]Suspect{one(fresh(1)), one(settled(1)), one(settled(1))}, []Digest{digest(1)}},
-		"answered before, three crashes don't":    {[][]Suspect{one(proved(1)), one(proved(1)), one(proved(1))}, nil},
-		"answered before, four crashes":           {[][]Suspect{one(proved(1)), one(proved(1)), one(proved(1)), one(proved(1))}, []Digest{digest(1)}},
-		"others beside it are not held":           {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(3)}, {fresh(2)}, {fresh(3)}}, []Digest{digest(1)}},
-		"two that run beside each other are both": {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(2)}}, []Digest{digest(1), digest(2)}},
-		"each of two by itself":                   {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1)}, {fresh(2)}, {fresh(2)}}, []Digest{digest(1), digest(2)}},
+		"one crash":                                                {[][]Suspect{{fresh(1), fresh(2)}}, nil},
+		"two crashes of a new request":                             {[][]Suspect{one(fresh(1)), one(fresh(1))}, []Digest{digest(1)}},
+		"three crashes of a long-running request":                  {[][]Suspect{one(longRunning(1)), one(longRunning(1)), one(longRunning(1))}, nil},
+		"four crashes of a long-running request":                   {[][]Suspect{one(longRunning(1)), one(longRunning(1)), one(longRunning(1)), one(longRunning(1))}, []Digest{digest(1)}},
+		"one crash of a new request and two of a long-running one": {[][]Suspect{one(fresh(1)), one(longRunning(1)), one(longRunning(1))}, []Digest{digest(1)}},
+		"three crashes, answered before":                           {[][]Suspect{one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1))}, nil},
+		"four crashes, answered before":                            {[][]Suspect{one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1)), one(answeredBefore(1))}, []Digest{digest(1)}},
+		"bystanders are not held":                                  {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(3)}, {fresh(2)}, {fresh(3)}}, []Digest{digest(1)}},
+		"two culprits at the same crashes":                         {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1), fresh(2)}}, []Digest{digest(1), digest(2)}},
+		"two culprits at separate crashes":                         {[][]Suspect{{fresh(1), fresh(2)}, {fresh(1)}, {fresh(2)}, {fresh(2)}}, []Digest{digest(1), digest(2)}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				table := NewTable(clocktest.Bubble{})
-				is.Equal(crashes(table, c.crashes...), c.held)
+				is.Equal(recordCrashes(table, c.crashes...), c.held)
 				for _, d := range c.held {
 					is.True(table.Held(d) != nil)
 				}
@@ -75,102 +81,104 @@
 	}
 }
 
-func TestRunCountsOnce(t *testing.T) {
+func TestCrashOfOneRunCountsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		for _, host := range []string{"a", "b", "a"} { // two hosts had a copy there, one tells twice
+		for _, host := range []string{"a", "b", "a"} { // two hosts had a copy there, one reports twice
 			c := crashOf(1, fresh(1), fresh(1))
 			c.Host = host
-			is.Equal(len(table.Note(c, host == "a")), 0)
+			is.Equal(len(table.RecordCrash(c, host == "a")), 0)
 		}
-		again := crashOf(1, fresh(1)) // the runner is back under its name
+		again := crashOf(1, fresh(1)) // the next run of the same runner
 		again.Run.Born = 2
-		is.Equal(table.Note(again, false), []Digest{digest(1)})
-		is.True(table.Held(digest(1)).Own)
+		is.Equal(table.RecordCrash(again, false), []Digest{digest(1)})
+		is.True(table.Held(digest(1)).Local)
 		is.Equal(len(table.Held(digest(1)).Evidence), 2)
 	})
 }
 
-// Many copies at once of a request that was answered before, and ends its runners since they
-// were released anew, are one moment; those after it count all the same.
-func TestMomentsCountHoweverManyCrashesTheyHave(t *testing.T) {
+// Crashes of a request that was answered before count once for each burst. Many copies at a time
+// may crash many runners, and the bursts after them must still count.
+func TestBurstsCountOnceEach(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		for n := range 3 * mostEvidence {
-			is.Equal(len(table.Note(crashOf(n, proved(1)), true)), 0)
+		for n := range 3 * maxEvidence {
+			is.Equal(len(table.RecordCrash(crashOf(n, answeredBefore(1)), true)), 0)
 		}
 		for n := 100; n < 102; n++ {
-			time.Sleep(moment)
-			is.Equal(len(table.Note(crashOf(n, proved(1)), true)), 0)
+			time.Sleep(burstWindow)
+			is.Equal(len(table.RecordCrash(crashOf(n, answeredBefore(1)), true)), 0)
 		}
-		time.Sleep(moment)
-		is.Equal(table.Note(crashOf(102, proved(1)), true), []Digest{digest(1)})
+		time.Sleep(burstWindow)
+		is.Equal(table.RecordCrash(crashOf(102, answeredBefore(1)), true), []Digest{digest(1)})
 	})
 }
 
-// Runners that are lost together say nothing of what all of them run.
-func TestWidespreadLossHoldsNoRequestThatIsAnswered(t *testing.T) {
+// Runners that are lost together don't count as separate crashes of a request that all of them ran
+// and that was answered before.
+func TestBurstDoesNotHoldAnsweredRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
 		for n := range 50 {
-			is.Equal(len(table.Note(crashOf(n, proved(1)), false)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(n, answeredBefore(1)), false)), 0)
 		}
-		time.Sleep(moment)
-		suspected, held := table.Answered(digest(1)) // by a runner that is left
+		time.Sleep(burstWindow)
+		suspected, held := table.ReportAnswered(digest(1)) // by a remaining runner
 		is.True(suspected && !held)
 		for n := range 50 {
-			is.Equal(len(table.Note(crashOf(100+n, proved(1)), false)), 0)
+			is.Equal(len(table.RecordCrash(crashOf(100+n, answeredBefore(1)), false)), 0)
 		}
 	})
 }
 
-func TestAnswerClears(t *testing.T) {
+func TestAnswerClearsCrashes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		suspected, held := table.Answered(digest(1))
+		suspected, held := table.ReportAnswered(digest(1))
 		is.True(!suspected && !held)
-		is.True(table.Proven(digest(1)))
-		is.True(!table.Proven(digest(2)))
-		table.Note(crashOf(1, fresh(2)), true)
-		suspected, held = table.Answered(digest(2))
+		is.True(table.AnsweredRecently(digest(1)))
+		is.True(!table.AnsweredRecently(digest(2)))
+		table.RecordCrash(crashOf(1, fresh(2)), true)
+		suspected, held = table.ReportAnswered(digest(2))
 		is.True(suspected && !held)
-		is.Equal(len(table.Note(crashOf(2, fresh(2)), true)), 0)
-		is.Equal(len(table.Note(crashOf(3, fresh(2)), true)), 1)
-		suspected, held = table.Answered(digest(2)) // a copy that ran when it was held
+		is.Equal(len(table.RecordCrash(crashOf(2, fresh(2)), true)), 0)
+		is.Equal(len(table.RecordCrash(crashOf(3, fresh(2)), true)), 1)
+		suspected, held = table.ReportAnswered(digest(2)) // a copy that was running when the request was held
 		is.True(suspected && held)
 		is.True(table.Held(digest(2)) == nil)
 	})
 }
 
-// What a held request has done isn't held against those beside it, whenever it is told.
-func TestExplainedCrashesAreForgiven(t *testing.T) {
+// Crashes that a held request explains don't hold the requests beside it, in whatever order they
+// are reported.
+func TestExplainedCrashesDoNotHold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		is.Equal(crashes(table, []Suspect{fresh(1), fresh(2)}, []Suspect{fresh(1)}), []Digest{digest(1)})
-		is.Equal(len(table.Note(crashOf(7, fresh(2)), false)), 0) // the first one was explained
-		is.Equal(len(table.Note(crashOf(8, fresh(3)), false)), 0)
-		is.Equal(len(table.Note(crashOf(8, fresh(1)), false)), 0) // another host had it there
-		is.Equal(len(table.Note(crashOf(9, fresh(3)), false)), 0)
+		is.Equal(recordCrashes(table, []Suspect{fresh(1), fresh(2)}, []Suspect{fresh(1)}), []Digest{digest(1)})
+		is.Equal(len(table.RecordCrash(crashOf(7, fresh(2)), false)), 0) // its first crash is explained
+		is.Equal(len(table.RecordCrash(crashOf(8, fresh(3)), false)), 0)
+		is.Equal(len(table.RecordCrash(crashOf(8, fresh(1)), false)), 0) // another host had it there
+		is.Equal(len(table.RecordCrash(crashOf(9, fresh(3)), false)), 0)
 		is.True(table.Hold(digest(4), []Evidence{{Runner: run(9).Name, Born: 1}}))
-		is.Equal(len(table.Note(crashOf(10, fresh(3)), false)), 0)
+		is.Equal(len(table.RecordCrash(crashOf(10, fresh(3)), false)), 0)
 	})
 }
 
-func TestReleasedRequestIsHeldByItsNextCrash(t *testing.T) {
+func TestNextCrashHoldsRequestOnTrial(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		crashes(table, []Suspect{fresh(1)}, []Suspect{fresh(1)})
-		table.Release(digest(1))
+		recordCrashes(table, []Suspect{fresh(1)}, []Suspect{fresh(1)})
+		table.ReleaseOnTrial(digest(1))
 		is.True(table.Held(digest(1)) == nil)
-		is.Equal(table.Note(crashOf(5, settled(1)), false), []Digest{digest(1)})
-		table.Forget(digest(1))
-		is.Equal(len(table.Note(crashOf(6, fresh(1)), false)), 0)
+		is.Equal(table.RecordCrash(crashOf(5, longRunning(1)), false), []Digest{digest(1)})
+		table.Clear(digest(1))
+		is.Equal(len(table.RecordCrash(crashOf(6, fresh(1)), false)), 0)
 	})
 }
 
@@ -178,25 +186,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		table := NewTable(clocktest.Bubble{})
-		for n := range mostSuspects + 100 {
-			table.Note(crashOf(n, fresh(n)), false)
+		for n := range maxRecords + 100 {
+			table.RecordCrash(crashOf(n, fresh(n)), false)
 		}
-		is.True(len(table.records) <= mostSuspects+1)
-		is.True(len(table.runs) <= mostSuspects+1)
-		for n := range mostHeld + 10 {
+		is.True(len(table.records) <= maxRecords+1)
+		is.True(len(table.runs) <= maxRecords+1)
+		for n := range maxHeld + 10 {
 			table.Hold(digest(-1-n), nil)
 			time.Sleep(time.Millisecond)
 		}
-		is.Equal(len(table.Holds()), mostHeld)
-		is.True(table.Held(digest(-1)) == nil) // the oldest went
-		time.Sleep(rememberFor + time.Second)
-		table.Note(crashOf(1, fresh(0)), false)
+		is.Equal(len(table.Holds()), maxHeld)
+		is.True(table.Held(digest(-1)) == nil) // the oldest one was evicted
+		time.Sleep(recordTTL + time.Second)
+		table.RecordCrash(crashOf(1, fresh(0)), false)
 		is.Equal(len(table.records), 1)
 		is.Equal(len(table.runs), 1)
 	})
 }
 
-// Measured in ns and allocations for each request of a host that holds a hundred others.
+// BenchmarkRequestPath measures the time and the allocations that the table costs each request,
+// with a hundred others held.
 func BenchmarkRequestPath(b *testing.B) {
 	table := NewTable(clocktest.Bubble{})
 	for n := range 100 {
@@ -207,7 +216,7 @@
 	b.RunParallel(func(pb *testing.PB) {
 		for pb.Next() {
 			if table.Held(d) == nil {
-				table.Answered(d)
+				table.ReportAnswered(d)
 			}
 		}
 	})
