--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -75,7 +75,7 @@
 // request is about to leave: a connection may have taken a while, or the host stood still.
 func (d *Dispatcher) send(ctx context.Context, a *Attempt) (Response, error) {
 	a.Permit = func() error {
-		if !d.o.Placer.Has(a.Instance.ID) || d.rests(a.Instance) {
+		if !d.o.Placer.Accepts(a.Instance.ID) || d.rests(a.Instance) {
 			return ErrRunnerCloses
 		}
 		return nil
@@ -87,14 +87,14 @@
 func (d *Dispatcher) rests(i *state.Instance) bool { return !d.o.Advice.RestsUntil(i.ID).IsZero() }
 
 // part is what a runner does for the request after its prompt was read apart, if it is.
-func (d *Dispatcher) part(r *Request, rec *record) placement.Part {
+func (d *Dispatcher) part(r *Request, rec *record) placement.Phase {
 	switch {
 	case r.Generation == nil:
-		return placement.PartCall
+		return placement.PhaseCall
 	case d.hasLongPrompt(r) && !rec.separatePrefill:
-		return placement.PartRead
+		return placement.PhasePrefill
 	default:
-		return placement.PartGenerate
+		return placement.PhaseDecode
 	}
 }
 
@@ -131,9 +131,9 @@
 
 // awaitOpening waits for a runner that takes such work, until by at most, and takes the permit
 // that its limit asks for.
-func (d *Dispatcher) awaitOpening(ctx context.Context, r *Request, rec *record, p placement.Part, by time.Time) (*placement.Runner, error) {
+func (d *Dispatcher) awaitOpening(ctx context.Context, r *Request, rec *record, p placement.Phase, by time.Time) (*placement.Runner, error) {
 	for {
-		runner, at := d.o.Placer.Soonest(r.Service, p, rec.tried)
+		runner, at := d.o.Placer.EarliestAvailable(r.Service, p, rec.tried)
 		if runner == nil {
 			return nil, d.refuse(r, rec, ReasonNoRunner)
 		}
@@ -175,7 +175,7 @@
 
 // generates refuses a request that no engine takes in time after its prompt was read.
 func (d *Dispatcher) generates(r *Request, rec *record) error {
-	runner, at := d.o.Placer.Soonest(r.Service, placement.PartGenerate, rec.tried)
+	runner, at := d.o.Placer.EarliestAvailable(r.Service, placement.PhaseDecode, rec.tried)
 	if runner == nil || !at.After(d.usefulBy(r)) {
 		return nil
 	}
--- a/coordination/forward/alive.go
+++ b/coordination/forward/alive.go
@@ -32,12 +32,12 @@
 // once is lost if its engine is dark, since nobody knows whether it ran: an engine that
 // hasn't answered this host recently is asked first. The question costs a round trip.
 func (d *Dispatcher) reached(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record) bool {
-	if !a.Request.runsOnce() || runner.HeardWithin(heardWithin) {
+	if !a.Request.runsOnce() || runner.RespondedWithin(heardWithin) {
 		return true
 	}
 	started := d.o.Clock.Now()
 	if d.alive(ctx, a.Instance) {
-		runner.Heard()
+		runner.MarkResponsive()
 		return true
 	}
 	if ctx.Err() == nil {
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -90,7 +90,7 @@
 		is.NoErr(err)
 		is.True(w.up.attempts[1].Instance.ID != w.up.attempts[2].Instance.ID)
 		is.True(time.Since(r.ArrivedAt) < r.Route.Objective)
-		silent := w.fleet.Decode("model", "", "", nil)
+		silent := w.fleet.ChooseForDecode("model", "", "", nil)
 		is.True(silent.Instance.ID != w.up.attempts[1].Instance.ID) // others are spared it
 	})
 }
@@ -147,7 +147,7 @@
 			time.Sleep(50 * time.Millisecond)
 			for _, r := range w.fleet.Runners("model") {
 				if r.InFlight() > 0 {
-					w.fleet.Judge(r.Instance.ID, time.Second)
+					w.fleet.ApplyReport(r.Instance.ID, time.Second)
 				}
 			}
 		}()
--- a/coordination/forward/attempt.go
+++ b/coordination/forward/attempt.go
@@ -19,7 +19,7 @@
 		return nil, outcomeLimited
 	}
 	rec.exclude(a.Instance)
-	if !d.o.Placer.Has(a.Instance.ID) {
+	if !d.o.Placer.Accepts(a.Instance.ID) {
 		sent.end()
 		return nil, outcomeUnsent
 	}
@@ -71,10 +71,10 @@
 	resp.Finish()
 	sent.answered()
 	if head.Status >= 500 {
-		runner.Failed()
+		runner.RecordFailure()
 		rec.addStep(a.Instance, "run", outcomeFailed, took, nil)
 	} else {
-		runner.Answered(took)
+		runner.RecordSuccess(took)
 		d.o.Quarantine.Answered(rec.digest)
 		rec.addStep(a.Instance, "run", outcomeAnswered, took, nil)
 	}
@@ -112,7 +112,7 @@
 // cancelled the request.
 func (d *Dispatcher) noteBrokenConnection(ctx context.Context, runner *placement.Runner) {
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		runner.Broken()
+		runner.RecordConnectionFailure()
 		d.o.Outliers.Silent(runner.Instance.ID)
 	}
 }
@@ -145,7 +145,7 @@
 	if d.rests(runner.Instance) {
 		return
 	}
-	runner.Refused()
+	runner.RecordRefusal()
 	if head.Status == statusMisdirected {
 		d.o.Outliers.Silent(runner.Instance.ID)
 	}
--- a/coordination/forward/backup.go
+++ b/coordination/forward/backup.go
@@ -66,7 +66,7 @@
 	if !r.runsOnce() || !d.hasRoomForBackups(r) {
 		return nil
 	}
-	runner := d.o.Placer.Standby(r.Service, at, append(slices.Clone(tried), at.ID))
+	runner := d.o.Placer.ChooseForBackup(r.Service, at, append(slices.Clone(tried), at.ID))
 	if runner == nil {
 		return nil
 	}
@@ -115,7 +115,7 @@
 // noteHeard tells the watch that bytes arrived.
 func (s *Stream) noteHeard() {
 	if s.watch != nil {
-		s.runner.Heard()
+		s.runner.MarkResponsive()
 		s.watch.heard.Store(int64(s.d.o.Clock.Now().Sub(s.watch.begun)))
 	}
 }
@@ -135,7 +135,7 @@
 			}
 			continue
 		}
-		if !runner.HeardWithin(askTimeout) && !d.alive(ctx, a.Instance) && ctx.Err() == nil {
+		if !runner.RespondedWithin(askTimeout) && !d.alive(ctx, a.Instance) && ctx.Err() == nil {
 			w.dark.Store(true)
 			resp.Abort()
 			return
@@ -158,7 +158,7 @@
 	}
 	s.noteBrokenRun()
 	s.rec.addStep(from.Instance, "run", outcomeUnknown, s.d.o.Clock.Now().Sub(s.started), cause)
-	if backup == nil || s.lastID == "" || s.failovers >= mostMoves || !s.d.o.Placer.Has(backup.ID) {
+	if backup == nil || s.lastID == "" || s.failovers >= mostMoves || !s.d.o.Placer.Accepts(backup.ID) {
 		return false
 	}
 	if !s.mayGoOn() {
--- a/coordination/forward/crashes_test.go
+++ b/coordination/forward/crashes_test.go
@@ -124,7 +124,7 @@
 	h.startQuarantine()
 	crashes, err := crash.New(f.t.Context(), crash.Options{
 		Probe:    up.probe,
-		Listed:   func(i *state.Instance) bool { return h.fleet.Has(i.ID) },
+		Listed:   func(i *state.Instance) bool { return h.fleet.Accepts(i.ID) },
 		Replaced: h.fleet.Replaced,
 		Crashed:  func(r crash.Report) { h.Note(r.Instance.ID, time.Now(), r.Suspects) },
 		Clock:    clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
--- a/coordination/forward/evacuate.go
+++ b/coordination/forward/evacuate.go
@@ -27,7 +27,7 @@
 // drains for some seconds, or two when it is taken back, and cuts what takes longer. Streams
 // of rostering's questions take four seconds at the mean.
 func (d *Dispatcher) leaves(a *Attempt) bool {
-	return a.Request.runsOnce() && !d.o.Placer.Has(a.Instance.ID) && d.o.Placer.Runner(a.Instance.ID) != nil
+	return a.Request.runsOnce() && !d.o.Placer.Accepts(a.Instance.ID) && d.o.Placer.Runner(a.Instance.ID) != nil
 }
 
 // evacuate stops the run, has its memory copied to another engine and cuts the response, so
@@ -39,7 +39,7 @@
 		return
 	}
 	defer close(e.done)
-	runner := d.o.Placer.Standby(a.Request.Service, a.Instance, slices.Concat(w.tried, []state.InstanceID{a.Instance.ID}))
+	runner := d.o.Placer.ChooseForBackup(a.Request.Service, a.Instance, slices.Concat(w.tried, []state.InstanceID{a.Instance.ID}))
 	if runner == nil || !d.o.Budget.AllowMove(a.Request.Service) {
 		return
 	}
--- a/coordination/forward/evacuate_test.go
+++ b/coordination/forward/evacuate_test.go
@@ -14,7 +14,7 @@
 func (w *world) drain(id state.InstanceID) {
 	var list []state.Instance
 	for _, service := range []string{"plain", "model"} {
-		list = append(list, w.fleet.Listed(service)...)
+		list = append(list, w.fleet.Instances(service)...)
 	}
 	for i := range list {
 		list[i].Draining = list[i].Draining || list[i].ID == id
@@ -38,7 +38,7 @@
 	a := w.up.attempts
 	is.Equal(*a[1].Source, KVSource{Instance: a[0].Instance, Handle: "h9"})
 	is.Equal(a[1].LastEventID, "1")
-	is.True(w.fleet.Has(a[1].Instance.ID))
+	is.True(w.fleet.Accepts(a[1].Instance.ID))
 	is.Equal(len(w.crashes.suspects), 0) // it left; nobody broke it
 }
 
@@ -65,7 +65,7 @@
 func TestOnlyRunsThatMayNotBeRepeatedAreMoved(t *testing.T) {
 	is := is.New(t)
 	w, _, err := inBackedWorld(t, func(w *world, first state.InstanceID) {
-		for _, e := range w.fleet.Listed("model") {
+		for _, e := range w.fleet.Instances("model") {
 			if e.ID != first {
 				w.drain(e.ID)
 				break
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -15,25 +15,25 @@
 // Placer chooses runners. tried lists instances that must not be chosen again. Methods that
 // choose return nil if there is no runner.
 type Placer interface {
-	// Call chooses a runner for a call of a plain service.
-	Call(service string, tried []state.InstanceID) *placement.Runner
-	// Decode chooses an engine that generates. It prefers engines of the failure domain near;
+	// ChooseForCall chooses a runner for a call of a plain service.
+	ChooseForCall(service string, tried []state.InstanceID) *placement.Runner
+	// ChooseForDecode chooses an engine that generates. It prefers engines of the failure domain near;
 	// "" means the host's own domain.
-	Decode(service, session, near string, tried []state.InstanceID) *placement.Runner
-	// Prefill chooses an engine that computes a prompt.
-	Prefill(service, session string, tried []state.InstanceID) *placement.Runner
-	// Standby chooses an engine for the backup of a run at another engine. It avoids engines
+	ChooseForDecode(service, session, near string, tried []state.InstanceID) *placement.Runner
+	// ChooseForPrefill chooses an engine that computes a prompt.
+	ChooseForPrefill(service, session string, tried []state.InstanceID) *placement.Runner
+	// ChooseForBackup chooses an engine for the backup of a run at another engine. It avoids engines
 	// that can be lost together with that engine.
-	Standby(service string, at *state.Instance, tried []state.InstanceID) *placement.Runner
-	// ReadsApart reports whether some of the service's engines only compute prompts.
-	ReadsApart(service string) bool
+	ChooseForBackup(service string, at *state.Instance, tried []state.InstanceID) *placement.Runner
+	// SeparatesPrefill reports whether some of the service's engines only compute prompts.
+	SeparatesPrefill(service string) bool
 	// Runner returns an instance with this host's knowledge of it, or nil if it isn't listed.
 	Runner(id state.InstanceID) *placement.Runner
-	// Has reports whether requests may be sent to the instance now.
-	Has(id state.InstanceID) bool
-	// Soonest returns the runner that is the first to accept such work, and when it does; the
+	// Accepts reports whether requests may be sent to the instance now.
+	Accepts(id state.InstanceID) bool
+	// EarliestAvailable returns the runner that is the first to accept such work, and when it does; the
 	// time is zero if it does now.
-	Soonest(service string, p placement.Part, tried []state.InstanceID) (*placement.Runner, time.Time)
+	EarliestAvailable(service string, p placement.Phase, tried []state.InstanceID) (*placement.Runner, time.Time)
 }
 
 // Budget limits retries over all hosts.
@@ -194,7 +194,7 @@
 // serve tries runners until one answers or no further attempt is allowed.
 func (d *Dispatcher) serve(ctx context.Context, r *Request, rec *record) (*Answer, error) {
 	var source *KVSource
-	rec.separatePrefill = d.hasLongPrompt(r) && d.o.Placer.ReadsApart(r.Service)
+	rec.separatePrefill = d.hasLongPrompt(r) && d.o.Placer.SeparatesPrefill(r.Service)
 	if rec.separatePrefill {
 		var err error
 		if source, err = d.prefill(ctx, r, rec); err != nil {
@@ -303,7 +303,7 @@
 func (d *Dispatcher) choose(ctx context.Context, r *Request, rec *record) (choice, error) {
 	switch {
 	case r.Generation == nil:
-		return choice{Runner: d.o.Placer.Call(r.Service, rec.tried)}, nil
+		return choice{Runner: d.o.Placer.ChooseForCall(r.Service, rec.tried)}, nil
 	case rec.separatePrefill:
 		return d.takeSlot(ctx, r, rec), nil
 	case d.hasLongPrompt(r):
--- a/coordination/forward/offer.go
+++ b/coordination/forward/offer.go
@@ -56,7 +56,7 @@
 	var offers []offer
 	asked := slices.Clone(tried)
 	for range maxAsked {
-		runner := d.o.Placer.Prefill(r.Service, r.Generation.Session(), asked)
+		runner := d.o.Placer.ChooseForPrefill(r.Service, r.Generation.Session(), asked)
 		if runner == nil {
 			break
 		}
--- a/coordination/forward/patience.go
+++ b/coordination/forward/patience.go
@@ -57,7 +57,7 @@
 			return
 		}
 		next -= pause
-		if p.t.runner.Silent(p.d.o.Clock.Now()) {
+		if p.t.runner.Unresponsive(p.d.o.Clock.Now()) {
 			p.dark.Store(true)
 			p.cancel()
 			return
--- a/coordination/forward/prefill.go
+++ b/coordination/forward/prefill.go
@@ -92,7 +92,7 @@
 	runner := t.runner
 	rec.predicted = t.forecast.Finish
 	defer func() { rec.predicted = 0 }()
-	if !d.o.Placer.Has(runner.Instance.ID) {
+	if !d.o.Placer.Accepts(runner.Instance.ID) {
 		return nil
 	}
 	a := &Attempt{Request: r, Instance: runner.Instance, TimeLeft: d.timeLeft(r), PrefillOnly: true, Rank: t.forecast.Rank, FetchFrom: d.prefixSource(r, t)}
@@ -118,7 +118,7 @@
 		// A prefill doesn't run the request, so that a lost response breaks no guarantee. An engine
 		// that completes other prompts isn't at fault for one that isn't computed in time.
 		if (ctx.Err() == nil || p.dark.Load()) && !sendErr.Withheld {
-			runner.Broken()
+			runner.RecordConnectionFailure()
 			d.o.Outliers.Silent(runner.Instance.ID)
 			if sendErr.Sent {
 				d.reportSuspect(requestCtx, r, runner, rec, took, false)
@@ -138,11 +138,11 @@
 	}
 	handle, err := d.o.Upstream.PrefillHandle(body)
 	if err != nil {
-		runner.Failed()
+		runner.RecordFailure()
 		rec.addStep(a.Instance, operation, outcomeFailed, took, err)
 		return nil
 	}
-	runner.Answered(took)
+	runner.RecordSuccess(took)
 	if t.forecast.Known {
 		d.o.Observer.PrefillDone(r.Service, t.forecast.Finish, took)
 	}
@@ -172,7 +172,7 @@
 	if t.source != nil {
 		return t.source.Instance.Addr
 	}
-	decoder := d.o.Placer.Decode(r.Service, r.Generation.Session(), t.runner.Instance.FailureDomain, nil)
+	decoder := d.o.Placer.ChooseForDecode(r.Service, r.Generation.Session(), t.runner.Instance.FailureDomain, nil)
 	if decoder == nil {
 		return ""
 	}
--- a/coordination/forward/stream.go
+++ b/coordination/forward/stream.go
@@ -83,7 +83,7 @@
 		return nil, outcomeUnknown
 	}
 	d.noteStarted(a.Request, rec, d.o.Clock.Now())
-	runner.Answered(took)
+	runner.RecordSuccess(took)
 	sent.answered()
 	if a.Source != nil {
 		d.firstEvents.observe(a.Request.Service, took)
--- a/coordination/forward/turn.go
+++ b/coordination/forward/turn.go
@@ -190,7 +190,7 @@
 func (d *Dispatcher) findSlot(ctx context.Context, r *Request, rec *record, session, near string) (free offer, full []*placement.Runner) {
 	asked := slices.Clone(rec.tried)
 	for range maxPlacesAsked {
-		runner := d.o.Placer.Decode(r.Service, session, near, asked)
+		runner := d.o.Placer.ChooseForDecode(r.Service, session, near, asked)
 		if runner == nil {
 			break
 		}
--- a/coordination/forward/turn_test.go
+++ b/coordination/forward/turn_test.go
@@ -19,7 +19,7 @@
 func TestColdSessionIsReadAtOneEngine(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated, prefilled, generated)
-	home := w.fleet.Prefill("model", "b", nil)
+	home := w.fleet.ChooseForPrefill("model", "b", nil)
 	w.mustServe(t)
 	is.Equal(w.prefillAsks(), maxAsked+1)
 	is.Equal(w.up.attempts[0].Instance.ID, home.Instance.ID)
@@ -40,7 +40,7 @@
 		{Wait: 250 * time.Millisecond, Finish: 300 * time.Millisecond, Cold: 30 * time.Millisecond},
 	}
 	w.mustServe(t)
-	home := w.fleet.Prefill("model", "b", nil)
+	home := w.fleet.ChooseForPrefill("model", "b", nil)
 	is.Equal(w.gate.asks[0].Engine, home.Instance.ID)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[2].Engine)
 	is.Equal(w.up.attempts[0].FetchFrom, home.Instance.Addr)
@@ -209,7 +209,7 @@
 			session := modelRequest(9000, true).Generation.Session()
 			var order []state.InstanceID
 			for range 5 {
-				order = append(order, w.fleet.Decode("model", session, "", order).Instance.ID)
+				order = append(order, w.fleet.ChooseForDecode("model", session, "", order).Instance.ID)
 			}
 			for _, id := range order[:c.full] {
 				for range engineSlots {
--- a/coordination/placement/fleet.go
+++ b/coordination/placement/fleet.go
@@ -23,30 +23,30 @@
 
 // view is one version of the list. It is never changed.
 type view struct {
-	byService map[string]*runners
+	byService map[string]*serviceRunners
 	byID      map[state.InstanceID]*Runner
 }
 
-// runners are the instances of a service that take work.
-type runners struct {
+// serviceRunners are the instances of a service that take work.
+type serviceRunners struct {
 	all []*Runner
-	// reading and generating are the engines of either role; those of both are in
+	// prefill and decode are the engines of either role; those of both are in
 	// both. apart is set if some only read prompts.
-	reading, generating []*Runner
-	apart               bool
+	prefill, decode []*Runner
+	separatePrefill bool
 }
 
-func (s *runners) add(r *Runner) {
+func (s *serviceRunners) add(r *Runner) {
 	s.all = append(s.all, r)
 	switch r.Instance.Role {
 	case state.RolePrefill:
-		s.apart = true
-		s.reading = append(s.reading, r)
+		s.separatePrefill = true
+		s.prefill = append(s.prefill, r)
 	case state.RoleDecode:
-		s.generating = append(s.generating, r)
+		s.decode = append(s.decode, r)
 	default:
-		s.reading = append(s.reading, r)
-		s.generating = append(s.generating, r)
+		s.prefill = append(s.prefill, r)
+		s.decode = append(s.decode, r)
 	}
 }
 
@@ -78,7 +78,7 @@
 // NewFleet returns an empty fleet.
 func NewFleet(o Options) *Fleet {
 	f := &Fleet{o: o, loads: map[state.InstanceID]*Load{}}
-	f.view.Store(&view{byService: map[string]*runners{}, byID: map[state.InstanceID]*Runner{}})
+	f.view.Store(&view{byService: map[string]*serviceRunners{}, byID: map[state.InstanceID]*Runner{}})
 	return f
 }
 
@@ -86,7 +86,7 @@
 func (f *Fleet) Update(instances []state.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := &view{byService: map[string]*runners{}, byID: make(map[state.InstanceID]*Runner, len(instances))}
+	v := &view{byService: map[string]*serviceRunners{}, byID: make(map[state.InstanceID]*Runner, len(instances))}
 	for i := range instances {
 		inst := &instances[i]
 		load := f.loads[inst.ID]
@@ -94,7 +94,7 @@
 			load = newLoad(f.o.Clock)
 			f.loads[inst.ID] = load
 		}
-		load.listed(inst.Role)
+		load.confirmRole(inst.Role)
 		r := &Runner{inst, load}
 		v.byID[inst.ID] = r
 		if !inst.Draining {
@@ -112,14 +112,14 @@
 func (v *view) add(r *Runner) {
 	s := v.byService[r.Instance.Service]
 	if s == nil {
-		s = &runners{}
+		s = &serviceRunners{}
 		v.byService[r.Instance.Service] = s
 	}
 	s.add(r)
 }
 
-// Listed returns all instances of a service, also those that are draining.
-func (f *Fleet) Listed(service string) []state.Instance {
+// Instances returns all instances of a service, also those that are draining.
+func (f *Fleet) Instances(service string) []state.Instance {
 	var out []state.Instance
 	for _, r := range f.view.Load().byID {
 		if r.Instance.Service == service {
@@ -130,26 +130,26 @@
 }
 
 // service returns the runners of a service; none if it isn't known.
-func (f *Fleet) service(name string) runners {
+func (f *Fleet) service(name string) serviceRunners {
 	if s := f.view.Load().byService[name]; s != nil {
 		return *s
 	}
-	return runners{}
+	return serviceRunners{}
 }
 
 // Runners returns the instances of a service that take work.
 func (f *Fleet) Runners(service string) []*Runner { return f.service(service).all }
 
 // ReadsApart reports whether some of the service's engines only read prompts.
-func (f *Fleet) ReadsApart(service string) bool { return f.service(service).apart }
+func (f *Fleet) SeparatesPrefill(service string) bool { return f.service(service).separatePrefill }
 
-// Expect avoids engines that are about to take a role until the list shows it, for so
+// ExpectRole avoids engines that are about to take a role until the list shows it, for so
 // long at most: an engine refuses work while it changes.
-func (f *Fleet) Expect(engines []state.InstanceID, role state.Role, within time.Duration) {
+func (f *Fleet) ExpectRole(engines []state.InstanceID, role state.Role, timeout time.Duration) {
 	v := f.view.Load()
 	for _, id := range engines {
 		if r := v.byID[id]; r != nil && r.Instance.Role != role {
-			r.expect(role, within)
+			r.expectRole(role, timeout)
 		}
 	}
 }
@@ -157,16 +157,16 @@
 // Runner returns an instance with what is known of it, or nil.
 func (f *Fleet) Runner(id state.InstanceID) *Runner { return f.view.Load().byID[id] }
 
-// Judge takes other hosts' word of a runner: that it is silent, for so long, or, with 0,
+// ApplyReport takes other hosts' word of a runner: that it is silent, for so long, or, with 0,
 // that it answers again.
-func (f *Fleet) Judge(id state.InstanceID, silentFor time.Duration) {
+func (f *Fleet) ApplyReport(id state.InstanceID, unresponsiveFor time.Duration) {
 	if r := f.Runner(id); r != nil {
-		r.judge(silentFor)
+		r.applyReport(unresponsiveFor)
 	}
 }
 
-// Siblings is the number of runners of the instance's service; 0 if it isn't listed.
-func (f *Fleet) Siblings(id state.InstanceID) int {
+// ServiceSize is the number of runners of the instance's service; 0 if it isn't listed.
+func (f *Fleet) ServiceSize(id state.InstanceID) int {
 	r := f.Runner(id)
 	if r == nil {
 		return 0
@@ -175,20 +175,20 @@
 }
 
 // Has reports whether work may be sent to the instance.
-func (f *Fleet) Has(id state.InstanceID) bool {
+func (f *Fleet) Accepts(id state.InstanceID) bool {
 	r := f.view.Load().byID[id]
 	return r != nil && !r.Instance.Draining
 }
 
 // Replaced reports whether another instance, or a later run of the same, is listed at the
 // instance's address.
-func (f *Fleet) Replaced(i *state.Instance) bool {
+func (f *Fleet) Replaced(former *state.Instance) bool {
 	v := f.view.Load()
-	if v.byID[i.ID] != nil {
+	if v.byID[former.ID] != nil {
 		return false
 	}
 	for id, r := range v.byID {
-		if r.Instance.Addr == i.Addr && id != i.ID {
+		if r.Instance.Addr == former.Addr && id != former.ID {
 			return true
 		}
 	}
@@ -198,65 +198,65 @@
 // Call chooses a runner for a call of a plain service: the one with the shortest
 // expected wait. tried names instances that are not to be chosen again. It
 // returns nil when there is none.
-func (f *Fleet) Call(service string, tried []state.InstanceID) *Runner {
-	return f.least(f.Runners(service), tried, func(r *Runner) float64 {
+func (f *Fleet) ChooseForCall(service string, tried []state.InstanceID) *Runner {
+	return f.leastCost(f.Runners(service), tried, func(r *Runner) float64 {
 		cost := float64(r.InFlight()+1) * r.Latency().Seconds()
 		if r.Instance.FailureDomain != f.o.FailureDomain {
-			cost *= farCost
+			cost *= crossDomainCostFactor
 		}
 		return cost
 	})
 }
 
-// farCost makes a runner of another failure domain look slower by the time that
+// crossDomainCostFactor makes a runner of another failure domain look slower by the time that
 // a request and its answer take between domains (2.8 ms on about 17 ms on the sites of today).
-const farCost = 1.15
+const crossDomainCostFactor = 1.15
 
-// farLoad is how many more requests an engine of the own failure domain may have
+// crossDomainPenalty is how many more requests an engine of the own failure domain may have
 // in flight than another before the other is chosen: bytes between domains cost.
-const farLoad = 3
+const crossDomainPenalty = 3
 
 // Decode chooses an engine that generates: the one with the least in flight from
 // this host, near the failure domain that is named or else near the host itself. A
 // session's requests go to the same one of that domain while it isn't far busier than
 // the others, so that its parts stay there.
-func (f *Fleet) Decode(service, session, near string, tried []state.InstanceID) *Runner {
+func (f *Fleet) ChooseForDecode(service, session, near string, tried []state.InstanceID) *Runner {
 	if near == "" {
 		near = f.o.FailureDomain
 	}
-	runners := f.service(service).generating
-	bound := f.bound(runners) + farLoad
-	return f.least(runners, tried, func(r *Runner) float64 {
-		far := r.Instance.FailureDomain != near
+	runners := f.service(service).decode
+	limit := f.loadLimit(runners) + crossDomainPenalty
+	return f.leastCost(runners, tried, func(r *Runner) float64 {
+		otherDomain := r.Instance.FailureDomain != near
 		if session == "" {
-			return float64(r.InFlight()+1) + farLoad*oneIf(far)
+			return float64(r.InFlight()+1) + crossDomainPenalty*indicator(otherDomain)
 		}
-		return score(session, r) + oneIf(far) + 2*oneIf(float64(r.InFlight()) > bound)
+		return sessionScore(session, r) + indicator(otherDomain) + 2*indicator(float64(r.InFlight()) > limit)
 	})
 }
 
 // Standby chooses an engine that generates for the copy of a run at an engine: near it, but for
 // spot engines, which are lost with all spot engines of their failure domain.
-func (f *Fleet) Standby(service string, at *state.Instance, tried []state.InstanceID) *Runner {
-	return f.least(f.service(service).generating, tried, func(r *Runner) float64 {
-		near := r.Instance.FailureDomain == at.FailureDomain
-		return float64(r.InFlight()+1) + farLoad*oneIf(!near) + sharedLoss*oneIf(near && at.Spot && r.Instance.Spot)
+func (f *Fleet) ChooseForBackup(service string, engine *state.Instance, tried []state.InstanceID) *Runner {
+	return f.leastCost(f.service(service).decode, tried, func(r *Runner) float64 {
+		sameDomain := r.Instance.FailureDomain == engine.FailureDomain
+		return float64(r.InFlight()+1) + crossDomainPenalty*indicator(!sameDomain) + sharedFailurePenalty*indicator(sameDomain && engine.Spot && r.Instance.Spot)
 	})
 }
 
-// sharedLoss makes an engine that is lost together with another the last choice among sound
+// sharedFailurePenalty makes an engine that is lost together with another the last choice among sound
 // ones for what must outlive that.
-const sharedLoss = 1e3
+const sharedFailurePenalty = 1e3
 
-// score orders the engines of a session, the same way at all hosts, from 0 to 1. An engine
+// sessionScore orders the engines of a session, the same way at all hosts, from 0 to 1. An engine
 // that restarts under its name keeps its sessions.
-func score(session string, r *Runner) float64 {
+func sessionScore(session string, r *Runner) float64 {
 	return float64(xxhash.Sum64String(session+r.Instance.ID.Name)) / (1 << 64)
 }
 
-// oneIf is 1 for true and 0 for false.
-func oneIf(is bool) float64 {
-	if is {
+// indicator is 1 for true and 0 for false.
+func indicator(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
@@ -266,14 +266,14 @@
 // session at the same engine without talking, so that its shared parts stay
 // there, and name the same others after it; an engine with far more from this host
 // than the others is passed over.
-func (f *Fleet) Prefill(service, session string, tried []state.InstanceID) *Runner {
-	runners := f.service(service).reading
+func (f *Fleet) ChooseForPrefill(service, session string, tried []state.InstanceID) *Runner {
+	runners := f.service(service).prefill
 	if session == "" {
-		return f.least(runners, tried, func(r *Runner) float64 { return float64(r.InFlight() + 1) })
+		return f.leastCost(runners, tried, func(r *Runner) float64 { return float64(r.InFlight() + 1) })
 	}
-	bound := f.bound(runners)
-	return f.least(runners, tried, func(r *Runner) float64 {
-		return score(session, r) + oneIf(float64(r.InFlight()) > bound)
+	limit := f.loadLimit(runners)
+	return f.leastCost(runners, tried, func(r *Runner) float64 {
+		return sessionScore(session, r) + indicator(float64(r.InFlight()) > limit)
 	})
 }
 
@@ -285,7 +285,7 @@
 	loadSlack  = 1
 )
 
-func (f *Fleet) bound(runners []*Runner) float64 {
+func (f *Fleet) loadLimit(runners []*Runner) float64 {
 	if len(runners) == 0 {
 		return 0
 	}
@@ -296,25 +296,25 @@
 	return loadFactor*float64(total)/float64(len(runners)) + loadSlack
 }
 
-// Part is what a runner is to do.
-type Part int
+// Phase is what a runner is to do.
+type Phase int
 
 // The parts.
 const (
-	// PartCall is a call of a plain service.
-	PartCall Part = iota
-	// PartRead is the reading of a prompt apart.
-	PartRead
-	// PartGenerate is the rest of a model request.
-	PartGenerate
+	// PhaseCall is a call of a plain service.
+	PhaseCall Phase = iota
+	// PhasePrefill is the reading of a prompt apart.
+	PhasePrefill
+	// PhaseDecode is the rest of a model request.
+	PhaseDecode
 )
 
 // Soonest is the runner that is the first to take such work again, and when; the time is zero
 // if one does now. It returns nil if there is none.
-func (f *Fleet) Soonest(service string, p Part, tried []state.InstanceID) (*Runner, time.Time) {
+func (f *Fleet) EarliestAvailable(service string, phase Phase, tried []state.InstanceID) (*Runner, time.Time) {
 	var best *Runner
 	var bestAt time.Time
-	for _, r := range f.service(service).of(p) {
+	for _, r := range f.service(service).forPhase(phase) {
 		if slices.Contains(tried, r.Instance.ID) {
 			continue
 		}
@@ -325,12 +325,12 @@
 	return best, bestAt
 }
 
-func (s runners) of(p Part) []*Runner {
-	switch p {
-	case PartRead:
-		return s.reading
-	case PartGenerate:
-		return s.generating
+func (s serviceRunners) forPhase(phase Phase) []*Runner {
+	switch phase {
+	case PhasePrefill:
+		return s.prefill
+	case PhaseDecode:
+		return s.decode
 	default:
 		return s.all
 	}
@@ -343,10 +343,10 @@
 	return f.o.Advice.OpensAt(r.Instance.ID)
 }
 
-// least returns the runner of least cost among those that take work; runners that lately
+// leastCost returns the runner of leastCost cost among those that take work; runners that lately
 // failed cost more, and suspects are taken only when nothing else is left. Ties are broken at
 // random, so that hosts don't all choose the same one.
-func (f *Fleet) least(runners []*Runner, tried []state.InstanceID, cost func(*Runner) float64) *Runner {
+func (f *Fleet) leastCost(runners []*Runner, tried []state.InstanceID, cost func(*Runner) float64) *Runner {
 	now := f.o.Clock.Now()
 	var best *Runner
 	bestCost := 0.0
@@ -357,7 +357,7 @@
 		}
 		c := cost(r) * (1 + failureWeight*r.FailureRate(now))
 		if r.Suspect(now) {
-			c += suspectCost
+			c += suspectPenalty
 		}
 		switch {
 		case best == nil || c < bestCost:
@@ -376,6 +376,6 @@
 	// failureWeight makes a runner that fails half of its requests look three
 	// times as loaded.
 	failureWeight = 4
-	// suspectCost is above every cost of a sound runner.
-	suspectCost = 1e6
+	// suspectPenalty is above every cost of a sound runner.
+	suspectPenalty = 1e6
 )
--- a/coordination/placement/fleet_test.go
+++ b/coordination/placement/fleet_test.go
@@ -36,19 +36,19 @@
 		f.Update([]state.Instance{run(1)})
 		before := f.Runners("s")[0]
 		end := before.Begin()
-		before.Broken()
-		f.Expect([]state.InstanceID{run(1).ID}, state.RolePrefill, time.Minute)
+		before.RecordConnectionFailure()
+		f.ExpectRole([]state.InstanceID{run(1).ID}, state.RolePrefill, time.Minute)
 		f.Update([]state.Instance{run(2)})
-		is.True(!f.Has(run(1).ID)) // what was chosen before isn't sent any more
-		is.True(f.Has(run(2).ID))
+		is.True(!f.Accepts(run(1).ID)) // what was chosen before isn't sent any more
+		is.True(f.Accepts(run(2).ID))
 		after := f.Runners("s")[0]
-		before.Broken()
-		f.Expect([]state.InstanceID{run(1).ID}, state.RolePrefill, time.Minute)
+		before.RecordConnectionFailure()
+		f.ExpectRole([]state.InstanceID{run(1).ID}, state.RolePrefill, time.Minute)
 		end()
 		is.True(!after.Suspect(time.Now()))
 		is.Equal(after.FailureRate(time.Now()), 0.0)
 		is.Equal(after.InFlight(), int64(0))
-		is.Equal(score("x", before), score("x", after)) // its sessions stay
+		is.Equal(sessionScore("x", before), sessionScore("x", after)) // its sessions stay
 	})
 }
 
@@ -76,8 +76,8 @@
 	const sessions = 900
 	for i := range sessions {
 		session := fmt.Sprint("session-", i)
-		x := a.Prefill("s", session, nil)
-		y := b.Prefill("s", session, nil)
+		x := a.ChooseForPrefill("s", session, nil)
+		y := b.ChooseForPrefill("s", session, nil)
 		is.Equal(x.Instance.ID, y.Instance.ID)
 		used[x.Instance.ID]++
 	}
@@ -91,8 +91,8 @@
 	f, smaller := newFleet("d0", 9, state.RolePrefill), newFleet("d0", 8, state.RolePrefill)
 	for i := range 500 {
 		session := fmt.Sprint("session-", i)
-		before := f.Prefill("s", session, nil)
-		after := smaller.Prefill("s", session, nil)
+		before := f.ChooseForPrefill("s", session, nil)
+		after := smaller.ChooseForPrefill("s", session, nil)
 		if before.Instance.ID != named("e08") {
 			is.Equal(before.Instance.ID, after.Instance.ID)
 		}
@@ -102,13 +102,13 @@
 func TestBusySessionEngineIsPassedOver(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("d0", 9, state.RolePrefill)
-	home := f.Prefill("s", "x", nil)
+	home := f.ChooseForPrefill("s", "x", nil)
 	for range 10 {
 		home.Begin()
 	}
-	chosen := f.Prefill("s", "x", nil)
+	chosen := f.ChooseForPrefill("s", "x", nil)
 	is.True(chosen.Instance.ID != home.Instance.ID)
-	again := f.Prefill("s", "x", []state.InstanceID{chosen.Instance.ID})
+	again := f.ChooseForPrefill("s", "x", []state.InstanceID{chosen.Instance.ID})
 	is.True(again.Instance.ID != chosen.Instance.ID)
 }
 
@@ -117,7 +117,7 @@
 	f := newFleet("d1", 9, state.RoleDecode)
 	for i := range 50 {
 		for _, session := range []string{"", fmt.Sprint(i)} {
-			is.Equal(f.Decode("s", session, "", nil).Instance.FailureDomain, "d1")
+			is.Equal(f.ChooseForDecode("s", session, "", nil).Instance.FailureDomain, "d1")
 		}
 	}
 	for _, r := range f.Runners("s") {
@@ -128,18 +128,18 @@
 		}
 	}
 	for _, session := range []string{"", "x"} {
-		is.True(f.Decode("s", session, "", nil).Instance.FailureDomain != "d1") // not at any price
+		is.True(f.ChooseForDecode("s", session, "", nil).Instance.FailureDomain != "d1") // not at any price
 	}
 }
 
 func TestRoleIsKept(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("d0", 3, state.RoleDecode)
-	chosen := f.Prefill("s", "x", nil)
+	chosen := f.ChooseForPrefill("s", "x", nil)
 	is.True(chosen == nil)
-	is.True(f.Decode("s", "x", "", nil) != nil)
-	is.True(f.Decode("s", "x", "", []state.InstanceID{named("e00"), named("e01"), named("e02")}) == nil)
-	is.True(f.Call("other", nil) == nil)
+	is.True(f.ChooseForDecode("s", "x", "", nil) != nil)
+	is.True(f.ChooseForDecode("s", "x", "", []state.InstanceID{named("e00"), named("e01"), named("e02")}) == nil)
+	is.True(f.ChooseForCall("other", nil) == nil)
 }
 
 // Engines that change their role refuse all work for some seconds: those that are about
@@ -148,26 +148,26 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet("d0", 3, state.RoleDecode)
-		f.Expect([]state.InstanceID{named("e00"), named("e01"), named("gone")}, state.RolePrefill, 8*time.Second)
+		f.ExpectRole([]state.InstanceID{named("e00"), named("e01"), named("gone")}, state.RolePrefill, 8*time.Second)
 		for range 20 {
-			chosen := f.Decode("s", "", "", nil)
+			chosen := f.ChooseForDecode("s", "", "", nil)
 			is.Equal(chosen.Instance.ID, named("e02"))
-			chosen.Answered(time.Millisecond)
+			chosen.RecordSuccess(time.Millisecond)
 		}
-		changing := f.Decode("s", "", "", []state.InstanceID{named("e02")}) // when nothing else is left
+		changing := f.ChooseForDecode("s", "", "", []state.InstanceID{named("e02")}) // when nothing else is left
 		is.True(changing != nil)
-		changing.Answered(time.Millisecond) // what it had taken before
-		is.Equal(f.Decode("s", "", "", nil).Instance.ID, named("e02"))
+		changing.RecordSuccess(time.Millisecond) // what it had taken before
+		is.Equal(f.ChooseForDecode("s", "", "", nil).Instance.ID, named("e02"))
 
 		f.Update([]state.Instance{
 			{ID: named("e00"), Service: "s", Role: state.RolePrefill}, {ID: named("e01"), Service: "s", Role: state.RoleDecode}, {ID: named("e02"), Service: "s", Role: state.RoleDecode},
 		})
-		reads := f.Prefill("s", "", nil)
+		reads := f.ChooseForPrefill("s", "", nil)
 		is.Equal(reads.Instance.ID, named("e00"))
 		is.True(!reads.Suspect(time.Now()))
-		is.Equal(f.Decode("s", "", "", nil).Instance.ID, named("e02"))
+		is.Equal(f.ChooseForDecode("s", "", "", nil).Instance.ID, named("e02"))
 		time.Sleep(8*time.Second + time.Millisecond) // e01's order was lost
-		is.True(!f.Decode("s", "", "", []state.InstanceID{named("e02")}).Suspect(time.Now()))
+		is.True(!f.ChooseForDecode("s", "", "", []state.InstanceID{named("e02")}).Suspect(time.Now()))
 	})
 }
 
@@ -175,10 +175,10 @@
 	is := is.New(t)
 	f := newFleet("d0", 2, "")
 	f.Update([]state.Instance{{ID: named("e00"), Service: "s", Draining: true}, {ID: named("e01"), Service: "s"}})
-	is.True(!f.Has(named("e00")))
-	is.True(f.Has(named("e01")))
+	is.True(!f.Accepts(named("e00")))
+	is.True(f.Accepts(named("e01")))
 	for range 20 {
-		is.Equal(f.Call("s", nil).Instance.ID, named("e01"))
+		is.Equal(f.ChooseForCall("s", nil).Instance.ID, named("e01"))
 	}
 }
 
@@ -187,18 +187,18 @@
 		is := is.New(t)
 		f := newFleet("d0", 2, "")
 		broken := f.Runners("s")[0]
-		broken.Broken()
+		broken.RecordConnectionFailure()
 		for range 20 {
-			is.True(f.Call("s", nil).Instance.ID != broken.Instance.ID)
+			is.True(f.ChooseForCall("s", nil).Instance.ID != broken.Instance.ID)
 		}
-		is.Equal(f.Call("s", []state.InstanceID{f.Runners("s")[1].Instance.ID}), broken) // when nothing else is left
-		time.Sleep(suspectFirst + 20*failureHalfLife)
+		is.Equal(f.ChooseForCall("s", []state.InstanceID{f.Runners("s")[1].Instance.ID}), broken) // when nothing else is left
+		time.Sleep(suspectMinBackoff + 20*failureHalfLife)
 		is.True(!broken.Suspect(time.Now()))
 		other := f.Runners("s")[1]
 		for range 5 {
 			other.Begin()
 		}
-		is.Equal(f.Call("s", nil), broken)
+		is.Equal(f.ChooseForCall("s", nil), broken)
 	})
 }
 
@@ -207,11 +207,11 @@
 		is := is.New(t)
 		l := newLoad(clocktest.Bubble{})
 		for range 20 {
-			l.Broken()
+			l.RecordConnectionFailure()
 		}
-		is.True(l.Suspect(time.Now().Add(suspectMost - time.Millisecond)))
-		is.True(!l.Suspect(time.Now().Add(suspectMost)))
-		l.Answered(time.Millisecond)
+		is.True(l.Suspect(time.Now().Add(suspectMaxBackoff - time.Millisecond)))
+		is.True(!l.Suspect(time.Now().Add(suspectMaxBackoff)))
+		l.RecordSuccess(time.Millisecond)
 		is.True(!l.Suspect(time.Now()))
 	})
 }
@@ -220,13 +220,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet("d0", 9, state.RoleDecode)
-		home := f.Decode("s", "x", "", nil)
-		home.Refused() // its role has changed, which the list doesn't say yet
+		home := f.ChooseForDecode("s", "x", "", nil)
+		home.RecordRefusal() // its role has changed, which the list doesn't say yet
 		for range 20 {
-			is.True(f.Decode("s", "x", "", nil) != home)
+			is.True(f.ChooseForDecode("s", "x", "", nil) != home)
 		}
-		time.Sleep(refusedFirst + 20*failureHalfLife)
-		is.Equal(f.Decode("s", "x", "", nil), home)
+		time.Sleep(refusalMinBackoff + 20*failureHalfLife)
+		is.Equal(f.ChooseForDecode("s", "x", "", nil), home)
 	})
 }
 
@@ -237,21 +237,21 @@
 		failing, sound := f.Runners("s")[0], f.Runners("s")[1]
 		for i := range 20 {
 			if i%2 == 0 {
-				failing.Failed()
+				failing.RecordFailure()
 			} else {
-				failing.Answered(latencyStart)
+				failing.RecordSuccess(initialLatency)
 			}
-			sound.Answered(latencyStart)
+			sound.RecordSuccess(initialLatency)
 		}
 		sound.Begin() // one more in flight than at the other
-		is.Equal(f.Call("s", nil), sound)
+		is.Equal(f.ChooseForCall("s", nil), sound)
 	})
 }
 
 func BenchmarkPrefillAmong1200(b *testing.B) {
 	f := newFleet("d0", 1200, state.RolePrefill)
 	for b.Loop() {
-		f.Prefill("s", "session", nil)
+		f.ChooseForPrefill("s", "session", nil)
 	}
 }
 
@@ -262,21 +262,21 @@
 		is := is.New(t)
 		f := newFleet("d0", 2, "")
 		silent, other := f.Runner(named("e00")), f.Runner(named("e01"))
-		f.Judge(named("e00"), time.Second)
-		f.Judge(named("gone"), time.Second)
+		f.ApplyReport(named("e00"), time.Second)
+		f.ApplyReport(named("gone"), time.Second)
 		for range 20 {
-			is.Equal(f.Call("s", nil).Instance.ID, other.Instance.ID)
+			is.Equal(f.ChooseForCall("s", nil).Instance.ID, other.Instance.ID)
 		}
-		f.Judge(named("e00"), 0)
+		f.ApplyReport(named("e00"), 0)
 		is.True(!silent.Suspect(time.Now()))
-		other.Answered(time.Millisecond)
-		f.Judge(named("e01"), time.Second)
+		other.RecordSuccess(time.Millisecond)
+		f.ApplyReport(named("e01"), time.Second)
 		is.True(!other.Suspect(time.Now()))
-		f.Judge(named("e00"), time.Second)
+		f.ApplyReport(named("e00"), time.Second)
 		time.Sleep(time.Second)
 		is.True(!silent.Suspect(time.Now()))
-		is.Equal(f.Siblings(named("e00")), 2)
-		is.Equal(f.Siblings(named("gone")), 0)
+		is.Equal(f.ServiceSize(named("e00")), 2)
+		is.Equal(f.ServiceSize(named("gone")), 0)
 	})
 }
 
@@ -292,10 +292,10 @@
 		}
 		f.Update(list)
 		for range 50 {
-			near := f.Standby("s", &list[0], []state.InstanceID{list[0].ID}).Instance.FailureDomain == "d0"
+			near := f.ChooseForBackup("s", &list[0], []state.InstanceID{list[0].ID}).Instance.FailureDomain == "d0"
 			is.Equal(near, !spot)
 		}
 		f.Update(list[:1])
-		is.True(f.Standby("s", &list[0], []state.InstanceID{list[0].ID}) == nil)
+		is.True(f.ChooseForBackup("s", &list[0], []state.InstanceID{list[0].ID}) == nil)
 	}
 }
--- a/coordination/placement/load.go
+++ b/coordination/placement/load.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// latencyStart is assumed of a runner without samples; its size hardly
+	// initialLatency is assumed of a runner without samples; its size hardly
 	// matters, as all start alike.
-	latencyStart = 20 * time.Millisecond
+	initialLatency = 20 * time.Millisecond
 	// latencyGain is the weight of a new sample.
 	latencyGain = 0.1
 	// failureGain is the weight of a new outcome.
@@ -20,14 +20,14 @@
 	// failureHalfLife is how soon an unused runner's failures are half forgotten:
 	// a few seconds, as the shortest faults of the platform's days last.
 	failureHalfLife = 2 * time.Second
-	// suspectFirst is how long a runner is avoided after its first silent or
+	// suspectMinBackoff is how long a runner is avoided after its first silent or
 	// broken connection; each further one in a row doubles it up to suspectMost.
-	suspectFirst = 500 * time.Millisecond
-	suspectMost  = 4 * time.Second
-	// refusedFirst and refusedMost are the same for a refusal: a full runner has
+	suspectMinBackoff = 500 * time.Millisecond
+	suspectMaxBackoff = 4 * time.Second
+	// refusalMinBackoff and refusedMost are the same for a refusal: a full runner has
 	// room after a few runs (15 ms and more), a change of role takes 3 s.
-	refusedFirst = 100 * time.Millisecond
-	refusedMost  = time.Second
+	refusalMinBackoff = 100 * time.Millisecond
+	refusalMaxBackoff = time.Second
 )
 
 // Load is what this host knows of one instance from its own requests.
@@ -36,22 +36,22 @@
 	inFlight atomic.Int64
 	// suspectUntil and heardAt are in nanoseconds since the load was made; 0 for never.
 	suspectUntil atomic.Int64
-	heardAt      atomic.Int64
-	// silentUntil is as long as another host's word holds that the runner is silent.
-	silentUntil atomic.Int64
-	started     time.Time
+	respondedAt  atomic.Int64
+	// unresponsiveUntil is as long as another host's word holds that the runner is silent.
+	unresponsiveUntil atomic.Int64
+	createdAt         time.Time
 
 	mu sync.Mutex
-	// expected is the role that the instance is about to take; "" if none is known.
-	expected  state.Role
-	latency   float64 // seconds
-	failures  float64 // 0 to 1
-	failedAt  time.Time
-	rowLength int
+	// expectedRole is the role that the instance is about to take; "" if none is known.
+	expectedRole        state.Role
+	latency             float64 // seconds
+	failureRate         float64 // 0 to 1
+	failureRateAt       time.Time
+	consecutiveFailures int
 }
 
 func newLoad(clock state.Clock) *Load {
-	return &Load{clock: clock, started: clock.Now(), latency: latencyStart.Seconds()}
+	return &Load{clock: clock, createdAt: clock.Now(), latency: initialLatency.Seconds()}
 }
 
 // Begin counts a sending in; the returned function counts it out.
@@ -75,114 +75,114 @@
 	return time.Duration(l.latency * float64(time.Second))
 }
 
-// Heard notes that the runner answered something.
-func (l *Load) Heard() { l.heardAt.Store(int64(l.clock.Now().Sub(l.started)) + 1) }
+// MarkResponsive notes that the runner answered something.
+func (l *Load) MarkResponsive() { l.respondedAt.Store(int64(l.clock.Now().Sub(l.createdAt)) + 1) }
 
-// HeardWithin reports whether the runner answered something in the last d.
-func (l *Load) HeardWithin(d time.Duration) bool {
-	at := l.heardAt.Load()
-	return at > 0 && int64(l.clock.Now().Sub(l.started))-at < int64(d)
+// RespondedWithin reports whether the runner answered something in the last d.
+func (l *Load) RespondedWithin(d time.Duration) bool {
+	at := l.respondedAt.Load()
+	return at > 0 && int64(l.clock.Now().Sub(l.createdAt))-at < int64(d)
 }
 
-// Answered notes a response in time.
-func (l *Load) Answered(after time.Duration) {
-	l.Heard()
+// RecordSuccess notes a response in time.
+func (l *Load) RecordSuccess(latency time.Duration) {
+	l.MarkResponsive()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.latency += latencyGain * (after.Seconds() - l.latency)
-	l.failures = l.decayed(l.clock.Now()) * (1 - failureGain)
-	l.failedAt = l.clock.Now()
-	l.rowLength = 0
-	if l.expected == "" {
+	l.latency += latencyGain * (latency.Seconds() - l.latency)
+	l.failureRate = l.decayedFailureRate(l.clock.Now()) * (1 - failureGain)
+	l.failureRateAt = l.clock.Now()
+	l.consecutiveFailures = 0
+	if l.expectedRole == "" {
 		l.suspectUntil.Store(0)
 	}
 }
 
-// Failed notes a response that says the runner can't do its part.
-func (l *Load) Failed() {
+// RecordFailure notes a response that says the runner can't do its part.
+func (l *Load) RecordFailure() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fail()
+	l.addFailure()
 }
 
-func (l *Load) fail() {
+func (l *Load) addFailure() {
 	now := l.clock.Now()
-	l.failures = l.decayed(now)*(1-failureGain) + failureGain
-	l.failedAt = now
+	l.failureRate = l.decayedFailureRate(now)*(1-failureGain) + failureGain
+	l.failureRateAt = now
 }
 
-// Refused notes a request that the runner did not take: it is full, changes its
+// RecordRefusal notes a request that the runner did not take: it is full, changes its
 // role or has another than the list says.
-func (l *Load) Refused() {
+func (l *Load) RecordRefusal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fail()
-	l.avoid(refusedFirst, refusedMost)
+	l.addFailure()
+	l.backOff(refusalMinBackoff, refusalMaxBackoff)
 }
 
-// Broken notes a connection that was refused, reset or silent.
-func (l *Load) Broken() {
+// RecordConnectionFailure notes a connection that was refused, reset or silent.
+func (l *Load) RecordConnectionFailure() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.fail()
-	l.avoid(suspectFirst, suspectMost)
+	l.addFailure()
+	l.backOff(suspectMinBackoff, suspectMaxBackoff)
 }
 
-// avoid makes the runner a suspect, each time in a row for twice as long.
-func (l *Load) avoid(first, most time.Duration) {
-	pause := min(first<<min(l.rowLength, 8), most)
-	l.rowLength++
-	until := int64(l.clock.Now().Sub(l.started) + pause)
+// backOff makes the runner a suspect, each time in a row for twice as long.
+func (l *Load) backOff(minBackoff, maxBackoff time.Duration) {
+	backoff := min(minBackoff<<min(l.consecutiveFailures, 8), maxBackoff)
+	l.consecutiveFailures++
+	until := int64(l.clock.Now().Sub(l.createdAt) + backoff)
 	l.suspectUntil.Store(max(until, l.suspectUntil.Load()))
 }
 
 // Suspect reports whether the runner is avoided for now.
 func (l *Load) Suspect(now time.Time) bool {
-	return int64(now.Sub(l.started)) < l.suspectUntil.Load() || l.Silent(now)
+	return int64(now.Sub(l.createdAt)) < l.suspectUntil.Load() || l.Unresponsive(now)
 }
 
-// Silent reports whether other hosts hear nothing of the runner.
-func (l *Load) Silent(now time.Time) bool {
-	return int64(now.Sub(l.started)) < l.silentUntil.Load()
+// Unresponsive reports whether other hosts hear nothing of the runner.
+func (l *Load) Unresponsive(now time.Time) bool {
+	return int64(now.Sub(l.createdAt)) < l.unresponsiveUntil.Load()
 }
 
-// judge takes other hosts' word of the runner: that it is silent, for so long, or, with 0,
+// applyReport takes other hosts' word of the runner: that it is silent, for so long, or, with 0,
 // that it answers again. What this host has just heard itself goes before it.
-func (l *Load) judge(silentFor time.Duration) {
+func (l *Load) applyReport(unresponsiveFor time.Duration) {
 	now := l.clock.Now()
-	if silentFor > 0 {
-		if !l.HeardWithin(heardLately) {
-			l.silentUntil.Store(int64(now.Sub(l.started) + silentFor))
+	if unresponsiveFor > 0 {
+		if !l.RespondedWithin(responseOverridesReport) {
+			l.unresponsiveUntil.Store(int64(now.Sub(l.createdAt) + unresponsiveFor))
 		}
 		return
 	}
-	l.silentUntil.Store(0)
+	l.unresponsiveUntil.Store(0)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.expected == "" {
-		l.rowLength = 0
+	if l.expectedRole == "" {
+		l.consecutiveFailures = 0
 		l.suspectUntil.Store(0)
 	}
 }
 
-// heardLately is how long this host's own hearing of a runner outweighs the others' word:
+// responseOverridesReport is how long this host's own hearing of a runner outweighs the others' word:
 // about the time in which they come to it.
-const heardLately = 300 * time.Millisecond
+const responseOverridesReport = 300 * time.Millisecond
 
-// expect avoids the runner until it has the role, for so long at most.
-func (l *Load) expect(role state.Role, within time.Duration) {
+// expectRole avoids the runner until it has the role, for so long at most.
+func (l *Load) expectRole(role state.Role, timeout time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.expected = role
-	l.suspectUntil.Store(int64(l.clock.Now().Sub(l.started) + within))
+	l.expectedRole = role
+	l.suspectUntil.Store(int64(l.clock.Now().Sub(l.createdAt) + timeout))
 }
 
-// listed takes the runner back if it has the role that was expected.
-func (l *Load) listed(role state.Role) {
+// confirmRole takes the runner back if it has the role that was expected.
+func (l *Load) confirmRole(role state.Role) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.expected != "" && l.expected == role {
-		l.expected = ""
+	if l.expectedRole != "" && l.expectedRole == role {
+		l.expectedRole = ""
 		l.suspectUntil.Store(0)
 	}
 }
@@ -191,12 +191,12 @@
 func (l *Load) FailureRate(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.decayed(now)
+	return l.decayedFailureRate(now)
 }
 
-func (l *Load) decayed(now time.Time) float64 {
-	if l.failures == 0 {
+func (l *Load) decayedFailureRate(now time.Time) float64 {
+	if l.failureRate == 0 {
 		return 0
 	}
-	return l.failures * math.Exp2(-now.Sub(l.failedAt).Seconds()/failureHalfLife.Seconds())
+	return l.failureRate * math.Exp2(-now.Sub(l.failureRateAt).Seconds()/failureHalfLife.Seconds())
 }
--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -62,7 +62,7 @@
 	var err error
 	h.scaler, err = scale.New(scale.Options{
 		Platform: h.duties, Lease: h.lessor, Needs: scale.Needs{Store: h.store}, Clock: h.clock, Log: h.log,
-		Services: h.scalableServices, Instances: h.fleet.Listed, NeedShare: h.o.RunnerNeed,
+		Services: h.scalableServices, Instances: h.fleet.Instances, NeedShare: h.o.RunnerNeed,
 		QuietUntil: h.quietUntil(),
 	})
 	return err
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -259,7 +259,7 @@
 // publish puts a new list of instances in force.
 func (h *Host) publish(instances []state.Instance) {
 	h.fleet.Update(instances)
-	h.pool.Retain(h.fleet.Has)
+	h.pool.Retain(h.fleet.Accepts)
 	h.advice.Listed(instances)
 }
 
--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -69,7 +69,7 @@
 
 func (h *Host) buildGate() error {
 	book := occupancy.NewBook(h.clock, h.log)
-	roles.Subscribe(h.fanout, h.fleet.Expect, h.log)
+	roles.Subscribe(h.fanout, h.fleet.ExpectRole, h.log)
 	advices.Subscribe(h.fanout, h.advice.Take, h.log)
 	var err error
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
@@ -90,7 +90,7 @@
 	var err error
 	h.outliers, err = outlier.New(ctx, outlier.Options{
 		Self: h.members.addr(h.s.IP), Owner: h.gate.Owner, Peers: outliers.Peers{Client: h.peers}, Clock: h.clock, Log: h.log,
-		Siblings: h.fleet.Siblings,
+		Siblings: h.fleet.ServiceSize,
 		Alive: func(ctx context.Context, id state.InstanceID) bool {
 			r := h.fleet.Runner(id)
 			return r != nil && h.pool.Alive(ctx, r.Instance)
@@ -132,7 +132,7 @@
 	var err error
 	h.crashes, err = crash.New(ctx, crash.Options{
 		Probe:    func(ctx context.Context, i *state.Instance) crash.Fate { return h.pool.Probe(ctx, i) },
-		Listed:   func(i *state.Instance) bool { return h.fleet.Has(i.ID) },
+		Listed:   func(i *state.Instance) bool { return h.fleet.Accepts(i.ID) },
 		Replaced: h.fleet.Replaced,
 		Crashed: func(r crash.Report) {
 			h.metrics.crashed(r)
@@ -146,8 +146,8 @@
 // judge takes the word of the hosts on a runner.
 func (h *Host) judge(v outlier.Verdict) {
 	if v.Silent {
-		h.fleet.Judge(v.Instance, v.For)
+		h.fleet.ApplyReport(v.Instance, v.For)
 		return
 	}
-	h.fleet.Judge(v.Instance, 0)
+	h.fleet.ApplyReport(v.Instance, 0)
 }
