--- a/coordination/placement/fleet_test.go
+++ b/coordination/placement/fleet_test.go
@@ -12,13 +12,13 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-func named(name string) state.InstanceID { return state.InstanceID{Name: name} }
+func instanceID(name string) state.InstanceID { return state.InstanceID{Name: name} }
 
 func newFleet(domain string, n int, role state.Role) *Fleet {
 	f := NewFleet(Options{Clock: clocktest.Bubble{}, FailureDomain: domain})
 	var list []state.Instance
 	for i := range n {
-		list = append(list, state.Instance{ID: named(fmt.Sprintf("e%02d", i)), Service: "s", FailureDomain: fmt.Sprint("d", i%3), Role: role})
+		list = append(list, state.Instance{ID: instanceID(fmt.Sprintf("e%02d", i)), Service: "s", FailureDomain: fmt.Sprint("d", i%3), Role: role})
 	}
 	f.Update(list)
 	return f
@@ -26,7 +26,7 @@
 
 // What was believed of a run ends with it: one that restarts under its name begins anew,
 // and late news of the former run changes nothing.
-func TestRestartedRunnerBeginsAnew(t *testing.T) {
+func TestRestartedRunnerHasNewLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := NewFleet(Options{Clock: clocktest.Bubble{}})
@@ -52,7 +52,7 @@
 	})
 }
 
-func TestRunIsReplacedByWhatIsListedAtItsAddress(t *testing.T) {
+func TestReplacedByInstanceAtSameAddress(t *testing.T) {
 	is := is.New(t)
 	f := NewFleet(Options{Clock: clocktest.Bubble{}})
 	at := func(name string, born int64, addr string) state.Instance {
@@ -69,50 +69,50 @@
 	is.True(f.Replaced(&run))
 }
 
-func TestHostsAgreeOnASessionsEngine(t *testing.T) {
+func TestHostsChooseSamePrefillEngineForSession(t *testing.T) {
 	is := is.New(t)
 	a, b := newFleet("d0", 9, state.RolePrefill), newFleet("d1", 9, state.RolePrefill)
-	used := map[state.InstanceID]int{}
+	sessionsOf := map[state.InstanceID]int{}
 	const sessions = 900
 	for i := range sessions {
 		session := fmt.Sprint("session-", i)
 		x := a.ChooseForPrefill("s", session, nil)
 		y := b.ChooseForPrefill("s", session, nil)
 		is.Equal(x.Instance.ID, y.Instance.ID)
-		used[x.Instance.ID]++
+		sessionsOf[x.Instance.ID]++
 	}
-	for _, n := range used {
+	for _, n := range sessionsOf {
 		is.True(n > sessions/9/2 && n < sessions/9*2) // spread evenly
 	}
 }
 
-func TestOnlyTheSessionsOfALeavingEngineMove(t *testing.T) {
+func TestOnlySessionsOfRemovedEngineMove(t *testing.T) {
 	is := is.New(t)
-	f, smaller := newFleet("d0", 9, state.RolePrefill), newFleet("d0", 8, state.RolePrefill)
+	f, withoutLast := newFleet("d0", 9, state.RolePrefill), newFleet("d0", 8, state.RolePrefill)
 	for i := range 500 {
 		session := fmt.Sprint("session-", i)
 		before := f.ChooseForPrefill("s", session, nil)
-		after := smaller.ChooseForPrefill("s", session, nil)
-		if before.Instance.ID != named("e08") {
+		after := withoutLast.ChooseForPrefill("s", session, nil)
+		if before.Instance.ID != instanceID("e08") {
 			is.Equal(before.Instance.ID, after.Instance.ID)
 		}
 	}
 }
 
-func TestBusySessionEngineIsPassedOver(t *testing.T) {
+func TestOverloadedSessionEngineIsAvoided(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("d0", 9, state.RolePrefill)
-	home := f.ChooseForPrefill("s", "x", nil)
+	preferred := f.ChooseForPrefill("s", "x", nil)
 	for range 10 {
-		home.Begin()
+		preferred.Begin()
 	}
 	chosen := f.ChooseForPrefill("s", "x", nil)
-	is.True(chosen.Instance.ID != home.Instance.ID)
+	is.True(chosen.Instance.ID != preferred.Instance.ID)
 	again := f.ChooseForPrefill("s", "x", []state.InstanceID{chosen.Instance.ID})
 	is.True(again.Instance.ID != chosen.Instance.ID)
 }
 
-func TestGenerationStaysInTheOwnFailureDomain(t *testing.T) {
+func TestDecodePrefersOwnFailureDomain(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("d1", 9, state.RoleDecode)
 	for i := range 50 {
@@ -132,57 +132,57 @@
 	}
 }
 
-func TestRoleIsKept(t *testing.T) {
+func TestChoiceMatchesRole(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("d0", 3, state.RoleDecode)
 	chosen := f.ChooseForPrefill("s", "x", nil)
 	is.True(chosen == nil)
 	is.True(f.ChooseForDecode("s", "x", "", nil) != nil)
-	is.True(f.ChooseForDecode("s", "x", "", []state.InstanceID{named("e00"), named("e01"), named("e02")}) == nil)
+	is.True(f.ChooseForDecode("s", "x", "", []state.InstanceID{instanceID("e00"), instanceID("e01"), instanceID("e02")}) == nil)
 	is.True(f.ChooseForCall("other", nil) == nil)
 }
 
 // Engines that change their role refuse all work for some seconds: those that are about
 // to are left before the first refusal.
-func TestEngineThatIsAboutToChangeItsRoleIsAvoided(t *testing.T) {
+func TestEngineExpectedToChangeRoleIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet("d0", 3, state.RoleDecode)
-		f.ExpectRole([]state.InstanceID{named("e00"), named("e01"), named("gone")}, state.RolePrefill, 8*time.Second)
+		f.ExpectRole([]state.InstanceID{instanceID("e00"), instanceID("e01"), instanceID("gone")}, state.RolePrefill, 8*time.Second)
 		for range 20 {
 			chosen := f.ChooseForDecode("s", "", "", nil)
-			is.Equal(chosen.Instance.ID, named("e02"))
+			is.Equal(chosen.Instance.ID, instanceID("e02"))
 			chosen.RecordSuccess(time.Millisecond)
 		}
-		changing := f.ChooseForDecode("s", "", "", []state.InstanceID{named("e02")}) // when nothing else is left
+		changing := f.ChooseForDecode("s", "", "", []state.InstanceID{instanceID("e02")}) // when nothing else is left
 		is.True(changing != nil)
 		changing.RecordSuccess(time.Millisecond) // what it had taken before
-		is.Equal(f.ChooseForDecode("s", "", "", nil).Instance.ID, named("e02"))
+		is.Equal(f.ChooseForDecode("s", "", "", nil).Instance.ID, instanceID("e02"))
 
 		f.Update([]state.Instance{
-			{ID: named("e00"), Service: "s", Role: state.RolePrefill}, {ID: named("e01"), Service: "s", Role: state.RoleDecode}, {ID: named("e02"), Service: "s", Role: state.RoleDecode},
+			{ID: instanceID("e00"), Service: "s", Role: state.RolePrefill}, {ID: instanceID("e01"), Service: "s", Role: state.RoleDecode}, {ID: instanceID("e02"), Service: "s", Role: state.RoleDecode},
 		})
-		reads := f.ChooseForPrefill("s", "", nil)
-		is.Equal(reads.Instance.ID, named("e00"))
-		is.True(!reads.Suspect(time.Now()))
-		is.Equal(f.ChooseForDecode("s", "", "", nil).Instance.ID, named("e02"))
+		prefiller := f.ChooseForPrefill("s", "", nil)
+		is.Equal(prefiller.Instance.ID, instanceID("e00"))
+		is.True(!prefiller.Suspect(time.Now()))
+		is.Equal(f.ChooseForDecode("s", "", "", nil).Instance.ID, instanceID("e02"))
 		time.Sleep(8*time.Second + time.Millisecond) // e01's order was lost
-		is.True(!f.ChooseForDecode("s", "", "", []state.InstanceID{named("e02")}).Suspect(time.Now()))
+		is.True(!f.ChooseForDecode("s", "", "", []state.InstanceID{instanceID("e02")}).Suspect(time.Now()))
 	})
 }
 
 func TestDrainingInstanceIsNeverChosen(t *testing.T) {
 	is := is.New(t)
 	f := newFleet("d0", 2, "")
-	f.Update([]state.Instance{{ID: named("e00"), Service: "s", Draining: true}, {ID: named("e01"), Service: "s"}})
-	is.True(!f.Accepts(named("e00")))
-	is.True(f.Accepts(named("e01")))
+	f.Update([]state.Instance{{ID: instanceID("e00"), Service: "s", Draining: true}, {ID: instanceID("e01"), Service: "s"}})
+	is.True(!f.Accepts(instanceID("e00")))
+	is.True(f.Accepts(instanceID("e01")))
 	for range 20 {
-		is.Equal(f.ChooseForCall("s", nil).Instance.ID, named("e01"))
+		is.Equal(f.ChooseForCall("s", nil).Instance.ID, instanceID("e01"))
 	}
 }
 
-func TestBrokenRunnerIsAvoidedAndTakenBack(t *testing.T) {
+func TestRunnerIsAvoidedAfterConnectionFailureAndUsedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet("d0", 2, "")
@@ -202,7 +202,7 @@
 	})
 }
 
-func TestSilenceIsAvoidedLongerEachTime(t *testing.T) {
+func TestConnectionFailureBackoffGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		l := newLoad(clocktest.Bubble{})
@@ -216,35 +216,35 @@
 	})
 }
 
-func TestRunnerThatRefusesIsLeftAloneForAMoment(t *testing.T) {
+func TestRunnerIsAvoidedBrieflyAfterRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet("d0", 9, state.RoleDecode)
-		home := f.ChooseForDecode("s", "x", "", nil)
-		home.RecordRefusal() // its role has changed, which the list doesn't say yet
+		preferred := f.ChooseForDecode("s", "x", "", nil)
+		preferred.RecordRefusal() // its role has changed, which the list doesn't say yet
 		for range 20 {
-			is.True(f.ChooseForDecode("s", "x", "", nil) != home)
+			is.True(f.ChooseForDecode("s", "x", "", nil) != preferred)
 		}
 		time.Sleep(refusalMinBackoff + 20*failureHalfLife)
-		is.Equal(f.ChooseForDecode("s", "x", "", nil), home)
+		is.Equal(f.ChooseForDecode("s", "x", "", nil), preferred)
 	})
 }
 
-func TestRunnerThatOftenFailsGetsLess(t *testing.T) {
+func TestFailingRunnerCostsMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet("d0", 2, "")
-		failing, sound := f.Runners("s")[0], f.Runners("s")[1]
+		failing, healthy := f.Runners("s")[0], f.Runners("s")[1]
 		for i := range 20 {
 			if i%2 == 0 {
 				failing.RecordFailure()
 			} else {
 				failing.RecordSuccess(initialLatency)
 			}
-			sound.RecordSuccess(initialLatency)
+			healthy.RecordSuccess(initialLatency)
 		}
-		sound.Begin() // one more in flight than at the other
-		is.Equal(f.ChooseForCall("s", nil), sound)
+		healthy.Begin() // one more in flight than at the other
+		is.Equal(f.ChooseForCall("s", nil), healthy)
 	})
 }
 
@@ -257,43 +257,43 @@
 
 // Other hosts' word that a runner is silent counts until it is taken back, unless this
 // host has just heard from it.
-func TestSilentRunnerIsAvoidedByWordOfOthers(t *testing.T) {
+func TestRunnerReportedUnresponsiveIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet("d0", 2, "")
-		silent, other := f.Runner(named("e00")), f.Runner(named("e01"))
-		f.ApplyReport(named("e00"), time.Second)
-		f.ApplyReport(named("gone"), time.Second)
+		reported, other := f.Runner(instanceID("e00")), f.Runner(instanceID("e01"))
+		f.ApplyReport(instanceID("e00"), time.Second)
+		f.ApplyReport(instanceID("gone"), time.Second)
 		for range 20 {
 			is.Equal(f.ChooseForCall("s", nil).Instance.ID, other.Instance.ID)
 		}
-		f.ApplyReport(named("e00"), 0)
-		is.True(!silent.Suspect(time.Now()))
+		f.ApplyReport(instanceID("e00"), 0)
+		is.True(!reported.Suspect(time.Now()))
 		other.RecordSuccess(time.Millisecond)
-		f.ApplyReport(named("e01"), time.Second)
+		f.ApplyReport(instanceID("e01"), time.Second)
 		is.True(!other.Suspect(time.Now()))
-		f.ApplyReport(named("e00"), time.Second)
+		f.ApplyReport(instanceID("e00"), time.Second)
 		time.Sleep(time.Second)
-		is.True(!silent.Suspect(time.Now()))
-		is.Equal(f.ServiceSize(named("e00")), 2)
-		is.Equal(f.ServiceSize(named("gone")), 0)
+		is.True(!reported.Suspect(time.Now()))
+		is.Equal(f.ServiceSize(instanceID("e00")), 2)
+		is.Equal(f.ServiceSize(instanceID("gone")), 0)
 	})
 }
 
 // What must outlive the loss of a failure domain's spot engines isn't kept at another of them,
 // while other engines keep it near.
-func TestStandbyIsNotLostWithItsEngine(t *testing.T) {
+func TestBackupAvoidsSharedSpotFailure(t *testing.T) {
 	for _, spot := range []bool{true, false} {
 		is := is.New(t)
 		f := NewFleet(Options{Clock: clocktest.Bubble{}, FailureDomain: "d0"})
 		var list []state.Instance
 		for i := range 9 {
-			list = append(list, state.Instance{ID: named(fmt.Sprint("e", i)), Service: "s", FailureDomain: fmt.Sprint("d", i%3), Role: state.RoleDecode, Spot: spot})
+			list = append(list, state.Instance{ID: instanceID(fmt.Sprint("e", i)), Service: "s", FailureDomain: fmt.Sprint("d", i%3), Role: state.RoleDecode, Spot: spot})
 		}
 		f.Update(list)
 		for range 50 {
-			near := f.ChooseForBackup("s", &list[0], []state.InstanceID{list[0].ID}).Instance.FailureDomain == "d0"
-			is.Equal(near, !spot)
+			sameDomain := f.ChooseForBackup("s", &list[0], []state.InstanceID{list[0].ID}).Instance.FailureDomain == "d0"
+			is.Equal(sameDomain, !spot)
 		}
 		f.Update(list[:1])
 		is.True(f.ChooseForBackup("s", &list[0], []state.InstanceID{list[0].ID}) == nil)
