--- a/coordination/placement/fleet.go
+++ b/coordination/placement/fleet.go
@@ -1,6 +1,6 @@
-// Package placement chooses the runner of each sending from one immutable view
-// of the list of instances, from what this host has in flight at each and from
-// how its own requests fared there.
+// Package placement chooses the runner of each attempt. The choice depends on an immutable
+// snapshot of the listed instances, on this host's requests in flight at each of them, and on
+// the outcomes and latencies of its recent requests there.
 package placement
 
 import (
@@ -15,23 +15,23 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Runner is an instance with what this host knows of it.
+// Runner is a listed instance with this host's load and failure statistics for it.
 type Runner struct {
 	Instance *state.Instance
 	*Load
 }
 
-// view is one version of the list. It is never changed.
+// view is an immutable snapshot of the listed instances.
 type view struct {
 	byService map[string]*serviceRunners
 	byID      map[state.InstanceID]*Runner
 }
 
-// serviceRunners are the instances of a service that take work.
+// serviceRunners holds the instances of a service that accept work.
 type serviceRunners struct {
 	all []*Runner
-	// prefill and decode are the engines of either role; those of both are in
-	// both. apart is set if some only read prompts.
+	// prefill and decode hold the engines that have the role; an engine of both roles is in
+	// both. separatePrefill is set if some engines only compute prompts.
 	prefill, decode []*Runner
 	separatePrefill bool
 }
@@ -50,23 +50,23 @@
 	}
 }
 
-// Advice is what runners ask of this host.
+// Advice holds the limits and backoffs that runners requested from this host.
 type Advice interface {
-	// OpensAt is when a runner takes a request again; zero if it does now.
+	// OpensAt returns when a runner accepts a request again; zero if it does now.
 	OpensAt(id state.InstanceID) time.Time
 }
 
 // Options configure a Fleet.
 type Options struct {
 	Clock state.Clock
-	// FailureDomain is the host's own, preferred among equals.
+	// FailureDomain is that of this host. Runners in it are preferred over equal ones elsewhere.
 	FailureDomain string
-	// Advice closes runners for a while, which are then never chosen; nil closes none.
+	// Advice excludes runners that don't accept requests at the moment; nil excludes none.
 	Advice Advice
 }
 
-// Fleet is the list of instances. It is safe for concurrent use; Update has one
-// caller at a time.
+// Fleet holds the listed instances and chooses among them. It is safe for concurrent use, except
+// that calls of Update must not overlap.
 type Fleet struct {
 	o    Options
 	view atomic.Pointer[view]
@@ -82,7 +82,8 @@
 	return f
 }
 
-// Update replaces the list. Draining instances stay known but are never chosen.
+// Update replaces the list of instances. Draining instances stay listed but are never chosen.
+// The load of an instance that is no longer listed is kept until nothing is in flight there.
 func (f *Fleet) Update(instances []state.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -118,7 +119,7 @@
 	s.add(r)
 }
 
-// Instances returns all instances of a service, also those that are draining.
+// Instances returns all listed instances of a service, draining ones included.
 func (f *Fleet) Instances(service string) []state.Instance {
 	var out []state.Instance
 	for _, r := range f.view.Load().byID {
@@ -129,7 +130,7 @@
 	return out
 }
 
-// service returns the runners of a service; none if it isn't known.
+// service returns the runners of a service; it is empty if the service isn't known.
 func (f *Fleet) service(name string) serviceRunners {
 	if s := f.view.Load().byService[name]; s != nil {
 		return *s
@@ -137,14 +138,14 @@
 	return serviceRunners{}
 }
 
-// Runners returns the instances of a service that take work.
+// Runners returns the instances of a service that accept work.
 func (f *Fleet) Runners(service string) []*Runner { return f.service(service).all }
 
-// ReadsApart reports whether some of the service's engines only read prompts.
+// SeparatesPrefill reports whether some of the service's engines only compute prompts.
 func (f *Fleet) SeparatesPrefill(service string) bool { return f.service(service).separatePrefill }
 
-// ExpectRole avoids engines that are about to take a role until the list shows it, for so
-// long at most: an engine refuses work while it changes.
+// ExpectRole avoids engines that are about to change to the role, since an engine refuses work
+// during the change. It ends for an engine when the list shows the role, or after the timeout.
 func (f *Fleet) ExpectRole(engines []state.InstanceID, role state.Role, timeout time.Duration) {
 	v := f.view.Load()
 	for _, id := range engines {
@@ -154,18 +155,19 @@
 	}
 }
 
-// Runner returns an instance with what is known of it, or nil.
+// Runner returns an instance with its load, or nil if it isn't listed.
 func (f *Fleet) Runner(id state.InstanceID) *Runner { return f.view.Load().byID[id] }
 
-// ApplyReport takes other hosts' word of a runner: that it is silent, for so long, or, with 0,
-// that it answers again.
+// ApplyReport applies other hosts' report on a runner: that it is to be avoided as unresponsive
+// for the duration, or, if that is 0, that it responds again.
 func (f *Fleet) ApplyReport(id state.InstanceID, unresponsiveFor time.Duration) {
 	if r := f.Runner(id); r != nil {
 		r.applyReport(unresponsiveFor)
 	}
 }
 
-// ServiceSize is the number of runners of the instance's service; 0 if it isn't listed.
+// ServiceSize returns the number of runners of the instance's service, the instance included; 0
+// if the instance isn't listed.
 func (f *Fleet) ServiceSize(id state.InstanceID) int {
 	r := f.Runner(id)
 	if r == nil {
@@ -174,14 +176,14 @@
 	return len(f.Runners(r.Instance.Service))
 }
 
-// Has reports whether work may be sent to the instance.
+// Accepts reports whether the instance is listed and not draining.
 func (f *Fleet) Accepts(id state.InstanceID) bool {
 	r := f.view.Load().byID[id]
 	return r != nil && !r.Instance.Draining
 }
 
-// Replaced reports whether another instance, or a later run of the same, is listed at the
-// instance's address.
+// Replaced reports whether the instance is no longer listed while another one, or a later run of
+// the same one, is listed at its address.
 func (f *Fleet) Replaced(former *state.Instance) bool {
 	v := f.view.Load()
 	if v.byID[former.ID] != nil {
@@ -195,9 +197,9 @@
 	return false
 }
 
-// Call chooses a runner for a call of a plain service: the one with the shortest
-// expected wait. tried names instances that are not to be chosen again. It
-// returns nil when there is none.
+// ChooseForCall chooses a runner for a call of a plain service: the one with the lowest product
+// of requests in flight and latency. tried lists instances that must not be chosen again. It
+// returns nil if there is none.
 func (f *Fleet) ChooseForCall(service string, tried []state.InstanceID) *Runner {
 	return f.leastCost(f.Runners(service), tried, func(r *Runner) float64 {
 		cost := float64(r.InFlight()+1) * r.Latency().Seconds()
@@ -208,18 +210,19 @@
 	})
 }
 
-// crossDomainCostFactor makes a runner of another failure domain look slower by the time that
-// a request and its answer take between domains (2.8 ms on about 17 ms on the sites of today).
+// crossDomainCostFactor multiplies the cost of a runner in another failure domain. A round trip
+// between domains takes 2.8 ms, about 0.15 of the 17 ms that a request takes.
 const crossDomainCostFactor = 1.15
 
-// crossDomainPenalty is how many more requests an engine of the own failure domain may have
-// in flight than another before the other is chosen: bytes between domains cost.
+// crossDomainPenalty is how many more requests may be in flight at an engine of the preferred
+// failure domain than at another before the other is chosen, since traffic between domains is
+// costly.
 const crossDomainPenalty = 3
 
-// Decode chooses an engine that generates: the one with the least in flight from
-// this host, near the failure domain that is named or else near the host itself. A
-// session's requests go to the same one of that domain while it isn't far busier than
-// the others, so that its parts stay there.
+// ChooseForDecode chooses an engine that decodes: the one with the fewest requests in flight
+// from this host. It prefers the failure domain near, or the host's own if near is "". Requests
+// of a session go to the same engine of that domain, where its prefixes are cached, unless the
+// engine has more than the load limit and crossDomainPenalty in flight.
 func (f *Fleet) ChooseForDecode(service, session, near string, tried []state.InstanceID) *Runner {
 	if near == "" {
 		near = f.o.FailureDomain
@@ -235,8 +238,9 @@
 	})
 }
 
-// Standby chooses an engine that generates for the copy of a run at an engine: near it, but for
-// spot engines, which are lost with all spot engines of their failure domain.
+// ChooseForBackup chooses an engine that decodes for the backup of a run at another engine. It
+// prefers the same failure domain. The exception are two spot engines, since all spot engines of
+// a failure domain are lost together.
 func (f *Fleet) ChooseForBackup(service string, engine *state.Instance, tried []state.InstanceID) *Runner {
 	return f.leastCost(f.service(service).decode, tried, func(r *Runner) float64 {
 		sameDomain := r.Instance.FailureDomain == engine.FailureDomain
@@ -244,17 +248,17 @@
 	})
 }
 
-// sharedFailurePenalty makes an engine that is lost together with another the last choice among sound
-// ones for what must outlive that.
+// sharedFailurePenalty makes an engine that is lost together with another one the last choice
+// for that one's backup, except for suspects.
 const sharedFailurePenalty = 1e3
 
-// sessionScore orders the engines of a session, the same way at all hosts, from 0 to 1. An engine
-// that restarts under its name keeps its sessions.
+// sessionScore orders the engines of a session from 0 to 1, equally at all hosts. It depends on
+// the name only, so an engine that restarts under its name keeps its sessions.
 func sessionScore(session string, r *Runner) float64 {
 	return float64(xxhash.Sum64String(session+r.Instance.ID.Name)) / (1 << 64)
 }
 
-// indicator is 1 for true and 0 for false.
+// indicator returns 1 for true and 0 for false.
 func indicator(condition bool) float64 {
 	if condition {
 		return 1
@@ -262,10 +266,10 @@
 	return 0
 }
 
-// Prefill chooses the engine that reads a session's prompts. All hosts put a
-// session at the same engine without talking, so that its shared parts stay
-// there, and name the same others after it; an engine with far more from this host
-// than the others is passed over.
+// ChooseForPrefill chooses the engine that computes a session's prompts. All hosts choose the
+// same engine and the same order of fallbacks without coordination, so the session's prefixes
+// stay cached there. An engine with more than the load limit in flight from this host comes
+// after the others.
 func (f *Fleet) ChooseForPrefill(service, session string, tried []state.InstanceID) *Runner {
 	runners := f.service(service).prefill
 	if session == "" {
@@ -277,9 +281,8 @@
 	})
 }
 
-// The bound of an engine's load from this host: loadFactor times the mean and
-// loadSlack requests more. A host has one or two prompts in flight an engine at
-// the sizes of today, so that the slack is what counts (docs/MEASUREMENTS.md).
+// loadLimit returns loadFactor times the mean load from this host plus loadSlack requests. A
+// host has only one or two prompts in flight per engine, so the slack has the larger effect.
 const (
 	loadFactor = 1
 	loadSlack  = 1
@@ -296,21 +299,21 @@
 	return loadFactor*float64(total)/float64(len(runners)) + loadSlack
 }
 
-// Phase is what a runner is to do.
+// Phase is the part of a request that a runner is chosen for.
 type Phase int
 
-// The parts.
+// The phases.
 const (
-	// PhaseCall is a call of a plain service.
+	// PhaseCall is a whole call of a plain service.
 	PhaseCall Phase = iota
-	// PhasePrefill is the reading of a prompt apart.
+	// PhasePrefill is a separate computation of a prompt.
 	PhasePrefill
 	// PhaseDecode is the rest of a model request.
 	PhaseDecode
 )
 
-// Soonest is the runner that is the first to take such work again, and when; the time is zero
-// if one does now. It returns nil if there is none.
+// EarliestAvailable returns the runner that accepts a request of the phase first, and when; the
+// time is zero if it accepts one now. It returns nil if there is no runner that isn't in tried.
 func (f *Fleet) EarliestAvailable(service string, phase Phase, tried []state.InstanceID) (*Runner, time.Time) {
 	var best *Runner
 	var bestAt time.Time
@@ -325,6 +328,7 @@
 	return best, bestAt
 }
 
+// forPhase returns the runners that can do the phase.
 func (s serviceRunners) forPhase(phase Phase) []*Runner {
 	switch phase {
 	case PhasePrefill:
@@ -336,6 +340,7 @@
 	}
 }
 
+// opensAt returns when a runner accepts a request again; zero if it does now.
 func (f *Fleet) opensAt(r *Runner) time.Time {
 	if f.o.Advice == nil {
 		return time.Time{}
@@ -343,9 +348,9 @@
 	return f.o.Advice.OpensAt(r.Instance.ID)
 }
 
-// leastCost returns the runner of leastCost cost among those that take work; runners that lately
-// failed cost more, and suspects are taken only when nothing else is left. Ties are broken at
-// random, so that hosts don't all choose the same one.
+// leastCost returns the runner of the least cost among those that accept work. Recent failures
+// raise the cost, and suspects are chosen only if there is nothing else. Ties are broken at
+// random, so that hosts don't all choose the same runner.
 func (f *Fleet) leastCost(runners []*Runner, tried []state.InstanceID, cost func(*Runner) float64) *Runner {
 	now := f.o.Clock.Now()
 	var best *Runner
@@ -373,9 +378,8 @@
 }
 
 const (
-	// failureWeight makes a runner that fails half of its requests look three
-	// times as loaded.
+	// failureWeight makes a runner that fails half of its requests cost three times as much.
 	failureWeight = 4
-	// suspectPenalty is above every cost of a sound runner.
+	// suspectPenalty exceeds every cost of a runner that isn't a suspect.
 	suspectPenalty = 1e6
 )
--- a/coordination/placement/fleet_test.go
+++ b/coordination/placement/fleet_test.go
@@ -24,8 +24,8 @@
 	return f
 }
 
-// What was believed of a run ends with it: one that restarts under its name begins anew,
-// and late news of the former run changes nothing.
+// A restarted runner keeps its name but not its load: it starts without failures, and late
+// results of the former run don't change it.
 func TestRestartedRunnerHasNewLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -39,7 +39,7 @@
 		before.RecordConnectionFailure()
 		f.ExpectRole([]state.InstanceID{run(1).ID}, state.RolePrefill, time.Minute)
 		f.Update([]state.Instance{run(2)})
-		is.True(!f.Accepts(run(1).ID)) // what was chosen before isn't sent any more
+		is.True(!f.Accepts(run(1).ID)) // a runner chosen before gets no more requests
 		is.True(f.Accepts(run(2).ID))
 		after := f.Runners("s")[0]
 		before.RecordConnectionFailure()
@@ -48,7 +48,7 @@
 		is.True(!after.Suspect(time.Now()))
 		is.Equal(after.FailureRate(time.Now()), 0.0)
 		is.Equal(after.InFlight(), int64(0))
-		is.Equal(sessionScore("x", before), sessionScore("x", after)) // its sessions stay
+		is.Equal(sessionScore("x", before), sessionScore("x", after)) // sessions stay with the name
 	})
 }
 
@@ -60,9 +60,9 @@
 	}
 	run := at("e", 1, "a:1")
 	f.Update([]state.Instance{run, at("f", 1, "b:1")})
-	is.True(!f.Replaced(&run)) // it is there itself
+	is.True(!f.Replaced(&run)) // still listed itself
 	f.Update([]state.Instance{at("f", 1, "b:1")})
-	is.True(!f.Replaced(&run)) // gone, for all that is known
+	is.True(!f.Replaced(&run)) // nothing is listed at its address
 	f.Update([]state.Instance{at("e", 2, "a:1")})
 	is.True(f.Replaced(&run))
 	f.Update([]state.Instance{at("g", 1, "a:1")})
@@ -128,7 +128,7 @@
 		}
 	}
 	for _, session := range []string{"", "x"} {
-		is.True(f.ChooseForDecode("s", session, "", nil).Instance.FailureDomain != "d1") // not at any price
+		is.True(f.ChooseForDecode("s", session, "", nil).Instance.FailureDomain != "d1") // the preference has a limit
 	}
 }
 
@@ -142,8 +142,8 @@
 	is.True(f.ChooseForCall("other", nil) == nil)
 }
 
-// Engines that change their role refuse all work for some seconds: those that are about
-// to are left before the first refusal.
+// Engines that change their role refuse all requests for some seconds, so they are avoided
+// before the first refusal.
 func TestEngineExpectedToChangeRoleIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -154,9 +154,9 @@
 			is.Equal(chosen.Instance.ID, instanceID("e02"))
 			chosen.RecordSuccess(time.Millisecond)
 		}
-		changing := f.ChooseForDecode("s", "", "", []state.InstanceID{instanceID("e02")}) // when nothing else is left
+		changing := f.ChooseForDecode("s", "", "", []state.InstanceID{instanceID("e02")}) // chosen if nothing else is left
 		is.True(changing != nil)
-		changing.RecordSuccess(time.Millisecond) // what it had taken before
+		changing.RecordSuccess(time.Millisecond) // a request accepted before the change
 		is.Equal(f.ChooseForDecode("s", "", "", nil).Instance.ID, instanceID("e02"))
 
 		f.Update([]state.Instance{
@@ -166,7 +166,7 @@
 		is.Equal(prefiller.Instance.ID, instanceID("e00"))
 		is.True(!prefiller.Suspect(time.Now()))
 		is.Equal(f.ChooseForDecode("s", "", "", nil).Instance.ID, instanceID("e02"))
-		time.Sleep(8*time.Second + time.Millisecond) // e01's order was lost
+		time.Sleep(8*time.Second + time.Millisecond) // the order to e01 was lost
 		is.True(!f.ChooseForDecode("s", "", "", []state.InstanceID{instanceID("e02")}).Suspect(time.Now()))
 	})
 }
@@ -191,7 +191,7 @@
 		for range 20 {
 			is.True(f.ChooseForCall("s", nil).Instance.ID != broken.Instance.ID)
 		}
-		is.Equal(f.ChooseForCall("s", []state.InstanceID{f.Runners("s")[1].Instance.ID}), broken) // when nothing else is left
+		is.Equal(f.ChooseForCall("s", []state.InstanceID{f.Runners("s")[1].Instance.ID}), broken) // chosen if nothing else is left
 		time.Sleep(suspectMinBackoff + 20*failureHalfLife)
 		is.True(!broken.Suspect(time.Now()))
 		other := f.Runners("s")[1]
@@ -221,7 +221,7 @@
 		is := is.New(t)
 		f := newFleet("d0", 9, state.RoleDecode)
 		preferred := f.ChooseForDecode("s", "x", "", nil)
-		preferred.RecordRefusal() // its role has changed, which the list doesn't say yet
+		preferred.RecordRefusal() // its role has changed, which the list doesn't show yet
 		for range 20 {
 			is.True(f.ChooseForDecode("s", "x", "", nil) != preferred)
 		}
@@ -255,8 +255,8 @@
 	}
 }
 
-// Other hosts' word that a runner is silent counts until it is taken back, unless this
-// host has just heard from it.
+// Other hosts' report that a runner is unresponsive counts until it is withdrawn or expires,
+// unless this host got a response from the runner just before.
 func TestRunnerReportedUnresponsiveIsAvoided(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -280,8 +280,8 @@
 	})
 }
 
-// What must outlive the loss of a failure domain's spot engines isn't kept at another of them,
-// while other engines keep it near.
+// All spot engines of a failure domain are lost together, so the backup of a spot engine is not
+// placed at another one there. Backups of other engines stay in the domain.
 func TestBackupAvoidsSharedSpotFailure(t *testing.T) {
 	for _, spot := range []bool{true, false} {
 		is := is.New(t)
--- a/coordination/placement/load.go
+++ b/coordination/placement/load.go
@@ -10,39 +10,41 @@
 )
 
 const (
-	// initialLatency is assumed of a runner without samples; its size hardly
-	// matters, as all start alike.
+	// initialLatency is assumed of a runner without samples. The value hardly matters, as all
+	// runners start with the same one.
 	initialLatency = 20 * time.Millisecond
-	// latencyGain is the weight of a new sample.
+	// latencyGain is the weight of a new sample in the moving average.
 	latencyGain = 0.1
-	// failureGain is the weight of a new outcome.
+	// failureGain is the weight of a new outcome in the moving average.
 	failureGain = 0.25
-	// failureHalfLife is how soon an unused runner's failures are half forgotten:
-	// a few seconds, as the shortest faults of the platform's days last.
+	// failureHalfLife is the time after which the failure rate of an unused runner has halved.
+	// The shortest faults last a few seconds.
 	failureHalfLife = 2 * time.Second
-	// suspectMinBackoff is how long a runner is avoided after its first silent or
-	// broken connection; each further one in a row doubles it up to suspectMost.
+	// suspectMinBackoff is how long a runner is avoided after its first unresponsive or broken
+	// connection. Each further failure in a row doubles the time, up to suspectMaxBackoff.
 	suspectMinBackoff = 500 * time.Millisecond
 	suspectMaxBackoff = 4 * time.Second
-	// refusalMinBackoff and refusedMost are the same for a refusal: a full runner has
-	// room after a few runs (15 ms and more), a change of role takes 3 s.
+	// refusalMinBackoff and refusalMaxBackoff are the same for a refused request. A full runner
+	// has capacity again after a few requests (15 ms and more), and a change of role takes 3 s.
 	refusalMinBackoff = 100 * time.Millisecond
 	refusalMaxBackoff = time.Second
 )
 
-// Load is what this host knows of one instance from its own requests.
+// Load holds what this host knows of one instance from its own requests, and from other hosts'
+// reports that the instance is unresponsive.
 type Load struct {
 	clock    state.Clock
 	inFlight atomic.Int64
-	// suspectUntil and heardAt are in nanoseconds since the load was made; 0 for never.
+	// suspectUntil and respondedAt are in nanoseconds since createdAt; 0 means never.
 	suspectUntil atomic.Int64
 	respondedAt  atomic.Int64
-	// unresponsiveUntil is as long as another host's word holds that the runner is silent.
+	// unresponsiveUntil is when the last report of other hosts that the runner is unresponsive
+	// expires, in nanoseconds since createdAt.
 	unresponsiveUntil atomic.Int64
 	createdAt         time.Time
 
 	mu sync.Mutex
-	// expectedRole is the role that the instance is about to take; "" if none is known.
+	// expectedRole is the role that the instance is about to change to; "" if none is known.
 	expectedRole        state.Role
 	latency             float64 // seconds
 	failureRate         float64 // 0 to 1
@@ -54,7 +56,8 @@
 	return &Load{clock: clock, createdAt: clock.Now(), latency: initialLatency.Seconds()}
 }
 
-// Begin counts a sending in; the returned function counts it out.
+// Begin counts an attempt as in flight until the returned function is called. Further calls of
+// that function have no effect.
 func (l *Load) Begin() (end func()) {
 	l.inFlight.Add(1)
 	var once atomic.Bool
@@ -65,17 +68,17 @@
 	}
 }
 
-// InFlight is what this host has sent and not yet seen ended.
+// InFlight returns the number of this host's attempts that have begun and not ended.
 func (l *Load) InFlight() int64 { return l.inFlight.Load() }
 
-// Latency is the smoothed time to the head of a response.
+// Latency returns the moving average of the time to the head of a response.
 func (l *Load) Latency() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return time.Duration(l.latency * float64(time.Second))
 }
 
-// MarkResponsive notes that the runner answered something.
+// MarkResponsive records that the runner answered something.
 func (l *Load) MarkResponsive() { l.respondedAt.Store(int64(l.clock.Now().Sub(l.createdAt)) + 1) }
 
 // RespondedWithin reports whether the runner answered something in the last d.
@@ -84,7 +87,7 @@
 	return at > 0 && int64(l.clock.Now().Sub(l.createdAt))-at < int64(d)
 }
 
-// RecordSuccess notes a response in time.
+// RecordSuccess records a response in time and its latency.
 func (l *Load) RecordSuccess(latency time.Duration) {
 	l.MarkResponsive()
 	l.mu.Lock()
@@ -98,21 +101,22 @@
 	}
 }
 
-// RecordFailure notes a response that says the runner can't do its part.
+// RecordFailure records a response that says that the runner can't do its part.
 func (l *Load) RecordFailure() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.addFailure()
 }
 
+// addFailure adds a failed outcome to the failure rate; l.mu is held.
 func (l *Load) addFailure() {
 	now := l.clock.Now()
 	l.failureRate = l.decayedFailureRate(now)*(1-failureGain) + failureGain
 	l.failureRateAt = now
 }
 
-// RecordRefusal notes a request that the runner did not take: it is full, changes its
-// role or has another than the list says.
+// RecordRefusal records a request that the runner did not accept: it is full, it is changing its
+// role, or its role isn't the listed one.
 func (l *Load) RecordRefusal() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,7 +124,7 @@
 	l.backOff(refusalMinBackoff, refusalMaxBackoff)
 }
 
-// RecordConnectionFailure notes a connection that was refused, reset or silent.
+// RecordConnectionFailure records a connection that was refused, reset or unresponsive.
 func (l *Load) RecordConnectionFailure() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -128,7 +132,7 @@
 	l.backOff(suspectMinBackoff, suspectMaxBackoff)
 }
 
-// backOff makes the runner a suspect, each time in a row for twice as long.
+// backOff makes the runner a suspect. The backoff doubles with each failure in a row.
 func (l *Load) backOff(minBackoff, maxBackoff time.Duration) {
 	backoff := min(minBackoff<<min(l.consecutiveFailures, 8), maxBackoff)
 	l.consecutiveFailures++
@@ -136,18 +140,19 @@
 	l.suspectUntil.Store(max(until, l.suspectUntil.Load()))
 }
 
-// Suspect reports whether the runner is avoided for now.
+// Suspect reports whether the runner is to be avoided now.
 func (l *Load) Suspect(now time.Time) bool {
 	return int64(now.Sub(l.createdAt)) < l.suspectUntil.Load() || l.Unresponsive(now)
 }
 
-// Unresponsive reports whether other hosts hear nothing of the runner.
+// Unresponsive reports whether other hosts currently report the runner as unresponsive.
 func (l *Load) Unresponsive(now time.Time) bool {
 	return int64(now.Sub(l.createdAt)) < l.unresponsiveUntil.Load()
 }
 
-// applyReport takes other hosts' word of the runner: that it is silent, for so long, or, with 0,
-// that it answers again. What this host has just heard itself goes before it.
+// applyReport applies other hosts' report: that the runner is to be avoided as unresponsive for
+// the duration, or, if that is 0, that it responds again. A recent response to this host takes
+// precedence over a report that the runner is unresponsive.
 func (l *Load) applyReport(unresponsiveFor time.Duration) {
 	now := l.clock.Now()
 	if unresponsiveFor > 0 {
@@ -165,11 +170,11 @@
 	}
 }
 
-// responseOverridesReport is how long this host's own hearing of a runner outweighs the others' word:
-// about the time in which they come to it.
+// responseOverridesReport is how long a response to this host takes precedence over other hosts'
+// reports. The hosts need about as long to agree that a runner is unresponsive.
 const responseOverridesReport = 300 * time.Millisecond
 
-// expectRole avoids the runner until it has the role, for so long at most.
+// expectRole avoids the runner until it has the role, or until the timeout.
 func (l *Load) expectRole(role state.Role, timeout time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -177,7 +182,7 @@
 	l.suspectUntil.Store(int64(l.clock.Now().Sub(l.createdAt) + timeout))
 }
 
-// confirmRole takes the runner back if it has the role that was expected.
+// confirmRole stops avoiding the runner if the listed role is the expected one.
 func (l *Load) confirmRole(role state.Role) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -187,13 +192,15 @@
 	}
 }
 
-// FailureRate is the share of lately failed requests, 0 to 1.
+// FailureRate returns the share of failed requests among recent ones, from 0 to 1.
 func (l *Load) FailureRate(now time.Time) float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.decayedFailureRate(now)
 }
 
+// decayedFailureRate returns the failure rate after its decay since the last outcome; l.mu is
+// held.
 func (l *Load) decayedFailureRate(now time.Time) float64 {
 	if l.failureRate == 0 {
 		return 0
