--- a/coordination/subset/subset.go
+++ b/coordination/subset/subset.go
@@ -21,11 +21,11 @@
 // with. The number of hosts is taken as the power of two below, so that a few
 // hosts that come or go change no subset.
 func Size(hosts, runners int) int {
-	known := 1
-	for known*2 <= hosts {
-		known *= 2
+	roundedHosts := 1
+	for roundedHosts*2 <= hosts {
+		roundedHosts *= 2
 	}
-	return max(minSize, (runners*hostsPerRunner+known-1)/known)
+	return max(minSize, (runners*hostsPerRunner+roundedHosts-1)/roundedHosts)
 }
 
 // Choose returns the size names with the highest rendezvous score for the host,
@@ -38,11 +38,11 @@
 		slices.Sort(out)
 		return out
 	}
-	ranked := make([]ranking, len(names))
+	ranked := make([]scoredName, len(names))
 	for i, name := range names {
-		ranked[i] = ranking{score(host, name), name}
+		ranked[i] = scoredName{score(host, name), name}
 	}
-	slices.SortFunc(ranked, ranking.compare)
+	slices.SortFunc(ranked, scoredName.compare)
 	out := make([]string, size)
 	for i := range out {
 		out[i] = ranked[i].name
@@ -51,13 +51,13 @@
 	return out
 }
 
-type ranking struct {
+type scoredName struct {
 	score uint64
 	name  string
 }
 
 // compare puts the higher score first.
-func (r ranking) compare(o ranking) int {
+func (r scoredName) compare(o scoredName) int {
 	switch {
 	case r.score > o.score:
 		return -1
--- a/coordination/subset/subset_test.go
+++ b/coordination/subset/subset_test.go
@@ -16,7 +16,7 @@
 	return out
 }
 
-func TestEveryRunnerHasSeveralHosts(t *testing.T) {
+func TestEveryRunnerIsChosenBySeveralHosts(t *testing.T) {
 	cases := []struct{ hosts, runners, size int }{
 		{8, 12, 18}, {8, 112, 168}, {96, 112, 21}, {320, 112, 16}, {320, 1800, 85}, {1, 1800, 21600},
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestChangeMovesAtMostOnePlace(t *testing.T) {
+func TestRemovedRunnerChangesAtMostOneChoice(t *testing.T) {
 	is := is.New(t)
 	runners := names("r", 100)
 	before := Choose("host-1", runners, 10)
