--- a/coordination/subset/subset.go
+++ b/coordination/subset/subset.go
@@ -1,6 +1,6 @@
-// Package subset chooses, for each host, the runners of a service that it deals
-// with, so that the work of watching runners grows with the number of hosts or
-// of runners but not with their product.
+// Package subset chooses, for each host, the runners of a service that the host uses. The number
+// of watched pairs of host and runner then grows linearly with the hosts or the runners, and not
+// with their product.
 package subset
 
 import (
@@ -10,16 +10,15 @@
 )
 
 const (
-	// minSize is the smallest subset of a service: enough to choose well among.
+	// minSize is the smallest subset of a service: enough runners for a good choice among them.
 	minSize = 16
-	// hostsPerRunner is how many hosts are to deal with each runner, on average.
-	// With 12 the chance that none does is 6 in a million.
+	// hostsPerRunner is how many hosts use each runner on average. With 12 the probability that
+	// no host uses a given runner is 6 in a million.
 	hostsPerRunner = 12
 )
 
-// Size returns how many of a service's runners one of the hosts should deal
-// with. The number of hosts is taken as the power of two below, so that a few
-// hosts that come or go change no subset.
+// Size returns how many of a service's runners each host uses. The number of hosts is rounded
+// down to a power of two, so that a few added or removed hosts rarely change a subset.
 func Size(hosts, runners int) int {
 	roundedHosts := 1
 	for roundedHosts*2 <= hosts {
@@ -28,10 +27,9 @@
 	return max(minSize, (runners*hostsPerRunner+roundedHosts-1)/roundedHosts)
 }
 
-// Choose returns the size names with the highest rendezvous score for the host,
-// sorted. A name that comes or goes changes the choice of a host in at most one
-// place, and each name is chosen by about size*hosts/len(names) hosts. When size
-// is at least len(names), all are chosen.
+// Choose returns the size names with the highest rendezvous score for the host, sorted. Adding
+// or removing a name changes at most one name of the result, and each name is chosen by about
+// size*hosts/len(names) hosts. All names are returned if size is at least len(names).
 func Choose(host string, names []string, size int) []string {
 	if size >= len(names) {
 		out := slices.Clone(names)
@@ -51,12 +49,13 @@
 	return out
 }
 
+// scoredName is a runner's name with its rendezvous score for a host.
 type scoredName struct {
 	score uint64
 	name  string
 }
 
-// compare puts the higher score first.
+// compare sorts higher scores first.
 func (r scoredName) compare(o scoredName) int {
 	switch {
 	case r.score > o.score:
@@ -67,6 +66,7 @@
 	return 0
 }
 
+// score returns the rendezvous score of a name for a host.
 func score(host, name string) uint64 {
 	return xxhash.Sum64String(host + "\x00" + name)
 }
