--- a/coordination/backlog/forecast.go
+++ b/coordination/backlog/forecast.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// stuckAfter and stuckLeast are how many times longer than predicted, and by how much
+	// stuckFactor and stuckLeast are how many times longer than predicted, and by how much
 	// at least, an engine may end nothing before it counts as stuck.
-	stuckAfter = 3
-	stuckLeast = 200 * time.Millisecond
-	// lateWindow is the time over which the work that came is counted, and mostOvertaking
+	stuckFactor  = 3
+	minStuckTime = 200 * time.Millisecond
+	// arrivalWindow is the time over which the work that came is counted, and mostOvertaking
 	// the share of an engine's time that others are taken to need at most.
-	lateWindow     = 2 * time.Second
-	mostOvertaking = 0.75
+	arrivalWindow     = 2 * time.Second
+	maxOvertakingLoad = 0.75
 	// stepTokens is how much of prompts an engine reads in a step: 1,024 and 4,096 on
 	// today's sheets.
 	stepTokens = 4096
@@ -29,42 +29,42 @@
 	Wait, Finish time.Duration
 	// Rank is the prompt's order at the engine: a lower one is read first.
 	Rank int
-	// Kept is how many tokens of the shared parts the engine has read, from the first
-	// on: others may fetch them. Coming counts those as well that it reads before this
+	// CachedTokens is how many tokens of the shared parts the engine has read, from the first
+	// on: others may fetch them. CachedAtStart counts those as well that it reads before this
 	// prompt, and Cold is the predicted time for those that are left.
-	Kept, Coming int
-	Cold         time.Duration
+	CachedTokens, CachedAtStart int
+	UncachedTime                time.Duration
 	// Error is the mean relative error of late predictions, 0 to 1.
 	Error float64
-	// Known is set once predictions rest on enough readings.
-	Known bool
+	// Reliable is set once predictions rest on enough readings.
+	Reliable bool
 }
 
-// Late is when the reading ends if it takes longer than predicted by the mean error.
-func (f Forecast) Late() time.Duration {
+// PessimisticFinish is when the reading ends if it takes longer than predicted by the mean error.
+func (f Forecast) PessimisticFinish() time.Duration {
 	return f.Finish + time.Duration(f.Error*float64(f.Finish))
 }
 
 // Forecast predicts when a prompt that is added now would be read. One that would be
 // read later than limit goes behind those that aren't.
-func (q *Queue) Forecast(now time.Time, w Work, limit time.Duration) Forecast {
-	r, ready := q.reading(w)
-	took := q.factor * q.estimator.Predict(r)
-	warm := q.factor * q.estimator.Predict(reading{fresh: w.Own, kept: r.kept + r.fresh - w.Own})
+func (q *Queue) Forecast(now time.Time, w Prompt, limit time.Duration) Forecast {
+	r, fetchable := q.prefillOf(w)
+	prefillMS := q.factor * q.estimator.Predict(r)
+	cachedMS := q.factor * q.estimator.Predict(prefill{newTokens: w.OwnTokens, cachedTokens: r.cachedTokens + r.newTokens - w.OwnTokens})
 	f := Forecast{
-		Kept: ready, Coming: r.kept, Cold: state.Millis(max(0, took-warm)),
-		Error: q.estimator.Error(), Known: q.estimator.Known(),
+		CachedTokens: fetchable, CachedAtStart: r.cachedTokens, UncachedTime: state.Millis(max(0, prefillMS-cachedMS)),
+		Error: q.estimator.Error(), Reliable: q.estimator.Reliable(),
 	}
-	q.rank(&f, now, q.estimator.class(took), took)
-	if f.Late() > limit {
-		q.rank(&f, now, f.Rank+Classes, took)
+	q.setRank(&f, now, q.estimator.class(prefillMS), prefillMS)
+	if f.PessimisticFinish() > limit {
+		q.setRank(&f, now, f.Rank+Classes, prefillMS)
 	}
 	return f
 }
 
-// rank completes a forecast for a rank.
-func (q *Queue) rank(f *Forecast, now time.Time, rank int, tookMS float64) {
-	wait := q.waiting(now, rank, len(q.entries)) * q.overtaking(now, rank)
+// setRank completes a forecast for a setRank.
+func (q *Queue) setRank(f *Forecast, now time.Time, rank int, tookMS float64) {
+	wait := q.waitMS(now, rank, len(q.entries)) * q.overtakingFactor(now, rank)
 	f.Rank, f.Wait, f.Finish = rank, state.Millis(wait), state.Millis(wait+tookMS)
 }
 
@@ -75,8 +75,8 @@
 const (
 	// Unknown says that the queue has no such prompt.
 	Unknown Progress = iota
-	// Underway prompts wait or are read.
-	Underway
+	// InProgress prompts wait or are read.
+	InProgress
 	// Lost says that the engine ended later prompts before this one, or nothing for
 	// too long.
 	Lost
@@ -88,18 +88,18 @@
 	if at < 0 {
 		return Forecast{}, Unknown
 	}
-	if q.entries[at].overtaken >= lostFrom || q.stuck(now) {
+	if q.entries[at].overtaken >= lostAfterOvertakes || q.stuck(now) {
 		return Forecast{}, Lost
 	}
 	e := q.entries[at]
-	f := Forecast{Rank: e.rank, Error: q.estimator.Error(), Known: q.estimator.Known()}
+	f := Forecast{Rank: e.rank, Error: q.estimator.Error(), Reliable: q.estimator.Reliable()}
 	if e == q.current {
-		f.Finish = state.Millis(q.left(now))
-		return f, Underway
+		f.Finish = state.Millis(q.remainingMS(now))
+		return f, InProgress
 	}
-	wait := q.waiting(now, e.rank, at) * q.overtaking(now, e.rank)
-	f.Wait, f.Finish = state.Millis(wait), state.Millis(wait+q.factor*e.ms)
-	return f, Underway
+	wait := q.waitMS(now, e.rank, at) * q.overtakingFactor(now, e.rank)
+	f.Wait, f.Finish = state.Millis(wait), state.Millis(wait+q.factor*e.predictedMS)
+	return f, InProgress
 }
 
 // stuck reports whether the engine has ended nothing for several times as long as what
@@ -110,71 +110,71 @@
 	}
 	longest := 0.0
 	for _, e := range q.entries {
-		longest = max(longest, q.factor*e.ms)
+		longest = max(longest, q.factor*e.predictedMS)
 	}
-	return now.Sub(q.since) > state.Millis(stuckAfter*longest)+stuckLeast
+	return now.Sub(q.currentSince) > state.Millis(stuckFactor*longest)+minStuckTime
 }
 
-// reading is what the engine has to do for a prompt, and how many tokens of its shared
+// prefillOf is what the engine has to do for a prompt, and how many tokens of its shared
 // parts can be fetched from it.
-func (q *Queue) reading(w Work) (r reading, ready int) {
-	all := 0
-	for _, p := range w.Shared {
-		all += p.Tokens
+func (q *Queue) prefillOf(w Prompt) (r prefill, fetchable int) {
+	sharedTokens := 0
+	for _, p := range w.Parts {
+		sharedTokens += p.Tokens
 	}
-	r.kept, ready = q.parts.prefix(w.Shared)
-	if w.Fetched > r.kept {
-		r.fetchMS = w.FetchMS * float64(w.Fetched-r.kept) / float64(w.Fetched)
-		r.kept = w.Fetched
+	r.cachedTokens, fetchable = q.cache.prefix(w.Parts)
+	if w.FetchableTokens > r.cachedTokens {
+		r.fetchMS = w.FetchMS * float64(w.FetchableTokens-r.cachedTokens) / float64(w.FetchableTokens)
+		r.cachedTokens = w.FetchableTokens
 	}
-	r.fresh = all + w.Own - r.kept
-	return r, ready
+	r.newTokens = sharedTokens + w.OwnTokens - r.cachedTokens
+	return r, fetchable
 }
 
-// waiting is the predicted time of what is read before a prompt of the rank that came
+// waitMS is the predicted time of what is read before a prompt of the rank that came
 // after the first n of those under way, in milliseconds: an engine reads one prompt
 // after the other, by rank and then as they came.
-func (q *Queue) waiting(now time.Time, rank, n int) float64 {
+func (q *Queue) waitMS(now time.Time, rank, n int) float64 {
 	total := 0.0
-	if n == len(q.entries) && q.current != nil && q.left(now) < q.stepMS() {
+	if n == len(q.entries) && q.current != nil && q.remainingMS(now) < q.stepMS() {
 		// The prompt after the present one is in the same step already.
-		if e := q.first(now); e != nil && e.rank > rank {
-			total += q.factor * e.ms
+		if e := q.firstWaiting(now); e != nil && e.rank > rank {
+			total += q.factor * e.predictedMS
 		}
 	}
 	for i, e := range q.entries {
 		switch {
-		case e.overtaken >= lostFrom:
+		case e.overtaken >= lostAfterOvertakes:
 		case e == q.current:
-			total += q.left(now)
+			total += q.remainingMS(now)
 		case e.rank < rank || (e.rank == rank && i < n):
-			total += q.factor * e.ms
+			total += q.factor * e.predictedMS
 		}
 	}
 	return total
 }
 
-// left is the predicted time until what is being read has been, in milliseconds. What
+// remainingMS is the predicted time until what is being read has been, in milliseconds. What
 // should have ended is taken to last as much longer as it is late.
-func (q *Queue) left(now time.Time) float64 {
-	return math.Abs(q.factor*q.current.ms - now.Sub(q.since).Seconds()*thousand)
+func (q *Queue) remainingMS(now time.Time) float64 {
+	return math.Abs(q.factor*q.current.predictedMS - now.Sub(q.currentSince).Seconds()*thousand)
 }
 
-// next takes the first by rank of those that wait as the one that is read from now on.
+// startNext takes the first by rank of those that wait as the one that is read from now on.
 // It was chosen when the last step began: one that came later isn't.
-func (q *Queue) next(now time.Time) {
-	q.since, q.current = now, q.first(now.Add(-state.Millis(q.stepMS())))
+func (q *Queue) startNext(now time.Time) {
+	q.currentSince, q.current = now, q.firstWaiting(now.Add(-state.Millis(q.stepMS())))
 	if q.current == nil {
-		q.current = q.first(now)
+		q.current = q.firstWaiting(now)
 	}
 }
 
-// first is the first by rank of those that came until then and aren't being read; nil if
+// firstWaiting is the firstWaiting by rank of those that came until then and aren't being read; nil if
 // there are none.
-func (q *Queue) first(until time.Time) *entry {
+func (q *Queue) firstWaiting(until time.Time) *entry {
 	var out *entry
 	for _, e := range q.entries {
-		if e == q.current || e.overtaken >= lostFrom || e.arrived.After(until) {
+		if e == q.current || e.overtaken >= lostAfterOvertakes || e.arrived.After(until) {
 			continue
 		}
 		if out == nil || e.rank < out.rank {
@@ -188,22 +188,22 @@
 // is chosen when it begins.
 func (q *Queue) stepMS() float64 { return q.factor * q.estimator.tokensMS(stepTokens) }
 
-// overtaking is how many times longer a prompt waits because others of a lower rank
+// overtakingFactor is how many times longer a prompt waits because others of a lower rank
 // come meanwhile, by the work of these ranks that arrived recently.
-func (q *Queue) overtaking(now time.Time, rank int) float64 {
-	q.fade(now)
+func (q *Queue) overtakingFactor(now time.Time, rank int) float64 {
+	q.decayRecentLoad(now)
 	load := 0.0
-	for _, l := range q.recent[:rank] {
+	for _, l := range q.recentLoad[:rank] {
 		load += l
 	}
-	return 1 / (1 - min(load, mostOvertaking))
+	return 1 / (1 - min(load, maxOvertakingLoad))
 }
 
-// fade lets the work that arrived recently be forgotten.
-func (q *Queue) fade(now time.Time) {
-	left := math.Exp(-now.Sub(q.fadedAt).Seconds() / lateWindow.Seconds())
-	for i := range q.recent {
-		q.recent[i] *= left
+// decayRecentLoad lets the work that arrived recently be forgotten.
+func (q *Queue) decayRecentLoad(now time.Time) {
+	weight := math.Exp(-now.Sub(q.recentLoadAt).Seconds() / arrivalWindow.Seconds())
+	for i := range q.recentLoad {
+		q.recentLoad[i] *= weight
 	}
-	q.fadedAt = now
+	q.recentLoadAt = now
 }
--- a/coordination/backlog/kept.go
+++ b/coordination/backlog/kept.go
@@ -2,18 +2,18 @@
 
 import "container/list"
 
-// mostParts bounds the parts that are remembered of an engine, whatever its memory: some
+// maxParts bounds the parts that are remembered of an engine, whatever its memory: some
 // 800 prompts of the least size that is read apart fill the memories of today's sheets.
-const mostParts = 8192
+const maxParts = 8192
 
-// kept is the parts that an engine is believed to keep: the least recently used yield
+// prefixCache is the parts that an engine is believed to keep: the least recently used yield
 // when its memory is full, as at the engine itself.
-type kept struct {
-	// capacity is the engine's memory in tokens; 0 if it isn't known.
-	capacity int
-	tokens   int
-	order    *list.List // of *part, the most recently used first
-	byID     map[uint64]*list.Element
+type prefixCache struct {
+	// capacityTokens is the engine's memory in tokens; 0 if it isn't known.
+	capacityTokens int
+	tokens         int
+	recency        *list.List // of *part, the most recently used first
+	byID           map[uint64]*list.Element
 }
 
 type part struct {
@@ -24,77 +24,79 @@
 	pending bool
 }
 
-func newKept() *kept { return &kept{order: list.New(), byID: map[uint64]*list.Element{}} }
+func newPrefixCache() *prefixCache {
+	return &prefixCache{recency: list.New(), byID: map[uint64]*list.Element{}}
+}
 
 // prefix returns how many tokens of the parts, from the first on, the engine keeps or
 // will have read, and how many of them it has read already.
-func (k *kept) prefix(parts []Part) (tokens, ready int) {
-	whole := true
+func (c *prefixCache) prefix(parts []Part) (tokens, fetchable int) {
+	contiguous := true
 	for _, p := range parts {
-		at := k.byID[p.ID]
+		at := c.byID[p.ID]
 		if at == nil {
 			break
 		}
 		tokens += p.Tokens
-		whole = whole && !at.Value.(*part).pending
-		if whole {
-			ready = tokens
+		contiguous = contiguous && !at.Value.(*part).pending
+		if contiguous {
+			fetchable = tokens
 		}
 	}
-	return tokens, ready
+	return tokens, fetchable
 }
 
-// use notes that a prompt with the parts is read, and returns the parts that weren't
+// insert notes that a prompt with the parts is read, and returns the parts that weren't
 // there.
-func (k *kept) use(w Work, memory int) []uint64 {
-	k.capacity = memory
+func (c *prefixCache) insert(w Prompt, memoryTokens int) []uint64 {
+	c.capacityTokens = memoryTokens
 	var added []uint64
-	for _, p := range w.Shared {
-		if at := k.byID[p.ID]; at != nil {
-			k.order.MoveToFront(at)
+	for _, p := range w.Parts {
+		if at := c.byID[p.ID]; at != nil {
+			c.recency.MoveToFront(at)
 			continue
 		}
-		k.add(&part{id: p.ID, tokens: p.Tokens, pending: true})
+		c.add(&part{id: p.ID, tokens: p.Tokens, pending: true})
 		added = append(added, p.ID)
 	}
 	// A prompt's own part takes memory as well, but nobody asks for it again.
-	k.order.PushFront(&part{tokens: w.Own})
-	k.tokens += w.Own
-	k.yield()
+	c.recency.PushFront(&part{tokens: w.OwnTokens})
+	c.tokens += w.OwnTokens
+	c.evict()
 	return added
 }
 
-func (k *kept) add(p *part) {
-	k.byID[p.id] = k.order.PushFront(p)
-	k.tokens += p.tokens
+func (c *prefixCache) add(p *part) {
+	c.byID[p.id] = c.recency.PushFront(p)
+	c.tokens += p.tokens
 }
 
-// yield drops parts while there are more than the memory holds or than are remembered.
-func (k *kept) yield() {
-	for k.order.Len() > mostParts || (k.capacity > 0 && k.tokens > k.capacity && k.order.Len() > 0) {
-		k.remove(k.order.Back())
+// evict drops parts while there are more than the memory holds or than are remembered.
+func (c *prefixCache) evict() {
+	for c.recency.Len() > maxParts || (c.capacityTokens > 0 && c.tokens > c.capacityTokens && c.recency.Len() > 0) {
+		c.remove(c.recency.Back())
 	}
 }
 
-func (k *kept) remove(at *list.Element) {
+func (c *prefixCache) remove(at *list.Element) {
 	p := at.Value.(*part)
-	k.order.Remove(at)
-	k.tokens -= p.tokens
-	if k.byID[p.id] == at {
-		delete(k.byID, p.id)
+	c.recency.Remove(at)
+	c.tokens -= p.tokens
+	if c.byID[p.id] == at {
+		delete(c.byID, p.id)
 	}
 }
 
-// settle notes that parts have been read, or that their reading was broken off.
-func (k *kept) settle(ids []uint64, read bool) {
+// complete notes that parts have been read, or that their reading was broken off.
+func (c *prefixCache) complete(ids []uint64, completed bool) {
 	for _, id := range ids {
-		at := k.byID[id]
+		at := c.byID[id]
 		switch {
 		case at == nil:
-		case read:
+		case completed:
 			at.Value.(*part).pending = false
 		default:
-			k.remove(at)
+			c.remove(at)
 		}
 	}
 }
--- a/coordination/backlog/queue_test.go
+++ b/coordination/backlog/queue_test.go
@@ -15,147 +15,147 @@
 
 const (
 	memory  = 470_000
-	anyTime = time.Hour
+	noLimit = time.Hour
 )
 
 // known returns an estimator that has learnt truth.
-func known() *Estimator {
+func trainedEstimator() *Estimator {
 	rng := rand.New(rand.NewPCG(5, 6))
 	e := NewEstimator()
 	for range 200 {
-		r := skewed(rng)
-		e.learn(r.features(), truth(r))
-		e.met(truth(r))
+		r := skewedPrefill(rng)
+		e.learn(r.features(), measuredMS(r))
+		e.observe(measuredMS(r))
 	}
 	return e
 }
 
-func own(tokens int) Work { return Work{Own: tokens} }
+func ownPrompt(tokens int) Prompt { return Prompt{OwnTokens: tokens} }
 
 // start is any moment.
 var start = time.Unix(1000, 0)
 
 func at(ms float64) time.Time { return start.Add(state.Millis(ms)) }
 
-func (q *Queue) add(now time.Time, id uint64, w Work) Forecast {
-	f := q.Forecast(now, w, anyTime)
+func (q *Queue) add(now time.Time, id uint64, w Prompt) Forecast {
+	f := q.Forecast(now, w, noLimit)
 	q.Add(now, id, w, f.Rank, memory)
 	return f
 }
 
-func near(got time.Duration, wantMS float64) bool {
+func approximately(got time.Duration, wantMS float64) bool {
 	return math.Abs(float64(got)/float64(time.Millisecond)-wantMS) < 0.1*wantMS+1
 }
 
-func TestForecastAddsUpWhatWaits(t *testing.T) {
+func TestForecastSumsUpWaitingPrefills(t *testing.T) {
 	is := is.New(t)
-	q := NewQueue(known())
-	one := truth(reading{fresh: 4000})
-	is.True(near(q.add(at(0), 1, own(4000)).Finish, one))
-	is.True(near(q.add(at(0), 2, own(4000)).Finish, 2*one))
-	f := q.Forecast(at(one/2), own(4000), anyTime)
-	is.True(near(f.Wait, 1.5*one)) // half of the first is done
-	q.Remove(at(one), 1, true)
-	is.True(near(q.Forecast(at(one), own(4000), anyTime).Wait, one))
+	q := NewQueue(trainedEstimator())
+	prefillMS := measuredMS(prefill{newTokens: 4000})
+	is.True(approximately(q.add(at(0), 1, ownPrompt(4000)).Finish, prefillMS))
+	is.True(approximately(q.add(at(0), 2, ownPrompt(4000)).Finish, 2*prefillMS))
+	f := q.Forecast(at(prefillMS/2), ownPrompt(4000), noLimit)
+	is.True(approximately(f.Wait, 1.5*prefillMS)) // half of the first is done
+	q.Remove(at(prefillMS), 1, true)
+	is.True(approximately(q.Forecast(at(prefillMS), ownPrompt(4000), noLimit).Wait, prefillMS))
 }
 
 // A cold start: the prompts of a session come at once, and its shared part is read by
 // the first of them.
-func TestSharedPartIsReadOnce(t *testing.T) {
+func TestSharedPartIsComputedOnce(t *testing.T) {
 	is := is.New(t)
-	q := NewQueue(known())
-	w := Work{Shared: []Part{{ID: 7, Tokens: 13300}}, Own: 1000}
+	q := NewQueue(trainedEstimator())
+	w := Prompt{Parts: []Part{{ID: 7, Tokens: 13300}}, OwnTokens: 1000}
 	first := q.add(at(0), 1, w)
-	is.True(near(first.Finish, truth(reading{fresh: 14300})))
-	is.Equal(first.Kept, 0)
-	second := q.Forecast(at(0), w, anyTime)
-	is.True(near(second.Finish-second.Wait, truth(reading{fresh: 1000, kept: 13300})))
-	is.Equal(second.Kept, 0) // nobody can fetch what is still being read
-	is.Equal(second.Coming, 13300)
+	is.True(approximately(first.Finish, measuredMS(prefill{newTokens: 14300})))
+	is.Equal(first.CachedTokens, 0)
+	second := q.Forecast(at(0), w, noLimit)
+	is.True(approximately(second.Finish-second.Wait, measuredMS(prefill{newTokens: 1000, cachedTokens: 13300})))
+	is.Equal(second.CachedTokens, 0) // nobody can fetch what is still being read
+	is.Equal(second.CachedAtStart, 13300)
 	q.Remove(at(300), 1, true)
-	third := q.Forecast(at(300), w, anyTime)
-	is.Equal(third.Kept, 13300)
-	is.Equal(third.Cold, time.Duration(0))
+	third := q.Forecast(at(300), w, noLimit)
+	is.Equal(third.CachedTokens, 13300)
+	is.Equal(third.UncachedTime, time.Duration(0))
 }
 
-func TestSharedPartThatWasNotReadIsNotKept(t *testing.T) {
+func TestPartOfAbortedPrefillIsNotCached(t *testing.T) {
 	is := is.New(t)
-	q := NewQueue(known())
-	w := Work{Shared: []Part{{ID: 7, Tokens: 13300}}, Own: 1000}
+	q := NewQueue(trainedEstimator())
+	w := Prompt{Parts: []Part{{ID: 7, Tokens: 13300}}, OwnTokens: 1000}
 	q.add(at(0), 1, w)
 	q.Remove(at(10), 1, false)
-	is.Equal(q.Forecast(at(10), w, anyTime).Coming, 0)
+	is.Equal(q.Forecast(at(10), w, noLimit).CachedAtStart, 0)
 }
 
-func TestLeastRecentlyUsedPartsYield(t *testing.T) {
+func TestLeastRecentlyUsedPartsAreEvicted(t *testing.T) {
 	is := is.New(t)
-	q := NewQueue(known())
+	q := NewQueue(trainedEstimator())
 	id := uint64(0)
-	read := func(part uint64) {
+	addAndRemove := func(part uint64) {
 		id++
-		q.add(at(0), id, Work{Shared: []Part{{ID: part, Tokens: 100_000}}, Own: 10_000})
+		q.add(at(0), id, Prompt{Parts: []Part{{ID: part, Tokens: 100_000}}, OwnTokens: 10_000})
 		q.Remove(at(1), id, true)
 	}
 	for _, part := range []uint64{1, 2, 3, 1, 4, 5} {
-		read(part)
+		addAndRemove(part)
 	}
-	kept := func(part uint64) int {
-		return q.Forecast(at(2), Work{Shared: []Part{{ID: part, Tokens: 100_000}}}, anyTime).Kept
+	cachedTokens := func(part uint64) int {
+		return q.Forecast(at(2), Prompt{Parts: []Part{{ID: part, Tokens: 100_000}}}, noLimit).CachedTokens
 	}
-	is.Equal(kept(2), 0) // longest ago
-	is.Equal(kept(1), 100_000)
-	is.Equal(kept(5), 100_000)
+	is.Equal(cachedTokens(2), 0) // longest ago
+	is.Equal(cachedTokens(1), 100_000)
+	is.Equal(cachedTokens(5), 100_000)
 }
 
 // An engine whose memory isn't known, or parts without tokens, must not fill the owner's.
-func TestPartsThatAreRememberedAreBounded(t *testing.T) {
+func TestTrackedPartsAreBounded(t *testing.T) {
 	is := is.New(t)
 	for _, memory := range []int{0, 470_000} {
-		k := newKept()
-		for id := range uint64(3 * mostParts) {
-			k.use(Work{Shared: []Part{{ID: id}}}, memory)
+		k := newPrefixCache()
+		for id := range uint64(3 * maxParts) {
+			k.insert(Prompt{Parts: []Part{{ID: id}}}, memory)
 		}
-		is.True(k.order.Len() <= mostParts)
-		is.True(len(k.byID) <= mostParts)
+		is.True(k.recency.Len() <= maxParts)
+		is.True(len(k.byID) <= maxParts)
 	}
 }
 
-func TestFetchedPartsAreNotRead(t *testing.T) {
+func TestFetchedPartsAreNotComputed(t *testing.T) {
 	is := is.New(t)
-	q := NewQueue(known())
-	w := Work{Shared: []Part{{ID: 7, Tokens: 13300}}, Own: 1000, Fetched: 13300, FetchMS: 22}
-	is.True(near(q.Forecast(at(0), w, anyTime).Finish, truth(reading{fresh: 1000, kept: 13300})+22))
+	q := NewQueue(trainedEstimator())
+	w := Prompt{Parts: []Part{{ID: 7, Tokens: 13300}}, OwnTokens: 1000, FetchableTokens: 13300, FetchMS: 22}
+	is.True(approximately(q.Forecast(at(0), w, noLimit).Finish, measuredMS(prefill{newTokens: 1000, cachedTokens: 13300})+22))
 }
 
-func TestLatePromptsGoBehindThoseInTime(t *testing.T) {
+func TestLatePromptsRankAfterThoseInTime(t *testing.T) {
 	is := is.New(t)
-	q := NewQueue(known())
-	q.add(at(0), 1, own(20000))
-	late := q.Forecast(at(0), own(4000), time.Millisecond)
+	q := NewQueue(trainedEstimator())
+	q.add(at(0), 1, ownPrompt(20000))
+	late := q.Forecast(at(0), ownPrompt(4000), time.Millisecond)
 	is.True(late.Rank >= Classes)
-	q.Add(at(0), 2, own(4000), late.Rank, memory)
-	in := q.Forecast(at(0), own(4000), time.Second)
+	q.Add(at(0), 2, ownPrompt(4000), late.Rank, memory)
+	in := q.Forecast(at(0), ownPrompt(4000), time.Second)
 	is.True(in.Rank < Classes)
-	is.True(near(in.Wait, truth(reading{fresh: 20000}))) // the late one isn't before it
+	is.True(approximately(in.Wait, measuredMS(prefill{newTokens: 20000}))) // the late one isn't before it
 }
 
 // An engine five times as slow as the others is known within a few readings, and doesn't
 // change what is expected of the others.
-func TestSlowEngineIsFound(t *testing.T) {
+func TestSlowEngineIsDetected(t *testing.T) {
 	is := is.New(t)
-	e := known()
-	slow, sound := NewQueue(e), NewQueue(e)
-	now, usual := 0.0, truth(reading{fresh: 4000})
+	e := trainedEstimator()
+	slow, normal := NewQueue(e), NewQueue(e)
+	now, usual := 0.0, measuredMS(prefill{newTokens: 4000})
 	for id := range uint64(8) {
-		slow.add(at(now), id, own(4000))
+		slow.add(at(now), id, ownPrompt(4000))
 		now += 5 * usual
 		slow.Remove(at(now), id, true)
 	}
 	is.True(slow.Factor() > 3)
-	is.True(slow.Forecast(at(now), own(4000), anyTime).Finish > 3*sound.Forecast(at(now), own(4000), anyTime).Finish)
-	is.True(near(sound.Forecast(at(now), own(4000), anyTime).Finish, usual))
+	is.True(slow.Forecast(at(now), ownPrompt(4000), noLimit).Finish > 3*normal.Forecast(at(now), ownPrompt(4000), noLimit).Finish)
+	is.True(approximately(normal.Forecast(at(now), ownPrompt(4000), noLimit).Finish, usual))
 	for id := uint64(100); id < 120; id++ { // sound again
-		slow.add(at(now), id, own(4000))
+		slow.add(at(now), id, ownPrompt(4000))
 		now += usual
 		slow.Remove(at(now), id, true)
 	}
@@ -163,42 +163,42 @@
 }
 
 // The answer to a reading was lost: those after it ended, so that nothing waits for it.
-func TestLostAnswerHoldsUpNobody(t *testing.T) {
+func TestLostAnswerDelaysNoOtherPrompt(t *testing.T) {
 	is := is.New(t)
-	q := NewQueue(known())
-	one := truth(reading{fresh: 4000})
+	q := NewQueue(trainedEstimator())
+	prefillMS := measuredMS(prefill{newTokens: 4000})
 	for id := range uint64(4) {
-		q.add(at(0), id, own(4000))
+		q.add(at(0), id, ownPrompt(4000))
 	}
-	q.Remove(at(2*one), 1, true)
-	q.Remove(at(3*one), 2, true)
-	_, progress := q.Remaining(at(3*one), 0)
+	q.Remove(at(2*prefillMS), 1, true)
+	q.Remove(at(3*prefillMS), 2, true)
+	_, progress := q.Remaining(at(3*prefillMS), 0)
 	is.Equal(progress, Lost)
-	is.True(near(q.Forecast(at(3*one), own(4000), anyTime).Wait, one)) // the fourth's
+	is.True(approximately(q.Forecast(at(3*prefillMS), ownPrompt(4000), noLimit).Wait, prefillMS)) // the fourth's
 }
 
-func TestDarkEngineIsLost(t *testing.T) {
+func TestPromptsOfStuckEngineAreLost(t *testing.T) {
 	is := is.New(t)
-	q := NewQueue(known())
-	one := truth(reading{fresh: 4000})
-	q.add(at(0), 1, own(4000))
-	q.add(at(0), 2, own(4000))
-	f, progress := q.Remaining(at(one/2), 2)
-	is.Equal(progress, Underway)
-	is.True(near(f.Finish, 1.5*one))
-	_, progress = q.Remaining(at(one*4+300), 2)
+	q := NewQueue(trainedEstimator())
+	prefillMS := measuredMS(prefill{newTokens: 4000})
+	q.add(at(0), 1, ownPrompt(4000))
+	q.add(at(0), 2, ownPrompt(4000))
+	f, progress := q.Remaining(at(prefillMS/2), 2)
+	is.Equal(progress, InProgress)
+	is.True(approximately(f.Finish, 1.5*prefillMS))
+	_, progress = q.Remaining(at(prefillMS*4+300), 2)
 	is.Equal(progress, Lost)
 	_, progress = q.Remaining(at(0), 9)
 	is.Equal(progress, Unknown)
 }
 
-func TestBrokenOffReadingTeachesNothing(t *testing.T) {
+func TestAbortedPrefillIsNoSample(t *testing.T) {
 	is := is.New(t)
-	e := known()
+	e := trainedEstimator()
 	q := NewQueue(e)
 	before := e.samples
-	q.add(at(0), 1, own(4000))
-	q.add(at(0), 2, own(4000))
+	q.add(at(0), 1, ownPrompt(4000))
+	q.add(at(0), 2, ownPrompt(4000))
 	q.Remove(at(5000), 1, false)
 	q.Remove(at(5001), 2, true)
 	is.Equal(e.samples, before)
@@ -207,14 +207,14 @@
 
 // job is a prompt at an emulated engine.
 type job struct {
-	id        uint64
-	rank      int
-	ms        float64
-	came      float64
-	predicted float64
+	id         uint64
+	rank       int
+	durationMS float64
+	arrivedMS  float64
+	predicted  float64
 }
 
-// jobs is ordered as an engine reads them: by rank and then as they came.
+// jobs is ordered as an engine reads them: by rank and then as they arrivedMS.
 type jobs []job
 
 func (j jobs) Len() int { return len(j) }
@@ -222,7 +222,7 @@
 	if j[a].rank != j[b].rank {
 		return j[a].rank < j[b].rank
 	}
-	return j[a].came < j[b].came
+	return j[a].arrivedMS < j[b].arrivedMS
 }
 func (j jobs) Swap(a, b int) { j[a], j[b] = j[b], j[a] }
 func (j *jobs) Push(x any)   { *j = append(*j, x.(job)) }
@@ -236,58 +236,58 @@
 // burst plays prompts of skewed sizes at one engine for some seconds, at a share of
 // what it can read, and returns the ratios of seen and predicted times and the waits of
 // the shorter half and of all.
-func burst(share float64, class func(*Estimator, float64) int) (ratios, short, all []float64) {
+func simulateBurst(load float64, class func(*Estimator, float64) int) (ratios, short, all []float64) {
 	rng := rand.New(rand.NewPCG(7, 8))
-	q := NewQueue(known())
+	q := NewQueue(trainedEstimator())
 	var waiting jobs
 	var running *job
 	now, ends, id := 0.0, math.Inf(1), uint64(0)
 	const mean, seconds = 90.0, 60
-	next := rng.ExpFloat64() * mean / share
+	next := rng.ExpFloat64() * mean / load
 	for now < seconds*1000 {
 		if running == nil && len(waiting) > 0 {
 			j := heap.Pop(&waiting).(job)
-			running, ends = &j, now+j.ms
+			running, ends = &j, now+j.durationMS
 		}
 		if running != nil && ends <= next {
 			now = ends
 			q.Remove(at(now), running.id, true)
-			took := now - running.came
+			took := now - running.arrivedMS
 			ratios = append(ratios, took/running.predicted)
 			all = append(all, took)
-			if running.ms < mean/2 {
+			if running.durationMS < mean/2 {
 				short = append(short, took)
 			}
 			running, ends = nil, math.Inf(1)
 			continue
 		}
 		now = next
-		next = now + rng.ExpFloat64()*mean/share
+		next = now + rng.ExpFloat64()*mean/load
 		id++
-		r := skewed(rng)
-		r.kept = 13300
-		w := Work{Shared: []Part{{ID: 1, Tokens: 13300}}, Own: r.fresh}
-		f := q.Forecast(at(now), w, anyTime)
-		f.Rank = class(q.estimator, truth(r))
-		q.rank(&f, at(now), f.Rank, truth(r))
+		r := skewedPrefill(rng)
+		r.cachedTokens = 13300
+		w := Prompt{Parts: []Part{{ID: 1, Tokens: 13300}}, OwnTokens: r.newTokens}
+		f := q.Forecast(at(now), w, noLimit)
+		f.Rank = class(q.estimator, measuredMS(r))
+		q.setRank(&f, at(now), f.Rank, measuredMS(r))
 		q.Add(at(now), id, w, f.Rank, memory)
-		heap.Push(&waiting, job{id, f.Rank, truth(r), now, float64(f.Finish) / float64(time.Millisecond)})
+		heap.Push(&waiting, job{id, f.Rank, measuredMS(r), now, float64(f.Finish) / float64(time.Millisecond)})
 	}
 	return ratios, short, all
 }
 
-func quantile(of []float64, q float64) float64 {
-	slices.Sort(of)
-	return of[int(q*float64(len(of)-1))]
+func quantile(values []float64, q float64) float64 {
+	slices.Sort(values)
+	return values[int(q*float64(len(values)-1))]
 }
 
 // Prompts of skewed sizes fill an engine to nine tenths: what is predicted when they come
 // is what they take, and the shorter half hardly waits.
 func TestBurstOfSkewedPrompts(t *testing.T) {
 	is := is.New(t)
-	ratios, short, _ := burst(0.9, (*Estimator).class)
+	ratios, short, _ := simulateBurst(0.9, (*Estimator).class)
 	is.True(len(ratios) > 400)
 	is.True(quantile(ratios, 0.5) > 0.7 && quantile(ratios, 0.5) < 1.3)
-	_, unordered, _ := burst(0.9, func(*Estimator, float64) int { return 0 })
-	is.True(quantile(short, 0.5) < quantile(unordered, 0.5)/2)
+	_, unranked, _ := simulateBurst(0.9, func(*Estimator, float64) int { return 0 })
+	is.True(quantile(short, 0.5) < quantile(unranked, 0.5)/2)
 }
--- a/coordination/backlog/work.go
+++ b/coordination/backlog/work.go
@@ -7,22 +7,22 @@
 	Tokens int
 }
 
-// Work is one prompt to be read.
-type Work struct {
-	// Shared are the parts before the prompt's own, Own the tokens of that.
-	Shared []Part
-	Own    int
-	// Fetched is how many tokens of Shared, from the first on, can be fetched from
+// Prompt is one prompt to be read.
+type Prompt struct {
+	// Parts are the parts before the prompt's own, Own the tokens of that.
+	Parts     []Part
+	OwnTokens int
+	// FetchableTokens is how many tokens of Shared, from the first on, can be fetched from
 	// another engine, and FetchMS how long that takes for all of them.
-	Fetched int
-	FetchMS float64
+	FetchableTokens int
+	FetchMS         float64
 }
 
-// reading is what an engine has to do for a prompt.
-type reading struct {
-	// fresh tokens are read, after kept ones that the engine has.
-	fresh, kept int
-	fetchMS     float64
+// prefill is what an engine has to do for a prompt.
+type prefill struct {
+	// newTokens tokens are read, after cachedTokens ones that the engine has.
+	newTokens, cachedTokens int
+	fetchMS                 float64
 }
 
 // features are what the time of a reading is linear in.
@@ -36,7 +36,7 @@
 
 // features of a reading: one; thousands of tokens; millions of pairs of a token and one
 // before it.
-func (r reading) features() features {
-	fresh, kept := float64(r.fresh), float64(r.kept)
-	return features{1, fresh / thousand, fresh * (kept + fresh/2) / million}
+func (r prefill) features() features {
+	newTokens, cachedTokens := float64(r.newTokens), float64(r.cachedTokens)
+	return features{1, newTokens / thousand, newTokens * (cachedTokens + newTokens/2) / million}
 }
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -142,7 +142,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{hang: true}, prefilled, generated)
-		w.gate.given = &backlog.Forecast{Wait: 20 * time.Millisecond, Finish: 900 * time.Millisecond, Known: true}
+		w.gate.given = &backlog.Forecast{Wait: 20 * time.Millisecond, Finish: 900 * time.Millisecond, Reliable: true}
 		go func() {
 			time.Sleep(50 * time.Millisecond)
 			for _, r := range w.fleet.Runners("model") {
--- a/coordination/forward/mixed_test.go
+++ b/coordination/forward/mixed_test.go
@@ -12,7 +12,7 @@
 func TestLongPromptStaysAtOneMixedEngine(t *testing.T) {
 	is := is.New(t)
 	w := newMixedWorld(t, plenty, generated)
-	w.gate.refusal = []backlog.Forecast{{Wait: 300 * time.Millisecond, Finish: 320 * time.Millisecond, Kept: 400, Coming: 400}}
+	w.gate.refusal = []backlog.Forecast{{Wait: 300 * time.Millisecond, Finish: 320 * time.Millisecond, CachedTokens: 400, CachedAtStart: 400}}
 	w.mustServe(t)
 	is.Equal(len(w.up.attempts), 1)
 	a := w.up.attempts[0]
@@ -24,7 +24,7 @@
 	is.Equal(a.FetchFrom, w.gate.asks[0].Engine.Name+":1")
 	// Admission is for the prefill, not for a slot.
 	is.Equal(w.gate.asks[0].Most, 0)
-	is.True(w.gate.asks[0].Reading.Work.Own > 0)
+	is.True(w.gate.asks[0].Reading.Work.OwnTokens > 0)
 }
 
 func TestLatePromptIsQueuedLastAtMixedEngine(t *testing.T) {
--- a/coordination/forward/offer.go
+++ b/coordination/forward/offer.go
@@ -39,9 +39,9 @@
 func (o offer) cost(r *Request, p prompt, source offer) time.Duration {
 	f := o.Forecast
 	saved := time.Duration(0)
-	if missing := p.shared() - f.Coming; source.Forecast.Kept > f.Coming {
-		found := source.Forecast.Kept - f.Coming
-		saved = time.Duration(float64(f.Cold)*float64(found)/float64(missing)) - moving(r, found, source.runner, o.runner)
+	if missing := p.shared() - f.CachedAtStart; source.Forecast.CachedTokens > f.CachedAtStart {
+		found := source.Forecast.CachedTokens - f.CachedAtStart
+		saved = time.Duration(float64(f.UncachedTime)*float64(found)/float64(missing)) - moving(r, found, source.runner, o.runner)
 	}
 	return 2*(f.Finish-saved) - f.Wait
 }
@@ -60,7 +60,7 @@
 		if runner == nil {
 			break
 		}
-		ask := d.readingAsk(r, runner, backlog.Work(p), shortWait, limit)
+		ask := d.readingAsk(r, runner, backlog.Prompt(p), shortWait, limit)
 		ask.Reading.Warm = true
 		o := offer{runner, d.o.Gate.Enter(ctx, ask)}
 		if o.Place != nil {
@@ -73,16 +73,16 @@
 	if len(offers) == 0 {
 		return turn{kind: TurnOwn}, nil
 	}
-	source := slices.MaxFunc(offers, func(a, b offer) int { return cmp.Compare(a.Forecast.Kept, b.Forecast.Kept) })
+	source := slices.MaxFunc(offers, func(a, b offer) int { return cmp.Compare(a.Forecast.CachedTokens, b.Forecast.CachedTokens) })
 	best := slices.MinFunc(offers, func(a, b offer) int { return cmp.Compare(a.cost(r, p, source), b.cost(r, p, source)) })
 	if err := d.hopeless(r, rec, best); err != nil {
 		return turn{}, err
 	}
-	work := backlog.Work(p)
+	work := backlog.Prompt(p)
 	var from *placement.Runner
-	if kept := source.Forecast.Kept; kept > best.Forecast.Coming {
+	if kept := source.Forecast.CachedTokens; kept > best.Forecast.CachedAtStart {
 		from = source.runner
-		work.Fetched = kept
+		work.FetchableTokens = kept
 		work.FetchMS = state.InMillis(moving(r, kept, from, best.runner))
 	}
 	ask := d.readingAsk(r, best.runner, work, anyTime, limit)
@@ -95,7 +95,7 @@
 // caller when it would be read in time.
 func (d *Dispatcher) hopeless(r *Request, rec *record, best offer) error {
 	left := d.prefillTimeLeft(r)
-	if best.Own || !best.Forecast.Known || best.Forecast.Finish < left {
+	if best.Own || !best.Forecast.Reliable || best.Forecast.Finish < left {
 		return nil
 	}
 	d.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "request is hopeless", slog.String("request_id", r.ID),
@@ -121,12 +121,12 @@
 }
 
 // prompt is a prompt's work at an engine that keeps nothing of it.
-type prompt backlog.Work
+type prompt backlog.Prompt
 
 func promptWork(g *Generation) prompt {
-	p := prompt{Own: g.OwnTokens()}
+	p := prompt{OwnTokens: g.OwnTokens()}
 	for _, part := range g.Parts[:max(0, len(g.Parts)-1)] {
-		p.Shared = append(p.Shared, backlog.Part{ID: xxhash.Sum64String(part.ID), Tokens: part.Tokens})
+		p.Parts = append(p.Parts, backlog.Part{ID: xxhash.Sum64String(part.ID), Tokens: part.Tokens})
 	}
 	return p
 }
@@ -134,7 +134,7 @@
 // shared is the size of the parts before the prompt's own.
 func (p prompt) shared() int {
 	out := 0
-	for _, part := range p.Shared {
+	for _, part := range p.Parts {
 		out += part.Tokens
 	}
 	return out
@@ -162,7 +162,7 @@
 }
 
 // readingAsk asks for a place at which the prompt is read.
-func (d *Dispatcher) readingAsk(r *Request, at *placement.Runner, w backlog.Work, wait, limit time.Duration) occupancy.Ask {
+func (d *Dispatcher) readingAsk(r *Request, at *placement.Runner, w backlog.Prompt, wait, limit time.Duration) occupancy.Ask {
 	reading := &occupancy.Reading{Service: r.Service, Work: w, MaxWait: wait, Limit: limit}
 	if r.Engine != nil {
 		reading.Memory = r.Engine.KVTokens
--- a/coordination/forward/patience.go
+++ b/coordination/forward/patience.go
@@ -48,7 +48,7 @@
 // run looks after the reading until the wait is over.
 func (p *patience) run() {
 	next := p.d.prefillTimeLeft(p.r)
-	if f := p.t.forecast; f.Known {
+	if f := p.t.forecast; f.Reliable {
 		next = min(next, expected(f))
 	}
 	for {
@@ -79,7 +79,7 @@
 func (p *patience) progresses() bool {
 	_, progress := p.t.place.Remaining(p.ctx)
 	switch progress {
-	case backlog.Underway:
+	case backlog.InProgress:
 		return true
 	case backlog.Unknown:
 		before := p.unsure
--- a/coordination/forward/prefill.go
+++ b/coordination/forward/prefill.go
@@ -143,7 +143,7 @@
 		return nil
 	}
 	runner.RecordSuccess(took)
-	if t.forecast.Known {
+	if t.forecast.Reliable {
 		d.o.Observer.PrefillDone(r.Service, t.forecast.Finish, took)
 	}
 	rec.addStep(a.Instance, operation, outcomePrefill, took, nil)
--- a/coordination/forward/prefill_test.go
+++ b/coordination/forward/prefill_test.go
@@ -91,7 +91,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{hang: true}, reply{status: 200, body: "h2"}, reply{status: 200, events: true, body: "id: 1\n\n"})
-		w.gate.given = &backlog.Forecast{Known: true, Finish: 90 * time.Millisecond}
+		w.gate.given = &backlog.Forecast{Reliable: true, Finish: 90 * time.Millisecond}
 		r := modelRequest(9000, true)
 		answer, err := w.Forward(t.Context(), r)
 		is.NoErr(err)
--- a/coordination/forward/turn_test.go
+++ b/coordination/forward/turn_test.go
@@ -34,17 +34,17 @@
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = []backlog.Forecast{
-		{Wait: 300 * time.Millisecond, Finish: 320 * time.Millisecond, Kept: 400, Coming: 400},
-		{Wait: 100 * time.Millisecond, Finish: 150 * time.Millisecond, Cold: 30 * time.Millisecond},
-		{Wait: 50 * time.Millisecond, Finish: 100 * time.Millisecond, Cold: 30 * time.Millisecond},
-		{Wait: 250 * time.Millisecond, Finish: 300 * time.Millisecond, Cold: 30 * time.Millisecond},
+		{Wait: 300 * time.Millisecond, Finish: 320 * time.Millisecond, CachedTokens: 400, CachedAtStart: 400},
+		{Wait: 100 * time.Millisecond, Finish: 150 * time.Millisecond, UncachedTime: 30 * time.Millisecond},
+		{Wait: 50 * time.Millisecond, Finish: 100 * time.Millisecond, UncachedTime: 30 * time.Millisecond},
+		{Wait: 250 * time.Millisecond, Finish: 300 * time.Millisecond, UncachedTime: 30 * time.Millisecond},
 	}
 	w.mustServe(t)
 	home := w.fleet.ChooseForPrefill("model", "b", nil)
 	is.Equal(w.gate.asks[0].Engine, home.Instance.ID)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[2].Engine)
 	is.Equal(w.up.attempts[0].FetchFrom, home.Instance.Addr)
-	is.Equal(w.gate.asks[4].Reading.Work.Fetched, 400)
+	is.Equal(w.gate.asks[4].Reading.Work.FetchableTokens, 400)
 	is.True(w.gate.asks[4].Reading.Late)
 }
 
@@ -53,10 +53,10 @@
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = []backlog.Forecast{
-		{Finish: 90 * time.Millisecond, Cold: 50 * time.Millisecond},
-		{Wait: 200 * time.Millisecond, Finish: 240 * time.Millisecond, Kept: 400, Coming: 400},
-		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, Cold: 50 * time.Millisecond},
-		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, Cold: 50 * time.Millisecond},
+		{Finish: 90 * time.Millisecond, UncachedTime: 50 * time.Millisecond},
+		{Wait: 200 * time.Millisecond, Finish: 240 * time.Millisecond, CachedTokens: 400, CachedAtStart: 400},
+		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, UncachedTime: 50 * time.Millisecond},
+		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, UncachedTime: 50 * time.Millisecond},
 	}
 	w.mustServe(t)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[0].Engine)
@@ -66,7 +66,7 @@
 func busyFor(d time.Duration, known bool) []backlog.Forecast {
 	out := make([]backlog.Forecast, maxAsked)
 	for i := range out {
-		out[i] = backlog.Forecast{Wait: d, Finish: d, Known: known}
+		out[i] = backlog.Forecast{Wait: d, Finish: d, Reliable: known}
 	}
 	return out
 }
@@ -149,7 +149,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{status: 200, body: "h1", delay: time.Second}, generated)
-		w.gate.given = &backlog.Forecast{Known: true, Finish: 10 * time.Millisecond}
+		w.gate.given = &backlog.Forecast{Reliable: true, Finish: 10 * time.Millisecond}
 		r := modelRequest(200_000, true) // 4 s of reading by the book
 		_, err := w.Forward(t.Context(), r)
 		is.NoErr(err)
--- a/coordination/occupancy/book.go
+++ b/coordination/occupancy/book.go
@@ -34,7 +34,7 @@
 type Reading struct {
 	// Service is that of the engine; engines of one service have like speeds.
 	Service string
-	Work    backlog.Work
+	Work    backlog.Prompt
 	// Memory is the engine's memory in tokens.
 	Memory int
 	// MaxWait is the longest predicted wait with which a place is wanted.
@@ -112,7 +112,7 @@
 	}
 	out := Answer{Forecast: e.queue.Forecast(now, r.Work, r.Limit)}
 	late := out.Forecast.Rank >= backlog.Classes
-	if (r.Warm && out.Forecast.Cold > 0) || out.Forecast.Wait > r.MaxWait || (late && !r.Late) {
+	if (r.Warm && out.Forecast.UncachedTime > 0) || out.Forecast.Wait > r.MaxWait || (late && !r.Late) {
 		return out
 	}
 	out.ID = b.place(e, held{reading: true, until: now.Add(a.Keep)})
--- a/coordination/occupancy/book_test.go
+++ b/coordination/occupancy/book_test.go
@@ -27,7 +27,7 @@
 // readAsk asks for the reading of a prompt of some 43 ms, before anything is learnt.
 func readAsk(engine string) Ask {
 	return Ask{Engine: named(engine), Keep: keep, Reading: &Reading{
-		Service: "s", Work: backlog.Work{Own: 4000}, Memory: 1e6, MaxWait: time.Second, Limit: time.Second,
+		Service: "s", Work: backlog.Prompt{OwnTokens: 4000}, Memory: 1e6, MaxWait: time.Second, Limit: time.Second,
 	}}
 }
 
@@ -89,7 +89,7 @@
 		is := is.New(t)
 		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
 		a := readAsk("a")
-		a.Reading.Work.Shared = []backlog.Part{{ID: 3, Tokens: 9000}}
+		a.Reading.Work.Parts = []backlog.Part{{ID: 3, Tokens: 9000}}
 		a.Reading.Warm = true
 		is.Equal(b.Enter(a).ID, uint64(0))
 		a.Reading.Warm = false
@@ -105,7 +105,7 @@
 		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
 		id := b.Enter(readAsk("a")).ID
 		f, progress := b.Remaining(named("a"), id)
-		is.Equal(progress, backlog.Underway)
+		is.Equal(progress, backlog.InProgress)
 		time.Sleep(10 * time.Millisecond)
 		later, _ := b.Remaining(named("a"), id)
 		is.Equal(f.Finish-later.Finish, 10*time.Millisecond)
@@ -161,17 +161,17 @@
 		is := is.New(t)
 		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
 		a := readAsk("a")
-		a.Reading.Work.Shared = []backlog.Part{{ID: 1, Tokens: 6000}}
+		a.Reading.Work.Parts = []backlog.Part{{ID: 1, Tokens: 6000}}
 		first := b.Enter(a)
 		b.Leave(a.Engine, first.ID, true)
-		is.Equal(b.Enter(a).Forecast.Kept, 6000)
+		is.Equal(b.Enter(a).Forecast.CachedTokens, 6000)
 		former := a.Engine
 		a.Engine.Born = 2
 		again := b.Enter(a)
-		is.Equal(again.Forecast.Kept, 0)
+		is.Equal(again.Forecast.CachedTokens, 0)
 		is.Equal(again.Forecast.Wait, time.Duration(0))
 		b.Leave(former, again.ID, true)
 		_, progress := b.Remaining(a.Engine, again.ID)
-		is.Equal(progress, backlog.Underway)
+		is.Equal(progress, backlog.InProgress)
 	})
 }
--- a/coordination/occupancy/gate_test.go
+++ b/coordination/occupancy/gate_test.go
@@ -35,7 +35,7 @@
 
 func (n *network) Remaining(_ context.Context, addr string, engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress, error) {
 	if n.lost[addr] {
-		return backlog.Forecast{}, backlog.Underway, errors.New("no answer")
+		return backlog.Forecast{}, backlog.InProgress, errors.New("no answer")
 	}
 	f, progress := n.books[addr].Remaining(engine, id)
 	return f, progress, nil
@@ -258,7 +258,7 @@
 	for i := range 20 {
 		v := gates[0].Enter(t.Context(), readAsk(fmt.Sprint("engine-", i)))
 		_, progress := v.Place.Remaining(t.Context())
-		is.Equal(progress, backlog.Underway)
+		is.Equal(progress, backlog.InProgress)
 		if v.Place.owner != gates[0].o.Self {
 			n.lost[v.Place.owner] = true
 			_, progress = v.Place.Remaining(t.Context())
--- a/transport/places/places.go
+++ b/transport/places/places.go
@@ -139,10 +139,10 @@
 	q := Enter{Engine: a.Engine.Name, Born: a.Engine.Born, Most: a.Most, KeepMS: a.Keep.Milliseconds()}
 	if r := a.Reading; r != nil {
 		q.Reading = &Reading{
-			Service: r.Service, Own: r.Work.Own, Fetched: r.Work.Fetched, FetchMS: r.Work.FetchMS, Memory: r.Memory,
+			Service: r.Service, Own: r.Work.OwnTokens, Fetched: r.Work.FetchableTokens, FetchMS: r.Work.FetchMS, Memory: r.Memory,
 			MaxWaitMS: r.MaxWait.Milliseconds(), LimitMS: r.Limit.Milliseconds(), Late: r.Late, Warm: r.Warm,
 		}
-		for _, p := range r.Work.Shared {
+		for _, p := range r.Work.Parts {
 			q.Reading.Parts = append(q.Reading.Parts, p.ID)
 			q.Reading.Tokens = append(q.Reading.Tokens, p.Tokens)
 		}
@@ -161,23 +161,23 @@
 		return a, errParts
 	}
 	a.Reading = &occupancy.Reading{
-		Service: r.Service, Work: backlog.Work{Own: r.Own, Fetched: r.Fetched, FetchMS: r.FetchMS}, Memory: r.Memory,
+		Service: r.Service, Work: backlog.Prompt{OwnTokens: r.Own, FetchableTokens: r.Fetched, FetchMS: r.FetchMS}, Memory: r.Memory,
 		MaxWait: state.Millis(float64(r.MaxWaitMS)), Limit: state.Millis(float64(r.LimitMS)), Late: r.Late, Warm: r.Warm,
 	}
 	for i, id := range r.Parts {
-		a.Reading.Work.Shared = append(a.Reading.Work.Shared, backlog.Part{ID: id, Tokens: r.Tokens[i]})
+		a.Reading.Work.Parts = append(a.Reading.Work.Parts, backlog.Part{ID: id, Tokens: r.Tokens[i]})
 	}
 	return a, nil
 }
 
 func entered(a occupancy.Answer) Entered {
 	f := a.Forecast
-	return Entered{ID: a.ID, WaitMS: state.InMillis(f.Wait), FinishMS: state.InMillis(f.Finish), Rank: f.Rank, Kept: f.Kept, Coming: f.Coming, ColdMS: state.InMillis(f.Cold), Error: f.Error, Known: f.Known}
+	return Entered{ID: a.ID, WaitMS: state.InMillis(f.Wait), FinishMS: state.InMillis(f.Finish), Rank: f.Rank, Kept: f.CachedTokens, Coming: f.CachedAtStart, ColdMS: state.InMillis(f.UncachedTime), Error: f.Error, Known: f.Reliable}
 }
 
 func (e Entered) answer() occupancy.Answer {
 	return occupancy.Answer{ID: e.ID, Forecast: backlog.Forecast{
-		Wait: state.Millis(e.WaitMS), Finish: state.Millis(e.FinishMS), Rank: e.Rank, Kept: e.Kept, Coming: e.Coming, Cold: state.Millis(e.ColdMS), Error: e.Error, Known: e.Known,
+		Wait: state.Millis(e.WaitMS), Finish: state.Millis(e.FinishMS), Rank: e.Rank, CachedTokens: e.Kept, CachedAtStart: e.Coming, UncachedTime: state.Millis(e.ColdMS), Error: e.Error, Reliable: e.Known,
 	}}
 }
 
--- a/transport/places/places_test.go
+++ b/transport/places/places_test.go
@@ -86,7 +86,7 @@
 	addr, peers := serve(t)
 	a := occupancy.Ask{Engine: engine, Keep: time.Hour, Reading: &occupancy.Reading{
 		Service: "s", Memory: 1e6, MaxWait: time.Hour, Limit: time.Hour, Warm: true,
-		Work: backlog.Work{Shared: []backlog.Part{{ID: 1 << 63, Tokens: 6000}, {ID: 2, Tokens: 300}}, Own: 3000, Fetched: 6000, FetchMS: 2.5},
+		Work: backlog.Prompt{Parts: []backlog.Part{{ID: 1 << 63, Tokens: 6000}, {ID: 2, Tokens: 300}}, OwnTokens: 3000, FetchableTokens: 6000, FetchMS: 2.5},
 	}}
 	want := occupancy.NewBook(wallclock.Clock{}, slog.New(slog.DiscardHandler)).Enter(a)
 	got, err := peers.Enter(t.Context(), addr, a)
@@ -100,7 +100,7 @@
 	is.True(got.Forecast.Rank >= backlog.Classes)
 	f, progress, err := peers.Remaining(t.Context(), addr, engine, got.ID)
 	is.NoErr(err)
-	is.Equal(progress, backlog.Underway)
+	is.Equal(progress, backlog.InProgress)
 	is.True(f.Finish > 0 && f.Finish <= got.Forecast.Finish)
 	_, progress, err = peers.Remaining(t.Context(), addr, engine, got.ID+1)
 	is.NoErr(err)
