--- a/coordination/backlog/doc.go
+++ b/coordination/backlog/doc.go
@@ -1,11 +1,11 @@
-// Package backlog predicts, in time instead of requests, what waits at an engine: how
-// long a prompt that is added now waits, and how long its reading takes.
+// Package backlog predicts, as a duration and not as a number of requests, the prefill work that
+// waits at an engine: how long a prompt that is added now waits, and how long its prefill takes.
 //
-// An Estimator learns the time of a reading from those that have ended: a constant, a
-// part for each token, and one for each pair of tokens that attention compares. A Queue
-// keeps what is under way at one engine, how fast that engine is against the others, and
-// which shared parts of prompts it is believed to keep.
+// An Estimator learns the duration of a prefill from completed ones. The duration is the sum of
+// a constant, a part for each token, and a part for each pair of tokens that attention compares.
+// A Queue tracks the prompts in progress at one engine, the engine's speed relative to the
+// others, and the prompt parts that the engine is assumed to have cached.
 //
-// Predictions only help to choose and to order: a wrong one costs time and breaks no
-// promise.
+// Predictions are only used to choose an engine and an order. A wrong one costs time but does
+// not affect correctness.
 package backlog
--- a/coordination/backlog/estimator.go
+++ b/coordination/backlog/estimator.go
@@ -3,46 +3,50 @@
 import "math"
 
 const (
-	// forgettingFactor weighs older samples: some 400 count, which the owner of two engines
-	// sees in half a minute of usual load.
+	// forgettingFactor is the weight of a sample relative to the next newer one. About 400
+	// samples count, which the owner of two engines sees in half a minute of usual load.
 	forgettingFactor = 0.9975
-	// minSamples is the number of samples from which predictions are relied on: three
-	// coefficients, each seen some four times.
+	// minSamples is the number of samples from which predictions are reliable: about four for
+	// each of the three coefficients.
 	minSamples = 12
-	// initialVariance is how little the first coefficients are believed.
+	// initialVariance is the variance of the initial coefficients, and bounds the variance later
+	// on. It is high, since the coefficients are only a guess.
 	initialVariance = 100
-	// errorGain is the weight of a sample in the mean relative error.
+	// errorGain is the weight of a new sample in the mean relative error.
 	errorGain = 0.05
-	// initialError is assumed before anything is known.
+	// initialError is the mean relative error assumed before there are samples.
 	initialError = 0.5
-	// minPredictionMS is the shortest time that is predicted: a step of an engine.
+	// minPredictionMS is the shortest prediction, in milliseconds: one step of an engine.
 	minPredictionMS = 0.5
-	// errorScaleMS is added to a prediction to weigh its error, so that short readings,
-	// whose time is mostly a step of the batch, don't count more than others.
+	// errorScaleMS is added to a prediction when its error is weighted, in milliseconds. The
+	// duration of short prefills is mostly that of a batch step, and without the addition they
+	// would count more than others.
 	errorScaleMS = 5
 	// maxRelativeError bounds the relative error that one sample corrects.
 	maxRelativeError = 0.5
-	// outlierRatio is how many times longer or shorter than predicted a sample may be once
-	// the estimator knows: others show a slow engine, not a harder prompt.
+	// outlierRatio is how many times longer or shorter than predicted a sample may be once the
+	// estimator is reliable. Larger deviations are caused by a slow engine and not by the
+	// prompt.
 	outlierRatio = 2.5
 )
 
-// initialCoefficients are assumed of an engine that nothing is known of: 100 tokens a
-// millisecond, which lies between the engines met so far (64 to 350).
+// initialCoefficients are assumed before there are samples: 100 tokens per millisecond, which is
+// between the speeds of known engines (64 to 350).
 var initialCoefficients = features{3, 10, 0.3}
 
-// Estimator learns how long engines of one service take to read. It isn't safe for
-// concurrent use: the queues that share one are used by one owner.
+// Estimator learns how long engines of one service take for a prefill. It isn't safe for
+// concurrent use: the queues that share one belong to one owner, which serializes their use.
 type Estimator struct {
 	coefficients features
 	covariance   [3][3]float64
 	samples      int
 	meanError    float64
-	// meanMS is the mean time of the readings that were asked for.
+	// meanMS is the moving average of the predicted durations of added prompts, in milliseconds;
+	// 0 before the first.
 	meanMS float64
 }
 
-// NewEstimator returns an estimator that knows nothing.
+// NewEstimator returns an estimator without samples.
 func NewEstimator() *Estimator {
 	e := &Estimator{coefficients: initialCoefficients, meanError: initialError}
 	for i := range e.covariance {
@@ -51,29 +55,29 @@
 	return e
 }
 
-// Predict returns the time of a reading at an engine of usual speed, in milliseconds.
+// Predict returns the duration of a prefill at an engine of usual speed, in milliseconds.
 func (e *Estimator) Predict(r prefill) float64 {
 	return e.predict(r.features()) + r.fetchMS
 }
 
-// predict returns the time of readings with features x, summed up.
+// predict returns the total duration of prefills whose features sum up to x, in milliseconds.
 func (e *Estimator) predict(x features) float64 {
 	return max(dot(e.coefficients, x), minPredictionMS*max(1, x[0]))
 }
 
-// Reliable reports whether enough has been seen to rely on predictions.
+// Reliable reports whether there are enough samples to rely on predictions.
 func (e *Estimator) Reliable() bool {
 	return e.samples >= minSamples
 }
 
-// Error is the mean relative error of late predictions, against the longer of the
-// predicted and the seen time: 0 to 1.
+// Error returns the mean relative error of recent predictions, from 0 to 1. It is relative to
+// the longer one of the predicted and the measured duration.
 func (e *Estimator) Error() float64 {
 	return e.meanError
 }
 
-// learn takes the time that readings with features x, summed up, took at an engine of
-// usual speed, by recursive least squares on the relative error.
+// learn adds a sample by recursive least squares on the relative error: tookMS is the total
+// duration, in milliseconds at an engine of usual speed, of prefills whose features sum up to x.
 func (e *Estimator) learn(x features, tookMS float64) {
 	predicted := e.predict(x)
 	known := e.samples >= minSamples
@@ -89,7 +93,7 @@
 	e.samples++
 }
 
-// update is one step of recursive least squares.
+// update does one step of recursive least squares.
 func (e *Estimator) update(x features, relativeError float64) {
 	var px features
 	for i := range px {
@@ -108,33 +112,34 @@
 
 func dot(a, b features) float64 { return a[0]*b[0] + a[1]*b[1] + a[2]*b[2] }
 
-// tokensMS is the time that so many tokens take within a prompt, in milliseconds.
+// tokensMS returns the duration of that many tokens within a prompt, in milliseconds.
 func (e *Estimator) tokensMS(tokens int) float64 {
 	return e.coefficients[1] * float64(tokens) / thousand
 }
 
-// Classes is the number of classes of readings by their time. Ranks are twice as many:
-// those of readings that are late come after all others.
+// Classes is the number of classes of prompts by the duration of their prefill. There are twice
+// as many ranks: prompts that are predicted to be late have ranks after all others.
 const Classes = 5
 
 const (
-	// meanClass is that of a reading of mean time.
+	// meanClass is the class of a prefill of mean duration.
 	meanClass = 2
-	// meanGain is the weight of a reading in the mean time.
+	// meanGain is the weight of a new prefill in the mean duration.
 	meanGain = 0.02
 )
 
-// class is that of a reading that takes so long: short ones first, a class for each
-// doubling, so that a burst makes few large prompts late and not many small ones.
+// class returns the class of a prefill of that duration. Short prefills come first, and each
+// doubling is a class of its own, so that a burst delays a few large prompts and not many small
+// ones.
 func (e *Estimator) class(ms float64) int {
-	if e.meanMS == 0 || !(ms > 0) || math.IsInf(ms, 1) { // what can't be a time tells nothing
+	if e.meanMS == 0 || !(ms > 0) || math.IsInf(ms, 1) { // an invalid duration has no class of its own
 		return meanClass
 	}
 	doublings := math.Round(math.Log2(ms / e.meanMS))
 	return int(min(max(meanClass+doublings, 0), Classes-1))
 }
 
-// observe takes the time of a reading that was asked for into account.
+// observe adds the predicted duration of a new prompt to the mean.
 func (e *Estimator) observe(ms float64) {
 	if e.meanMS == 0 {
 		e.meanMS = ms
--- a/coordination/backlog/estimator_test.go
+++ b/coordination/backlog/estimator_test.go
@@ -8,15 +8,15 @@
 	"github.com/matryer/is"
 )
 
-// truth is an engine's time for a reading: a step, 64 tokens a millisecond and the pairs
-// of attention, as on the sheets of a large model.
+// measuredMS returns an engine's time for a prefill, in milliseconds: a step, 64 tokens per
+// millisecond, and the pairs of attention, as in the profile of a large model.
 func measuredMS(r prefill) float64 {
 	x := r.features()
 	return 5*x[0] + 15.6*x[1] + 0.65*x[2]
 }
 
-// skewed draws a prompt's own size: a mean of 3,700 tokens and a long tail, with 13,300
-// shared tokens before it that are kept in nine of ten cases.
+// skewedPrefill returns a prefill with a random number of own tokens: a mean of 3,700 and a long
+// tail. They follow 13,300 shared tokens, which are cached in nine of ten cases.
 func skewedPrefill(rng *rand.Rand) prefill {
 	own := int(min(2000*math.Exp(1.1*rng.NormFloat64()), 53000))
 	if rng.IntN(10) == 0 {
@@ -42,7 +42,7 @@
 	}
 }
 
-// Readings at an engine that was held up say nothing of the others.
+// Prefills at a stalled engine must not change the predictions for other engines.
 func TestReliableEstimatorIgnoresOutliers(t *testing.T) {
 	is := is.New(t)
 	rng := rand.New(rand.NewPCG(3, 4))
@@ -62,7 +62,7 @@
 func TestClassesFollowMeanTime(t *testing.T) {
 	is := is.New(t)
 	e := NewEstimator()
-	is.Equal(e.class(5), meanClass) // nothing is known yet
+	is.Equal(e.class(5), meanClass) // no prefill was observed yet
 	e.observe(100)
 	is.Equal(e.class(100), meanClass)
 	is.Equal(e.class(50), meanClass-1)
--- a/coordination/backlog/forecast.go
+++ b/coordination/backlog/forecast.go
@@ -9,44 +9,47 @@
 )
 
 const (
-	// stuckFactor and stuckLeast are how many times longer than predicted, and by how much
-	// at least, an engine may end nothing before it counts as stuck.
+	// An engine counts as stuck if it has completed nothing for stuckFactor times the longest
+	// predicted prefill plus minStuckTime.
 	stuckFactor  = 3
 	minStuckTime = 200 * time.Millisecond
-	// arrivalWindow is the time over which the work that came is counted, and mostOvertaking
-	// the share of an engine's time that others are taken to need at most.
+	// arrivalWindow is the time over which recently arrived work is averaged. maxOvertakingLoad
+	// bounds the share of an engine's time that prompts of lower ranks are assumed to take, and
+	// with it the predicted delay that they cause.
 	arrivalWindow     = 2 * time.Second
 	maxOvertakingLoad = 0.75
-	// stepTokens is how much of prompts an engine reads in a step: 1,024 and 4,096 on
-	// today's sheets.
+	// stepTokens is how many prompt tokens an engine computes in a step: 1,024 or 4,096 for the
+	// known engines.
 	stepTokens = 4096
 )
 
-// Forecast is what is predicted of a prompt at an engine.
+// Forecast is the prediction for a prompt at an engine.
 type Forecast struct {
-	// Wait is the time before the reading begins, and Finish that until it ends, both
-	// from now.
+	// Wait is the time until the prefill begins, and Finish the time until it ends, both from
+	// now.
 	Wait, Finish time.Duration
-	// Rank is the prompt's order at the engine: a lower one is read first.
+	// Rank is the prompt's order at the engine: prompts of lower ranks are computed first.
 	Rank int
-	// CachedTokens is how many tokens of the shared parts the engine has read, from the first
-	// on: others may fetch them. CachedAtStart counts those as well that it reads before this
-	// prompt, and Cold is the predicted time for those that are left.
+	// CachedTokens is how many tokens of the prompt's parts, from the first on, the engine has
+	// computed; other engines can fetch them. CachedAtStart also counts those that the engine
+	// computes before this prompt. UncachedTime is the predicted time for the remaining tokens
+	// of the parts.
 	CachedTokens, CachedAtStart int
 	UncachedTime                time.Duration
-	// Error is the mean relative error of late predictions, 0 to 1.
+	// Error is the mean relative error of recent predictions, from 0 to 1.
 	Error float64
-	// Reliable is set once predictions rest on enough readings.
+	// Reliable is set if there were enough samples to rely on the prediction.
 	Reliable bool
 }
 
-// PessimisticFinish is when the reading ends if it takes longer than predicted by the mean error.
+// PessimisticFinish returns the time until the prefill ends if it takes longer than predicted by
+// the mean relative error.
 func (f Forecast) PessimisticFinish() time.Duration {
 	return f.Finish + time.Duration(f.Error*float64(f.Finish))
 }
 
-// Forecast predicts when a prompt that is added now would be read. One that would be
-// read later than limit goes behind those that aren't.
+// Forecast predicts the prefill of a prompt that is added now. A prompt that would end later
+// than limit gets a rank after those that are in time.
 func (q *Queue) Forecast(now time.Time, w Prompt, limit time.Duration) Forecast {
 	r, fetchable := q.prefillOf(w)
 	prefillMS := q.factor * q.estimator.Predict(r)
@@ -62,27 +65,26 @@
 	return f
 }
 
-// setRank completes a forecast for a setRank.
+// setRank sets the rank of a forecast and the durations that follow from it.
 func (q *Queue) setRank(f *Forecast, now time.Time, rank int, tookMS float64) {
 	wait := q.waitMS(now, rank, len(q.entries)) * q.overtakingFactor(now, rank)
 	f.Rank, f.Wait, f.Finish = rank, state.Millis(wait), state.Millis(wait+tookMS)
 }
 
-// Progress is what becomes of a prompt under way.
+// Progress is the state of a prompt at an engine.
 type Progress int
 
-// The kinds of progress.
+// The states of a prompt.
 const (
-	// Unknown says that the queue has no such prompt.
+	// Unknown prompts are not in the queue.
 	Unknown Progress = iota
-	// InProgress prompts wait or are read.
+	// InProgress prompts wait or are being computed.
 	InProgress
-	// Lost says that the engine ended later prompts before this one, or nothing for
-	// too long.
+	// Lost prompts were overtaken by later ones that ended, or the engine is stuck.
 	Lost
 )
 
-// Remaining predicts when a prompt that is Underway will have been read.
+// Remaining predicts when the prefill of a prompt that is InProgress ends.
 func (q *Queue) Remaining(now time.Time, id uint64) (Forecast, Progress) {
 	at := slices.IndexFunc(q.entries, func(e *entry) bool { return e.id == id })
 	if at < 0 {
@@ -102,8 +104,8 @@
 	return f, InProgress
 }
 
-// stuck reports whether the engine has ended nothing for several times as long as what
-// it is believed to read was predicted to take.
+// stuck reports whether the engine has completed nothing for several times the predicted
+// duration of its longest prompt.
 func (q *Queue) stuck(now time.Time) bool {
 	if q.current == nil {
 		return false
@@ -115,8 +117,8 @@
 	return now.Sub(q.currentSince) > state.Millis(stuckFactor*longest)+minStuckTime
 }
 
-// prefillOf is what the engine has to do for a prompt, and how many tokens of its shared
-// parts can be fetched from it.
+// prefillOf returns the work that the engine has to do for a prompt, and how many tokens of the
+// prompt's parts other engines can fetch from it.
 func (q *Queue) prefillOf(w Prompt) (r prefill, fetchable int) {
 	sharedTokens := 0
 	for _, p := range w.Parts {
@@ -131,13 +133,13 @@
 	return r, fetchable
 }
 
-// waitMS is the predicted time of what is read before a prompt of the rank that came
-// after the first n of those under way, in milliseconds: an engine reads one prompt
-// after the other, by rank and then as they came.
+// waitMS returns the predicted duration of the prefills before that of a prompt of the rank that
+// arrived after the first n entries, in milliseconds. An engine computes one prompt after the
+// other, by rank and then in order of arrival.
 func (q *Queue) waitMS(now time.Time, rank, n int) float64 {
 	total := 0.0
 	if n == len(q.entries) && q.current != nil && q.remainingMS(now) < q.stepMS() {
-		// The prompt after the present one is in the same step already.
+		// The prompt after the current one is already in the same step.
 		if e := q.firstWaiting(now); e != nil && e.rank > rank {
 			total += q.factor * e.predictedMS
 		}
@@ -154,14 +156,14 @@
 	return total
 }
 
-// remainingMS is the predicted time until what is being read has been, in milliseconds. What
-// should have ended is taken to last as much longer as it is late.
+// remainingMS returns the predicted time until the current prefill ends, in milliseconds. A
+// prefill that is overdue is assumed to take as long again as it is overdue.
 func (q *Queue) remainingMS(now time.Time) float64 {
 	return math.Abs(q.factor*q.current.predictedMS - now.Sub(q.currentSince).Seconds()*thousand)
 }
 
-// startNext takes the first by rank of those that wait as the one that is read from now on.
-// It was chosen when the last step began: one that came later isn't.
+// startNext makes the first waiting prompt by rank the current one. The engine chose it when its
+// last step began, so prompts that arrived later are only considered if there is no other.
 func (q *Queue) startNext(now time.Time) {
 	q.currentSince, q.current = now, q.firstWaiting(now.Add(-state.Millis(q.stepMS())))
 	if q.current == nil {
@@ -169,8 +171,8 @@
 	}
 }
 
-// firstWaiting is the firstWaiting by rank of those that came until then and aren't being read; nil if
-// there are none.
+// firstWaiting returns the first prompt by rank among those that arrived no later than until and
+// are not the current one; nil if there is none.
 func (q *Queue) firstWaiting(until time.Time) *entry {
 	var out *entry
 	for _, e := range q.entries {
@@ -184,12 +186,12 @@
 	return out
 }
 
-// stepMS is the time of one step of the engine, in milliseconds. What is read in a step
-// is chosen when it begins.
+// stepMS returns the duration of one step of the engine, in milliseconds. The engine chooses the
+// prompts of a step when the step begins.
 func (q *Queue) stepMS() float64 { return q.factor * q.estimator.tokensMS(stepTokens) }
 
-// overtakingFactor is how many times longer a prompt waits because others of a lower rank
-// come meanwhile, by the work of these ranks that arrived recently.
+// overtakingFactor returns by which factor the wait of a prompt grows because prompts of lower
+// ranks arrive meanwhile. It assumes that they keep arriving at the recent rate.
 func (q *Queue) overtakingFactor(now time.Time, rank int) float64 {
 	q.decayRecentLoad(now)
 	load := 0.0
@@ -199,7 +201,7 @@
 	return 1 / (1 - min(load, maxOvertakingLoad))
 }
 
-// decayRecentLoad lets the work that arrived recently be forgotten.
+// decayRecentLoad decays the load of recent arrivals to the present time.
 func (q *Queue) decayRecentLoad(now time.Time) {
 	weight := math.Exp(-now.Sub(q.recentLoadAt).Seconds() / arrivalWindow.Seconds())
 	for i := range q.recentLoad {
--- a/coordination/backlog/kept.go
+++ b/coordination/backlog/kept.go
@@ -2,12 +2,13 @@
 
 import "container/list"
 
-// maxParts bounds the parts that are remembered of an engine, whatever its memory: some
-// 800 prompts of the least size that is read apart fill the memories of today's sheets.
+// maxParts bounds the parts that are tracked per engine, whatever its memory, so that they don't
+// exhaust the owner's memory. About 800 prompts of the smallest size that has a separate prefill
+// fill the memory of the known engines.
 const maxParts = 8192
 
-// prefixCache is the parts that an engine is believed to keep: the least recently used yield
-// when its memory is full, as at the engine itself.
+// prefixCache holds the prompt parts that an engine is assumed to have cached. Like the engine,
+// it evicts the least recently used ones when the memory is full.
 type prefixCache struct {
 	// capacityTokens is the engine's memory in tokens; 0 if it isn't known.
 	capacityTokens int
@@ -16,11 +17,12 @@
 	byID           map[uint64]*list.Element
 }
 
+// part is a cached prompt part with its size in tokens.
 type part struct {
 	id     uint64
 	tokens int
-	// pending is set while the first prompt with the part is being read: a prompt that
-	// comes after it finds the part, another engine can't fetch it yet.
+	// pending is set while the first prompt with the part is being computed: later prompts at
+	// this engine find the part in the cache, but other engines can't fetch it yet.
 	pending bool
 }
 
@@ -28,8 +30,8 @@
 	return &prefixCache{recency: list.New(), byID: map[uint64]*list.Element{}}
 }
 
-// prefix returns how many tokens of the parts, from the first on, the engine keeps or
-// will have read, and how many of them it has read already.
+// prefix returns how many tokens of the parts, from the first on, are cached or pending, and how
+// many of them other engines can fetch.
 func (c *prefixCache) prefix(parts []Part) (tokens, fetchable int) {
 	contiguous := true
 	for _, p := range parts {
@@ -46,8 +48,8 @@
 	return tokens, fetchable
 }
 
-// insert notes that a prompt with the parts is read, and returns the parts that weren't
-// there.
+// insert adds the parts of a prompt that will be computed, and returns the IDs of the parts that
+// weren't cached.
 func (c *prefixCache) insert(w Prompt, memoryTokens int) []uint64 {
 	c.capacityTokens = memoryTokens
 	var added []uint64
@@ -59,7 +61,7 @@
 		c.add(&part{id: p.ID, tokens: p.Tokens, pending: true})
 		added = append(added, p.ID)
 	}
-	// A prompt's own part takes memory as well, but nobody asks for it again.
+	// The prompt's own tokens take memory as well, but no other prompt shares them.
 	c.recency.PushFront(&part{tokens: w.OwnTokens})
 	c.tokens += w.OwnTokens
 	c.evict()
@@ -71,7 +73,7 @@
 	c.tokens += p.tokens
 }
 
-// evict drops parts while there are more than the memory holds or than are remembered.
+// evict removes the least recently used parts while they exceed the memory or maxParts.
 func (c *prefixCache) evict() {
 	for c.recency.Len() > maxParts || (c.capacityTokens > 0 && c.tokens > c.capacityTokens && c.recency.Len() > 0) {
 		c.remove(c.recency.Back())
@@ -87,7 +89,7 @@
 	}
 }
 
-// complete notes that parts have been read, or that their reading was broken off.
+// complete marks pending parts as computed, or removes them if their prefill was aborted.
 func (c *prefixCache) complete(ids []uint64, completed bool) {
 	for _, id := range ids {
 		at := c.byID[id]
--- a/coordination/backlog/queue.go
+++ b/coordination/backlog/queue.go
@@ -7,64 +7,69 @@
 )
 
 const (
-	// maxFactor and fastest bound an engine's factor against the others.
+	// maxFactor and minFactor bound an engine's factor: its prefill durations relative to the
+	// usual ones of the service.
 	maxFactor = 20
 	minFactor = 0.5
 	// factorGain is the weight of a sample in the logarithm of an engine's factor, and
-	// mostSeen bounds what one sample says: an engine that is five times as slow is
-	// known for three times as slow after four readings, and one reading that was held
-	// up for another reason says little.
+	// maxSampleRatio bounds the effect of one sample. The factor of an engine that is five times
+	// as slow reaches three after four samples, while one prefill that was delayed for another
+	// reason has little effect.
 	factorGain     = 0.25
 	maxSampleRatio = 4
-	// slowFactor is the factor from which an engine's readings say nothing of the others.
+	// slowFactor is the factor from which an engine counts as slow. Its prefills are then no
+	// measure for those of other engines.
 	slowFactor = 1.5
-	// lostAfterOvertakes is how many later prompts end before one whose answer counts as lost: an
-	// engine ends two that it reads at once in any order.
+	// lostAfterOvertakes is how many later prompts end before a prompt counts as lost. An engine
+	// ends two that it computes at once in any order.
 	lostAfterOvertakes = 2
-	// minSamplePrompts readings are taken together when the queue doesn't get empty, since
-	// an engine reads several at once and ends them in another order.
+	// minSamplePrompts is how many completed prompts are combined to a sample while the queue
+	// doesn't become empty: an engine computes several at once and ends them in another order.
 	minSamplePrompts = 6
 )
 
-// Queue is what is under way at one engine, as far as its owner was told. It isn't safe
-// for concurrent use.
+// Queue tracks the prompts in progress at one engine, as far as they were reported to the
+// engine's owner. It isn't safe for concurrent use.
 type Queue struct {
 	estimator *Estimator
 	factor    float64
 	cache     *prefixCache
 	entries   []*entry
-	// current is the prompt that is believed to be read, since then; nil if none is.
+	// current is the prompt that is assumed to be computed since currentSince; nil if there is
+	// none.
 	current      *entry
 	currentSince time.Time
-	// sampleFeatures and sumMS are readings that have ended since the last sample, and their time.
+	// sampleFeatures and sampleMS sum up the prefills that ended since the last sample, and
+	// their duration in milliseconds.
 	sampleFeatures features
 	sampleMS       float64
-	// recentLoad is the work of each rank that arrived recently, as a share of the engine's time,
-	// and fadedAt when it was last brought up to date.
+	// recentLoad is the work of each rank that arrived recently, as a share of the engine's
+	// time. recentLoadAt is the time of its last update.
 	recentLoad   [2 * Classes]float64
 	recentLoadAt time.Time
-	// sampleInvalid is set if a reading was broken off since the last sample.
+	// sampleInvalid is set if a prefill was aborted since the last sample.
 	sampleInvalid bool
 }
 
-// entry is one prompt under way.
+// entry is one prompt in progress.
 type entry struct {
 	id       uint64
 	rank     int
 	arrived  time.Time
 	features features
-	// predictedMS is the predicted time at an engine of usual speed.
+	// predictedMS is the predicted duration at an engine of usual speed, in milliseconds.
 	predictedMS   float64
 	insertedParts []uint64
-	// overtaken is how many prompts ended that arrived after this one and should not have
-	// gone before it.
+	// overtaken counts the prompts that ended although they arrived later and their rank is not
+	// lower.
 	overtaken int
 }
 
-// NewQueue returns the queue of an engine of which nothing is known.
+// NewQueue returns the queue of an engine without samples, which is assumed to have the usual
+// speed.
 func NewQueue(e *Estimator) *Queue { return &Queue{estimator: e, factor: 1, cache: newPrefixCache()} }
 
-// Add counts a prompt of the rank in.
+// Add adds a prompt with the rank. memoryTokens is the engine's memory.
 func (q *Queue) Add(now time.Time, id uint64, w Prompt, rank, memoryTokens int) {
 	r, _ := q.prefillOf(w)
 	e := &entry{id: id, rank: rank, arrived: now, features: r.features(), predictedMS: q.estimator.Predict(r)}
@@ -79,8 +84,8 @@
 	}
 }
 
-// Remove counts a prompt out; read says that it was read to its end. An unknown one is
-// passed over.
+// Remove removes a prompt; completed says that its prefill was not aborted. An unknown prompt is
+// ignored.
 func (q *Queue) Remove(now time.Time, id uint64, completed bool) {
 	at := slices.IndexFunc(q.entries, func(e *entry) bool { return e.id == id })
 	if at < 0 {
@@ -111,7 +116,7 @@
 	}
 }
 
-// learnSample learns from the readings that have ended.
+// learnSample updates the estimator and the engine's factor from the prefills that ended.
 func (q *Queue) learnSample() {
 	if !q.sampleInvalid {
 		q.estimator.learn(q.sampleFeatures, q.sampleMS/q.slowness())
@@ -122,8 +127,8 @@
 	q.sampleFeatures, q.sampleMS, q.sampleInvalid = features{}, 0, false
 }
 
-// slowness is the engine's factor if it is far from usual, else 1: what all engines have in
-// common is the estimator's to learn.
+// slowness returns the engine's factor if the engine is slow, else 1. Deviations that all
+// engines have in common are learned by the estimator.
 func (q *Queue) slowness() float64 {
 	if q.Slow() {
 		return q.factor
@@ -134,8 +139,8 @@
 // Slow reports whether the engine is far slower than the others.
 func (q *Queue) Slow() bool { return q.factor > slowFactor }
 
-// Len is how many prompts are under way.
+// Len returns the number of prompts in progress.
 func (q *Queue) Len() int { return len(q.entries) }
 
-// Factor is how much slower than the others the engine is.
+// Factor returns how many times slower than the others the engine is.
 func (q *Queue) Factor() float64 { return q.factor }
--- a/coordination/backlog/queue_test.go
+++ b/coordination/backlog/queue_test.go
@@ -18,7 +18,7 @@
 	noLimit = time.Hour
 )
 
-// known returns an estimator that has learnt truth.
+// trainedEstimator returns an estimator that has learned measuredMS.
 func trainedEstimator() *Estimator {
 	rng := rand.New(rand.NewPCG(5, 6))
 	e := NewEstimator()
@@ -32,7 +32,7 @@
 
 func ownPrompt(tokens int) Prompt { return Prompt{OwnTokens: tokens} }
 
-// start is any moment.
+// start is an arbitrary time.
 var start = time.Unix(1000, 0)
 
 func at(ms float64) time.Time { return start.Add(state.Millis(ms)) }
@@ -59,8 +59,8 @@
 	is.True(approximately(q.Forecast(at(prefillMS), ownPrompt(4000), noLimit).Wait, prefillMS))
 }
 
-// A cold start: the prompts of a session come at once, and its shared part is read by
-// the first of them.
+// Several prompts of a session arrive while its shared part isn't cached: only the first of them
+// computes it.
 func TestSharedPartIsComputedOnce(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(trainedEstimator())
@@ -70,7 +70,7 @@
 	is.Equal(first.CachedTokens, 0)
 	second := q.Forecast(at(0), w, noLimit)
 	is.True(approximately(second.Finish-second.Wait, measuredMS(prefill{newTokens: 1000, cachedTokens: 13300})))
-	is.Equal(second.CachedTokens, 0) // nobody can fetch what is still being read
+	is.Equal(second.CachedTokens, 0) // other engines can't fetch it while it is being computed
 	is.Equal(second.CachedAtStart, 13300)
 	q.Remove(at(300), 1, true)
 	third := q.Forecast(at(300), w, noLimit)
@@ -102,12 +102,13 @@
 	cachedTokens := func(part uint64) int {
 		return q.Forecast(at(2), Prompt{Parts: []Part{{ID: part, Tokens: 100_000}}}, noLimit).CachedTokens
 	}
-	is.Equal(cachedTokens(2), 0) // longest ago
+	is.Equal(cachedTokens(2), 0) // the least recently used
 	is.Equal(cachedTokens(1), 100_000)
 	is.Equal(cachedTokens(5), 100_000)
 }
 
-// An engine whose memory isn't known, or parts without tokens, must not fill the owner's.
+// The number of tracked parts is bounded, also if the engine's memory isn't known or the parts
+// have no tokens.
 func TestTrackedPartsAreBounded(t *testing.T) {
 	is := is.New(t)
 	for _, memory := range []int{0, 470_000} {
@@ -136,11 +137,11 @@
 	q.Add(at(0), 2, ownPrompt(4000), late.Rank, memory)
 	in := q.Forecast(at(0), ownPrompt(4000), time.Second)
 	is.True(in.Rank < Classes)
-	is.True(approximately(in.Wait, measuredMS(prefill{newTokens: 20000}))) // the late one isn't before it
+	is.True(approximately(in.Wait, measuredMS(prefill{newTokens: 20000}))) // the late one comes after it
 }
 
-// An engine five times as slow as the others is known within a few readings, and doesn't
-// change what is expected of the others.
+// An engine that is five times as slow as the others is detected within a few prefills, and the
+// predictions for the others stay the same.
 func TestSlowEngineIsDetected(t *testing.T) {
 	is := is.New(t)
 	e := trainedEstimator()
@@ -154,7 +155,7 @@
 	is.True(slow.Factor() > 3)
 	is.True(slow.Forecast(at(now), ownPrompt(4000), noLimit).Finish > 3*normal.Forecast(at(now), ownPrompt(4000), noLimit).Finish)
 	is.True(approximately(normal.Forecast(at(now), ownPrompt(4000), noLimit).Finish, usual))
-	for id := uint64(100); id < 120; id++ { // sound again
+	for id := uint64(100); id < 120; id++ { // normal speed again
 		slow.add(at(now), id, ownPrompt(4000))
 		now += usual
 		slow.Remove(at(now), id, true)
@@ -162,7 +163,7 @@
 	is.True(slow.Factor() < 1.5)
 }
 
-// The answer to a reading was lost: those after it ended, so that nothing waits for it.
+// A prompt whose answer was lost delays no other prompt once later ones have ended.
 func TestLostAnswerDelaysNoOtherPrompt(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(trainedEstimator())
@@ -174,7 +175,7 @@
 	q.Remove(at(3*prefillMS), 2, true)
 	_, progress := q.Remaining(at(3*prefillMS), 0)
 	is.Equal(progress, Lost)
-	is.True(approximately(q.Forecast(at(3*prefillMS), ownPrompt(4000), noLimit).Wait, prefillMS)) // the fourth's
+	is.True(approximately(q.Forecast(at(3*prefillMS), ownPrompt(4000), noLimit).Wait, prefillMS)) // that of the fourth prompt
 }
 
 func TestPromptsOfStuckEngineAreLost(t *testing.T) {
@@ -205,7 +206,7 @@
 	is.Equal(q.Factor(), 1.0)
 }
 
-// job is a prompt at an emulated engine.
+// job is a prompt at a simulated engine.
 type job struct {
 	id         uint64
 	rank       int
@@ -214,7 +215,7 @@
 	predicted  float64
 }
 
-// jobs is ordered as an engine reads them: by rank and then as they arrivedMS.
+// jobs orders prompts as an engine computes them: by rank and then in order of arrival.
 type jobs []job
 
 func (j jobs) Len() int { return len(j) }
@@ -233,9 +234,9 @@
 	return out
 }
 
-// burst plays prompts of skewed sizes at one engine for some seconds, at a share of
-// what it can read, and returns the ratios of seen and predicted times and the waits of
-// the shorter half and of all.
+// simulateBurst simulates prompts of skewed sizes at one engine for a minute. load is their
+// share of the engine's capacity. It returns the ratios of measured to predicted durations, and
+// the durations of the prompts of less than half the mean and of all prompts.
 func simulateBurst(load float64, class func(*Estimator, float64) int) (ratios, short, all []float64) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	q := NewQueue(trainedEstimator())
@@ -281,8 +282,8 @@
 	return values[int(q*float64(len(values)-1))]
 }
 
-// Prompts of skewed sizes fill an engine to nine tenths: what is predicted when they come
-// is what they take, and the shorter half hardly waits.
+// Prompts of skewed sizes take 90 % of an engine's capacity: the predictions made at their
+// arrival hold, and ranks by size keep the short prompts fast.
 func TestBurstOfSkewedPrompts(t *testing.T) {
 	is := is.New(t)
 	ratios, short, _ := simulateBurst(0.9, (*Estimator).class)
--- a/coordination/backlog/work.go
+++ b/coordination/backlog/work.go
@@ -1,41 +1,43 @@
 package backlog
 
-// Part is a piece of a prompt that other prompts may share, in the order of the prompt.
+// Part is a section of a prompt that other prompts may share.
 type Part struct {
-	// ID tells parts apart; it is a hash of the caller's name of the part.
+	// ID identifies the part; it is a hash of the name that the caller gave it.
 	ID     uint64
 	Tokens int
 }
 
-// Prompt is one prompt to be read.
+// Prompt is the prompt of one prefill.
 type Prompt struct {
-	// Parts are the parts before the prompt's own, Own the tokens of that.
+	// Parts are the shareable parts in the order of the prompt. OwnTokens is the number of
+	// tokens after them, which no other prompt shares.
 	Parts     []Part
 	OwnTokens int
-	// FetchableTokens is how many tokens of Shared, from the first on, can be fetched from
-	// another engine, and FetchMS how long that takes for all of them.
+	// FetchableTokens is how many tokens of Parts, from the first on, can be fetched from
+	// another engine. FetchMS is the time to fetch all of them, in milliseconds.
 	FetchableTokens int
 	FetchMS         float64
 }
 
-// prefill is what an engine has to do for a prompt.
+// prefill is the work that an engine has to do for a prompt.
 type prefill struct {
-	// newTokens tokens are read, after cachedTokens ones that the engine has.
+	// newTokens are computed, after cachedTokens that the engine has or fetches in fetchMS
+	// milliseconds.
 	newTokens, cachedTokens int
 	fetchMS                 float64
 }
 
-// features are what the time of a reading is linear in.
+// features are the terms in which the duration of a prefill is linear.
 type features [3]float64
 
 const (
-	// thousand and million bring the features to like size.
+	// thousand and million scale the features to similar magnitudes.
 	thousand = 1e3
 	million  = 1e6
 )
 
-// features of a reading: one; thousands of tokens; millions of pairs of a token and one
-// before it.
+// features returns the features of a prefill: 1, thousands of new tokens, and millions of pairs
+// of a new token and a token before it.
 func (r prefill) features() features {
 	newTokens, cachedTokens := float64(r.newTokens), float64(r.cachedTokens)
 	return features{1, newTokens / thousand, newTokens * (cachedTokens + newTokens/2) / million}
