--- a/coordination/backlog/estimator.go
+++ b/coordination/backlog/estimator.go
@@ -80,8 +80,8 @@
 // duration, in milliseconds at an engine of usual speed, of prefills whose features sum up to x.
 func (e *Estimator) learn(x features, tookMS float64) {
 	predicted := e.predict(x)
-	known := e.samples >= minSamples
-	if known && (tookMS > outlierRatio*predicted || predicted > outlierRatio*tookMS) {
+	reliable := e.samples >= minSamples
+	if reliable && (tookMS > outlierRatio*predicted || predicted > outlierRatio*tookMS) {
 		return
 	}
 	e.meanError += errorGain * (math.Abs(tookMS-predicted)/max(tookMS, predicted) - e.meanError)
--- a/coordination/backlog/queue_test.go
+++ b/coordination/backlog/queue_test.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	memory  = 470_000
-	noLimit = time.Hour
+	memoryTokens = 470_000
+	noLimit      = time.Hour
 )
 
 // trainedEstimator returns an estimator that has learned measuredMS.
@@ -39,7 +39,7 @@
 
 func (q *Queue) add(now time.Time, id uint64, w Prompt) Forecast {
 	f := q.Forecast(now, w, noLimit)
-	q.Add(now, id, w, f.Rank, memory)
+	q.Add(now, id, w, f.Rank, memoryTokens)
 	return f
 }
 
@@ -111,10 +111,10 @@
 // have no tokens.
 func TestTrackedPartsAreBounded(t *testing.T) {
 	is := is.New(t)
-	for _, memory := range []int{0, 470_000} {
+	for _, memoryTokens := range []int{0, 470_000} {
 		k := newPrefixCache()
 		for id := range uint64(3 * maxParts) {
-			k.insert(Prompt{Parts: []Part{{ID: id}}}, memory)
+			k.insert(Prompt{Parts: []Part{{ID: id}}}, memoryTokens)
 		}
 		is.True(k.recency.Len() <= maxParts)
 		is.True(len(k.byID) <= maxParts)
@@ -134,7 +134,7 @@
 	q.add(at(0), 1, ownPrompt(20000))
 	late := q.Forecast(at(0), ownPrompt(4000), time.Millisecond)
 	is.True(late.Rank >= Classes)
-	q.Add(at(0), 2, ownPrompt(4000), late.Rank, memory)
+	q.Add(at(0), 2, ownPrompt(4000), late.Rank, memoryTokens)
 	in := q.Forecast(at(0), ownPrompt(4000), time.Second)
 	is.True(in.Rank < Classes)
 	is.True(approximately(in.Wait, measuredMS(prefill{newTokens: 20000}))) // the late one comes after it
@@ -271,7 +271,7 @@
 		f := q.Forecast(at(now), w, noLimit)
 		f.Rank = class(q.estimator, measuredMS(r))
 		q.setRank(&f, at(now), f.Rank, measuredMS(r))
-		q.Add(at(now), id, w, f.Rank, memory)
+		q.Add(at(now), id, w, f.Rank, memoryTokens)
 		heap.Push(&waiting, job{id, f.Rank, measuredMS(r), now, float64(f.Finish) / float64(time.Millisecond)})
 	}
 	return ratios, short, all
