--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -55,7 +55,7 @@
 		return true
 	}
 	asked := d.o.Clock.Now()
-	p := d.o.Gate.Permit(ctx, occupancy.PermitAsk{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
+	p := d.o.Gate.Permit(ctx, occupancy.PermitRequest{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
 	if !p.Granted {
 		d.o.Advice.Closed(i.ID, d.o.Clock.Now().Add(max(p.Wait, leastClosed)))
 		rec.addStep(i, part, outcomeLimited, 0, nil)
--- a/coordination/forward/advised_harness_test.go
+++ b/coordination/forward/advised_harness_test.go
@@ -50,7 +50,7 @@
 	clock  *clocktest.Machine
 	fleet  *placement.Fleet
 	advice *backpressure.Registry
-	book   *occupancy.Book
+	book   *occupancy.Tracker
 	gate   *occupancy.Gate
 	// island is the part of the network that the host reaches; hosts of other parts aren't.
 	// Runners are reached from all. It is changed under the fleet's lock.
@@ -141,9 +141,9 @@
 	h.advice = newAdvice(f.t, clock, h.tell, h.update)
 	h.fleet = placement.NewFleet(placement.Options{Clock: clock, FailureDomain: domain, Advice: h.advice})
 	var err error
-	h.book = occupancy.NewBook(clock, slog.New(slog.DiscardHandler))
+	h.book = occupancy.NewTracker(clock, slog.New(slog.DiscardHandler))
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
-		Book: h.book, Peers: advisedPeers{h}, Self: name, Hosts: f.listedHosts, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Tracker: h.book, Peers: advisedPeers{h}, Self: name, Hosts: f.listedHosts, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		f.t.Fatal(err)
--- a/coordination/forward/advised_peers_test.go
+++ b/coordination/forward/advised_peers_test.go
@@ -68,10 +68,10 @@
 }
 
 // Enter implements occupancy.Peers.
-func (p advisedPeers) Enter(ctx context.Context, addr string, a occupancy.Ask) (occupancy.Answer, error) {
+func (p advisedPeers) Enter(ctx context.Context, addr string, a occupancy.Request) (occupancy.Response, error) {
 	to, err := p.reach(ctx, addr)
 	if err != nil {
-		return occupancy.Answer{}, err
+		return occupancy.Response{}, err
 	}
 	defer time.Sleep(peerTime)
 	return to.book.Enter(a), nil
@@ -98,7 +98,7 @@
 }
 
 // Permit implements occupancy.Peers.
-func (p advisedPeers) Permit(ctx context.Context, addr string, a occupancy.PermitAsk) (occupancy.Permit, error) {
+func (p advisedPeers) Permit(ctx context.Context, addr string, a occupancy.PermitRequest) (occupancy.Permit, error) {
 	to, err := p.reach(ctx, addr)
 	if err != nil {
 		return occupancy.Permit{}, err
--- a/coordination/forward/forward.go
+++ b/coordination/forward/forward.go
@@ -61,9 +61,9 @@
 // Gate admits work to engines, counted over all hosts.
 type Gate interface {
 	// Enter asks for admission to an engine.
-	Enter(ctx context.Context, a occupancy.Ask) occupancy.Verdict
+	Enter(ctx context.Context, a occupancy.Request) occupancy.Result
 	// Permit asks for a request to be sent to a runner that has a rate limit.
-	Permit(ctx context.Context, a occupancy.PermitAsk) occupancy.Permit
+	Permit(ctx context.Context, a occupancy.PermitRequest) occupancy.Permit
 }
 
 // Outliers collects reports of runners that don't answer.
--- a/coordination/forward/harness_test.go
+++ b/coordination/forward/harness_test.go
@@ -203,19 +203,19 @@
 // host's own book. If given is set it replaces the book's forecast.
 type scriptedGate struct {
 	*occupancy.Gate
-	book    *occupancy.Book
+	book    *occupancy.Tracker
 	refusal []backlog.Forecast
 	given   *backlog.Forecast
-	asks    []occupancy.Ask
+	asks    []occupancy.Request
 	// onEnter is called with each ask before it is answered.
-	onEnter func(a occupancy.Ask)
+	onEnter func(a occupancy.Request)
 }
 
 func newScriptedGate(t *testing.T) *scriptedGate {
 	t.Helper()
-	book := occupancy.NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+	book := occupancy.NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
 	gate, err := occupancy.NewGate(occupancy.GateOptions{
-		Book: book, Peers: noPeers{}, Self: "self", Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
+		Tracker: book, Peers: noPeers{}, Self: "self", Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 		Hosts: func() []state.Peer { return []state.Peer{{Addr: "self"}} },
 	})
 	if err != nil {
@@ -224,7 +224,7 @@
 	return &scriptedGate{Gate: gate, book: book}
 }
 
-func (g *scriptedGate) Enter(ctx context.Context, a occupancy.Ask) occupancy.Verdict {
+func (g *scriptedGate) Enter(ctx context.Context, a occupancy.Request) occupancy.Result {
 	g.asks = append(g.asks, a)
 	if g.onEnter != nil {
 		g.onEnter(a)
@@ -232,7 +232,7 @@
 	if len(g.refusal) > 0 {
 		f := g.refusal[0]
 		g.refusal = g.refusal[1:]
-		return occupancy.Verdict{Answer: occupancy.Answer{Forecast: f}}
+		return occupancy.Result{Response: occupancy.Response{Forecast: f}}
 	}
 	v := g.Gate.Enter(ctx, a)
 	if g.given != nil {
@@ -346,7 +346,7 @@
 func (w *world) prefillAsks() int {
 	n := 0
 	for _, a := range w.gate.asks {
-		if a.Reading != nil {
+		if a.Prefill != nil {
 			n++
 		}
 	}
--- a/coordination/forward/mixed_test.go
+++ b/coordination/forward/mixed_test.go
@@ -23,8 +23,8 @@
 	is.Equal(a.Instance.ID, w.gate.asks[1].Engine)
 	is.Equal(a.FetchFrom, w.gate.asks[0].Engine.Name+":1")
 	// Admission is for the prefill, not for a slot.
-	is.Equal(w.gate.asks[0].Most, 0)
-	is.True(w.gate.asks[0].Reading.Work.OwnTokens > 0)
+	is.Equal(w.gate.asks[0].MaxInFlight, 0)
+	is.True(w.gate.asks[0].Prefill.Prompt.OwnTokens > 0)
 }
 
 func TestLatePromptIsQueuedLastAtMixedEngine(t *testing.T) {
@@ -45,7 +45,7 @@
 	is.NoErr(err)
 	_, err = readAll(answer.Stream)
 	is.NoErr(err)
-	is.Equal(w.gate.asks[0].Most, engineSlots)
+	is.Equal(w.gate.asks[0].MaxInFlight, engineSlots)
 }
 
 func TestRefusedPromptIsRetriedAtAnotherMixedEngine(t *testing.T) {
--- a/coordination/forward/offer.go
+++ b/coordination/forward/offer.go
@@ -30,7 +30,7 @@
 // offer is what an engine's owner predicted.
 type offer struct {
 	runner *placement.Runner
-	occupancy.Verdict
+	occupancy.Result
 }
 
 // cost is what choosing the engine costs if it fetches parts from source: the time
@@ -61,9 +61,9 @@
 			break
 		}
 		ask := d.readingAsk(r, runner, backlog.Prompt(p), shortWait, limit)
-		ask.Reading.Warm = true
+		ask.Prefill.RequireCached = true
 		o := offer{runner, d.o.Gate.Enter(ctx, ask)}
-		if o.Place != nil {
+		if o.Reservation != nil {
 			return turnAt(o, nil), nil
 		}
 		rec.addStep(runner.Instance, "place", outcomeFull, o.Forecast.Finish, nil)
@@ -86,8 +86,8 @@
 		work.FetchMS = state.InMillis(moving(r, kept, from, best.runner))
 	}
 	ask := d.readingAsk(r, best.runner, work, anyTime, limit)
-	ask.Reading.Late = true
-	best.Verdict = d.o.Gate.Enter(ctx, ask)
+	ask.Prefill.AllowLate = true
+	best.Result = d.o.Gate.Enter(ctx, ask)
 	return turnAt(best, from), nil
 }
 
@@ -95,7 +95,7 @@
 // caller when it would be read in time.
 func (d *Dispatcher) hopeless(r *Request, rec *record, best offer) error {
 	left := d.prefillTimeLeft(r)
-	if best.Own || !best.Forecast.Reliable || best.Forecast.Finish < left {
+	if best.LocalOnly || !best.Forecast.Reliable || best.Forecast.Finish < left {
 		return nil
 	}
 	d.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "request is hopeless", slog.String("request_id", r.ID),
@@ -162,10 +162,10 @@
 }
 
 // readingAsk asks for a place at which the prompt is read.
-func (d *Dispatcher) readingAsk(r *Request, at *placement.Runner, w backlog.Prompt, wait, limit time.Duration) occupancy.Ask {
-	reading := &occupancy.Reading{Service: r.Service, Work: w, MaxWait: wait, Limit: limit}
+func (d *Dispatcher) readingAsk(r *Request, at *placement.Runner, w backlog.Prompt, wait, limit time.Duration) occupancy.Request {
+	reading := &occupancy.Prefill{Service: r.Service, Prompt: w, MaxWait: wait, MaxFinish: limit}
 	if r.Engine != nil {
-		reading.Memory = r.Engine.KVTokens
+		reading.MemoryTokens = r.Engine.KVTokens
 	}
-	return occupancy.Ask{Engine: at.Instance.ID, Reading: reading, Keep: d.timeLeft(r)}
+	return occupancy.Request{Engine: at.Instance.ID, Prefill: reading, TTL: d.timeLeft(r)}
 }
--- a/coordination/forward/prefill_test.go
+++ b/coordination/forward/prefill_test.go
@@ -126,7 +126,7 @@
 	w := newWorld(t, plenty, prefilled, generated, prefilled, generated)
 	w.mustServe(t) // the session's engine has the prefix cached from now on
 	var gone state.InstanceID
-	w.gate.onEnter = func(a occupancy.Ask) {
+	w.gate.onEnter = func(a occupancy.Request) {
 		if gone != (state.InstanceID{}) {
 			return
 		}
--- a/coordination/forward/suspended_test.go
+++ b/coordination/forward/suspended_test.go
@@ -31,7 +31,7 @@
 				is := is.New(t)
 				machine := &clocktest.Machine{}
 				w := newWorldAt(t, machine, plenty, c.replies...)
-				w.gate.onEnter = func(occupancy.Ask) { machine.Suspend(time.Minute) }
+				w.gate.onEnter = func(occupancy.Request) { machine.Suspend(time.Minute) }
 				w.up.onSend = func() { machine.Suspend(time.Minute) }
 				_, err := w.Forward(t.Context(), c.request())
 				var refusal *Refusal
--- a/coordination/forward/turn.go
+++ b/coordination/forward/turn.go
@@ -43,7 +43,7 @@
 	// runner is the engine to read at, or nil if there is none; source is one that
 	// keeps shared parts which runner lacks, or nil.
 	runner, source *placement.Runner
-	place          *occupancy.Place
+	place          *occupancy.Reservation
 	forecast       backlog.Forecast
 }
 
@@ -57,9 +57,9 @@
 }
 
 func turnAt(o offer, source *placement.Runner) turn {
-	t := turn{kind: TurnCounted, runner: o.runner, source: source, place: o.Place, forecast: o.Forecast}
+	t := turn{kind: TurnCounted, runner: o.runner, source: source, place: o.Reservation, forecast: o.Forecast}
 	switch {
-	case o.Own:
+	case o.LocalOnly:
 		t.kind = TurnOwn
 	case o.Forecast.Rank >= backlog.Classes:
 		t.kind = TurnDeferred
@@ -157,8 +157,8 @@
 func (d *Dispatcher) takeSlot(ctx context.Context, r *Request, rec *record) choice {
 	free, full := d.findSlot(ctx, r, rec, r.Generation.Session(), decodeDomain(r, rec.promptKV))
 	switch {
-	case free.Place != nil:
-		return choice{Runner: free.runner, turn: turn{kind: TurnCounted, runner: free.runner, place: free.Place}}
+	case free.Reservation != nil:
+		return choice{Runner: free.runner, turn: turn{kind: TurnCounted, runner: free.runner, place: free.Reservation}}
 	case len(full) > 0:
 		return choice{Runner: full[0]}
 	default:
@@ -175,7 +175,7 @@
 		rec.addStep(runner.Instance, "place", outcomeFull, 0, nil)
 	}
 	switch {
-	case free.Place != nil:
+	case free.Reservation != nil:
 		return d.generateAt(free.runner, turnAt(free, nil), rec)
 	case len(full) > 0:
 		return d.generateAt(full[0], turn{kind: TurnDeferred}, rec)
@@ -194,8 +194,8 @@
 		if runner == nil {
 			break
 		}
-		v := d.o.Gate.Enter(ctx, occupancy.Ask{Engine: runner.Instance.ID, Most: max(1, runner.Instance.Slots), Keep: d.timeLeft(r)})
-		if v.Place != nil {
+		v := d.o.Gate.Enter(ctx, occupancy.Request{Engine: runner.Instance.ID, MaxInFlight: max(1, runner.Instance.Slots), TTL: d.timeLeft(r)})
+		if v.Reservation != nil {
 			return offer{runner, v}, full
 		}
 		full = append(full, runner)
--- a/coordination/forward/turn_test.go
+++ b/coordination/forward/turn_test.go
@@ -44,8 +44,8 @@
 	is.Equal(w.gate.asks[0].Engine, home.Instance.ID)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[2].Engine)
 	is.Equal(w.up.attempts[0].FetchFrom, home.Instance.Addr)
-	is.Equal(w.gate.asks[4].Reading.Work.FetchableTokens, 400)
-	is.True(w.gate.asks[4].Reading.Late)
+	is.Equal(w.gate.asks[4].Prefill.Prompt.FetchableTokens, 400)
+	is.True(w.gate.asks[4].Prefill.AllowLate)
 }
 
 // A session's engine was replaced: the next one by its order still keeps the parts.
@@ -100,7 +100,7 @@
 	w.mustServe(t)
 	is.Equal(w.up.attempts[0].Rank, backlog.Classes+1)
 	is.Equal(w.up.attempts[1].Rank, 0) // what was read generates in its turn
-	is.Equal(turnAt(offer{Verdict: occupancy.Verdict{Answer: occupancy.Answer{Forecast: *w.gate.given}}}, nil).kind, TurnDeferred)
+	is.Equal(turnAt(offer{Result: occupancy.Result{Response: occupancy.Response{Forecast: *w.gate.given}}}, nil).kind, TurnDeferred)
 }
 
 // A prompt that isn't read in its time is given up while its caller still waits, and
@@ -166,7 +166,7 @@
 	_, err = readAll(answer.Stream)
 	is.NoErr(err)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[1].Engine)
-	is.Equal(w.gate.asks[1].Most, engineSlots)
+	is.Equal(w.gate.asks[1].MaxInFlight, engineSlots)
 	is.Equal(w.up.attempts[0].Rank, 0)
 }
 
@@ -213,7 +213,7 @@
 			}
 			for _, id := range order[:c.full] {
 				for range engineSlots {
-					is.True(w.gate.book.Enter(occupancy.Ask{Engine: id, Most: engineSlots, Keep: time.Minute}).ID != 0)
+					is.True(w.gate.book.Enter(occupancy.Request{Engine: id, MaxInFlight: engineSlots, TTL: time.Minute}).ID != 0)
 				}
 			}
 			want := order[c.full%len(order)]
--- a/coordination/occupancy/book_test.go
+++ b/coordination/occupancy/book_test.go
@@ -14,28 +14,30 @@
 )
 
 const (
-	keep  = 2 * time.Second
+	ttl   = 2 * time.Second
 	slots = 4
 )
 
 // named is the only run of an engine.
-func named(engine string) state.InstanceID { return state.InstanceID{Name: engine} }
+func instanceID(engine string) state.InstanceID { return state.InstanceID{Name: engine} }
 
 // ask asks for one of an engine's slots.
-func ask(engine string) Ask { return Ask{Engine: named(engine), Most: slots, Keep: keep} }
+func slotRequest(engine string) Request {
+	return Request{Engine: instanceID(engine), MaxInFlight: slots, TTL: ttl}
+}
 
 // readAsk asks for the reading of a prompt of some 43 ms, before anything is learnt.
-func readAsk(engine string) Ask {
-	return Ask{Engine: named(engine), Keep: keep, Reading: &Reading{
-		Service: "s", Work: backlog.Prompt{OwnTokens: 4000}, Memory: 1e6, MaxWait: time.Second, Limit: time.Second,
+func prefillRequest(engine string) Request {
+	return Request{Engine: instanceID(engine), TTL: ttl, Prefill: &Prefill{
+		Service: "s", Prompt: backlog.Prompt{OwnTokens: 4000}, MemoryTokens: 1e6, MaxWait: time.Second, MaxFinish: time.Second,
 	}}
 }
 
 // fill takes all places at an engine.
-func fill(b *Book, engine string) []uint64 {
+func fill(tracker *Tracker, engine string) []uint64 {
 	var out []uint64
 	for {
-		id := b.Enter(ask(engine)).ID
+		id := tracker.Enter(slotRequest(engine)).ID
 		if id == 0 {
 			return out
 		}
@@ -43,135 +45,135 @@
 	}
 }
 
-func TestPlacesAreBoundedForEachEngine(t *testing.T) {
+func TestReservationsAreBoundedPerEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		ids := fill(b, "a")
-		is.Equal(len(ids), slots)
-		is.Equal(len(fill(b, "b")), slots)
-		b.Leave(named("a"), ids[0], false)
-		is.Equal(len(fill(b, "a")), 1)
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		reservations := fill(tracker, "a")
+		is.Equal(len(reservations), slots)
+		is.Equal(len(fill(tracker, "b")), slots)
+		tracker.Leave(instanceID("a"), reservations[0], false)
+		is.Equal(len(fill(tracker, "a")), 1)
 	})
 }
 
-func TestReadingsAreBoundedByTheirPredictedWait(t *testing.T) {
+func TestPrefillsAreBoundedByPredictedWait(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		a := readAsk("a")
-		a.Reading.MaxWait = 100 * time.Millisecond
-		var last Answer
-		given := 0
-		for last = b.Enter(a); last.ID != 0; last = b.Enter(a) {
-			given++
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		a := prefillRequest("a")
+		a.Prefill.MaxWait = 100 * time.Millisecond
+		var last Response
+		admitted := 0
+		for last = tracker.Enter(a); last.ID != 0; last = tracker.Enter(a) {
+			admitted++
 		}
-		is.Equal(given, 3) // 0, 43 and 86 ms
-		is.True(last.Forecast.Wait > a.Reading.MaxWait)
-		is.True(b.Enter(readAsk("b")).ID != 0) // another engine
+		is.Equal(admitted, 3) // 0, 43 and 86 ms
+		is.True(last.Forecast.Wait > a.Prefill.MaxWait)
+		is.True(tracker.Enter(prefillRequest("b")).ID != 0) // another engine
 	})
 }
 
-func TestLateReadingGetsAPlaceOnlyIfItIsWanted(t *testing.T) {
+func TestLatePrefillIsAdmittedOnlyWithAllowLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		a := readAsk("a")
-		a.Reading.Limit = 10 * time.Millisecond
-		is.Equal(b.Enter(a).ID, uint64(0))
-		a.Reading.Late = true
-		is.True(b.Enter(a).ID != 0)
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		a := prefillRequest("a")
+		a.Prefill.MaxFinish = 10 * time.Millisecond
+		is.Equal(tracker.Enter(a).ID, uint64(0))
+		a.Prefill.AllowLate = true
+		is.True(tracker.Enter(a).ID != 0)
 	})
 }
 
-func TestWarmReadingIsOneWhosePartsAreKept(t *testing.T) {
+func TestRequireCachedAdmitsOnlyCachedPrompts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		a := readAsk("a")
-		a.Reading.Work.Parts = []backlog.Part{{ID: 3, Tokens: 9000}}
-		a.Reading.Warm = true
-		is.Equal(b.Enter(a).ID, uint64(0))
-		a.Reading.Warm = false
-		b.Leave(named("a"), b.Enter(a).ID, true)
-		a.Reading.Warm = true
-		is.True(b.Enter(a).ID != 0)
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		a := prefillRequest("a")
+		a.Prefill.Prompt.Parts = []backlog.Part{{ID: 3, Tokens: 9000}}
+		a.Prefill.RequireCached = true
+		is.Equal(tracker.Enter(a).ID, uint64(0))
+		a.Prefill.RequireCached = false
+		tracker.Leave(instanceID("a"), tracker.Enter(a).ID, true)
+		a.Prefill.RequireCached = true
+		is.True(tracker.Enter(a).ID != 0)
 	})
 }
 
-func TestRemainingTimeOfAPlace(t *testing.T) {
+func TestRemainingTimeOfReservation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		id := b.Enter(readAsk("a")).ID
-		f, progress := b.Remaining(named("a"), id)
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		id := tracker.Enter(prefillRequest("a")).ID
+		f, progress := tracker.Remaining(instanceID("a"), id)
 		is.Equal(progress, backlog.InProgress)
 		time.Sleep(10 * time.Millisecond)
-		later, _ := b.Remaining(named("a"), id)
+		later, _ := tracker.Remaining(instanceID("a"), id)
 		is.Equal(f.Finish-later.Finish, 10*time.Millisecond)
-		_, progress = b.Remaining(named("a"), id+1)
+		_, progress = tracker.Remaining(instanceID("a"), id+1)
 		is.Equal(progress, backlog.Unknown)
-		_, progress = b.Remaining(named("b"), id)
+		_, progress = tracker.Remaining(instanceID("b"), id)
 		is.Equal(progress, backlog.Unknown)
 	})
 }
 
 // A host that was lost tells no end; its places must not block the engine.
-func TestPlaceWithoutEndIsFreeAfterItsTime(t *testing.T) {
+func TestReservationExpiresAfterTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		ids := fill(b, "a")
-		reading := b.Enter(readAsk("r")).ID
-		time.Sleep(keep + time.Millisecond)
-		is.Equal(len(fill(b, "a")), slots)
-		b.Leave(named("a"), ids[0], true) // told late: nothing is counted out twice
-		is.Equal(len(fill(b, "a")), 0)
-		is.Equal(b.Enter(readAsk("r")).Forecast.Wait, time.Duration(0))
-		b.Leave(named("r"), reading, true)
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		reservations := fill(tracker, "a")
+		prefill := tracker.Enter(prefillRequest("r")).ID
+		time.Sleep(ttl + time.Millisecond)
+		is.Equal(len(fill(tracker, "a")), slots)
+		tracker.Leave(instanceID("a"), reservations[0], true) // told late: nothing is counted out twice
+		is.Equal(len(fill(tracker, "a")), 0)
+		is.Equal(tracker.Enter(prefillRequest("r")).Forecast.Wait, time.Duration(0))
+		tracker.Leave(instanceID("r"), prefill, true)
 	})
 }
 
-func TestPlaceOfAnEarlierRunIsPassedOver(t *testing.T) {
+func TestUnknownReservationIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		b.Leave(named("a"), 7, true)
-		is.Equal(len(fill(b, "a")), slots)
-		b.Leave(named("a"), 77, false)
-		is.Equal(len(fill(b, "a")), 0)
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		tracker.Leave(instanceID("a"), 7, true)
+		is.Equal(len(fill(tracker, "a")), slots)
+		tracker.Leave(instanceID("a"), 77, false)
+		is.Equal(len(fill(tracker, "a")), 0)
 	})
 }
 
-func TestEnginesThatNobodyAsksForAreForgotten(t *testing.T) {
+func TestIdleEnginesAreRemoved(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		fill(b, "a")
-		time.Sleep(forgetAfter + time.Second)
-		fill(b, "b")
-		is.Equal(len(b.engines), 1)
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		fill(tracker, "a")
+		time.Sleep(idleTTL + time.Second)
+		fill(tracker, "b")
+		is.Equal(len(tracker.engines), 1)
 	})
 }
 
 // An engine that restarts under its name keeps nothing and has nothing under way; the end
 // of work of its former run frees no place of the new one.
-func TestRestartedEngineIsCountedAnew(t *testing.T) {
+func TestRestartedEngineHasNewCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		a := readAsk("a")
-		a.Reading.Work.Parts = []backlog.Part{{ID: 1, Tokens: 6000}}
-		first := b.Enter(a)
-		b.Leave(a.Engine, first.ID, true)
-		is.Equal(b.Enter(a).Forecast.CachedTokens, 6000)
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		a := prefillRequest("a")
+		a.Prefill.Prompt.Parts = []backlog.Part{{ID: 1, Tokens: 6000}}
+		first := tracker.Enter(a)
+		tracker.Leave(a.Engine, first.ID, true)
+		is.Equal(tracker.Enter(a).Forecast.CachedTokens, 6000)
 		former := a.Engine
 		a.Engine.Born = 2
-		again := b.Enter(a)
-		is.Equal(again.Forecast.CachedTokens, 0)
-		is.Equal(again.Forecast.Wait, time.Duration(0))
-		b.Leave(former, again.ID, true)
-		_, progress := b.Remaining(a.Engine, again.ID)
+		second := tracker.Enter(a)
+		is.Equal(second.Forecast.CachedTokens, 0)
+		is.Equal(second.Forecast.Wait, time.Duration(0))
+		tracker.Leave(former, second.ID, true)
+		_, progress := tracker.Remaining(a.Engine, second.ID)
 		is.Equal(progress, backlog.InProgress)
 	})
 }
--- a/coordination/occupancy/log_test.go
+++ b/coordination/occupancy/log_test.go
@@ -14,23 +14,23 @@
 )
 
 // A owner that finds an engine slow, or sound again, says so once.
-func TestChangeOfAnEnginesSpeedIsLogged(t *testing.T) {
+func TestSpeedChangeOfEngineIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var out bytes.Buffer
-		b := NewBook(clocktest.Bubble{}, slog.New(slog.NewTextHandler(&out, nil)))
-		read := func(engine string, took time.Duration, times int) {
+		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.NewTextHandler(&out, nil)))
+		prefill := func(engine string, took time.Duration, times int) {
 			for range times {
-				id := b.Enter(readAsk(engine)).ID
+				id := tracker.Enter(prefillRequest(engine)).ID
 				time.Sleep(took)
-				b.Leave(named(engine), id, true)
+				tracker.Leave(instanceID(engine), id, true)
 			}
 		}
-		read("a", 50*time.Millisecond, 40)
+		prefill("a", 50*time.Millisecond, 40)
 		is.Equal(out.Len(), 0)
-		read("b", 250*time.Millisecond, 12)
+		prefill("b", 250*time.Millisecond, 12)
 		is.Equal(strings.Count(out.String(), "slow=true"), 1)
-		read("b", 50*time.Millisecond, 20)
+		prefill("b", 50*time.Millisecond, 20)
 		is.Equal(strings.Count(out.String(), "slow=false"), 1)
 		is.Equal(strings.Count(out.String(), "instance=b"), 2)
 	})
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -334,7 +334,7 @@
 // hosts look often; the settings' seeds don't say which, as they are empty where no
 // role serves peers of the platform's own kind.
 func (h *Host) lookEvery() time.Duration {
-	if h.gate.Among(lookers) {
+	if h.gate.IsAmongFirst(lookers) {
 		return lookOften
 	}
 	return lookSeldom
--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -68,12 +68,12 @@
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 func (h *Host) buildGate() error {
-	book := occupancy.NewBook(h.clock, h.log)
+	book := occupancy.NewTracker(h.clock, h.log)
 	roles.Subscribe(h.fanout, h.fleet.ExpectRole, h.log)
 	advices.Subscribe(h.fanout, h.advice.Take, h.log)
 	var err error
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
-		Book: book, Peers: places.Peers{Client: h.peers}, Self: h.members.addr(h.s.IP), Hosts: h.members.All,
+		Tracker: book, Peers: places.Peers{Client: h.peers}, Self: h.members.addr(h.s.IP), Hosts: h.members.All,
 		Clock: h.clock, Log: h.log,
 	})
 	if err != nil {
--- a/transport/places/fuzz_test.go
+++ b/transport/places/fuzz_test.go
@@ -33,7 +33,7 @@
 		if err != nil {
 			return
 		}
-		book := occupancy.NewBook(wallclock.Clock{}, slog.New(slog.DiscardHandler))
+		book := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler))
 		for range 2 {
 			got := entered(book.Enter(a)).answer()
 			book.Remaining(a.Engine, got.ID)
--- a/transport/places/places.go
+++ b/transport/places/places.go
@@ -91,12 +91,12 @@
 
 // Register lets the server answer peers from the host's book, and from its gate for what it
 // owns of runners' limits.
-func Register(s *peer.Server, book *occupancy.Book, gate *occupancy.Gate) {
+func Register(s *peer.Server, book *occupancy.Tracker, gate *occupancy.Gate) {
 	s.Handle(peerapi.KindPermit, peer.HandleMsg(func(_ context.Context, _ state.HostID, q Permit) (Permitted, error) {
 		if !(q.Rate >= 0) || !(q.MaxWaitMS >= 0 && q.MaxWaitMS < mostWaitMS) || q.Rank < 0 {
 			return Permitted{}, errPermit
 		}
-		got := gate.Grant(occupancy.PermitAsk{Runner: state.InstanceID{Name: q.Runner, Born: q.Born}, Rate: q.Rate, MaxWait: state.Millis(q.MaxWaitMS), Rank: q.Rank})
+		got := gate.Grant(occupancy.PermitRequest{Runner: state.InstanceID{Name: q.Runner, Born: q.Born}, Rate: q.Rate, MaxWait: state.Millis(q.MaxWaitMS), Rank: q.Rank})
 		return Permitted{got.Granted, state.InMillis(got.Wait)}, nil
 	}))
 	s.Handle(peerapi.KindEnter, peer.HandleMsg(func(_ context.Context, _ state.HostID, q Enter) (Entered, error) {
@@ -108,7 +108,7 @@
 	}))
 	s.Handle(peerapi.KindRemain, peer.HandleMsg(func(_ context.Context, _ state.HostID, q Remain) (Remains, error) {
 		f, progress := book.Remaining(state.InstanceID{Name: q.Engine, Born: q.Born}, q.ID)
-		out := entered(occupancy.Answer{ID: q.ID, Forecast: f})
+		out := entered(occupancy.Response{ID: q.ID, Forecast: f})
 		return Remains{Progress: int(progress), Forecast: out}, nil
 	}))
 	s.Handle(peerapi.KindLeave, peer.HandleMsg(func(_ context.Context, _ state.HostID, q Leave) (Left, error) {
@@ -135,14 +135,14 @@
 
 func outOfRange(tokens int) bool { return tokens < 0 || tokens > mostTokens }
 
-func enter(a occupancy.Ask) Enter {
-	q := Enter{Engine: a.Engine.Name, Born: a.Engine.Born, Most: a.Most, KeepMS: a.Keep.Milliseconds()}
-	if r := a.Reading; r != nil {
+func enter(a occupancy.Request) Enter {
+	q := Enter{Engine: a.Engine.Name, Born: a.Engine.Born, Most: a.MaxInFlight, KeepMS: a.TTL.Milliseconds()}
+	if r := a.Prefill; r != nil {
 		q.Reading = &Reading{
-			Service: r.Service, Own: r.Work.OwnTokens, Fetched: r.Work.FetchableTokens, FetchMS: r.Work.FetchMS, Memory: r.Memory,
-			MaxWaitMS: r.MaxWait.Milliseconds(), LimitMS: r.Limit.Milliseconds(), Late: r.Late, Warm: r.Warm,
+			Service: r.Service, Own: r.Prompt.OwnTokens, Fetched: r.Prompt.FetchableTokens, FetchMS: r.Prompt.FetchMS, Memory: r.MemoryTokens,
+			MaxWaitMS: r.MaxWait.Milliseconds(), LimitMS: r.MaxFinish.Milliseconds(), Late: r.AllowLate, Warm: r.RequireCached,
 		}
-		for _, p := range r.Work.Parts {
+		for _, p := range r.Prompt.Parts {
 			q.Reading.Parts = append(q.Reading.Parts, p.ID)
 			q.Reading.Tokens = append(q.Reading.Tokens, p.Tokens)
 		}
@@ -150,8 +150,8 @@
 	return q
 }
 
-func (q Enter) ask() (occupancy.Ask, error) {
-	a := occupancy.Ask{Engine: state.InstanceID{Name: q.Engine, Born: q.Born}, Most: q.Most, Keep: state.Millis(float64(q.KeepMS))}
+func (q Enter) ask() (occupancy.Request, error) {
+	a := occupancy.Request{Engine: state.InstanceID{Name: q.Engine, Born: q.Born}, MaxInFlight: q.Most, TTL: state.Millis(float64(q.KeepMS))}
 	r := q.Reading
 	if r == nil {
 		return a, nil
@@ -160,34 +160,34 @@
 	if len(r.Parts) != len(r.Tokens) || slices.ContainsFunc(sizes, outOfRange) || !(r.FetchMS >= 0 && r.FetchMS < mostFetchMS) {
 		return a, errParts
 	}
-	a.Reading = &occupancy.Reading{
-		Service: r.Service, Work: backlog.Prompt{OwnTokens: r.Own, FetchableTokens: r.Fetched, FetchMS: r.FetchMS}, Memory: r.Memory,
-		MaxWait: state.Millis(float64(r.MaxWaitMS)), Limit: state.Millis(float64(r.LimitMS)), Late: r.Late, Warm: r.Warm,
+	a.Prefill = &occupancy.Prefill{
+		Service: r.Service, Prompt: backlog.Prompt{OwnTokens: r.Own, FetchableTokens: r.Fetched, FetchMS: r.FetchMS}, MemoryTokens: r.Memory,
+		MaxWait: state.Millis(float64(r.MaxWaitMS)), MaxFinish: state.Millis(float64(r.LimitMS)), AllowLate: r.Late, RequireCached: r.Warm,
 	}
 	for i, id := range r.Parts {
-		a.Reading.Work.Parts = append(a.Reading.Work.Parts, backlog.Part{ID: id, Tokens: r.Tokens[i]})
+		a.Prefill.Prompt.Parts = append(a.Prefill.Prompt.Parts, backlog.Part{ID: id, Tokens: r.Tokens[i]})
 	}
 	return a, nil
 }
 
-func entered(a occupancy.Answer) Entered {
+func entered(a occupancy.Response) Entered {
 	f := a.Forecast
 	return Entered{ID: a.ID, WaitMS: state.InMillis(f.Wait), FinishMS: state.InMillis(f.Finish), Rank: f.Rank, Kept: f.CachedTokens, Coming: f.CachedAtStart, ColdMS: state.InMillis(f.UncachedTime), Error: f.Error, Known: f.Reliable}
 }
 
-func (e Entered) answer() occupancy.Answer {
-	return occupancy.Answer{ID: e.ID, Forecast: backlog.Forecast{
+func (e Entered) answer() occupancy.Response {
+	return occupancy.Response{ID: e.ID, Forecast: backlog.Forecast{
 		Wait: state.Millis(e.WaitMS), Finish: state.Millis(e.FinishMS), Rank: e.Rank, CachedTokens: e.Kept, CachedAtStart: e.Coming, UncachedTime: state.Millis(e.ColdMS), Error: e.Error, Reliable: e.Known,
 	}}
 }
 
-// Peers calls the books of other hosts.
+// Peers calls the trackers of other hosts.
 type Peers struct{ Client *peer.Client }
 
 var _ occupancy.Peers = Peers{}
 
 // Enter implements occupancy.Peers.
-func (p Peers) Enter(ctx context.Context, addr string, a occupancy.Ask) (occupancy.Answer, error) {
+func (p Peers) Enter(ctx context.Context, addr string, a occupancy.Request) (occupancy.Response, error) {
 	got, err := peer.CallMsg[Enter, Entered](ctx, p.Client, addr, peerapi.KindEnter, enter(a))
 	return got.answer(), err
 }
@@ -205,7 +205,7 @@
 }
 
 // Permit implements occupancy.Peers.
-func (p Peers) Permit(ctx context.Context, addr string, a occupancy.PermitAsk) (occupancy.Permit, error) {
+func (p Peers) Permit(ctx context.Context, addr string, a occupancy.PermitRequest) (occupancy.Permit, error) {
 	q := Permit{a.Runner.Name, a.Runner.Born, a.Rate, state.InMillis(a.MaxWait), a.Rank}
 	got, err := peer.CallMsg[Permit, Permitted](ctx, p.Client, addr, peerapi.KindPermit, q)
 	return occupancy.Permit{Granted: got.Granted, Wait: state.Millis(got.WaitMS)}, err
--- a/transport/places/places_test.go
+++ b/transport/places/places_test.go
@@ -34,9 +34,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := occupancy.NewBook(wallclock.Clock{}, slog.New(slog.DiscardHandler))
+	book := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler))
 	gate, err := occupancy.NewGate(occupancy.GateOptions{
-		Book: book, Peers: Peers{}, Self: "self", Clock: wallclock.Clock{}, Log: slog.New(slog.DiscardHandler),
+		Tracker: book, Peers: Peers{}, Self: "self", Clock: wallclock.Clock{}, Log: slog.New(slog.DiscardHandler),
 		Hosts: func() []state.Peer { return []state.Peer{{Addr: "self"}} },
 	})
 	if err != nil {
@@ -63,7 +63,7 @@
 func TestPlacesAreGivenAndEndedOverTheNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
-	a := occupancy.Ask{Engine: engine, Most: 3, Keep: time.Hour}
+	a := occupancy.Request{Engine: engine, MaxInFlight: 3, TTL: time.Hour}
 	var ids []uint64
 	for {
 		answer, err := peers.Enter(t.Context(), addr, a)
@@ -73,7 +73,7 @@
 		}
 		ids = append(ids, answer.ID)
 	}
-	is.Equal(len(ids), a.Most)
+	is.Equal(len(ids), a.MaxInFlight)
 	is.NoErr(peers.Leave(t.Context(), addr, engine, ids[0], false))
 	answer, err := peers.Enter(t.Context(), addr, a)
 	is.NoErr(err)
@@ -84,16 +84,16 @@
 func TestReadingsAreForecastOverTheNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
-	a := occupancy.Ask{Engine: engine, Keep: time.Hour, Reading: &occupancy.Reading{
-		Service: "s", Memory: 1e6, MaxWait: time.Hour, Limit: time.Hour, Warm: true,
-		Work: backlog.Prompt{Parts: []backlog.Part{{ID: 1 << 63, Tokens: 6000}, {ID: 2, Tokens: 300}}, OwnTokens: 3000, FetchableTokens: 6000, FetchMS: 2.5},
+	a := occupancy.Request{Engine: engine, TTL: time.Hour, Prefill: &occupancy.Prefill{
+		Service: "s", MemoryTokens: 1e6, MaxWait: time.Hour, MaxFinish: time.Hour, RequireCached: true,
+		Prompt: backlog.Prompt{Parts: []backlog.Part{{ID: 1 << 63, Tokens: 6000}, {ID: 2, Tokens: 300}}, OwnTokens: 3000, FetchableTokens: 6000, FetchMS: 2.5},
 	}}
-	want := occupancy.NewBook(wallclock.Clock{}, slog.New(slog.DiscardHandler)).Enter(a)
+	want := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler)).Enter(a)
 	got, err := peers.Enter(t.Context(), addr, a)
 	is.NoErr(err)
 	is.Equal(got, want)
 	is.Equal(got.ID, uint64(0)) // 300 tokens aren't kept
-	a.Reading.Warm, a.Reading.Late, a.Reading.Limit = false, true, time.Millisecond
+	a.Prefill.RequireCached, a.Prefill.AllowLate, a.Prefill.MaxFinish = false, true, time.Millisecond
 	got, err = peers.Enter(t.Context(), addr, a)
 	is.NoErr(err)
 	is.True(got.ID != 0)
@@ -122,7 +122,7 @@
 	is.NoErr(err)
 	addr := ln.Addr().String()
 	is.NoErr(ln.Close())
-	answer, err := peers.Enter(t.Context(), addr, occupancy.Ask{Engine: engine})
+	answer, err := peers.Enter(t.Context(), addr, occupancy.Request{Engine: engine})
 	is.True(err != nil)
 	is.Equal(answer.ID, uint64(0))
 	_, progress, err := peers.Remaining(t.Context(), addr, engine, 1)
@@ -133,7 +133,7 @@
 func TestPermitsAreGivenOverTheNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
-	a := occupancy.PermitAsk{Runner: engine, Rate: 0.1}
+	a := occupancy.PermitRequest{Runner: engine, Rate: 0.1}
 	p, err := peers.Permit(t.Context(), addr, a)
 	is.NoErr(err)
 	is.True(p.Granted)
