--- a/coordination/occupancy/book.go
+++ b/coordination/occupancy/book.go
@@ -1,10 +1,10 @@
-// Package occupancy counts, at one host for each engine, what all hosts have under
-// way there, so that a host knows of the others' work before it adds its own.
+// Package occupancy counts, at one host per engine, the work that all hosts have in progress at
+// that engine, so that each host knows of the others' work before it adds its own. It also
+// enforces the rate limits of runners.
 //
-// The owner of an engine's count is chosen by rendezvous hashing over the hosts'
-// addresses. Counts and forecasts only help to place requests: while an owner is lost,
-// new or known to some hosts only, requests are placed less well, and no answer is
-// wrong.
+// The host that owns an engine's count is chosen by rendezvous hashing over the hosts' addresses.
+// Counts and forecasts only improve placement. While an owner is lost, new, or not known to all
+// hosts, requests are placed less well, but no answer becomes wrong.
 package occupancy
 
 import (
@@ -16,46 +16,48 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// idleTTL is how long an engine that nobody asks for is remembered.
+// idleTTL is how long an engine or a runner's limiter is kept after the last request for it.
 const idleTTL = time.Minute
 
-// Request is a request for a place at an engine.
+// Request asks for admission to an engine.
 type Request struct {
 	Engine state.InstanceID
-	// MaxInFlight bounds the places in requests, of work that isn't a reading.
+	// MaxInFlight bounds the reservations at the engine for a request that isn't a prefill.
 	MaxInFlight int
-	// Prefill is the prompt that is to be read; nil for other work.
+	// Prefill is the prompt to be computed; nil for a request that isn't a prefill.
 	Prefill *Prefill
-	// TTL is how long the place is kept if its end isn't told.
+	// TTL is how long a reservation is kept if its end isn't reported.
 	TTL time.Duration
 }
 
-// Prefill is a prompt that is to be read at an engine.
+// Prefill is a prompt to be computed at an engine.
 type Prefill struct {
-	// Service is that of the engine; engines of one service have like speeds.
+	// Service is the engine's service. Engines of one service have similar speeds.
 	Service string
 	Prompt  backlog.Prompt
 	// MemoryTokens is the engine's memory in tokens.
 	MemoryTokens int
-	// MaxWait is the longest predicted wait with which a place is wanted.
+	// MaxWait is the longest predicted wait with which admission is wanted.
 	MaxWait time.Duration
-	// MaxFinish is when the prompt should have been read, and Late says that a place is
-	// wanted also if it is predicted to be read later.
+	// MaxFinish is the time from now in which the prefill should end. AllowLate says that
+	// admission is also wanted if the prefill is predicted to end later.
 	MaxFinish time.Duration
 	AllowLate bool
-	// RequireCached says that a place is wanted only where all shared parts are kept.
+	// RequireCached says that admission is only wanted if all shareable parts of the prompt are
+	// cached at the engine.
 	RequireCached bool
 }
 
-// Response is an owner's answer to an Ask.
+// Response is an owner's response to a Request.
 type Response struct {
-	// ID names the place; 0 if none was given.
+	// ID identifies the reservation; 0 if the request wasn't admitted.
 	ID uint64
-	// Forecast is set for readings, given a place or not.
+	// Forecast is set for prefills, whether admitted or not.
 	Forecast backlog.Forecast
 }
 
-// Tracker holds the counts that this host keeps. It is safe for concurrent use.
+// Tracker holds the counts of the engines that this host owns, and the limiters of runners. It
+// is safe for concurrent use.
 type Tracker struct {
 	clock state.Clock
 	log   *slog.Logger
@@ -63,32 +65,31 @@
 	mu      sync.Mutex
 	nextID  uint64
 	engines map[state.InstanceID]*engine
-	// estimators are by service.
+	// estimators holds the estimator of each service.
 	estimators map[string]*backlog.Estimator
 	limiters   map[state.InstanceID]*limiter
 }
 
-// engine is what is under way at one engine.
+// engine is the work in progress at one engine.
 type engine struct {
-	// queue is nil until a reading is asked for.
+	// queue is nil until the first request for a prefill.
 	queue        *backlog.Queue
 	reservations map[uint64]reservation
 	usedAt       time.Time
 }
 
-// reservation is one place that was given.
+// reservation is one admitted request.
 type reservation struct {
 	prefill   bool
 	expiresAt time.Time
 }
 
-// NewTracker returns an empty book.
+// NewTracker returns a tracker without counts.
 func NewTracker(clock state.Clock, log *slog.Logger) *Tracker {
 	return &Tracker{clock: clock, log: log, engines: map[state.InstanceID]*engine{}, estimators: map[string]*backlog.Estimator{}, limiters: map[state.InstanceID]*limiter{}}
 }
 
-// Enter gives a place at the engine, or none if as much is under way there as is
-// done in time.
+// Enter admits a request to the engine, unless the engine has too much work in progress for it.
 func (t *Tracker) Enter(req Request) Response {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -104,7 +105,7 @@
 	return Response{ID: t.reserve(e, reservation{expiresAt: now.Add(req.TTL)})}
 }
 
-// enterPrefill gives a place for a reading.
+// enterPrefill admits a prefill if its forecast meets the request's conditions.
 func (t *Tracker) enterPrefill(e *engine, req Request, now time.Time) Response {
 	r := req.Prefill
 	if e.queue == nil {
@@ -120,12 +121,14 @@
 	return out
 }
 
+// reserve adds a reservation and returns its ID.
 func (t *Tracker) reserve(e *engine, r reservation) uint64 {
 	t.nextID++
 	e.reservations[t.nextID] = r
 	return t.nextID
 }
 
+// estimator returns the estimator of a service, and creates it if there is none; t.mu is held.
 func (t *Tracker) estimator(service string) *backlog.Estimator {
 	out := t.estimators[service]
 	if out == nil {
@@ -135,7 +138,7 @@
 	return out
 }
 
-// Remaining predicts when the reading of a place ends.
+// Remaining predicts when the prefill of a reservation ends.
 func (t *Tracker) Remaining(engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,9 +149,9 @@
 	return e.queue.Remaining(t.clock.Now(), id)
 }
 
-// Leave ends a place. done says that the work was done, so that its time tells how
-// loaded the engine is. An unknown place, such as one of an earlier run of this
-// host, is passed over.
+// Leave ends a reservation. done says that the work was completed, so that its duration is a
+// sample of the engine's speed. Unknown reservations, such as those of an earlier run of this
+// host, are ignored.
 func (t *Tracker) Leave(engine state.InstanceID, id uint64, done bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,7 +164,7 @@
 	}
 }
 
-// release ends a known place, and logs when the engine begins or ceases to be slow.
+// release ends a known reservation, and logs if the engine becomes slow or stops being slow.
 func (t *Tracker) release(e *engine, name state.InstanceID, id uint64, done bool) {
 	slow := e.slow()
 	e.release(t.clock.Now(), id, done)
@@ -170,11 +173,11 @@
 	}
 }
 
-// slow reports whether the engine reads far more slowly than the others.
+// slow reports whether the engine's prefills take far longer than those of other engines.
 func (e *engine) slow() bool { return e.queue != nil && e.queue.Slow() }
 
-// engine returns the engine's count; b.mu is held. A new one drops those that
-// nobody has asked for lately.
+// engine returns the engine's count, and creates it if there is none; t.mu is held. Creating one
+// removes the engines that were idle for idleTTL.
 func (t *Tracker) engine(id state.InstanceID, now time.Time) *engine {
 	e := t.engines[id]
 	if e == nil {
@@ -190,7 +193,7 @@
 	return e
 }
 
-// expire ends the places whose hosts have told no end in time.
+// expire ends the reservations whose TTL has passed without a reported end.
 func (e *engine) expire(now time.Time) {
 	for id, r := range e.reservations {
 		if now.After(r.expiresAt) {
@@ -199,6 +202,7 @@
 	}
 }
 
+// release ends a reservation.
 func (e *engine) release(now time.Time, id uint64, done bool) {
 	if e.reservations[id].prefill {
 		e.queue.Remove(now, id, done)
--- a/coordination/occupancy/book_test.go
+++ b/coordination/occupancy/book_test.go
@@ -18,22 +18,23 @@
 	slots = 4
 )
 
-// named is the only run of an engine.
+// instanceID returns the ID of the only run of an engine.
 func instanceID(engine string) state.InstanceID { return state.InstanceID{Name: engine} }
 
-// ask asks for one of an engine's slots.
+// slotRequest asks for one of an engine's slots.
 func slotRequest(engine string) Request {
 	return Request{Engine: instanceID(engine), MaxInFlight: slots, TTL: ttl}
 }
 
-// readAsk asks for the reading of a prompt of some 43 ms, before anything is learnt.
+// prefillRequest asks for a prefill that is predicted to take about 43 ms before there are
+// samples.
 func prefillRequest(engine string) Request {
 	return Request{Engine: instanceID(engine), TTL: ttl, Prefill: &Prefill{
 		Service: "s", Prompt: backlog.Prompt{OwnTokens: 4000}, MemoryTokens: 1e6, MaxWait: time.Second, MaxFinish: time.Second,
 	}}
 }
 
-// fill takes all places at an engine.
+// fill takes all slots of an engine.
 func fill(tracker *Tracker, engine string) []uint64 {
 	var out []uint64
 	for {
@@ -118,7 +119,8 @@
 	})
 }
 
-// A host that was lost tells no end; its places must not block the engine.
+// A lost host doesn't report the end of its requests, and its reservations must not block the
+// engine.
 func TestReservationExpiresAfterTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -127,7 +129,7 @@
 		prefill := tracker.Enter(prefillRequest("r")).ID
 		time.Sleep(ttl + time.Millisecond)
 		is.Equal(len(fill(tracker, "a")), slots)
-		tracker.Leave(instanceID("a"), reservations[0], true) // told late: nothing is counted out twice
+		tracker.Leave(instanceID("a"), reservations[0], true) // a late report doesn't free a slot twice
 		is.Equal(len(fill(tracker, "a")), 0)
 		is.Equal(tracker.Enter(prefillRequest("r")).Forecast.Wait, time.Duration(0))
 		tracker.Leave(instanceID("r"), prefill, true)
@@ -156,8 +158,8 @@
 	})
 }
 
-// An engine that restarts under its name keeps nothing and has nothing under way; the end
-// of work of its former run frees no place of the new one.
+// A restarted engine has an empty cache and no work in progress. The end of a request to its
+// former run must not free a reservation of the new run.
 func TestRestartedEngineHasNewCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coordination/occupancy/gate.go
+++ b/coordination/occupancy/gate.go
@@ -15,28 +15,28 @@
 )
 
 const (
-	// maxOwners bounds the hosts that keep counts, and with them each host's
-	// connections to peers, at any size of the fleet. Hosts of a lower class are
-	// taken only while there are fewer than minOwners: a count is of use only while its
-	// owner answers within milliseconds.
+	// maxOwners bounds the hosts that own counts, and with them each host's connections to
+	// peers, independently of the number of hosts. Hosts of a lower class become owners only while there
+	// are fewer than minOwners, since a count is useful only if its owner answers within
+	// milliseconds.
 	maxOwners = 16
 	minOwners = 4
-	// ownerTimeout is some round trips between failure domains (2.8 ms) behind two
-	// or three bodies on a slow link (7 ms each): an owner that takes longer is dark or
-	// held up, and the next one answers sooner.
+	// ownerTimeout allows for several round trips between failure domains (2.8 ms each) after
+	// two or three bodies on a slow link (7 ms each). An owner that takes longer is down or
+	// stalled, and the next one answers sooner.
 	ownerTimeout = 25 * time.Millisecond
-	// maxOwnersTried bounds the owners that are asked for one place: the next one by
-	// the engine's order is asked when the first doesn't answer.
+	// maxOwnersTried bounds the owners that are tried for one request: if the first doesn't
+	// answer, the engine's next owner is tried.
 	maxOwnersTried = 2
-	// leaveTimeout bounds the telling of an end, which nobody waits for.
+	// leaveTimeout bounds the call that reports the end of a reservation. No caller waits for it.
 	leaveTimeout = time.Second
-	// minBackoff is how long an owner that didn't answer is passed over; each
-	// further failure in a row doubles it up to avoidMost.
+	// minBackoff is how long a host that didn't answer is not chosen as owner. Each further
+	// failure in a row doubles the time, up to maxBackoff.
 	minBackoff = 500 * time.Millisecond
 	maxBackoff = 16 * time.Second
 )
 
-// Peers reaches the books of other hosts.
+// Peers calls the trackers of other hosts at their peer addresses.
 type Peers interface {
 	Enter(ctx context.Context, addr string, req Request) (Response, error)
 	Remaining(ctx context.Context, addr string, engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress, error)
@@ -44,19 +44,19 @@
 	Permit(ctx context.Context, addr string, req PermitRequest) (Permit, error)
 }
 
-// GateOptions configure a Gate. All fields are required.
+// GateOptions configures a Gate. All fields are required.
 type GateOptions struct {
 	Tracker *Tracker
 	Peers   Peers
-	// Self is this host's peer address, and Hosts lists all hosts. A list that has
-	// been returned is never changed: another list is another slice.
+	// Self is this host's peer address, and Hosts lists all hosts. A returned list must not be
+	// modified; a changed list is returned as another slice.
 	Self  string
 	Hosts func() []state.Peer
 	Clock state.Clock
 	Log   *slog.Logger
 }
 
-// Gate asks the owners for places. It is safe for concurrent use.
+// Gate requests admission from the owners of engines. It is safe for concurrent use.
 type Gate struct {
 	o GateOptions
 
@@ -65,19 +65,19 @@
 	backoffs   map[string]hostBackoff
 }
 
-// hostOrder is the hosts in the order in which they become owners.
+// hostOrder caches the hosts in the order in which they become owners.
 type hostOrder struct {
 	hosts []state.Peer
 	order []state.Peer
 }
 
-// hostBackoff passes over a host that didn't answer.
+// hostBackoff is the backoff of a host that didn't answer.
 type hostBackoff struct {
 	until    time.Time
 	failures int
 }
 
-// NewGate validates the options.
+// NewGate validates the options and returns a Gate.
 func NewGate(o GateOptions) (*Gate, error) {
 	if o.Tracker == nil || o.Peers == nil || o.Self == "" || o.Hosts == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("occupancy: a field of GateOptions is missing; set all of them")
@@ -85,8 +85,8 @@
 	return &Gate{o: o, backoffs: map[string]hostBackoff{}}, nil
 }
 
-// Reservation is a place at an engine. Exactly one of Done and Cancel is to be called;
-// both may be called on nil.
+// Reservation is an admitted request at an engine. Exactly one of Done and Cancel must be
+// called; both do nothing on nil.
 type Reservation struct {
 	gate   *Gate
 	owner  string
@@ -94,18 +94,18 @@
 	id     uint64
 }
 
-// Result is what an Ask came to.
+// Result is the outcome of a Request.
 type Result struct {
-	// Reservation is nil if none was given.
+	// Reservation is nil if the request wasn't admitted.
 	Reservation *Reservation
 	Response
-	// LocalOnly says that no owner could be asked, and that this host's own work alone was
+	// LocalOnly says that no owner could be reached, so that only this host's own work was
 	// counted.
 	LocalOnly bool
 }
 
-// Enter asks the engine's owner for a place, or this host's own book while the owner
-// doesn't answer.
+// Enter requests admission from the engine's owner, or from this host's own tracker if the
+// owners don't answer.
 func (g *Gate) Enter(ctx context.Context, req Request) Result {
 	for range maxOwnersTried {
 		owner := g.Owner(req.Engine)
@@ -120,7 +120,8 @@
 	return g.enterLocal(req, true)
 }
 
-// askOwner asks one owner, and passes it over from then on if it doesn't answer.
+// askOwner requests admission from one owner. An owner that doesn't answer is put into backoff,
+// unless the caller has cancelled the request.
 func (g *Gate) askOwner(ctx context.Context, owner string, req Request) (Response, error) {
 	bounded, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
@@ -134,7 +135,8 @@
 	return resp, err
 }
 
-// enterLocal asks this host's book; instead is set if another should have been asked.
+// enterLocal requests admission from this host's tracker; fallback is set if this host isn't the
+// engine's owner.
 func (g *Gate) enterLocal(req Request, fallback bool) Result {
 	return g.result(g.o.Self, req, g.o.Tracker.Enter(req), fallback)
 }
@@ -147,8 +149,8 @@
 	return out
 }
 
-// Remaining predicts when the reading of the place ends. It is unknown if the owner
-// doesn't answer. It may be called on nil.
+// Remaining predicts when the prefill of the reservation ends. The progress is Unknown if the
+// owner doesn't answer, and on nil.
 func (r *Reservation) Remaining(ctx context.Context) (backlog.Forecast, backlog.Progress) {
 	if r == nil {
 		return backlog.Forecast{}, backlog.Unknown
@@ -165,10 +167,10 @@
 	return f, progress
 }
 
-// Done ends a place whose work was done.
+// Done ends a reservation whose work was completed.
 func (r *Reservation) Done() { r.leave(true) }
 
-// Cancel ends a place whose time says nothing of the load.
+// Cancel ends a reservation whose duration is no sample of the engine's speed.
 func (r *Reservation) Cancel() { r.leave(false) }
 
 func (r *Reservation) leave(done bool) {
@@ -182,18 +184,17 @@
 	go r.sendLeave(done)
 }
 
-// sendLeave tells another host of the end. One that isn't told ends the place when its
-// time is over.
+// sendLeave reports the end to the owner. If that fails, the reservation ends with its TTL.
 func (r *Reservation) sendLeave(done bool) {
 	ctx, cancel := context.WithTimeout(context.Background(), leaveTimeout)
 	defer cancel()
 	if err := r.gate.o.Peers.Leave(ctx, r.owner, r.engine, r.id, done); err != nil {
-		r.gate.o.Log.Debug("end of a place not told", "owner", r.owner, "engine", r.engine, "cause", err.Error())
+		r.gate.o.Log.Debug("end of reservation not reported", "owner", r.owner, "engine", r.engine, "cause", err.Error())
 	}
 }
 
-// IsAmongFirst reports whether this host is one of the first n that it believes to be
-// there, in the order in which hosts become owners.
+// IsAmongFirst reports whether this host is one of the first n hosts that are not in backoff, in
+// the order in which hosts become owners.
 func (g *Gate) IsAmongFirst(n int) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -212,8 +213,8 @@
 	return false
 }
 
-// Owner is the peer address of the host that keeps the engine's count, or "" if none is
-// known.
+// Owner returns the peer address of the host that owns the engine's count, or "" if no host is
+// available.
 func (g *Gate) Owner(engine state.InstanceID) string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -235,8 +236,8 @@
 	return best
 }
 
-// orderedHosts returns the hosts in their orderedHosts, the same at all hosts that know the same
-// ones; g.mu is held.
+// orderedHosts returns the hosts in the order in which they become owners, which is the same at
+// all hosts that know the same list; g.mu is held.
 func (g *Gate) orderedHosts() []state.Peer {
 	hosts := g.o.Hosts()
 	if state.SameList(hosts, g.ownerOrder.hosts) {
@@ -252,21 +253,22 @@
 	return order
 }
 
-// backOff passes over an owner that didn't answer, for longer each time.
+// backOff puts an owner that didn't answer into backoff, for twice as long with each failure in a
+// row.
 func (g *Gate) backOff(owner string, cause error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.o.Clock.Now()
 	b := g.backoffs[owner]
 	if now.Before(b.until) {
-		return // another request has noticed it already
+		return // a concurrent request has already recorded the failure
 	}
 	backoff := min(minBackoff<<min(b.failures, 8), maxBackoff)
 	g.backoffs[owner] = hostBackoff{now.Add(backoff), b.failures + 1}
-	g.o.Log.Info("owner of counts not reached", "owner", owner, "avoided", backoff, "failures", b.failures+1, "cause", cause.Error())
+	g.o.Log.Info("owner of counts unreachable", "owner", owner, "avoided", backoff, "failures", b.failures+1, "cause", cause.Error())
 }
 
-// resetBackoff forgets the failures of an owner that answers.
+// resetBackoff clears the failures of an owner that answers.
 func (g *Gate) resetBackoff(owner string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/coordination/occupancy/gate_test.go
+++ b/coordination/occupancy/gate_test.go
@@ -16,11 +16,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// network joins the trackers of some hosts; lost ones don't answer.
+// fakePeers connects the trackers of several hosts. Unreachable hosts don't answer.
 type fakePeers struct {
 	trackers    map[string]*Tracker
 	unreachable map[string]bool
-	// ignorant hosts know no permits.
+	// withoutPermits are hosts of a version that doesn't know permits.
 	withoutPermits map[string]bool
 	calls          []string
 }
@@ -61,7 +61,7 @@
 	return n.trackers[addr].Permit(req, LimitShare{Fraction: shareOfRank(req.Rank)}), nil
 }
 
-// fleet returns the gates of hosts of the given classes.
+// newGates returns the gates of hosts of the given classes, and the peers that connect them.
 func newGates(t *testing.T, classes ...int) (*fakePeers, []*Gate) {
 	t.Helper()
 	n := &fakePeers{trackers: map[string]*Tracker{}, unreachable: map[string]bool{}, withoutPermits: map[string]bool{}}
@@ -101,7 +101,7 @@
 			last.Cancel()
 			synctest.Wait()
 			v := gates[0].Enter(t.Context(), slotRequest(fmt.Sprint("engine-", engine)))
-			is.True(v.Reservation != nil) // the end was told to the owner
+			is.True(v.Reservation != nil) // the end was reported to the owner
 			is.True(!v.LocalOnly)
 		}
 	})
@@ -115,7 +115,7 @@
 			owners  int
 		}{
 			{[]int{1, 1, 9, 9, 9, 9, 1}, 4},
-			{[]int{1, 1, 1, 9}, 4}, // too few of the best class
+			{[]int{1, 1, 1, 9}, 4}, // fewer than minOwners hosts of the best class
 		} {
 			_, gates := newGates(t, c.classes...)
 			owners := map[string]bool{}
@@ -157,7 +157,7 @@
 		for addr := range first {
 			n.unreachable[addr] = true
 		}
-		for i := range 50 { // all notice that they don't answer
+		for i := range 50 { // all hosts notice that they don't answer
 			for _, g := range gates {
 				g.Enter(t.Context(), slotRequest(fmt.Sprint("engine-", i)))
 			}
@@ -184,7 +184,7 @@
 		}
 		n.unreachable[owner] = true
 		v := requester.Enter(t.Context(), slotRequest("engine"))
-		is.True(v.Reservation != nil) // another host keeps the count meanwhile
+		is.True(v.Reservation != nil) // another host owns the count meanwhile
 		is.True(requester.Owner(instanceID("engine")) != owner)
 		n.unreachable[owner] = false
 		time.Sleep(minBackoff + time.Millisecond)
@@ -218,7 +218,7 @@
 	})
 }
 
-// A caller who leaves says nothing of the owner.
+// A request that is cancelled by its caller is no failure of the owner.
 func TestCancelledRequestCausesNoBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -235,7 +235,7 @@
 	})
 }
 
-// A host that knows no others, or reaches none, counts its own work and says so.
+// A host that knows no other hosts counts only its own work and reports that as LocalOnly.
 func TestIsolatedHostCountsItsOwnWork(t *testing.T) {
 	is := is.New(t)
 	_, gates := newGates(t, 1)
@@ -262,7 +262,7 @@
 		if v.Reservation.owner != gates[0].o.Self {
 			n.unreachable[v.Reservation.owner] = true
 			_, progress = v.Reservation.Remaining(t.Context())
-			is.Equal(progress, backlog.Unknown) // an owner that is lost says nothing of the engine
+			is.Equal(progress, backlog.Unknown) // the progress is unknown while the owner is unreachable
 			n.unreachable[v.Reservation.owner] = false
 		}
 	}
--- a/coordination/occupancy/log_test.go
+++ b/coordination/occupancy/log_test.go
@@ -13,7 +13,7 @@
 	"github.com/thymerack/thymerack/coordination/clocktest"
 )
 
-// A owner that finds an engine slow, or sound again, says so once.
+// A change between slow and normal speed of an engine is logged once.
 func TestSpeedChangeOfEngineIsLogged(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coordination/occupancy/rate.go
+++ b/coordination/occupancy/rate.go
@@ -12,53 +12,56 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// A runner's limit is kept by the owner of its count, which gives a permit for each request,
-// evenly in time. Unlike a count, a limit must hold whoever reaches whom: the owners of a runner
-// have ranks, by the list of hosts alone, and each may give a part of the limit by its rank. The
-// parts of all hosts together are less than one and a half times the limit, however the hosts
-// are cut off from each other; while the first owner is reached, the limit itself holds.
+// The owner of a runner enforces the runner's rate limit: it grants a permit for each request,
+// evenly spaced in time. Unlike a count, a limit must also hold while hosts can't reach each
+// other. The owners of a runner are therefore ranked by the list of hosts alone, and each may
+// grant a share of the limit that depends on its rank. The shares of all hosts add up to less
+// than one and a half times the limit, however the hosts are partitioned. While the first owner
+// is reachable, the limit itself holds.
 
 const (
-	// maxPermitOwners bounds the owners that are asked for one runner's permits.
+	// maxPermitOwners bounds the owners that are tried for one runner's permits.
 	maxPermitOwners = 4
-	// nextRankShare is the part that an owner may give of what the one before it may: a third of
-	// the limit for all that follow the first.
+	// nextRankShare is the share of an owner relative to the owner before it. All owners after
+	// the first add up to a third of the limit.
 	nextRankShare = 0.25
-	// isolatedShare is the part of the limit that the hosts which reach no owner may use, all
-	// together.
+	// isolatedShare is the share of the limit that all hosts together may use while they reach
+	// no owner; each host may use an equal part of it.
 	isolatedShare = 0.1
-	// burstWindow is the time for which unused permits are kept. Requests don't arrive evenly.
+	// burstWindow is the time for which unused permits are kept, since requests don't arrive
+	// evenly.
 	burstWindow = 200 * time.Millisecond
-	// minRate is how much is sent to a runner with a lower limit, to learn when that is
-	// over: a request in ten seconds.
+	// minRate is the rate granted for a runner with a lower limit, to find out when the limit is
+	// lifted, in requests per second: one request in ten seconds.
 	minRate = 0.1
-	// unlimitedRate is a limit above everything that hosts send, for which none is asked.
+	// unlimitedRate is above all rates that hosts send, so no permit is requested for it, in
+	// requests per second.
 	unlimitedRate = 1e5
-	// maxPermitWait bounds what a permit is said to take, for rates close to zero.
+	// maxPermitWait bounds the wait of a permit for rates close to zero.
 	maxPermitWait = time.Hour
 )
 
-// PermitRequest asks for a permit to send a request to a runner that names a limit.
+// PermitRequest asks for a permit to send a request to a runner that has a rate limit.
 type PermitRequest struct {
 	Runner state.InstanceID
-	// Rate is the limit, in requests a second of all hosts together.
+	// Rate is the limit of all hosts together, in requests per second.
 	Rate float64
 	// MaxWait is the longest wait with which a permit is wanted.
 	MaxWait time.Duration
-	// Rank is that of the owner that is asked: how many come before it.
+	// Rank is the rank of the owner that is asked: the number of owners before it.
 	Rank int
 }
 
-// Permit answers a PermitAsk.
+// Permit is the response to a PermitRequest.
 type Permit struct {
 	Granted bool
-	// Wait is the time until the request may leave, or, if nothing was granted, until another
-	// may.
+	// Wait is the time until the request may be sent or, if no permit was granted, until one
+	// will be available.
 	Wait time.Duration
 }
 
-// Permit asks the runner's owners for a permit, in the order of their ranks. A host that
-// reaches none keeps to a part of the limit by itself.
+// Permit requests a permit from the runner's owners, in the order of their ranks. A host that
+// reaches none of them grants itself permits from its part of isolatedShare.
 func (g *Gate) Permit(ctx context.Context, req PermitRequest) Permit {
 	if req.Rate >= unlimitedRate {
 		return Permit{Granted: true}
@@ -80,19 +83,19 @@
 	return g.o.Tracker.Permit(req, g.limitShare(req.Runner, isolatedShare/float64(max(1, len(g.o.Hosts())))))
 }
 
-// LimitShare is a part of a limit that one book may give.
+// LimitShare is the share of a rate limit that one tracker may grant.
 type LimitShare struct {
 	Fraction float64
-	// Phase is where a new book begins with a part that isn't the whole, from 0 to 1 of the
-	// time between two permits. Hosts that all begin in the same moment would otherwise give a
-	// permit each at once.
+	// Phase is when a new limiter with a partial share grants its first permit, from 0 to 1 of
+	// the interval between two permits. Without it, hosts that all start at the same moment
+	// would each grant a permit at once.
 	Phase float64
 }
 
-// fullLimit is a limit that one book keeps alone.
+// fullLimit is the share of a tracker that enforces a limit alone.
 var fullLimit = LimitShare{Fraction: 1}
 
-// limitShare is a share of a runner's limit, with this host's own phase.
+// limitShare returns a share of a runner's limit, with the phase of this host.
 func (g *Gate) limitShare(runner state.InstanceID, fraction float64) LimitShare {
 	if fraction >= 1 {
 		return fullLimit
@@ -100,8 +103,9 @@
 	return LimitShare{fraction, float64(xxhash.Sum64String(g.o.Self+runner.Name)) / (1 << 64)}
 }
 
-// askPermit asks one owner. One that answers nothing in time is passed over from then on; an
-// error at once costs little, and may be that of a host which knows no permits yet.
+// askPermit requests a permit from one owner. An owner that times out is put into backoff. An
+// owner that returns an error at once is not: the error costs little time, and the owner may be a
+// host of a version without permits.
 func (g *Gate) askPermit(ctx context.Context, owner string, req PermitRequest) (Permit, error) {
 	bounded, cancel := context.WithTimeout(ctx, ownerTimeout)
 	defer cancel()
@@ -115,8 +119,8 @@
 	return p, err
 }
 
-// Grant answers another host's ask. The rank that gives less counts, this host's own or that by
-// which it was asked: lists of hosts may differ for a moment.
+// Grant answers another host's request for a permit. It uses the rank with the smaller share,
+// this host's own or the requested one, since the hosts' lists may differ for a moment.
 func (g *Gate) Grant(req PermitRequest) Permit {
 	rank := slices.Index(g.permitOwners(req.Runner), g.o.Self)
 	if rank < 0 {
@@ -125,18 +129,20 @@
 	return g.o.Tracker.Permit(req, g.limitShare(req.Runner, shareOfRank(max(rank, req.Rank))))
 }
 
-// shareOfRank is the part of a limit that the owner of a rank may give.
+// shareOfRank returns the share of a limit that the owner of a rank may grant.
 func shareOfRank(rank int) float64 {
 	return math.Pow(nextRankShare, float64(max(0, min(rank, maxPermitOwners))))
 }
 
+// inBackoff reports whether the host is in backoff because it didn't answer.
 func (g *Gate) inBackoff(host string) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.o.Clock.Now().Before(g.backoffs[host].until)
 }
 
-// permitOwners is the runner's owners by their ranks, the same at all hosts that list the same ones.
+// permitOwners returns the runner's owners by rank, which are the same at all hosts that know
+// the same list.
 func (g *Gate) permitOwners(runner state.InstanceID) []string {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -161,15 +167,15 @@
 	return out
 }
 
-// limiter are what was given of a runner's limit.
+// limiter records the permits that were granted of a runner's limit.
 type limiter struct {
-	// nextDue is when the permit after those that were given is due, if they are used evenly.
+	// nextDue is when the permit after those granted is due if permits are used evenly.
 	nextDue time.Time
 	usedAt  time.Time
 }
 
-// Permit gives a permit of a part of the limit. What is given is spread evenly in time, but for
-// those of burstTime. A book that hasn't seen the runner has saved none.
+// Permit grants a permit of a share of the limit. Permits are evenly spaced in time, except for
+// those saved within burstWindow. A new limiter has no saved permits.
 func (t *Tracker) Permit(req PermitRequest, share LimitShare) Permit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -188,8 +194,9 @@
 	return Permit{Granted: true, Wait: wait}
 }
 
-// limiter is what was given for a runner, a new one as if so much were given already; b.mu is
-// held. A new one drops those that nobody has asked for lately.
+// limiter returns the limiter of a runner, and creates it if there is none, with the first
+// permit due after initialDelay; t.mu is held. Creating one removes the limiters that were idle
+// for idleTTL.
 func (t *Tracker) limiter(runner state.InstanceID, now time.Time, initialDelay time.Duration) *limiter {
 	l := t.limiters[runner]
 	if l == nil {
--- a/coordination/occupancy/rate_test.go
+++ b/coordination/occupancy/rate_test.go
@@ -15,7 +15,8 @@
 
 var limitedRunner = state.InstanceID{Name: "r", Born: 1}
 
-// take asks a book for permits in quick succession for so long and counts those that it gives.
+// countPermits requests a permit each millisecond for the duration and returns the number
+// granted.
 func countPermits(tracker *Tracker, rate float64, duration time.Duration) int {
 	n := 0
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -26,8 +27,8 @@
 	return n
 }
 
-// A limit is used, and not passed, whether it is high, low, a fraction or nothing at all: of a
-// runner that takes nothing, one request in ten seconds finds out whether that is over.
+// The limit is used up but not exceeded, whether it is high, low, fractional or zero. A runner
+// with limit zero gets one request in ten seconds, to find out when the limit is lifted.
 func TestPermitsEnforceLimit(t *testing.T) {
 	for rate, want := range map[float64]int{50: 1000, 8.4: 168, 0.3: 6, 0.1: 2, 0: 2} {
 		t.Run(fmt.Sprint(rate), func(t *testing.T) {
@@ -43,7 +44,7 @@
 	}
 }
 
-// What isn't used is kept for a moment only, and a book that is new has nothing saved.
+// Unused permits are kept for burstWindow only, and a new tracker has none saved.
 func TestSavedPermitsAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -58,7 +59,8 @@
 	})
 }
 
-// A permit that takes a wait is given at once, one after the other, and none that takes longer.
+// Permits with a wait are granted one after the other, up to the longest wait that the request
+// allows.
 func TestPermitsAreGrantedInAdvance(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -71,8 +73,8 @@
 	})
 }
 
-// However hosts are cut off from each other, the parts of a limit that they may give are less
-// than one and a half times the limit.
+// The shares of a limit that hosts may grant add up to less than one and a half times the limit,
+// however the hosts are partitioned.
 func TestSumOfLimitSharesIsBounded(t *testing.T) {
 	is := is.New(t)
 	total := isolatedShare
@@ -85,8 +87,8 @@
 	is.Equal(shareOfRank(1<<40), shareOfRank(maxPermitOwners))
 }
 
-// While the first owner of a runner is lost the next one gives a part, and a host that reaches
-// nobody gives itself one.
+// While the first owner of a runner is unreachable, the next one grants its share, and a host
+// that reaches no owner grants itself a small share.
 func TestNextOwnerGrantsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -118,12 +120,12 @@
 			n.unreachable[host] = true
 		}
 		isolated := countPermitsOfRequester(70 * time.Second)
-		is.True(isolated >= 10 && isolated <= 30) // 20 x 0.1 / 7 a second, and what was left of the owners' parts
+		is.True(isolated >= 10 && isolated <= 30) // 20 x 0.1 / 7 a second, and the rest of the owners' shares
 	})
 }
 
-// While hosts are updated one by one, an owner that knows no permits yet is asked for places all
-// the same, and the next one gives its part.
+// During an upgrade an owner may not know permits yet. It still owns the runner's count, and the
+// next owner grants its share of permits.
 func TestOwnerWithoutPermitsStaysOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/transport/places/places.go
+++ b/transport/places/places.go
@@ -89,7 +89,7 @@
 	WaitMS  float64 `msgpack:"w"`
 }
 
-// Register lets the server answer peers from the host's book, and from its gate for what it
+// Register lets the server answer peers from the host's tracker, and from its gate for what it
 // owns of runners' limits.
 func Register(s *peer.Server, book *occupancy.Tracker, gate *occupancy.Gate) {
 	s.Handle(peerapi.KindPermit, peer.HandleMsg(func(_ context.Context, _ state.HostID, q Permit) (Permitted, error) {
