--- a/coordination/backlog/estimator.go
+++ b/coordination/backlog/estimator.go
@@ -56,8 +56,8 @@
 }
 
 // Predict returns the duration of a prefill at an engine of usual speed, in milliseconds.
-func (e *Estimator) Predict(r prefill) float64 {
-	return e.predict(r.features()) + r.fetchMS
+func (e *Estimator) Predict(p prefill) float64 {
+	return e.predict(p.features()) + p.fetchMS
 }
 
 // predict returns the total duration of prefills whose features sum up to x, in milliseconds.
--- a/coordination/backlog/estimator_test.go
+++ b/coordination/backlog/estimator_test.go
@@ -10,8 +10,8 @@
 
 // measuredMS returns an engine's time for a prefill, in milliseconds: a step, 64 tokens per
 // millisecond, and the pairs of attention, as in the profile of a large model.
-func measuredMS(r prefill) float64 {
-	x := r.features()
+func measuredMS(p prefill) float64 {
+	x := p.features()
 	return 5*x[0] + 15.6*x[1] + 0.65*x[2]
 }
 
@@ -31,14 +31,14 @@
 	e := NewEstimator()
 	is.True(!e.Reliable())
 	for range 60 {
-		r := skewedPrefill(rng)
-		e.learn(r.features(), measuredMS(r)*(0.9+0.2*rng.Float64()))
+		p := skewedPrefill(rng)
+		e.learn(p.features(), measuredMS(p)*(0.9+0.2*rng.Float64()))
 	}
 	is.True(e.Reliable())
 	is.True(e.Error() < 0.15)
 	for range 50 {
-		r := skewedPrefill(rng)
-		is.True(math.Abs(e.Predict(r)/measuredMS(r)-1) < 0.2)
+		p := skewedPrefill(rng)
+		is.True(math.Abs(e.Predict(p)/measuredMS(p)-1) < 0.2)
 	}
 }
 
@@ -48,13 +48,13 @@
 	rng := rand.New(rand.NewPCG(3, 4))
 	e := NewEstimator()
 	for range 100 {
-		r := skewedPrefill(rng)
-		e.learn(r.features(), measuredMS(r))
+		p := skewedPrefill(rng)
+		e.learn(p.features(), measuredMS(p))
 	}
 	before := e.Predict(prefill{newTokens: 3000, cachedTokens: 13300})
 	for range 100 {
-		r := skewedPrefill(rng)
-		e.learn(r.features(), 20*measuredMS(r))
+		p := skewedPrefill(rng)
+		e.learn(p.features(), 20*measuredMS(p))
 	}
 	is.Equal(e.Predict(prefill{newTokens: 3000, cachedTokens: 13300}), before)
 }
--- a/coordination/backlog/forecast.go
+++ b/coordination/backlog/forecast.go
@@ -50,12 +50,12 @@
 
 // Forecast predicts the prefill of a prompt that is added now. A prompt that would end later
 // than limit gets a rank after those that are in time.
-func (q *Queue) Forecast(now time.Time, w Prompt, limit time.Duration) Forecast {
-	r, fetchable := q.prefillOf(w)
-	prefillMS := q.factor * q.estimator.Predict(r)
-	cachedMS := q.factor * q.estimator.Predict(prefill{newTokens: w.OwnTokens, cachedTokens: r.cachedTokens + r.newTokens - w.OwnTokens})
+func (q *Queue) Forecast(now time.Time, prompt Prompt, limit time.Duration) Forecast {
+	p, fetchable := q.prefillOf(prompt)
+	prefillMS := q.factor * q.estimator.Predict(p)
+	cachedMS := q.factor * q.estimator.Predict(prefill{newTokens: prompt.OwnTokens, cachedTokens: p.cachedTokens + p.newTokens - prompt.OwnTokens})
 	f := Forecast{
-		CachedTokens: fetchable, CachedAtStart: r.cachedTokens, UncachedTime: state.Millis(max(0, prefillMS-cachedMS)),
+		CachedTokens: fetchable, CachedAtStart: p.cachedTokens, UncachedTime: state.Millis(max(0, prefillMS-cachedMS)),
 		Error: q.estimator.Error(), Reliable: q.estimator.Reliable(),
 	}
 	q.setRank(&f, now, q.estimator.class(prefillMS), prefillMS)
@@ -86,20 +86,20 @@
 
 // Remaining predicts when the prefill of a prompt that is InProgress ends.
 func (q *Queue) Remaining(now time.Time, id uint64) (Forecast, Progress) {
-	at := slices.IndexFunc(q.entries, func(e *entry) bool { return e.id == id })
-	if at < 0 {
+	index := slices.IndexFunc(q.entries, func(e *entry) bool { return e.id == id })
+	if index < 0 {
 		return Forecast{}, Unknown
 	}
-	if q.entries[at].overtaken >= lostAfterOvertakes || q.stuck(now) {
+	if q.entries[index].overtaken >= lostAfterOvertakes || q.stuck(now) {
 		return Forecast{}, Lost
 	}
-	e := q.entries[at]
+	e := q.entries[index]
 	f := Forecast{Rank: e.rank, Error: q.estimator.Error(), Reliable: q.estimator.Reliable()}
 	if e == q.current {
 		f.Finish = state.Millis(q.remainingMS(now))
 		return f, InProgress
 	}
-	wait := q.waitMS(now, e.rank, at) * q.overtakingFactor(now, e.rank)
+	wait := q.waitMS(now, e.rank, index) * q.overtakingFactor(now, e.rank)
 	f.Wait, f.Finish = state.Millis(wait), state.Millis(wait+q.factor*e.predictedMS)
 	return f, InProgress
 }
@@ -119,18 +119,18 @@
 
 // prefillOf returns the work that the engine has to do for a prompt, and how many tokens of the
 // prompt's parts other engines can fetch from it.
-func (q *Queue) prefillOf(w Prompt) (r prefill, fetchable int) {
+func (q *Queue) prefillOf(prompt Prompt) (p prefill, fetchable int) {
 	sharedTokens := 0
-	for _, p := range w.Parts {
-		sharedTokens += p.Tokens
+	for _, part := range prompt.Parts {
+		sharedTokens += part.Tokens
 	}
-	r.cachedTokens, fetchable = q.cache.prefix(w.Parts)
-	if w.FetchableTokens > r.cachedTokens {
-		r.fetchMS = w.FetchMS * float64(w.FetchableTokens-r.cachedTokens) / float64(w.FetchableTokens)
-		r.cachedTokens = w.FetchableTokens
+	p.cachedTokens, fetchable = q.cache.prefix(prompt.Parts)
+	if prompt.FetchableTokens > p.cachedTokens {
+		p.fetchMS = prompt.FetchMS * float64(prompt.FetchableTokens-p.cachedTokens) / float64(prompt.FetchableTokens)
+		p.cachedTokens = prompt.FetchableTokens
 	}
-	r.newTokens = sharedTokens + w.OwnTokens - r.cachedTokens
-	return r, fetchable
+	p.newTokens = sharedTokens + prompt.OwnTokens - p.cachedTokens
+	return p, fetchable
 }
 
 // waitMS returns the predicted duration of the prefills before that of a prompt of the rank that
--- a/coordination/backlog/kept.go
+++ b/coordination/backlog/kept.go
@@ -35,12 +35,12 @@
 func (c *prefixCache) prefix(parts []Part) (tokens, fetchable int) {
 	contiguous := true
 	for _, p := range parts {
-		at := c.byID[p.ID]
-		if at == nil {
+		element := c.byID[p.ID]
+		if element == nil {
 			break
 		}
 		tokens += p.Tokens
-		contiguous = contiguous && !at.Value.(*part).pending
+		contiguous = contiguous && !element.Value.(*part).pending
 		if contiguous {
 			fetchable = tokens
 		}
@@ -50,20 +50,20 @@
 
 // insert adds the parts of a prompt that will be computed, and returns the IDs of the parts that
 // weren't cached.
-func (c *prefixCache) insert(w Prompt, memoryTokens int) []uint64 {
+func (c *prefixCache) insert(prompt Prompt, memoryTokens int) []uint64 {
 	c.capacityTokens = memoryTokens
 	var added []uint64
-	for _, p := range w.Parts {
-		if at := c.byID[p.ID]; at != nil {
-			c.recency.MoveToFront(at)
+	for _, p := range prompt.Parts {
+		if element := c.byID[p.ID]; element != nil {
+			c.recency.MoveToFront(element)
 			continue
 		}
 		c.add(&part{id: p.ID, tokens: p.Tokens, pending: true})
 		added = append(added, p.ID)
 	}
 	// The prompt's own tokens take memory as well, but no other prompt shares them.
-	c.recency.PushFront(&part{tokens: w.OwnTokens})
-	c.tokens += w.OwnTokens
+	c.recency.PushFront(&part{tokens: prompt.OwnTokens})
+	c.tokens += prompt.OwnTokens
 	c.evict()
 	return added
 }
@@ -80,11 +80,11 @@
 	}
 }
 
-func (c *prefixCache) remove(at *list.Element) {
-	p := at.Value.(*part)
-	c.recency.Remove(at)
+func (c *prefixCache) remove(element *list.Element) {
+	p := element.Value.(*part)
+	c.recency.Remove(element)
 	c.tokens -= p.tokens
-	if c.byID[p.id] == at {
+	if c.byID[p.id] == element {
 		delete(c.byID, p.id)
 	}
 }
@@ -92,13 +92,13 @@
 // complete marks pending parts as computed, or removes them if their prefill was aborted.
 func (c *prefixCache) complete(ids []uint64, completed bool) {
 	for _, id := range ids {
-		at := c.byID[id]
+		element := c.byID[id]
 		switch {
-		case at == nil:
+		case element == nil:
 		case completed:
-			at.Value.(*part).pending = false
+			element.Value.(*part).pending = false
 		default:
-			c.remove(at)
+			c.remove(element)
 		}
 	}
 }
--- a/coordination/backlog/queue.go
+++ b/coordination/backlog/queue.go
@@ -70,13 +70,13 @@
 func NewQueue(e *Estimator) *Queue { return &Queue{estimator: e, factor: 1, cache: newPrefixCache()} }
 
 // Add adds a prompt with the rank. memoryTokens is the engine's memory.
-func (q *Queue) Add(now time.Time, id uint64, w Prompt, rank, memoryTokens int) {
-	r, _ := q.prefillOf(w)
-	e := &entry{id: id, rank: rank, arrived: now, features: r.features(), predictedMS: q.estimator.Predict(r)}
+func (q *Queue) Add(now time.Time, id uint64, prompt Prompt, rank, memoryTokens int) {
+	p, _ := q.prefillOf(prompt)
+	e := &entry{id: id, rank: rank, arrived: now, features: p.features(), predictedMS: q.estimator.Predict(p)}
 	q.estimator.observe(e.predictedMS)
 	q.decayRecentLoad(now)
 	q.recentLoad[e.rank] += q.factor * e.predictedMS / (arrivalWindow.Seconds() * thousand)
-	e.insertedParts = q.cache.insert(w, memoryTokens)
+	e.insertedParts = q.cache.insert(prompt, memoryTokens)
 	q.entries = append(q.entries, e)
 	if len(q.entries) == 1 {
 		q.sampleFeatures, q.sampleMS, q.sampleInvalid = features{}, 0, false
@@ -87,17 +87,17 @@
 // Remove removes a prompt; completed says that its prefill was not aborted. An unknown prompt is
 // ignored.
 func (q *Queue) Remove(now time.Time, id uint64, completed bool) {
-	at := slices.IndexFunc(q.entries, func(e *entry) bool { return e.id == id })
-	if at < 0 {
+	index := slices.IndexFunc(q.entries, func(e *entry) bool { return e.id == id })
+	if index < 0 {
 		return
 	}
-	e := q.entries[at]
-	for _, earlier := range q.entries[:at] {
+	e := q.entries[index]
+	for _, earlier := range q.entries[:index] {
 		if completed && e.rank >= earlier.rank {
 			earlier.overtaken++
 		}
 	}
-	q.entries = slices.Delete(q.entries, at, at+1)
+	q.entries = slices.Delete(q.entries, index, index+1)
 	q.cache.complete(e.insertedParts, completed)
 	if !completed {
 		q.sampleInvalid = true
--- a/coordination/backlog/queue_test.go
+++ b/coordination/backlog/queue_test.go
@@ -23,9 +23,9 @@
 	rng := rand.New(rand.NewPCG(5, 6))
 	e := NewEstimator()
 	for range 200 {
-		r := skewedPrefill(rng)
-		e.learn(r.features(), measuredMS(r))
-		e.observe(measuredMS(r))
+		p := skewedPrefill(rng)
+		e.learn(p.features(), measuredMS(p))
+		e.observe(measuredMS(p))
 	}
 	return e
 }
@@ -37,9 +37,9 @@
 
 func at(ms float64) time.Time { return start.Add(state.Millis(ms)) }
 
-func (q *Queue) add(now time.Time, id uint64, w Prompt) Forecast {
-	f := q.Forecast(now, w, noLimit)
-	q.Add(now, id, w, f.Rank, memoryTokens)
+func (q *Queue) add(now time.Time, id uint64, prompt Prompt) Forecast {
+	f := q.Forecast(now, prompt, noLimit)
+	q.Add(now, id, prompt, f.Rank, memoryTokens)
 	return f
 }
 
@@ -64,16 +64,16 @@
 func TestSharedPartIsComputedOnce(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(trainedEstimator())
-	w := Prompt{Parts: []Part{{ID: 7, Tokens: 13300}}, OwnTokens: 1000}
-	first := q.add(at(0), 1, w)
+	prompt := Prompt{Parts: []Part{{ID: 7, Tokens: 13300}}, OwnTokens: 1000}
+	first := q.add(at(0), 1, prompt)
 	is.True(approximately(first.Finish, measuredMS(prefill{newTokens: 14300})))
 	is.Equal(first.CachedTokens, 0)
-	second := q.Forecast(at(0), w, noLimit)
+	second := q.Forecast(at(0), prompt, noLimit)
 	is.True(approximately(second.Finish-second.Wait, measuredMS(prefill{newTokens: 1000, cachedTokens: 13300})))
 	is.Equal(second.CachedTokens, 0) // other engines can't fetch it while it is being computed
 	is.Equal(second.CachedAtStart, 13300)
 	q.Remove(at(300), 1, true)
-	third := q.Forecast(at(300), w, noLimit)
+	third := q.Forecast(at(300), prompt, noLimit)
 	is.Equal(third.CachedTokens, 13300)
 	is.Equal(third.UncachedTime, time.Duration(0))
 }
@@ -81,10 +81,10 @@
 func TestPartOfAbortedPrefillIsNotCached(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(trainedEstimator())
-	w := Prompt{Parts: []Part{{ID: 7, Tokens: 13300}}, OwnTokens: 1000}
-	q.add(at(0), 1, w)
+	prompt := Prompt{Parts: []Part{{ID: 7, Tokens: 13300}}, OwnTokens: 1000}
+	q.add(at(0), 1, prompt)
 	q.Remove(at(10), 1, false)
-	is.Equal(q.Forecast(at(10), w, noLimit).CachedAtStart, 0)
+	is.Equal(q.Forecast(at(10), prompt, noLimit).CachedAtStart, 0)
 }
 
 func TestLeastRecentlyUsedPartsAreEvicted(t *testing.T) {
@@ -112,20 +112,20 @@
 func TestTrackedPartsAreBounded(t *testing.T) {
 	is := is.New(t)
 	for _, memoryTokens := range []int{0, 470_000} {
-		k := newPrefixCache()
+		cache := newPrefixCache()
 		for id := range uint64(3 * maxParts) {
-			k.insert(Prompt{Parts: []Part{{ID: id}}}, memoryTokens)
+			cache.insert(Prompt{Parts: []Part{{ID: id}}}, memoryTokens)
 		}
-		is.True(k.recency.Len() <= maxParts)
-		is.True(len(k.byID) <= maxParts)
+		is.True(cache.recency.Len() <= maxParts)
+		is.True(len(cache.byID) <= maxParts)
 	}
 }
 
 func TestFetchedPartsAreNotComputed(t *testing.T) {
 	is := is.New(t)
 	q := NewQueue(trainedEstimator())
-	w := Prompt{Parts: []Part{{ID: 7, Tokens: 13300}}, OwnTokens: 1000, FetchableTokens: 13300, FetchMS: 22}
-	is.True(approximately(q.Forecast(at(0), w, noLimit).Finish, measuredMS(prefill{newTokens: 1000, cachedTokens: 13300})+22))
+	prompt := Prompt{Parts: []Part{{ID: 7, Tokens: 13300}}, OwnTokens: 1000, FetchableTokens: 13300, FetchMS: 22}
+	is.True(approximately(q.Forecast(at(0), prompt, noLimit).Finish, measuredMS(prefill{newTokens: 1000, cachedTokens: 13300})+22))
 }
 
 func TestLatePromptsRankAfterThoseInTime(t *testing.T) {
@@ -265,14 +265,14 @@
 		now = next
 		next = now + rng.ExpFloat64()*mean/load
 		id++
-		r := skewedPrefill(rng)
-		r.cachedTokens = 13300
-		w := Prompt{Parts: []Part{{ID: 1, Tokens: 13300}}, OwnTokens: r.newTokens}
-		f := q.Forecast(at(now), w, noLimit)
-		f.Rank = class(q.estimator, measuredMS(r))
-		q.setRank(&f, at(now), f.Rank, measuredMS(r))
-		q.Add(at(now), id, w, f.Rank, memoryTokens)
-		heap.Push(&waiting, job{id, f.Rank, measuredMS(r), now, float64(f.Finish) / float64(time.Millisecond)})
+		p := skewedPrefill(rng)
+		p.cachedTokens = 13300
+		prompt := Prompt{Parts: []Part{{ID: 1, Tokens: 13300}}, OwnTokens: p.newTokens}
+		f := q.Forecast(at(now), prompt, noLimit)
+		f.Rank = class(q.estimator, measuredMS(p))
+		q.setRank(&f, at(now), f.Rank, measuredMS(p))
+		q.Add(at(now), id, prompt, f.Rank, memoryTokens)
+		heap.Push(&waiting, job{id, f.Rank, measuredMS(p), now, float64(f.Finish) / float64(time.Millisecond)})
 	}
 	return ratios, short, all
 }
--- a/coordination/backlog/work.go
+++ b/coordination/backlog/work.go
@@ -38,7 +38,7 @@
 
 // features returns the features of a prefill: 1, thousands of new tokens, and millions of pairs
 // of a new token and a token before it.
-func (r prefill) features() features {
-	newTokens, cachedTokens := float64(r.newTokens), float64(r.cachedTokens)
+func (p prefill) features() features {
+	newTokens, cachedTokens := float64(p.newTokens), float64(p.cachedTokens)
 	return features{1, newTokens / thousand, newTokens * (cachedTokens + newTokens/2) / million}
 }
--- a/coordination/occupancy/book.go
+++ b/coordination/occupancy/book.go
@@ -107,17 +107,17 @@
 
 // enterPrefill admits a prefill if its forecast meets the request's conditions.
 func (t *Tracker) enterPrefill(e *engine, req Request, now time.Time) Response {
-	r := req.Prefill
+	p := req.Prefill
 	if e.queue == nil {
-		e.queue = backlog.NewQueue(t.estimator(r.Service))
+		e.queue = backlog.NewQueue(t.estimator(p.Service))
 	}
-	out := Response{Forecast: e.queue.Forecast(now, r.Prompt, r.MaxFinish)}
+	out := Response{Forecast: e.queue.Forecast(now, p.Prompt, p.MaxFinish)}
 	late := out.Forecast.Rank >= backlog.Classes
-	if (r.RequireCached && out.Forecast.UncachedTime > 0) || out.Forecast.Wait > r.MaxWait || (late && !r.AllowLate) {
+	if (p.RequireCached && out.Forecast.UncachedTime > 0) || out.Forecast.Wait > p.MaxWait || (late && !p.AllowLate) {
 		return out
 	}
 	out.ID = t.reserve(e, reservation{prefill: true, expiresAt: now.Add(req.TTL)})
-	e.queue.Add(now, out.ID, r.Prompt, out.Forecast.Rank, r.MemoryTokens)
+	e.queue.Add(now, out.ID, p.Prompt, out.Forecast.Rank, p.MemoryTokens)
 	return out
 }
 
--- a/coordination/occupancy/gate.go
+++ b/coordination/occupancy/gate.go
@@ -219,15 +219,15 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.o.Clock.Now()
-	best, bestScore, seen, class := "", uint64(0), 0, 0
+	best, bestScore, candidates, class := "", uint64(0), 0, 0
 	for _, host := range g.orderedHosts() {
-		if seen == maxOwners || (seen >= minOwners && host.Class < class) {
+		if candidates == maxOwners || (candidates >= minOwners && host.Class < class) {
 			break
 		}
 		if now.Before(g.backoffs[host.Addr].until) {
 			continue
 		}
-		seen++
+		candidates++
 		class = host.Class
 		if score := xxhash.Sum64String(engine.Name + host.Addr); best == "" || score > bestScore {
 			best, bestScore = host.Addr, score
