--- a/coordination/backlog/forecast.go
+++ b/coordination/backlog/forecast.go
@@ -139,7 +139,8 @@
 func (q *Queue) waitMS(now time.Time, rank, n int) float64 {
 	total := 0.0
 	if n == len(q.entries) && q.current != nil && q.remainingMS(now) < q.stepMS() {
-		// The prompt after the current one is already in the same step.
+		// The engine has already put the prompt after the current one into the same step, so a new
+		// prompt of a lower rank doesn't overtake it.
 		if e := q.firstWaiting(now); e != nil && e.rank > rank {
 			total += q.factor * e.predictedMS
 		}
@@ -171,8 +172,8 @@
 	}
 }
 
-// firstWaiting returns the first prompt by rank among those that arrived no later than until and
-// are not the current one; nil if there is none.
+// firstWaiting returns the first prompt by rank among those that arrived no later than until,
+// except for the current prompt and lost ones; nil if there is none.
 func (q *Queue) firstWaiting(until time.Time) *entry {
 	var out *entry
 	for _, e := range q.entries {
--- a/coordination/backlog/queue_test.go
+++ b/coordination/backlog/queue_test.go
@@ -235,8 +235,9 @@
 }
 
 // simulateBurst simulates prompts of skewed sizes at one engine for a minute. load is their
-// share of the engine's capacity. It returns the ratios of measured to predicted durations, and
-// the durations of the prompts of less than half the mean and of all prompts.
+// share of the engine's capacity. It returns the ratios of measured to predicted times from a
+// prompt's arrival to its end, and these times in milliseconds for the prompts of less than half
+// the mean duration and for all prompts.
 func simulateBurst(load float64, class func(*Estimator, float64) int) (ratios, short, all []float64) {
 	rng := rand.New(rand.NewPCG(7, 8))
 	q := NewQueue(trainedEstimator())
--- a/transport/places/fuzz_test.go
+++ b/transport/places/fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-// Whatever bytes a peer sends, an owner answers or refuses them, and its book stands.
+// Whatever bytes a peer sends, an owner answers or refuses them, and its tracker stands.
 func FuzzEnter(f *testing.F) {
 	for _, q := range []Enter{
 		{Engine: "e", Most: 3, KeepMS: 1000},
--- a/transport/places/places_test.go
+++ b/transport/places/places_test.go
@@ -20,7 +20,7 @@
 
 func hostID(name string) state.HostID { return state.HostID{Name: name, Incarnation: "1"} }
 
-// serve answers for a book and returns its address and calls to it.
+// serve answers for a tracker and returns its address and calls to it.
 // engine is a run that has a start of its own.
 var engine = state.InstanceID{Name: "e", Born: 1_790_000_000_123}
 
