--- a/coordination/placement/fleet.go
+++ b/coordination/placement/fleet.go
@@ -239,8 +239,8 @@
 }
 
 // ChooseForBackup chooses an engine that decodes for the backup of a run at another engine. It
-// prefers the same failure domain. The exception are two spot engines, since all spot engines of
-// a failure domain are lost together.
+// prefers the same failure domain, except between spot engines, since all spot engines of a
+// failure domain are lost together.
 func (f *Fleet) ChooseForBackup(service string, engine *state.Instance, tried []state.InstanceID) *Runner {
 	return f.leastCost(f.service(service).decode, tried, func(r *Runner) float64 {
 		sameDomain := r.Instance.FailureDomain == engine.FailureDomain
@@ -248,8 +248,8 @@
 	})
 }
 
-// sharedFailurePenalty makes an engine that is lost together with another one the last choice
-// for that one's backup, except for suspects.
+// sharedFailurePenalty makes an engine the last choice, except for suspects, for the backup of an
+// engine that is lost together with it.
 const sharedFailurePenalty = 1e3
 
 // sessionScore orders the engines of a session from 0 to 1, equally at all hosts. It depends on
@@ -281,13 +281,16 @@
 	})
 }
 
-// loadLimit returns loadFactor times the mean load from this host plus loadSlack requests. A
-// host has only one or two prompts in flight per engine, so the slack has the larger effect.
+// The load limit of an engine is loadFactor times the mean of this host's requests in flight per
+// engine, plus loadSlack requests. A host has only one or two prompts in flight per engine, so the
+// slack has the larger effect.
 const (
 	loadFactor = 1
 	loadSlack  = 1
 )
 
+// loadLimit returns how many requests of this host may be in flight at one of the engines before
+// it is avoided.
 func (f *Fleet) loadLimit(runners []*Runner) float64 {
 	if len(runners) == 0 {
 		return 0
