--- a/coordination/occupancy/gate_test.go
+++ b/coordination/occupancy/gate_test.go
@@ -25,55 +25,55 @@
 	calls          []string
 }
 
-func (n *fakePeers) Enter(_ context.Context, addr string, req Request) (Response, error) {
-	n.calls = append(n.calls, addr)
-	if n.unreachable[addr] {
+func (p *fakePeers) Enter(_ context.Context, addr string, req Request) (Response, error) {
+	p.calls = append(p.calls, addr)
+	if p.unreachable[addr] {
 		return Response{}, errors.New("no answer")
 	}
-	return n.trackers[addr].Enter(req), nil
+	return p.trackers[addr].Enter(req), nil
 }
 
-func (n *fakePeers) Remaining(_ context.Context, addr string, engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress, error) {
-	if n.unreachable[addr] {
+func (p *fakePeers) Remaining(_ context.Context, addr string, engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress, error) {
+	if p.unreachable[addr] {
 		return backlog.Forecast{}, backlog.InProgress, errors.New("no answer")
 	}
-	f, progress := n.trackers[addr].Remaining(engine, id)
+	f, progress := p.trackers[addr].Remaining(engine, id)
 	return f, progress, nil
 }
 
-func (n *fakePeers) Leave(_ context.Context, addr string, engine state.InstanceID, id uint64, done bool) error {
-	if n.unreachable[addr] {
+func (p *fakePeers) Leave(_ context.Context, addr string, engine state.InstanceID, id uint64, done bool) error {
+	if p.unreachable[addr] {
 		return errors.New("no answer")
 	}
-	n.trackers[addr].Leave(engine, id, done)
+	p.trackers[addr].Leave(engine, id, done)
 	return nil
 }
 
-func (n *fakePeers) Permit(ctx context.Context, addr string, req PermitRequest) (Permit, error) {
-	n.calls = append(n.calls, addr)
-	if n.withoutPermits[addr] {
+func (p *fakePeers) Permit(ctx context.Context, addr string, req PermitRequest) (Permit, error) {
+	p.calls = append(p.calls, addr)
+	if p.withoutPermits[addr] {
 		return Permit{}, errors.New("unknown kind of request")
 	}
-	if n.unreachable[addr] {
+	if p.unreachable[addr] {
 		<-ctx.Done()
 		return Permit{}, errors.New("no answer")
 	}
-	return n.trackers[addr].Permit(req, LimitShare{Fraction: shareOfRank(req.Rank)}), nil
+	return p.trackers[addr].Permit(req, LimitShare{Fraction: shareOfRank(req.Rank)}), nil
 }
 
 // newGates returns the gates of hosts of the given classes, and the peers that connect them.
 func newGates(t *testing.T, classes ...int) (*fakePeers, []*Gate) {
 	t.Helper()
-	n := &fakePeers{trackers: map[string]*Tracker{}, unreachable: map[string]bool{}, withoutPermits: map[string]bool{}}
+	peers := &fakePeers{trackers: map[string]*Tracker{}, unreachable: map[string]bool{}, withoutPermits: map[string]bool{}}
 	var hosts []state.Peer
 	for i, class := range classes {
 		hosts = append(hosts, state.Peer{Addr: fmt.Sprint("host-", i), Class: class})
 	}
 	var gates []*Gate
 	for _, h := range hosts {
-		n.trackers[h.Addr] = NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		peers.trackers[h.Addr] = NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
 		g, err := NewGate(GateOptions{
-			Tracker: n.trackers[h.Addr], Peers: n, Self: h.Addr, Hosts: func() []state.Peer { return hosts },
+			Tracker: peers.trackers[h.Addr], Peers: peers, Self: h.Addr, Hosts: func() []state.Peer { return hosts },
 			Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
@@ -81,7 +81,7 @@
 		}
 		gates = append(gates, g)
 	}
-	return n, gates
+	return peers, gates
 }
 
 func TestHostsShareOneCountPerEngine(t *testing.T) {
@@ -92,17 +92,17 @@
 			admitted := 0
 			var last *Reservation
 			for _, g := range gates {
-				if v := g.Enter(t.Context(), slotRequest(fmt.Sprint("engine-", engine))); v.Reservation != nil {
+				if result := g.Enter(t.Context(), slotRequest(fmt.Sprint("engine-", engine))); result.Reservation != nil {
 					admitted++
-					last = v.Reservation
+					last = result.Reservation
 				}
 			}
 			is.Equal(admitted, slots)
 			last.Cancel()
 			synctest.Wait()
-			v := gates[0].Enter(t.Context(), slotRequest(fmt.Sprint("engine-", engine)))
-			is.True(v.Reservation != nil) // the end was reported to the owner
-			is.True(!v.LocalOnly)
+			result := gates[0].Enter(t.Context(), slotRequest(fmt.Sprint("engine-", engine)))
+			is.True(result.Reservation != nil) // the end was reported to the owner
+			is.True(!result.LocalOnly)
 		}
 	})
 }
@@ -142,27 +142,27 @@
 func TestNextHostsReplaceUnreachableFirstHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := newGates(t, 1, 1, 1, 1, 1, 1)
-		among := func() (count int, of map[string]bool) {
-			of = map[string]bool{}
+		peers, gates := newGates(t, 1, 1, 1, 1, 1, 1)
+		firstHosts := func() (count int, hosts map[string]bool) {
+			hosts = map[string]bool{}
 			for _, g := range gates {
 				if g.IsAmongFirst(2) {
-					of[g.o.Self] = true
+					hosts[g.o.Self] = true
 				}
 			}
-			return len(of), of
+			return len(hosts), hosts
 		}
-		count, first := among()
+		count, first := firstHosts()
 		is.Equal(count, 2)
 		for addr := range first {
-			n.unreachable[addr] = true
+			peers.unreachable[addr] = true
 		}
 		for i := range 50 { // all hosts notice that they don't answer
 			for _, g := range gates {
 				g.Enter(t.Context(), slotRequest(fmt.Sprint("engine-", i)))
 			}
 		}
-		_, second := among()
+		_, second := firstHosts()
 		count = 0
 		for addr := range second {
 			if !first[addr] {
@@ -176,22 +176,22 @@
 func TestUnreachableOwnerIsReplacedUntilItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := newGates(t, 1, 1, 1, 1, 1, 1)
+		peers, gates := newGates(t, 1, 1, 1, 1, 1, 1)
 		owner := gates[0].Owner(instanceID("engine"))
 		requester := gates[0]
 		if owner == requester.o.Self {
 			requester = gates[1]
 		}
-		n.unreachable[owner] = true
-		v := requester.Enter(t.Context(), slotRequest("engine"))
-		is.True(v.Reservation != nil) // another host owns the count meanwhile
+		peers.unreachable[owner] = true
+		result := requester.Enter(t.Context(), slotRequest("engine"))
+		is.True(result.Reservation != nil) // another host owns the count meanwhile
 		is.True(requester.Owner(instanceID("engine")) != owner)
-		n.unreachable[owner] = false
+		peers.unreachable[owner] = false
 		time.Sleep(minBackoff + time.Millisecond)
 		is.Equal(requester.Owner(instanceID("engine")), owner)
-		v = requester.Enter(t.Context(), slotRequest("engine"))
-		is.True(v.Reservation != nil)
-		is.True(!v.LocalOnly)
+		result = requester.Enter(t.Context(), slotRequest("engine"))
+		is.True(result.Reservation != nil)
+		is.True(!result.LocalOnly)
 		is.Equal(len(requester.backoffs), 0)
 	})
 }
@@ -199,9 +199,9 @@
 func TestOwnerBackoffGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := newGates(t, 1, 1)
+		peers, gates := newGates(t, 1, 1)
 		for _, g := range gates {
-			n.unreachable[g.o.Self] = true
+			peers.unreachable[g.o.Self] = true
 		}
 		other := gates[1].o.Self
 		engine := ""
@@ -214,7 +214,7 @@
 			gates[0].Enter(t.Context(), slotRequest(engine))
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.True(len(n.calls) <= 9) // 0.5, 1, 2, 4, 8 and then every 16 s of a minute
+		is.True(len(peers.calls) <= 9) // 0.5, 1, 2, 4, 8 and then every 16 s of a minute
 	})
 }
 
@@ -222,9 +222,9 @@
 func TestCancelledRequestCausesNoBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := newGates(t, 1, 1)
-		for addr := range n.trackers {
-			n.unreachable[addr] = true
+		peers, gates := newGates(t, 1, 1)
+		for addr := range peers.trackers {
+			peers.unreachable[addr] = true
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
@@ -241,29 +241,29 @@
 	_, gates := newGates(t, 1)
 	gates[0].o.Hosts = func() []state.Peer { return nil }
 	for range slots {
-		v := gates[0].Enter(t.Context(), slotRequest("engine"))
-		is.True(v.Reservation != nil)
-		is.True(v.LocalOnly)
+		result := gates[0].Enter(t.Context(), slotRequest("engine"))
+		is.True(result.Reservation != nil)
+		is.True(result.LocalOnly)
 	}
-	v := gates[0].Enter(t.Context(), slotRequest("engine"))
-	is.True(v.Reservation == nil)
-	v.Reservation.Done() // nothing to end
-	_, progress := v.Reservation.Remaining(t.Context())
+	result := gates[0].Enter(t.Context(), slotRequest("engine"))
+	is.True(result.Reservation == nil)
+	result.Reservation.Done() // nothing to end
+	_, progress := result.Reservation.Remaining(t.Context())
 	is.Equal(progress, backlog.Unknown)
 }
 
 func TestRemainingTimeComesFromOwner(t *testing.T) {
 	is := is.New(t)
-	n, gates := newGates(t, 1, 1, 1, 1)
+	peers, gates := newGates(t, 1, 1, 1, 1)
 	for i := range 20 {
-		v := gates[0].Enter(t.Context(), prefillRequest(fmt.Sprint("engine-", i)))
-		_, progress := v.Reservation.Remaining(t.Context())
+		result := gates[0].Enter(t.Context(), prefillRequest(fmt.Sprint("engine-", i)))
+		_, progress := result.Reservation.Remaining(t.Context())
 		is.Equal(progress, backlog.InProgress)
-		if v.Reservation.owner != gates[0].o.Self {
-			n.unreachable[v.Reservation.owner] = true
-			_, progress = v.Reservation.Remaining(t.Context())
+		if result.Reservation.owner != gates[0].o.Self {
+			peers.unreachable[result.Reservation.owner] = true
+			_, progress = result.Reservation.Remaining(t.Context())
 			is.Equal(progress, backlog.Unknown) // the progress is unknown while the owner is unreachable
-			n.unreachable[v.Reservation.owner] = false
+			peers.unreachable[result.Reservation.owner] = false
 		}
 	}
 }
--- a/coordination/occupancy/rate_test.go
+++ b/coordination/occupancy/rate_test.go
@@ -65,11 +65,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		a := PermitRequest{Runner: limitedRunner, Rate: 4, MaxWait: 600 * time.Millisecond}
-		is.Equal(tracker.Permit(a, fullLimit), Permit{Granted: true})
-		is.Equal(tracker.Permit(a, fullLimit), Permit{Granted: true, Wait: 250 * time.Millisecond})
-		is.Equal(tracker.Permit(a, fullLimit), Permit{Granted: true, Wait: 500 * time.Millisecond})
-		is.Equal(tracker.Permit(a, fullLimit), Permit{Wait: 750 * time.Millisecond})
+		req := PermitRequest{Runner: limitedRunner, Rate: 4, MaxWait: 600 * time.Millisecond}
+		is.Equal(tracker.Permit(req, fullLimit), Permit{Granted: true})
+		is.Equal(tracker.Permit(req, fullLimit), Permit{Granted: true, Wait: 250 * time.Millisecond})
+		is.Equal(tracker.Permit(req, fullLimit), Permit{Granted: true, Wait: 500 * time.Millisecond})
+		is.Equal(tracker.Permit(req, fullLimit), Permit{Wait: 750 * time.Millisecond})
 	})
 }
 
@@ -92,7 +92,7 @@
 func TestNextOwnerGrantsItsShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := newGates(t, 1, 1, 1, 1, 1, 1, 1)
+		peers, gates := newGates(t, 1, 1, 1, 1, 1, 1, 1)
 		ranked := gates[0].permitOwners(limitedRunner)
 		is.Equal(len(ranked), maxPermitOwners)
 		var requester *Gate
@@ -113,11 +113,11 @@
 		}
 		fromFirst := countPermitsOfRequester(10 * time.Second)
 		is.True(fromFirst >= 195 && fromFirst <= 205)
-		n.unreachable[ranked[0]] = true
+		peers.unreachable[ranked[0]] = true
 		fromSecond := countPermitsOfRequester(10 * time.Second)
 		is.True(fromSecond >= 45 && fromSecond <= 52)
 		for _, host := range ranked {
-			n.unreachable[host] = true
+			peers.unreachable[host] = true
 		}
 		isolated := countPermitsOfRequester(70 * time.Second)
 		is.True(isolated >= 10 && isolated <= 30) // 20 x 0.1 / 7 a second, and the rest of the owners' shares
@@ -129,9 +129,9 @@
 func TestOwnerWithoutPermitsStaysOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := newGates(t, 1, 1, 1, 1, 1, 1, 1)
+		peers, gates := newGates(t, 1, 1, 1, 1, 1, 1, 1)
 		ranked := gates[0].permitOwners(limitedRunner)
-		n.withoutPermits[ranked[0]] = true
+		peers.withoutPermits[ranked[0]] = true
 		for _, g := range gates {
 			if g.o.Self == ranked[0] || g.o.Self == ranked[1] {
 				continue
--- a/coordination/occupancy/tracker_test.go
+++ b/coordination/occupancy/tracker_test.go
@@ -62,15 +62,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		a := prefillRequest("a")
-		a.Prefill.MaxWait = 100 * time.Millisecond
+		req := prefillRequest("a")
+		req.Prefill.MaxWait = 100 * time.Millisecond
 		var last Response
 		admitted := 0
-		for last = tracker.Enter(a); last.ID != 0; last = tracker.Enter(a) {
+		for last = tracker.Enter(req); last.ID != 0; last = tracker.Enter(req) {
 			admitted++
 		}
 		is.Equal(admitted, 3) // 0, 43 and 86 ms
-		is.True(last.Forecast.Wait > a.Prefill.MaxWait)
+		is.True(last.Forecast.Wait > req.Prefill.MaxWait)
 		is.True(tracker.Enter(prefillRequest("b")).ID != 0) // another engine
 	})
 }
@@ -79,11 +79,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		a := prefillRequest("a")
-		a.Prefill.MaxFinish = 10 * time.Millisecond
-		is.Equal(tracker.Enter(a).ID, uint64(0))
-		a.Prefill.AllowLate = true
-		is.True(tracker.Enter(a).ID != 0)
+		req := prefillRequest("a")
+		req.Prefill.MaxFinish = 10 * time.Millisecond
+		is.Equal(tracker.Enter(req).ID, uint64(0))
+		req.Prefill.AllowLate = true
+		is.True(tracker.Enter(req).ID != 0)
 	})
 }
 
@@ -91,14 +91,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		a := prefillRequest("a")
-		a.Prefill.Prompt.Parts = []backlog.Part{{ID: 3, Tokens: 9000}}
-		a.Prefill.RequireCached = true
-		is.Equal(tracker.Enter(a).ID, uint64(0))
-		a.Prefill.RequireCached = false
-		tracker.Leave(instanceID("a"), tracker.Enter(a).ID, true)
-		a.Prefill.RequireCached = true
-		is.True(tracker.Enter(a).ID != 0)
+		req := prefillRequest("a")
+		req.Prefill.Prompt.Parts = []backlog.Part{{ID: 3, Tokens: 9000}}
+		req.Prefill.RequireCached = true
+		is.Equal(tracker.Enter(req).ID, uint64(0))
+		req.Prefill.RequireCached = false
+		tracker.Leave(instanceID("a"), tracker.Enter(req).ID, true)
+		req.Prefill.RequireCached = true
+		is.True(tracker.Enter(req).ID != 0)
 	})
 }
 
@@ -164,18 +164,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		tracker := NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
-		a := prefillRequest("a")
-		a.Prefill.Prompt.Parts = []backlog.Part{{ID: 1, Tokens: 6000}}
-		first := tracker.Enter(a)
-		tracker.Leave(a.Engine, first.ID, true)
-		is.Equal(tracker.Enter(a).Forecast.CachedTokens, 6000)
-		former := a.Engine
-		a.Engine.Born = 2
-		second := tracker.Enter(a)
+		req := prefillRequest("a")
+		req.Prefill.Prompt.Parts = []backlog.Part{{ID: 1, Tokens: 6000}}
+		first := tracker.Enter(req)
+		tracker.Leave(req.Engine, first.ID, true)
+		is.Equal(tracker.Enter(req).Forecast.CachedTokens, 6000)
+		former := req.Engine
+		req.Engine.Born = 2
+		second := tracker.Enter(req)
 		is.Equal(second.Forecast.CachedTokens, 0)
 		is.Equal(second.Forecast.Wait, time.Duration(0))
 		tracker.Leave(former, second.ID, true)
-		_, progress := tracker.Remaining(a.Engine, second.ID)
+		_, progress := tracker.Remaining(req.Engine, second.ID)
 		is.Equal(progress, backlog.InProgress)
 	})
 }
