--- a/coordination/forward/advice.go
+++ b/coordination/forward/advice.go
@@ -60,7 +60,7 @@
 		return true
 	}
 	requestedAt := d.o.Clock.Now()
-	p := d.o.Gate.Permit(ctx, occupancy.PermitAsk{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
+	p := d.o.Gate.Permit(ctx, occupancy.PermitRequest{Runner: i.ID, Rate: rate, MaxWait: max(0, wait)})
 	if !p.Granted {
 		d.o.Advice.CloseUntil(i.ID, d.o.Clock.Now().Add(max(p.Wait, minLimitPause)))
 		rec.addStep(i, part, outcomeLimited, 0, nil)
@@ -81,7 +81,7 @@
 // paused.
 func (d *Dispatcher) send(ctx context.Context, a *Attempt) (Response, error) {
 	a.Permit = func() error {
-		if !d.o.Placer.Has(a.Instance.ID) || d.inBackoff(a.Instance) {
+		if !d.o.Placer.Accepts(a.Instance.ID) || d.inBackoff(a.Instance) {
 			return ErrRunnerClosed
 		}
 		return nil
@@ -96,14 +96,14 @@
 
 // remainingPart is the part of the request that a runner still has to do, after the separate
 // prefill if there is one.
-func (d *Dispatcher) remainingPart(r *Request, rec *record) placement.Part {
+func (d *Dispatcher) remainingPart(r *Request, rec *record) placement.Phase {
 	switch {
 	case r.Generation == nil:
-		return placement.PartCall
+		return placement.PhaseCall
 	case d.hasLongPrompt(r) && !rec.separatePrefill:
-		return placement.PartRead
+		return placement.PhasePrefill
 	default:
-		return placement.PartGenerate
+		return placement.PhaseDecode
 	}
 }
 
@@ -141,9 +141,9 @@
 
 // awaitRunner waits for a runner that accepts such work, until by at the latest, and acquires
 // the permit that the runner's limit requires.
-func (d *Dispatcher) awaitRunner(ctx context.Context, r *Request, rec *record, p placement.Part, by time.Time) (*placement.Runner, error) {
+func (d *Dispatcher) awaitRunner(ctx context.Context, r *Request, rec *record, p placement.Phase, by time.Time) (*placement.Runner, error) {
 	for {
-		runner, at := d.o.Placer.Soonest(r.Service, p, rec.tried)
+		runner, at := d.o.Placer.EarliestAvailable(r.Service, p, rec.tried)
 		if runner == nil {
 			return nil, d.refuse(r, rec, ReasonNoRunner)
 		}
@@ -186,7 +186,7 @@
 
 // checkDecodeInTime refuses a request that no engine would decode in time after its prefill.
 func (d *Dispatcher) checkDecodeInTime(r *Request, rec *record) error {
-	runner, at := d.o.Placer.Soonest(r.Service, placement.PartGenerate, rec.tried)
+	runner, at := d.o.Placer.EarliestAvailable(r.Service, placement.PhaseDecode, rec.tried)
 	if runner == nil || !at.After(d.startDeadline(r)) {
 		return nil
 	}
--- a/coordination/forward/alive.go
+++ b/coordination/forward/alive.go
@@ -32,12 +32,12 @@
 // request is lost if its engine is unavailable, since it can't be known whether it ran; so an
 // engine without a recent response to this host is probed first, which costs a round trip.
 func (d *Dispatcher) confirmReachable(ctx context.Context, a *Attempt, runner *placement.Runner, rec *record) bool {
-	if !a.Request.runsAtMostOnce() || runner.HeardWithin(recentResponse) {
+	if !a.Request.runsAtMostOnce() || runner.RespondedWithin(recentResponse) {
 		return true
 	}
 	started := d.o.Clock.Now()
 	if d.alive(ctx, a.Instance) {
-		runner.Heard()
+		runner.MarkResponsive()
 		return true
 	}
 	if ctx.Err() == nil {
--- a/coordination/forward/alive_test.go
+++ b/coordination/forward/alive_test.go
@@ -90,7 +90,7 @@
 		is.NoErr(err)
 		is.True(w.up.attempts[1].Instance.ID != w.up.attempts[2].Instance.ID)
 		is.True(time.Since(r.ArrivedAt) < r.Route.Objective)
-		next := w.fleet.Decode("model", "", "", nil)
+		next := w.fleet.ChooseForDecode("model", "", "", nil)
 		is.True(next.Instance.ID != w.up.attempts[1].Instance.ID) // later requests avoid it
 	})
 }
@@ -142,12 +142,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{hang: true}, prefilled, generated)
-		w.gate.given = &backlog.Forecast{Wait: 20 * time.Millisecond, Finish: 900 * time.Millisecond, Known: true}
+		w.gate.given = &backlog.Forecast{Wait: 20 * time.Millisecond, Finish: 900 * time.Millisecond, Reliable: true}
 		go func() {
 			time.Sleep(50 * time.Millisecond)
 			for _, r := range w.fleet.Runners("model") {
 				if r.InFlight() > 0 {
-					w.fleet.Judge(r.Instance.ID, time.Second)
+					w.fleet.ApplyReport(r.Instance.ID, time.Second)
 				}
 			}
 		}()
--- a/coordination/forward/backup.go
+++ b/coordination/forward/backup.go
@@ -67,7 +67,7 @@
 	if !r.runsAtMostOnce() || !d.hasBackupMemory(r) {
 		return nil
 	}
-	runner := d.o.Placer.Standby(r.Service, at, append(slices.Clone(tried), at.ID))
+	runner := d.o.Placer.ChooseForBackup(r.Service, at, append(slices.Clone(tried), at.ID))
 	if runner == nil {
 		return nil
 	}
@@ -117,7 +117,7 @@
 // noteReceived records for the watch that bytes arrived.
 func (s *Stream) noteReceived() {
 	if s.watch != nil {
-		s.runner.Heard()
+		s.runner.MarkResponsive()
 		s.watch.lastReceived.Store(int64(s.d.o.Clock.Now().Sub(s.watch.startedAt)))
 	}
 }
@@ -137,7 +137,7 @@
 			}
 			continue
 		}
-		if !runner.HeardWithin(probeTimeout) && !d.alive(ctx, a.Instance) && ctx.Err() == nil {
+		if !runner.RespondedWithin(probeTimeout) && !d.alive(ctx, a.Instance) && ctx.Err() == nil {
 			w.unavailable.Store(true)
 			resp.Abort()
 			return
@@ -161,7 +161,7 @@
 	}
 	s.noteBrokenRun()
 	s.rec.addStep(from.Instance, "run", outcomeUnknown, s.d.o.Clock.Now().Sub(s.started), cause)
-	if backup == nil || s.lastID == "" || s.failovers >= maxMoves || !s.d.o.Placer.Has(backup.ID) {
+	if backup == nil || s.lastID == "" || s.failovers >= maxMoves || !s.d.o.Placer.Accepts(backup.ID) {
 		return false
 	}
 	if !s.mayResume() {
--- a/coordination/forward/candidate.go
+++ b/coordination/forward/candidate.go
@@ -31,7 +31,7 @@
 // there if one was given.
 type candidate struct {
 	runner *placement.Runner
-	occupancy.Verdict
+	occupancy.Result
 }
 
 // cost is the cost of choosing the engine if it fetches parts of the prompt from source: the
@@ -40,9 +40,9 @@
 func (c candidate) cost(r *Request, p coldPrompt, source candidate) time.Duration {
 	f := c.Forecast
 	saved := time.Duration(0)
-	if missing := p.sharedTokens() - f.Coming; source.Forecast.Kept > f.Coming {
-		fetchable := source.Forecast.Kept - f.Coming
-		saved = time.Duration(float64(f.Cold)*float64(fetchable)/float64(missing)) - transferTime(r, fetchable, source.runner, c.runner)
+	if missing := p.sharedTokens() - f.CachedAtStart; source.Forecast.CachedTokens > f.CachedAtStart {
+		fetchable := source.Forecast.CachedTokens - f.CachedAtStart
+		saved = time.Duration(float64(f.UncachedTime)*float64(fetchable)/float64(missing)) - transferTime(r, fetchable, source.runner, c.runner)
 	}
 	return 2*(f.Finish-saved) - f.Wait
 }
@@ -58,14 +58,14 @@
 	var candidates []candidate
 	excluded := slices.Clone(tried)
 	for range maxPrefillCandidates {
-		runner := d.o.Placer.Prefill(r.Service, r.Generation.Session(), excluded)
+		runner := d.o.Placer.ChooseForPrefill(r.Service, r.Generation.Session(), excluded)
 		if runner == nil {
 			break
 		}
-		ask := d.prefillAsk(r, runner, backlog.Work(p), shortQueueWait, limit)
-		ask.Reading.Warm = true
+		ask := d.prefillAsk(r, runner, backlog.Prompt(p), shortQueueWait, limit)
+		ask.Prefill.RequireCached = true
 		c := candidate{runner, d.o.Gate.Enter(ctx, ask)}
-		if c.Place != nil {
+		if c.Reservation != nil {
 			return newReservation(c, nil), nil
 		}
 		rec.addStep(runner.Instance, "place", outcomeFull, c.Forecast.Finish, nil)
@@ -75,21 +75,21 @@
 	if len(candidates) == 0 {
 		return reservation{kind: ReservationLocal}, nil
 	}
-	source := slices.MaxFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.Forecast.Kept, b.Forecast.Kept) })
+	source := slices.MaxFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.Forecast.CachedTokens, b.Forecast.CachedTokens) })
 	best := slices.MinFunc(candidates, func(a, b candidate) int { return cmp.Compare(a.cost(r, p, source), b.cost(r, p, source)) })
 	if err := d.refuseIfCallerTimesOut(r, rec, best); err != nil {
 		return reservation{}, err
 	}
-	work := backlog.Work(p)
+	work := backlog.Prompt(p)
 	var from *placement.Runner
-	if kept := source.Forecast.Kept; kept > best.Forecast.Coming {
+	if kept := source.Forecast.CachedTokens; kept > best.Forecast.CachedAtStart {
 		from = source.runner
-		work.Fetched = kept
+		work.FetchableTokens = kept
 		work.FetchMS = state.InMillis(transferTime(r, kept, from, best.runner))
 	}
 	ask := d.prefillAsk(r, best.runner, work, unboundedWait, limit)
-	ask.Reading.Late = true
-	best.Verdict = d.o.Gate.Enter(ctx, ask)
+	ask.Prefill.AllowLate = true
+	best.Result = d.o.Gate.Enter(ctx, ask)
 	return newReservation(best, from), nil
 }
 
@@ -99,7 +99,7 @@
 // nothing.
 func (d *Dispatcher) refuseIfCallerTimesOut(r *Request, rec *record, best candidate) error {
 	left := d.prefillTimeLeft(r)
-	if best.Own || !best.Forecast.Known || best.Forecast.Finish < left {
+	if best.LocalOnly || !best.Forecast.Reliable || best.Forecast.Finish < left {
 		return nil
 	}
 	d.o.Log.LogAttrs(context.Background(), slog.LevelInfo, "predicted prefill exceeds the caller's remaining time", slog.String("request_id", r.ID),
@@ -127,12 +127,12 @@
 }
 
 // coldPrompt is the prefill work of a prompt at an engine that has cached none of it.
-type coldPrompt backlog.Work
+type coldPrompt backlog.Prompt
 
 func newColdPrompt(g *Generation) coldPrompt {
-	p := coldPrompt{Own: g.OwnTokens()}
+	p := coldPrompt{OwnTokens: g.OwnTokens()}
 	for _, part := range g.Parts[:max(0, len(g.Parts)-1)] {
-		p.Shared = append(p.Shared, backlog.Part{ID: xxhash.Sum64String(part.ID), Tokens: part.Tokens})
+		p.Parts = append(p.Parts, backlog.Part{ID: xxhash.Sum64String(part.ID), Tokens: part.Tokens})
 	}
 	return p
 }
@@ -140,7 +140,7 @@
 // sharedTokens is the number of tokens in the parts before the prompt's own.
 func (p coldPrompt) sharedTokens() int {
 	out := 0
-	for _, part := range p.Shared {
+	for _, part := range p.Parts {
 		out += part.Tokens
 	}
 	return out
@@ -171,10 +171,10 @@
 
 // prefillAsk returns the request for a prefill place at an engine. wait is the longest queue
 // wait that is accepted, and limit the time left until prefillTarget.
-func (d *Dispatcher) prefillAsk(r *Request, at *placement.Runner, w backlog.Work, wait, limit time.Duration) occupancy.Ask {
-	reading := &occupancy.Reading{Service: r.Service, Work: w, MaxWait: wait, Limit: limit}
+func (d *Dispatcher) prefillAsk(r *Request, at *placement.Runner, w backlog.Prompt, wait, limit time.Duration) occupancy.Request {
+	reading := &occupancy.Prefill{Service: r.Service, Prompt: w, MaxWait: wait, MaxFinish: limit}
 	if r.Engine != nil {
-		reading.Memory = r.Engine.KVTokens
+		reading.MemoryTokens = r.Engine.KVTokens
 	}
-	return occupancy.Ask{Engine: at.Instance.ID, Reading: reading, Keep: d.timeLeft(r)}
+	return occupancy.Request{Engine: at.Instance.ID, Prefill: reading, TTL: d.timeLeft(r)}
 }
--- a/coordination/forward/evacuate.go
+++ b/coordination/forward/evacuate.go
@@ -28,7 +28,7 @@
 // take longer. Streams for the rostering application's short prompts take four seconds on
 // average.
 func (d *Dispatcher) needsEvacuation(a *Attempt) bool {
-	return a.Request.runsAtMostOnce() && !d.o.Placer.Has(a.Instance.ID) && d.o.Placer.Runner(a.Instance.ID) != nil
+	return a.Request.runsAtMostOnce() && !d.o.Placer.Accepts(a.Instance.ID) && d.o.Placer.Runner(a.Instance.ID) != nil
 }
 
 // evacuate stops the run, has its KV cache copied to another engine and cuts the response, so
@@ -40,7 +40,7 @@
 		return
 	}
 	defer close(e.done)
-	runner := d.o.Placer.Standby(a.Request.Service, a.Instance, slices.Concat(w.tried, []state.InstanceID{a.Instance.ID}))
+	runner := d.o.Placer.ChooseForBackup(a.Request.Service, a.Instance, slices.Concat(w.tried, []state.InstanceID{a.Instance.ID}))
 	if runner == nil || !d.o.Budget.AllowMove(a.Request.Service) {
 		return
 	}
--- a/coordination/forward/prefill_watch.go
+++ b/coordination/forward/prefill_watch.go
@@ -52,7 +52,7 @@
 // run checks the prefill until it is cancelled or has ended.
 func (p *prefillWatch) run() {
 	next := p.d.prefillTimeLeft(p.r)
-	if f := p.reservation.forecast; f.Known {
+	if f := p.reservation.forecast; f.Reliable {
 		next = min(next, overdueAfter(f))
 	}
 	for {
@@ -61,7 +61,7 @@
 			return
 		}
 		next -= pause
-		if p.reservation.runner.Silent(p.d.o.Clock.Now()) {
+		if p.reservation.runner.Unresponsive(p.d.o.Clock.Now()) {
 			p.unavailable.Store(true)
 			p.cancel()
 			return
@@ -83,7 +83,7 @@
 func (p *prefillWatch) makesProgress() bool {
 	_, progress := p.reservation.place.Remaining(p.ctx)
 	switch progress {
-	case backlog.Underway:
+	case backlog.InProgress:
 		return true
 	case backlog.Unknown:
 		before := p.unknownBefore
--- a/coordination/forward/reservation.go
+++ b/coordination/forward/reservation.go
@@ -44,7 +44,7 @@
 	// has cached shared parts which runner lacks, or nil.
 	runner, prefixSource *placement.Runner
 	// place is nil if no owner gave one.
-	place    *occupancy.Place
+	place    *occupancy.Reservation
 	forecast backlog.Forecast
 }
 
@@ -59,9 +59,9 @@
 }
 
 func newReservation(c candidate, source *placement.Runner) reservation {
-	res := reservation{kind: ReservationShared, runner: c.runner, prefixSource: source, place: c.Place, forecast: c.Forecast}
+	res := reservation{kind: ReservationShared, runner: c.runner, prefixSource: source, place: c.Reservation, forecast: c.Forecast}
 	switch {
-	case c.Own:
+	case c.LocalOnly:
 		res.kind = ReservationLocal
 	case c.Forecast.Rank >= backlog.Classes:
 		res.kind = ReservationDeferred
@@ -164,8 +164,8 @@
 func (d *Dispatcher) chooseDecodeEngine(ctx context.Context, r *Request, rec *record) choice {
 	free, full := d.findFreeSlot(ctx, r, rec, r.Generation.Session(), decodeDomain(r, rec.promptKV))
 	switch {
-	case free.Place != nil:
-		return choice{Runner: free.runner, reservation: reservation{kind: ReservationShared, runner: free.runner, place: free.Place}}
+	case free.Reservation != nil:
+		return choice{Runner: free.runner, reservation: reservation{kind: ReservationShared, runner: free.runner, place: free.Reservation}}
 	case len(full) > 0:
 		return choice{Runner: full[0]}
 	default:
@@ -182,7 +182,7 @@
 		rec.addStep(runner.Instance, "place", outcomeFull, 0, nil)
 	}
 	switch {
-	case free.Place != nil:
+	case free.Reservation != nil:
 		return d.generateChoice(free.runner, newReservation(free, nil), rec)
 	case len(full) > 0:
 		return d.generateChoice(full[0], reservation{kind: ReservationDeferred}, rec)
@@ -197,12 +197,12 @@
 func (d *Dispatcher) findFreeSlot(ctx context.Context, r *Request, rec *record, session, near string) (free candidate, full []*placement.Runner) {
 	excluded := slices.Clone(rec.tried)
 	for range maxSlotCandidates {
-		runner := d.o.Placer.Decode(r.Service, session, near, excluded)
+		runner := d.o.Placer.ChooseForDecode(r.Service, session, near, excluded)
 		if runner == nil {
 			break
 		}
-		v := d.o.Gate.Enter(ctx, occupancy.Ask{Engine: runner.Instance.ID, Most: max(1, runner.Instance.Slots), Keep: d.timeLeft(r)})
-		if v.Place != nil {
+		v := d.o.Gate.Enter(ctx, occupancy.Request{Engine: runner.Instance.ID, MaxInFlight: max(1, runner.Instance.Slots), TTL: d.timeLeft(r)})
+		if v.Reservation != nil {
 			return candidate{runner, v}, full
 		}
 		full = append(full, runner)
--- a/coordination/forward/reservation_test.go
+++ b/coordination/forward/reservation_test.go
@@ -19,7 +19,7 @@
 func TestColdSessionPrefillsAtOneEngine(t *testing.T) {
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated, prefilled, generated)
-	home := w.fleet.Prefill("model", "b", nil)
+	home := w.fleet.ChooseForPrefill("model", "b", nil)
 	w.mustServe(t)
 	is.Equal(w.prefillAsks(), maxPrefillCandidates+1)
 	is.Equal(w.up.attempts[0].Instance.ID, home.Instance.ID)
@@ -34,18 +34,18 @@
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = []backlog.Forecast{
-		{Wait: 300 * time.Millisecond, Finish: 320 * time.Millisecond, Kept: 400, Coming: 400},
-		{Wait: 100 * time.Millisecond, Finish: 150 * time.Millisecond, Cold: 30 * time.Millisecond},
-		{Wait: 50 * time.Millisecond, Finish: 100 * time.Millisecond, Cold: 30 * time.Millisecond},
-		{Wait: 250 * time.Millisecond, Finish: 300 * time.Millisecond, Cold: 30 * time.Millisecond},
+		{Wait: 300 * time.Millisecond, Finish: 320 * time.Millisecond, CachedTokens: 400, CachedAtStart: 400},
+		{Wait: 100 * time.Millisecond, Finish: 150 * time.Millisecond, UncachedTime: 30 * time.Millisecond},
+		{Wait: 50 * time.Millisecond, Finish: 100 * time.Millisecond, UncachedTime: 30 * time.Millisecond},
+		{Wait: 250 * time.Millisecond, Finish: 300 * time.Millisecond, UncachedTime: 30 * time.Millisecond},
 	}
 	w.mustServe(t)
-	home := w.fleet.Prefill("model", "b", nil)
+	home := w.fleet.ChooseForPrefill("model", "b", nil)
 	is.Equal(w.gate.asks[0].Engine, home.Instance.ID)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[2].Engine)
 	is.Equal(w.up.attempts[0].FetchFrom, home.Instance.Addr)
-	is.Equal(w.gate.asks[4].Reading.Work.Fetched, 400)
-	is.True(w.gate.asks[4].Reading.Late)
+	is.Equal(w.gate.asks[4].Prefill.Prompt.FetchableTokens, 400)
+	is.True(w.gate.asks[4].Prefill.AllowLate)
 }
 
 // The session's engine was replaced: the next one in the session's order still has the parts
@@ -54,10 +54,10 @@
 	is := is.New(t)
 	w := newWorld(t, plenty, prefilled, generated)
 	w.gate.refusal = []backlog.Forecast{
-		{Finish: 90 * time.Millisecond, Cold: 50 * time.Millisecond},
-		{Wait: 200 * time.Millisecond, Finish: 240 * time.Millisecond, Kept: 400, Coming: 400},
-		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, Cold: 50 * time.Millisecond},
-		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, Cold: 50 * time.Millisecond},
+		{Finish: 90 * time.Millisecond, UncachedTime: 50 * time.Millisecond},
+		{Wait: 200 * time.Millisecond, Finish: 240 * time.Millisecond, CachedTokens: 400, CachedAtStart: 400},
+		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, UncachedTime: 50 * time.Millisecond},
+		{Wait: 200 * time.Millisecond, Finish: 290 * time.Millisecond, UncachedTime: 50 * time.Millisecond},
 	}
 	w.mustServe(t)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[0].Engine)
@@ -67,7 +67,7 @@
 func busyForecasts(d time.Duration, known bool) []backlog.Forecast {
 	out := make([]backlog.Forecast, maxPrefillCandidates)
 	for i := range out {
-		out[i] = backlog.Forecast{Wait: d, Finish: d, Known: known}
+		out[i] = backlog.Forecast{Wait: d, Finish: d, Reliable: known}
 	}
 	return out
 }
@@ -101,7 +101,7 @@
 	w.mustServe(t)
 	is.Equal(w.up.attempts[0].Rank, backlog.Classes+1)
 	is.Equal(w.up.attempts[1].Rank, 0) // the decode isn't deferred
-	is.Equal(newReservation(candidate{Verdict: occupancy.Verdict{Answer: occupancy.Answer{Forecast: *w.gate.given}}}, nil).kind, ReservationDeferred)
+	is.Equal(newReservation(candidate{Result: occupancy.Result{Response: occupancy.Response{Forecast: *w.gate.given}}}, nil).kind, ReservationDeferred)
 }
 
 // A prefill that isn't done in time is cancelled while its caller still waits. It isn't counted
@@ -151,7 +151,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(t, plenty, reply{status: 200, body: "h1", delay: time.Second}, generated)
-		w.gate.given = &backlog.Forecast{Known: true, Finish: 10 * time.Millisecond}
+		w.gate.given = &backlog.Forecast{Reliable: true, Finish: 10 * time.Millisecond}
 		r := modelRequest(200_000, true) // 4 s of prefill by the book's estimate
 		_, err := w.Forward(t.Context(), r)
 		is.NoErr(err)
@@ -168,7 +168,7 @@
 	_, err = readAll(answer.Stream)
 	is.NoErr(err)
 	is.Equal(w.up.attempts[0].Instance.ID, w.gate.asks[1].Engine)
-	is.Equal(w.gate.asks[1].Most, engineSlots)
+	is.Equal(w.gate.asks[1].MaxInFlight, engineSlots)
 	is.Equal(w.up.attempts[0].Rank, 0)
 }
 
@@ -212,11 +212,11 @@
 			session := modelRequest(9000, true).Generation.Session()
 			var order []state.InstanceID
 			for range 5 {
-				order = append(order, w.fleet.Decode("model", session, "", order).Instance.ID)
+				order = append(order, w.fleet.ChooseForDecode("model", session, "", order).Instance.ID)
 			}
 			for _, id := range order[:c.full] {
 				for range engineSlots {
-					is.True(w.gate.book.Enter(occupancy.Ask{Engine: id, Most: engineSlots, Keep: time.Minute}).ID != 0)
+					is.True(w.gate.book.Enter(occupancy.Request{Engine: id, MaxInFlight: engineSlots, TTL: time.Minute}).ID != 0)
 				}
 			}
 			want := order[c.full%len(order)]
--- a/coordination/forward/sim_harness_test.go
+++ b/coordination/forward/sim_harness_test.go
@@ -52,7 +52,7 @@
 	clock  *clocktest.Machine
 	fleet  *placement.Fleet
 	advice *backpressure.Registry
-	book   *occupancy.Book
+	book   *occupancy.Tracker
 	gate   *occupancy.Gate
 	// partition is the part of the network that the host is in; hosts in other parts are
 	// unreachable. Runners are reachable from all parts. It is changed under the fleet's lock.
@@ -143,9 +143,9 @@
 	h.advice = newAdvice(f.t, clock, h.broadcast, h.applyRunnerList)
 	h.fleet = placement.NewFleet(placement.Options{Clock: clock, FailureDomain: domain, Advice: h.advice})
 	var err error
-	h.book = occupancy.NewBook(clock, slog.New(slog.DiscardHandler))
+	h.book = occupancy.NewTracker(clock, slog.New(slog.DiscardHandler))
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
-		Book: h.book, Peers: simPeers{h}, Self: name, Hosts: f.currentHosts, Clock: clock, Log: slog.New(slog.DiscardHandler),
+		Tracker: h.book, Peers: simPeers{h}, Self: name, Hosts: f.currentHosts, Clock: clock, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		f.t.Fatal(err)
--- a/coordination/forward/sim_peers_test.go
+++ b/coordination/forward/sim_peers_test.go
@@ -68,10 +68,10 @@
 }
 
 // Enter implements occupancy.Peers.
-func (p simPeers) Enter(ctx context.Context, addr string, a occupancy.Ask) (occupancy.Answer, error) {
+func (p simPeers) Enter(ctx context.Context, addr string, a occupancy.Request) (occupancy.Response, error) {
 	to, err := p.reach(ctx, addr)
 	if err != nil {
-		return occupancy.Answer{}, err
+		return occupancy.Response{}, err
 	}
 	defer time.Sleep(peerDelay)
 	return to.book.Enter(a), nil
@@ -98,7 +98,7 @@
 }
 
 // Permit implements occupancy.Peers.
-func (p simPeers) Permit(ctx context.Context, addr string, a occupancy.PermitAsk) (occupancy.Permit, error) {
+func (p simPeers) Permit(ctx context.Context, addr string, a occupancy.PermitRequest) (occupancy.Permit, error) {
 	to, err := p.reach(ctx, addr)
 	if err != nil {
 		return occupancy.Permit{}, err
--- a/coordination/occupancy/gate_test.go
+++ b/coordination/occupancy/gate_test.go
@@ -16,64 +16,64 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// network joins the books of some hosts; lost ones don't answer.
-type network struct {
-	books map[string]*Book
-	lost  map[string]bool
-	// ignorant hosts know no permits.
-	ignorant map[string]bool
-	asked    []string
+// fakePeers connects the trackers of several hosts. Unreachable hosts don't answer.
+type fakePeers struct {
+	trackers    map[string]*Tracker
+	unreachable map[string]bool
+	// withoutPermits are hosts of a version that doesn't know permits.
+	withoutPermits map[string]bool
+	calls          []string
 }
 
-func (n *network) Enter(_ context.Context, addr string, a Ask) (Answer, error) {
-	n.asked = append(n.asked, addr)
-	if n.lost[addr] {
-		return Answer{}, errors.New("no answer")
+func (p *fakePeers) Enter(_ context.Context, addr string, req Request) (Response, error) {
+	p.calls = append(p.calls, addr)
+	if p.unreachable[addr] {
+		return Response{}, errors.New("no answer")
 	}
-	return n.books[addr].Enter(a), nil
+	return p.trackers[addr].Enter(req), nil
 }
 
-func (n *network) Remaining(_ context.Context, addr string, engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress, error) {
-	if n.lost[addr] {
-		return backlog.Forecast{}, backlog.Underway, errors.New("no answer")
+func (p *fakePeers) Remaining(_ context.Context, addr string, engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress, error) {
+	if p.unreachable[addr] {
+		return backlog.Forecast{}, backlog.InProgress, errors.New("no answer")
 	}
-	f, progress := n.books[addr].Remaining(engine, id)
+	f, progress := p.trackers[addr].Remaining(engine, id)
 	return f, progress, nil
 }
 
-func (n *network) Leave(_ context.Context, addr string, engine state.InstanceID, id uint64, done bool) error {
-	if n.lost[addr] {
+func (p *fakePeers) Leave(_ context.Context, addr string, engine state.InstanceID, id uint64, done bool) error {
+	if p.unreachable[addr] {
 		return errors.New("no answer")
 	}
-	n.books[addr].Leave(engine, id, done)
+	p.trackers[addr].Leave(engine, id, done)
 	return nil
 }
 
-func (n *network) Permit(ctx context.Context, addr string, a PermitAsk) (Permit, error) {
-	n.asked = append(n.asked, addr)
-	if n.ignorant[addr] {
+func (p *fakePeers) Permit(ctx context.Context, addr string, req PermitRequest) (Permit, error) {
+	p.calls = append(p.calls, addr)
+	if p.withoutPermits[addr] {
 		return Permit{}, errors.New("unknown kind of request")
 	}
-	if n.lost[addr] {
+	if p.unreachable[addr] {
 		<-ctx.Done()
 		return Permit{}, errors.New("no answer")
 	}
-	return n.books[addr].Permit(a, Part{Share: shareOfRank(a.Rank)}), nil
+	return p.trackers[addr].Permit(req, LimitShare{Fraction: shareOfRank(req.Rank)}), nil
 }
 
-// fleet returns the gates of hosts of the given classes.
-func fleet(t *testing.T, classes ...int) (*network, []*Gate) {
+// newGates returns the gates of hosts of the given classes, and the peers that connect them.
+func newGates(t *testing.T, classes ...int) (*fakePeers, []*Gate) {
 	t.Helper()
-	n := &network{books: map[string]*Book{}, lost: map[string]bool{}, ignorant: map[string]bool{}}
+	peers := &fakePeers{trackers: map[string]*Tracker{}, unreachable: map[string]bool{}, withoutPermits: map[string]bool{}}
 	var hosts []state.Peer
 	for i, class := range classes {
 		hosts = append(hosts, state.Peer{Addr: fmt.Sprint("host-", i), Class: class})
 	}
 	var gates []*Gate
 	for _, h := range hosts {
-		n.books[h.Addr] = NewBook(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
+		peers.trackers[h.Addr] = NewTracker(clocktest.Bubble{}, slog.New(slog.DiscardHandler))
 		g, err := NewGate(GateOptions{
-			Book: n.books[h.Addr], Peers: n, Self: h.Addr, Hosts: func() []state.Peer { return hosts },
+			Tracker: peers.trackers[h.Addr], Peers: peers, Self: h.Addr, Hosts: func() []state.Peer { return hosts },
 			Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
 		})
 		if err != nil {
@@ -81,33 +81,33 @@
 		}
 		gates = append(gates, g)
 	}
-	return n, gates
+	return peers, gates
 }
 
-func TestHostsShareOneCountForEachEngine(t *testing.T) {
+func TestHostsShareOneCountPerEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, gates := fleet(t, 1, 1, 1, 1, 1, 1, 1, 1)
+		_, gates := newGates(t, 1, 1, 1, 1, 1, 1, 1, 1)
 		for engine := range 20 {
-			given := 0
-			var last *Place
+			admitted := 0
+			var last *Reservation
 			for _, g := range gates {
-				if v := g.Enter(t.Context(), ask(fmt.Sprint("engine-", engine))); v.Place != nil {
-					given++
-					last = v.Place
+				if result := g.Enter(t.Context(), slotRequest(fmt.Sprint("engine-", engine))); result.Reservation != nil {
+					admitted++
+					last = result.Reservation
 				}
 			}
-			is.Equal(given, slots)
+			is.Equal(admitted, slots)
 			last.Cancel()
 			synctest.Wait()
-			v := gates[0].Enter(t.Context(), ask(fmt.Sprint("engine-", engine)))
-			is.True(v.Place != nil) // the end was told to the owner
-			is.True(!v.Own)
+			result := gates[0].Enter(t.Context(), slotRequest(fmt.Sprint("engine-", engine)))
+			is.True(result.Reservation != nil) // the end was reported to the owner
+			is.True(!result.LocalOnly)
 		}
 	})
 }
 
-func TestStrongHostsKeepTheCounts(t *testing.T) {
+func TestHostsOfHighestClassOwnCounts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		for _, c := range []struct {
@@ -115,54 +115,54 @@
 			owners  int
 		}{
 			{[]int{1, 1, 9, 9, 9, 9, 1}, 4},
-			{[]int{1, 1, 1, 9}, 4}, // too few of the best class
+			{[]int{1, 1, 1, 9}, 4}, // fewer than minOwners hosts of the best class
 		} {
-			_, gates := fleet(t, c.classes...)
+			_, gates := newGates(t, c.classes...)
 			owners := map[string]bool{}
 			for engine := range 200 {
-				owners[gates[0].Owner(named(fmt.Sprint("engine-", engine)))] = true
+				owners[gates[0].Owner(instanceID(fmt.Sprint("engine-", engine)))] = true
 			}
 			is.Equal(len(owners), c.owners)
 		}
 	})
 }
 
-func TestOwnersAreFewInALargeFleet(t *testing.T) {
+func TestOwnersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		_, gates := fleet(t, make([]int, 320)...)
+		_, gates := newGates(t, make([]int, 320)...)
 		owners := map[string]bool{}
 		for engine := range 1800 {
-			owners[gates[7].Owner(named(fmt.Sprint("engine-", engine)))] = true
+			owners[gates[7].Owner(instanceID(fmt.Sprint("engine-", engine)))] = true
 		}
 		is.Equal(len(owners), maxOwners)
 	})
 }
 
-func TestOthersStepInForTheFirstHosts(t *testing.T) {
+func TestNextHostsReplaceUnreachableFirstHosts(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := fleet(t, 1, 1, 1, 1, 1, 1)
-		among := func() (count int, of map[string]bool) {
-			of = map[string]bool{}
+		peers, gates := newGates(t, 1, 1, 1, 1, 1, 1)
+		firstHosts := func() (count int, hosts map[string]bool) {
+			hosts = map[string]bool{}
 			for _, g := range gates {
-				if g.Among(2) {
-					of[g.o.Self] = true
+				if g.IsAmongFirst(2) {
+					hosts[g.o.Self] = true
 				}
 			}
-			return len(of), of
+			return len(hosts), hosts
 		}
-		count, first := among()
+		count, first := firstHosts()
 		is.Equal(count, 2)
 		for addr := range first {
-			n.lost[addr] = true
+			peers.unreachable[addr] = true
 		}
-		for i := range 50 { // all notice that they don't answer
+		for i := range 50 { // all hosts notice that they don't answer
 			for _, g := range gates {
-				g.Enter(t.Context(), ask(fmt.Sprint("engine-", i)))
+				g.Enter(t.Context(), slotRequest(fmt.Sprint("engine-", i)))
 			}
 		}
-		_, second := among()
+		_, second := firstHosts()
 		count = 0
 		for addr := range second {
 			if !first[addr] {
@@ -173,97 +173,97 @@
 	})
 }
 
-func TestLostOwnerIsReplacedAndTakenBack(t *testing.T) {
+func TestUnreachableOwnerIsReplacedUntilItAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := fleet(t, 1, 1, 1, 1, 1, 1)
-		owner := gates[0].Owner(named("engine"))
-		asker := gates[0]
-		if owner == asker.o.Self {
-			asker = gates[1]
+		peers, gates := newGates(t, 1, 1, 1, 1, 1, 1)
+		owner := gates[0].Owner(instanceID("engine"))
+		requester := gates[0]
+		if owner == requester.o.Self {
+			requester = gates[1]
 		}
-		n.lost[owner] = true
-		v := asker.Enter(t.Context(), ask("engine"))
-		is.True(v.Place != nil) // another host keeps the count meanwhile
-		is.True(asker.Owner(named("engine")) != owner)
-		n.lost[owner] = false
-		time.Sleep(avoidFirst + time.Millisecond)
-		is.Equal(asker.Owner(named("engine")), owner)
-		v = asker.Enter(t.Context(), ask("engine"))
-		is.True(v.Place != nil)
-		is.True(!v.Own)
-		is.Equal(len(asker.avoided), 0)
+		peers.unreachable[owner] = true
+		result := requester.Enter(t.Context(), slotRequest("engine"))
+		is.True(result.Reservation != nil) // another host owns the count meanwhile
+		is.True(requester.Owner(instanceID("engine")) != owner)
+		peers.unreachable[owner] = false
+		time.Sleep(minBackoff + time.Millisecond)
+		is.Equal(requester.Owner(instanceID("engine")), owner)
+		result = requester.Enter(t.Context(), slotRequest("engine"))
+		is.True(result.Reservation != nil)
+		is.True(!result.LocalOnly)
+		is.Equal(len(requester.backoffs), 0)
 	})
 }
 
-func TestOwnerThatStaysAwayIsAskedLessOften(t *testing.T) {
+func TestOwnerBackoffGrows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := fleet(t, 1, 1)
+		peers, gates := newGates(t, 1, 1)
 		for _, g := range gates {
-			n.lost[g.o.Self] = true
+			peers.unreachable[g.o.Self] = true
 		}
 		other := gates[1].o.Self
 		engine := ""
 		for i := 0; engine == ""; i++ {
-			if name := fmt.Sprint("engine-", i); gates[0].Owner(named(name)) == other {
+			if name := fmt.Sprint("engine-", i); gates[0].Owner(instanceID(name)) == other {
 				engine = name
 			}
 		}
 		for range 600 {
-			gates[0].Enter(t.Context(), ask(engine))
+			gates[0].Enter(t.Context(), slotRequest(engine))
 			time.Sleep(100 * time.Millisecond)
 		}
-		is.True(len(n.asked) <= 9) // 0.5, 1, 2, 4, 8 and then every 16 s of a minute
+		is.True(len(peers.calls) <= 9) // 0.5, 1, 2, 4, 8 and then every 16 s of a minute
 	})
 }
 
-// A caller who leaves says nothing of the owner.
-func TestCancelledAskBlamesNobody(t *testing.T) {
+// A request that is cancelled by its caller is no failure of the owner.
+func TestCancelledRequestCausesNoBackoff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		n, gates := fleet(t, 1, 1)
-		for addr := range n.books {
-			n.lost[addr] = true
+		peers, gates := newGates(t, 1, 1)
+		for addr := range peers.trackers {
+			peers.unreachable[addr] = true
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		cancel()
 		for i := range 10 {
-			gates[0].Enter(ctx, ask(fmt.Sprint("engine-", i)))
+			gates[0].Enter(ctx, slotRequest(fmt.Sprint("engine-", i)))
 		}
-		is.Equal(len(gates[0].avoided), 0)
+		is.Equal(len(gates[0].backoffs), 0)
 	})
 }
 
-// A host that knows no others, or reaches none, counts its own work and says so.
-func TestHostAloneCountsItsOwnWork(t *testing.T) {
+// A host that knows no other hosts counts only its own work and reports that as LocalOnly.
+func TestIsolatedHostCountsItsOwnWork(t *testing.T) {
 	is := is.New(t)
-	_, gates := fleet(t, 1)
+	_, gates := newGates(t, 1)
 	gates[0].o.Hosts = func() []state.Peer { return nil }
 	for range slots {
-		v := gates[0].Enter(t.Context(), ask("engine"))
-		is.True(v.Place != nil)
-		is.True(v.Own)
+		result := gates[0].Enter(t.Context(), slotRequest("engine"))
+		is.True(result.Reservation != nil)
+		is.True(result.LocalOnly)
 	}
-	v := gates[0].Enter(t.Context(), ask("engine"))
-	is.True(v.Place == nil)
-	v.Place.Done() // nothing to end
-	_, progress := v.Place.Remaining(t.Context())
+	result := gates[0].Enter(t.Context(), slotRequest("engine"))
+	is.True(result.Reservation == nil)
+	result.Reservation.Done() // nothing to end
+	_, progress := result.Reservation.Remaining(t.Context())
 	is.Equal(progress, backlog.Unknown)
 }
 
-func TestRemainingTimeIsAskedOfTheOwner(t *testing.T) {
+func TestRemainingTimeComesFromOwner(t *testing.T) {
 	is := is.New(t)
-	n, gates := fleet(t, 1, 1, 1, 1)
+	peers, gates := newGates(t, 1, 1, 1, 1)
 	for i := range 20 {
-		v := gates[0].Enter(t.Context(), readAsk(fmt.Sprint("engine-", i)))
-		_, progress := v.Place.Remaining(t.Context())
-		is.Equal(progress, backlog.Underway)
-		if v.Place.owner != gates[0].o.Self {
-			n.lost[v.Place.owner] = true
-			_, progress = v.Place.Remaining(t.Context())
-			is.Equal(progress, backlog.Unknown) // an owner that is lost says nothing of the engine
-			n.lost[v.Place.owner] = false
+		result := gates[0].Enter(t.Context(), prefillRequest(fmt.Sprint("engine-", i)))
+		_, progress := result.Reservation.Remaining(t.Context())
+		is.Equal(progress, backlog.InProgress)
+		if result.Reservation.owner != gates[0].o.Self {
+			peers.unreachable[result.Reservation.owner] = true
+			_, progress = result.Reservation.Remaining(t.Context())
+			is.Equal(progress, backlog.Unknown) // the progress is unknown while the owner is unreachable
+			peers.unreachable[result.Reservation.owner] = false
 		}
 	}
 }
--- /dev/null
+++ b/coordination/occupancy/tracker.go
@@ -0,0 +1,211 @@
+// Package occupancy counts, at one host per engine, the work that all hosts have in progress at
+// that engine, so that each host knows of the others' work before it adds its own. It also
+// enforces the rate limits of runners.
+//
+// The host that owns an engine's count is chosen by rendezvous hashing over the hosts' addresses.
+// Counts and forecasts only improve placement. While an owner is lost, new, or not known to all
+// hosts, requests are placed less well, but no answer becomes wrong.
+package occupancy
+
+import (
+	"log/slog"
+	"sync"
+	"time"
+
+	"github.com/thymerack/thymerack/coordination/backlog"
+	"github.com/thymerack/thymerack/state"
+)
+
+// idleTTL is how long an engine or a runner's limiter is kept after the last request for it.
+const idleTTL = time.Minute
+
+// Request asks for admission to an engine.
+type Request struct {
+	Engine state.InstanceID
+	// MaxInFlight bounds the reservations at the engine for a request that isn't a prefill.
+	MaxInFlight int
+	// Prefill is the prompt to be computed; nil for a request that isn't a prefill.
+	Prefill *Prefill
+	// TTL is how long a reservation is kept if its end isn't reported.
+	TTL time.Duration
+}
+
+// Prefill is a prompt to be computed at an engine.
+type Prefill struct {
+	// Service is the engine's service. Engines of one service have similar speeds.
+	Service string
+	Prompt  backlog.Prompt
+	// MemoryTokens is the engine's memory in tokens.
+	MemoryTokens int
+	// MaxWait is the longest predicted wait with which admission is wanted.
+	MaxWait time.Duration
+	// MaxFinish is the time from now in which the prefill should end. AllowLate says that
+	// admission is also wanted if the prefill is predicted to end later.
+	MaxFinish time.Duration
+	AllowLate bool
+	// RequireCached says that admission is only wanted if all shareable parts of the prompt are
+	// cached at the engine.
+	RequireCached bool
+}
+
+// Response is an owner's response to a Request.
+type Response struct {
+	// ID identifies the reservation; 0 if the request wasn't admitted.
+	ID uint64
+	// Forecast is set for prefills, whether admitted or not.
+	Forecast backlog.Forecast
+}
+
+// Tracker holds the counts of the engines that this host owns, and the limiters of runners. It
+// is safe for concurrent use.
+type Tracker struct {
+	clock state.Clock
+	log   *slog.Logger
+
+	mu      sync.Mutex
+	nextID  uint64
+	engines map[state.InstanceID]*engine
+	// estimators holds the estimator of each service.
+	estimators map[string]*backlog.Estimator
+	limiters   map[state.InstanceID]*limiter
+}
+
+// engine is the work in progress at one engine.
+type engine struct {
+	// queue is nil until the first request for a prefill.
+	queue        *backlog.Queue
+	reservations map[uint64]reservation
+	usedAt       time.Time
+}
+
+// reservation is one admitted request.
+type reservation struct {
+	prefill   bool
+	expiresAt time.Time
+}
+
+// NewTracker returns a tracker without counts.
+func NewTracker(clock state.Clock, log *slog.Logger) *Tracker {
+	return &Tracker{clock: clock, log: log, engines: map[state.InstanceID]*engine{}, estimators: map[string]*backlog.Estimator{}, limiters: map[state.InstanceID]*limiter{}}
+}
+
+// Enter admits a request to the engine, unless the engine has too much work in progress for it.
+func (t *Tracker) Enter(req Request) Response {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	now := t.clock.Now()
+	e := t.engine(req.Engine, now)
+	e.expire(now)
+	if req.Prefill != nil {
+		return t.enterPrefill(e, req, now)
+	}
+	if len(e.reservations) >= req.MaxInFlight {
+		return Response{}
+	}
+	return Response{ID: t.reserve(e, reservation{expiresAt: now.Add(req.TTL)})}
+}
+
+// enterPrefill admits a prefill if its forecast meets the request's conditions.
+func (t *Tracker) enterPrefill(e *engine, req Request, now time.Time) Response {
+	p := req.Prefill
+	if e.queue == nil {
+		e.queue = backlog.NewQueue(t.estimator(p.Service))
+	}
+	out := Response{Forecast: e.queue.Forecast(now, p.Prompt, p.MaxFinish)}
+	late := out.Forecast.Rank >= backlog.Classes
+	if (p.RequireCached && out.Forecast.UncachedTime > 0) || out.Forecast.Wait > p.MaxWait || (late && !p.AllowLate) {
+		return out
+	}
+	out.ID = t.reserve(e, reservation{prefill: true, expiresAt: now.Add(req.TTL)})
+	e.queue.Add(now, out.ID, p.Prompt, out.Forecast.Rank, p.MemoryTokens)
+	return out
+}
+
+// reserve adds a reservation and returns its ID.
+func (t *Tracker) reserve(e *engine, r reservation) uint64 {
+	t.nextID++
+	e.reservations[t.nextID] = r
+	return t.nextID
+}
+
+// estimator returns the estimator of a service, and creates it if there is none; t.mu is held.
+func (t *Tracker) estimator(service string) *backlog.Estimator {
+	out := t.estimators[service]
+	if out == nil {
+		out = backlog.NewEstimator()
+		t.estimators[service] = out
+	}
+	return out
+}
+
+// Remaining predicts when the prefill of a reservation ends.
+func (t *Tracker) Remaining(engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.engines[engine]
+	if e == nil || e.queue == nil {
+		return backlog.Forecast{}, backlog.Unknown
+	}
+	return e.queue.Remaining(t.clock.Now(), id)
+}
+
+// Leave ends a reservation. done says that the work was completed, so that its duration is a
+// sample of the engine's speed. Unknown reservations, such as those of an earlier run of this
+// host, are ignored.
+func (t *Tracker) Leave(engine state.InstanceID, id uint64, done bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	e := t.engines[engine]
+	if e == nil {
+		return
+	}
+	if _, known := e.reservations[id]; known {
+		t.release(e, engine, id, done)
+	}
+}
+
+// release ends a known reservation, and logs if the engine becomes slow or stops being slow.
+func (t *Tracker) release(e *engine, name state.InstanceID, id uint64, done bool) {
+	slow := e.slow()
+	e.release(t.clock.Now(), id, done)
+	if e.slow() != slow {
+		t.log.Info("engine's speed changed", "instance", name, "slow", !slow, "factor", e.queue.Factor(), "waiting", e.queue.Len())
+	}
+}
+
+// slow reports whether the engine's prefills take far longer than those of other engines.
+func (e *engine) slow() bool { return e.queue != nil && e.queue.Slow() }
+
+// engine returns the engine's count, and creates it if there is none; t.mu is held. Creating one
+// removes the engines that were idle for idleTTL.
+func (t *Tracker) engine(id state.InstanceID, now time.Time) *engine {
+	e := t.engines[id]
+	if e == nil {
+		for other, old := range t.engines {
+			if now.Sub(old.usedAt) > idleTTL {
+				delete(t.engines, other)
+			}
+		}
+		e = &engine{reservations: map[uint64]reservation{}}
+		t.engines[id] = e
+	}
+	e.usedAt = now
+	return e
+}
+
+// expire ends the reservations whose TTL has passed without a reported end.
+func (e *engine) expire(now time.Time) {
+	for id, r := range e.reservations {
+		if now.After(r.expiresAt) {
+			e.release(now, id, false)
+		}
+	}
+}
+
+// release ends a reservation.
+func (e *engine) release(now time.Time, id uint64, done bool) {
+	if e.reservations[id].prefill {
+		e.queue.Remove(now, id, done)
+	}
+	delete(e.reservations, id)
+}
--- a/coordination/placement/fleet.go
+++ b/coordination/placement/fleet.go
@@ -1,6 +1,6 @@
-// Package placement chooses the runner of each sending from one immutable view
-// of the list of instances, from what this host has in flight at each and from
-// how its own requests fared there.
+// Package placement chooses the runner of each attempt. The choice depends on an immutable
+// snapshot of the listed instances, on this host's requests in flight at each of them, and on
+// the outcomes and latencies of its recent requests there.
 package placement
 
 import (
@@ -15,58 +15,58 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Runner is an instance with what this host knows of it.
+// Runner is a listed instance with this host's load and failure statistics for it.
 type Runner struct {
 	Instance *state.Instance
 	*Load
 }
 
-// view is one version of the list. It is never changed.
+// view is an immutable snapshot of the listed instances.
 type view struct {
-	byService map[string]*runners
+	byService map[string]*serviceRunners
 	byID      map[state.InstanceID]*Runner
 }
 
-// runners are the instances of a service that take work.
-type runners struct {
+// serviceRunners holds the instances of a service that accept work.
+type serviceRunners struct {
 	all []*Runner
-	// reading and generating are the engines of either role; those of both are in
-	// both. apart is set if some only read prompts.
-	reading, generating []*Runner
-	apart               bool
+	// prefill and decode hold the engines that have the role; an engine of both roles is in
+	// both. separatePrefill is set if some engines only compute prompts.
+	prefill, decode []*Runner
+	separatePrefill bool
 }
 
-func (s *runners) add(r *Runner) {
+func (s *serviceRunners) add(r *Runner) {
 	s.all = append(s.all, r)
 	switch r.Instance.Role {
 	case state.RolePrefill:
-		s.apart = true
-		s.reading = append(s.reading, r)
+		s.separatePrefill = true
+		s.prefill = append(s.prefill, r)
 	case state.RoleDecode:
-		s.generating = append(s.generating, r)
+		s.decode = append(s.decode, r)
 	default:
-		s.reading = append(s.reading, r)
-		s.generating = append(s.generating, r)
+		s.prefill = append(s.prefill, r)
+		s.decode = append(s.decode, r)
 	}
 }
 
-// Advice is what runners ask of this host.
+// Advice holds the limits and backoffs that runners requested from this host.
 type Advice interface {
-	// OpensAt is when a runner takes a request again; zero if it does now.
+	// OpensAt returns when a runner accepts a request again; zero if it does now.
 	OpensAt(id state.InstanceID) time.Time
 }
 
 // Options configure a Fleet.
 type Options struct {
 	Clock state.Clock
-	// FailureDomain is the host's own, preferred among equals.
+	// FailureDomain is that of this host. Runners in it are preferred over equal ones elsewhere.
 	FailureDomain string
-	// Advice closes runners for a while, which are then never chosen; nil closes none.
+	// Advice excludes runners that don't accept requests at the moment; nil excludes none.
 	Advice Advice
 }
 
-// Fleet is the list of instances. It is safe for concurrent use; Update has one
-// caller at a time.
+// Fleet holds the listed instances and chooses among them. It is safe for concurrent use, except
+// that calls of Update must not overlap.
 type Fleet struct {
 	o    Options
 	view atomic.Pointer[view]
@@ -78,15 +78,16 @@
 // NewFleet returns an empty fleet.
 func NewFleet(o Options) *Fleet {
 	f := &Fleet{o: o, loads: map[state.InstanceID]*Load{}}
-	f.view.Store(&view{byService: map[string]*runners{}, byID: map[state.InstanceID]*Runner{}})
+	f.view.Store(&view{byService: map[string]*serviceRunners{}, byID: map[state.InstanceID]*Runner{}})
 	return f
 }
 
-// Update replaces the list. Draining instances stay known but are never chosen.
+// Update replaces the list of instances. Draining instances stay listed but are never chosen.
+// The load of an instance that is no longer listed is kept until nothing is in flight there.
 func (f *Fleet) Update(instances []state.Instance) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	v := &view{byService: map[string]*runners{}, byID: make(map[state.InstanceID]*Runner, len(instances))}
+	v := &view{byService: map[string]*serviceRunners{}, byID: make(map[state.InstanceID]*Runner, len(instances))}
 	for i := range instances {
 		inst := &instances[i]
 		load := f.loads[inst.ID]
@@ -94,7 +95,7 @@
 			load = newLoad(f.o.Clock)
 			f.loads[inst.ID] = load
 		}
-		load.listed(inst.Role)
+		load.confirmRole(inst.Role)
 		r := &Runner{inst, load}
 		v.byID[inst.ID] = r
 		if !inst.Draining {
@@ -112,14 +113,14 @@
 func (v *view) add(r *Runner) {
 	s := v.byService[r.Instance.Service]
 	if s == nil {
-		s = &runners{}
+		s = &serviceRunners{}
 		v.byService[r.Instance.Service] = s
 	}
 	s.add(r)
 }
 
-// Listed returns all instances of a service, also those that are draining.
-func (f *Fleet) Listed(service string) []state.Instance {
+// Instances returns all listed instances of a service, draining ones included.
+func (f *Fleet) Instances(service string) []state.Instance {
 	var out []state.Instance
 	for _, r := range f.view.Load().byID {
 		if r.Instance.Service == service {
@@ -129,44 +130,45 @@
 	return out
 }
 
-// service returns the runners of a service; none if it isn't known.
-func (f *Fleet) service(name string) runners {
+// service returns the runners of a service; it is empty if the service isn't known.
+func (f *Fleet) service(name string) serviceRunners {
 	if s := f.view.Load().byService[name]; s != nil {
 		return *s
 	}
-	return runners{}
+	return serviceRunners{}
 }
 
-// Runners returns the instances of a service that take work.
+// Runners returns the instances of a service that accept work.
 func (f *Fleet) Runners(service string) []*Runner { return f.service(service).all }
 
-// ReadsApart reports whether some of the service's engines only read prompts.
-func (f *Fleet) ReadsApart(service string) bool { return f.service(service).apart }
+// SeparatesPrefill reports whether some of the service's engines only compute prompts.
+func (f *Fleet) SeparatesPrefill(service string) bool { return f.service(service).separatePrefill }
 
-// Expect avoids engines that are about to take a role until the list shows it, for so
-// long at most: an engine refuses work while it changes.
-func (f *Fleet) Expect(engines []state.InstanceID, role state.Role, within time.Duration) {
+// ExpectRole avoids engines that are about to change to the role, since an engine refuses work
+// during the change. It ends for an engine when the list shows the role, or after the timeout.
+func (f *Fleet) ExpectRole(engines []state.InstanceID, role state.Role, timeout time.Duration) {
 	v := f.view.Load()
 	for _, id := range engines {
 		if r := v.byID[id]; r != nil && r.Instance.Role != role {
-			r.expect(role, within)
+			r.expectRole(role, timeout)
 		}
 	}
 }
 
-// Runner returns an instance with what is known of it, or nil.
+// Runner returns an instance with its load, or nil if it isn't listed.
 func (f *Fleet) Runner(id state.InstanceID) *Runner { return f.view.Load().byID[id] }
 
-// Judge takes other hosts' word of a runner: that it is silent, for so long, or, with 0,
-// that it answers again.
-func (f *Fleet) Judge(id state.InstanceID, silentFor time.Duration) {
+// ApplyReport applies other hosts' report on a runner: that it is to be avoided as unresponsive
+// for the duration, or, if that is 0, that it responds again.
+func (f *Fleet) ApplyReport(id state.InstanceID, unresponsiveFor time.Duration) {
 	if r := f.Runner(id); r != nil {
-		r.judge(silentFor)
+		r.applyReport(unresponsiveFor)
 	}
 }
 
-// Siblings is the number of runners of the instance's service; 0 if it isn't listed.
-func (f *Fleet) Siblings(id state.InstanceID) int {
+// ServiceSize returns the number of runners of the instance's service, the instance included; 0
+// if the instance isn't listed.
+func (f *Fleet) ServiceSize(id state.InstanceID) int {
 	r := f.Runner(id)
 	if r == nil {
 		return 0
@@ -174,118 +176,122 @@
 	return len(f.Runners(r.Instance.Service))
 }
 
-// Has reports whether work may be sent to the instance.
-func (f *Fleet) Has(id state.InstanceID) bool {
+// Accepts reports whether the instance is listed and not draining.
+func (f *Fleet) Accepts(id state.InstanceID) bool {
 	r := f.view.Load().byID[id]
 	return r != nil && !r.Instance.Draining
 }
 
-// Replaced reports whether another instance, or a later run of the same, is listed at the
-// instance's address.
-func (f *Fleet) Replaced(i *state.Instance) bool {
+// Replaced reports whether the instance is no longer listed while another one, or a later run of
+// the same one, is listed at its address.
+func (f *Fleet) Replaced(former *state.Instance) bool {
 	v := f.view.Load()
-	if v.byID[i.ID] != nil {
+	if v.byID[former.ID] != nil {
 		return false
 	}
 	for id, r := range v.byID {
-		if r.Instance.Addr == i.Addr && id != i.ID {
+		if r.Instance.Addr == former.Addr && id != former.ID {
 			return true
 		}
 	}
 	return false
 }
 
-// Call chooses a runner for a call of a plain service: the one with the shortest
-// expected wait. tried names instances that are not to be chosen again. It
-// returns nil when there is none.
-func (f *Fleet) Call(service string, tried []state.InstanceID) *Runner {
-	return f.least(f.Runners(service), tried, func(r *Runner) float64 {
+// ChooseForCall chooses a runner for a call of a plain service: the one with the lowest product
+// of requests in flight and latency. tried lists instances that must not be chosen again. It
+// returns nil if there is none.
+func (f *Fleet) ChooseForCall(service string, tried []state.InstanceID) *Runner {
+	return f.leastCost(f.Runners(service), tried, func(r *Runner) float64 {
 		cost := float64(r.InFlight()+1) * r.Latency().Seconds()
 		if r.Instance.FailureDomain != f.o.FailureDomain {
-			cost *= farCost
+			cost *= crossDomainCostFactor
 		}
 		return cost
 	})
 }
 
-// farCost makes a runner of another failure domain look slower by the time that
-// a request and its answer take between domains (2.8 ms on about 17 ms on the sites of today).
-const farCost = 1.15
+// crossDomainCostFactor multiplies the cost of a runner in another failure domain. A round trip
+// between domains takes 2.8 ms, about 0.15 of the 17 ms that a request takes.
+const crossDomainCostFactor = 1.15
 
-// farLoad is how many more requests an engine of the own failure domain may have
-// in flight than another before the other is chosen: bytes between domains cost.
-const farLoad = 3
+// crossDomainPenalty is how many more requests may be in flight at an engine of the preferred
+// failure domain than at another before the other is chosen, since traffic between domains is
+// costly.
+const crossDomainPenalty = 3
 
-// Decode chooses an engine that generates: the one with the least in flight from
-// this host, near the failure domain that is named or else near the host itself. A
-// session's requests go to the same one of that domain while it isn't far busier than
-// the others, so that its parts stay there.
-func (f *Fleet) Decode(service, session, near string, tried []state.InstanceID) *Runner {
+// ChooseForDecode chooses an engine that decodes: the one with the fewest requests in flight
+// from this host. It prefers the failure domain near, or the host's own if near is "". Requests
+// of a session go to the same engine of that domain, where its prefixes are cached, unless the
+// engine has more than the load limit and crossDomainPenalty in flight.
+func (f *Fleet) ChooseForDecode(service, session, near string, tried []state.InstanceID) *Runner {
 	if near == "" {
 		near = f.o.FailureDomain
 	}
-	runners := f.service(service).generating
-	bound := f.bound(runners) + farLoad
-	return f.least(runners, tried, func(r *Runner) float64 {
-		far := r.Instance.FailureDomain != near
+	runners := f.service(service).decode
+	limit := f.loadLimit(runners) + crossDomainPenalty
+	return f.leastCost(runners, tried, func(r *Runner) float64 {
+		otherDomain := r.Instance.FailureDomain != near
 		if session == "" {
-			return float64(r.InFlight()+1) + farLoad*oneIf(far)
+			return float64(r.InFlight()+1) + crossDomainPenalty*indicator(otherDomain)
 		}
-		return score(session, r) + oneIf(far) + 2*oneIf(float64(r.InFlight()) > bound)
+		return sessionScore(session, r) + indicator(otherDomain) + 2*indicator(float64(r.InFlight()) > limit)
 	})
 }
 
-// Standby chooses an engine that generates for the copy of a run at an engine: near it, but for
-// spot engines, which are lost with all spot engines of their failure domain.
-func (f *Fleet) Standby(service string, at *state.Instance, tried []state.InstanceID) *Runner {
-	return f.least(f.service(service).generating, tried, func(r *Runner) float64 {
-		near := r.Instance.FailureDomain == at.FailureDomain
-		return float64(r.InFlight()+1) + farLoad*oneIf(!near) + sharedLoss*oneIf(near && at.Spot && r.Instance.Spot)
+// ChooseForBackup chooses an engine that decodes for the backup of a run at another engine. It
+// prefers the same failure domain, except between spot engines, since all spot engines of a
+// failure domain are lost together.
+func (f *Fleet) ChooseForBackup(service string, engine *state.Instance, tried []state.InstanceID) *Runner {
+	return f.leastCost(f.service(service).decode, tried, func(r *Runner) float64 {
+		sameDomain := r.Instance.FailureDomain == engine.FailureDomain
+		return float64(r.InFlight()+1) + crossDomainPenalty*indicator(!sameDomain) + sharedFailurePenalty*indicator(sameDomain && engine.Spot && r.Instance.Spot)
 	})
 }
 
-// sharedLoss makes an engine that is lost together with another the last choice among sound
-// ones for what must outlive that.
-const sharedLoss = 1e3
+// sharedFailurePenalty makes an engine the last choice, except for suspects, for the backup of an
+// engine that is lost together with it.
+const sharedFailurePenalty = 1e3
 
-// score orders the engines of a session, the same way at all hosts, from 0 to 1. An engine
-// that restarts under its name keeps its sessions.
-func score(session string, r *Runner) float64 {
+// sessionScore orders the engines of a session from 0 to 1, equally at all hosts. It depends on
+// the name only, so an engine that restarts under its name keeps its sessions.
+func sessionScore(session string, r *Runner) float64 {
 	return float64(xxhash.Sum64String(session+r.Instance.ID.Name)) / (1 << 64)
 }
 
-// oneIf is 1 for true and 0 for false.
-func oneIf(is bool) float64 {
-	if is {
+// indicator returns 1 for true and 0 for false.
+func indicator(condition bool) float64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-// Prefill chooses the engine that reads a session's prompts. All hosts put a
-// session at the same engine without talking, so that its shared parts stay
-// there, and name the same others after it; an engine with far more from this host
-// than the others is passed over.
-func (f *Fleet) Prefill(service, session string, tried []state.InstanceID) *Runner {
-	runners := f.service(service).reading
+// ChooseForPrefill chooses the engine that computes a session's prompts. All hosts choose the
+// same engine and the same order of fallbacks without coordination, so the session's prefixes
+// stay cached there. An engine with more than the load limit in flight from this host comes
+// after the others.
+func (f *Fleet) ChooseForPrefill(service, session string, tried []state.InstanceID) *Runner {
+	runners := f.service(service).prefill
 	if session == "" {
-		return f.least(runners, tried, func(r *Runner) float64 { return float64(r.InFlight() + 1) })
+		return f.leastCost(runners, tried, func(r *Runner) float64 { return float64(r.InFlight() + 1) })
 	}
-	bound := f.bound(runners)
-	return f.least(runners, tried, func(r *Runner) float64 {
-		return score(session, r) + oneIf(float64(r.InFlight()) > bound)
+	limit := f.loadLimit(runners)
+	return f.leastCost(runners, tried, func(r *Runner) float64 {
+		return sessionScore(session, r) + indicator(float64(r.InFlight()) > limit)
 	})
 }
 
-// The bound of an engine's load from this host: loadFactor times the mean and
-// loadSlack requests more. A host has one or two prompts in flight an engine at
-// the sizes of today, so that the slack is what counts (docs/MEASUREMENTS.md).
+// The load limit of an engine is loadFactor times the mean of this host's requests in flight per
+// engine, plus loadSlack requests. A host has only one or two prompts in flight per engine, so the
+// slack has the larger effect.
 const (
 	loadFactor = 1
 	loadSlack  = 1
 )
 
-func (f *Fleet) bound(runners []*Runner) float64 {
+// loadLimit returns how many requests of this host may be in flight at one of the engines before
+// it is avoided.
+func (f *Fleet) loadLimit(runners []*Runner) float64 {
 	if len(runners) == 0 {
 		return 0
 	}
@@ -296,25 +302,25 @@
 	return loadFactor*float64(total)/float64(len(runners)) + loadSlack
 }
 
-// Part is what a runner is to do.
-type Part int
+// Phase is the part of a request that a runner is chosen for.
+type Phase int
 
-// The parts.
+// The phases.
 const (
-	// PartCall is a call of a plain service.
-	PartCall Part = iota
-	// PartRead is the reading of a prompt apart.
-	PartRead
-	// PartGenerate is the rest of a model request.
-	PartGenerate
+	// PhaseCall is a whole call of a plain service.
+	PhaseCall Phase = iota
+	// PhasePrefill is a separate computation of a prompt.
+	PhasePrefill
+	// PhaseDecode is the rest of a model request.
+	PhaseDecode
 )
 
-// Soonest is the runner that is the first to take such work again, and when; the time is zero
-// if one does now. It returns nil if there is none.
-func (f *Fleet) Soonest(service string, p Part, tried []state.InstanceID) (*Runner, time.Time) {
+// EarliestAvailable returns the runner that accepts a request of the phase first, and when; the
+// time is zero if it accepts one now. It returns nil if there is no runner that isn't in tried.
+func (f *Fleet) EarliestAvailable(service string, phase Phase, tried []state.InstanceID) (*Runner, time.Time) {
 	var best *Runner
 	var bestAt time.Time
-	for _, r := range f.service(service).of(p) {
+	for _, r := range f.service(service).forPhase(phase) {
 		if slices.Contains(tried, r.Instance.ID) {
 			continue
 		}
@@ -325,17 +331,19 @@
 	return best, bestAt
 }
 
-func (s runners) of(p Part) []*Runner {
-	switch p {
-	case PartRead:
-		return s.reading
-	case PartGenerate:
-		return s.generating
+// forPhase returns the runners that can do the phase.
+func (s serviceRunners) forPhase(phase Phase) []*Runner {
+	switch phase {
+	case PhasePrefill:
+		return s.prefill
+	case PhaseDecode:
+		return s.decode
 	default:
 		return s.all
 	}
 }
 
+// opensAt returns when a runner accepts a request again; zero if it does now.
 func (f *Fleet) opensAt(r *Runner) time.Time {
 	if f.o.Advice == nil {
 		return time.Time{}
@@ -343,10 +351,10 @@
 	return f.o.Advice.OpensAt(r.Instance.ID)
 }
 
-// least returns the runner of least cost among those that take work; runners that lately
-// failed cost more, and suspects are taken only when nothing else is left. Ties are broken at
-// random, so that hosts don't all choose the same one.
-func (f *Fleet) least(runners []*Runner, tried []state.InstanceID, cost func(*Runner) float64) *Runner {
+// leastCost returns the runner of the least cost among those that accept work. Recent failures
+// raise the cost, and suspects are chosen only if there is nothing else. Ties are broken at
+// random, so that hosts don't all choose the same runner.
+func (f *Fleet) leastCost(runners []*Runner, tried []state.InstanceID, cost func(*Runner) float64) *Runner {
 	now := f.o.Clock.Now()
 	var best *Runner
 	bestCost := 0.0
@@ -357,7 +365,7 @@
 		}
 		c := cost(r) * (1 + failureWeight*r.FailureRate(now))
 		if r.Suspect(now) {
-			c += suspectCost
+			c += suspectPenalty
 		}
 		switch {
 		case best == nil || c < bestCost:
@@ -373,9 +381,8 @@
 }
 
 const (
-	// failureWeight makes a runner that fails half of its requests look three
-	// times as loaded.
+	// failureWeight makes a runner that fails half of its requests cost three times as much.
 	failureWeight = 4
-	// suspectCost is above every cost of a sound runner.
-	suspectCost = 1e6
+	// suspectPenalty exceeds every cost of a runner that isn't a suspect.
+	suspectPenalty = 1e6
 )
--- a/coordination/subset/subset.go
+++ b/coordination/subset/subset.go
@@ -1,6 +1,6 @@
-// Package subset chooses, for each host, the runners of a service that it deals
-// with, so that the work of watching runners grows with the number of hosts or
-// of runners but not with their product.
+// Package subset chooses, for each host, the runners of a service that the host uses. The number
+// of watched pairs of host and runner then grows linearly with the hosts or the runners, and not
+// with their product.
 package subset
 
 import (
@@ -10,39 +10,37 @@
 )
 
 const (
-	// minSize is the smallest subset of a service: enough to choose well among.
+	// minSize is the smallest subset of a service: enough runners for a good choice among them.
 	minSize = 16
-	// hostsPerRunner is how many hosts are to deal with each runner, on average.
-	// With 12 the chance that none does is 6 in a million.
+	// hostsPerRunner is how many hosts use each runner on average. With 12 the probability that
+	// no host uses a given runner is 6 in a million.
 	hostsPerRunner = 12
 )
 
-// Size returns how many of a service's runners one of the hosts should deal
-// with. The number of hosts is taken as the power of two below, so that a few
-// hosts that come or go change no subset.
+// Size returns how many of a service's runners each host uses. The number of hosts is rounded
+// down to a power of two, so that a few added or removed hosts rarely change a subset.
 func Size(hosts, runners int) int {
-	known := 1
-	for known*2 <= hosts {
-		known *= 2
+	roundedHosts := 1
+	for roundedHosts*2 <= hosts {
+		roundedHosts *= 2
 	}
-	return max(minSize, (runners*hostsPerRunner+known-1)/known)
+	return max(minSize, (runners*hostsPerRunner+roundedHosts-1)/roundedHosts)
 }
 
-// Choose returns the size names with the highest rendezvous score for the host,
-// sorted. A name that comes or goes changes the choice of a host in at most one
-// place, and each name is chosen by about size*hosts/len(names) hosts. When size
-// is at least len(names), all are chosen.
+// Choose returns the size names with the highest rendezvous score for the host, sorted. Adding
+// or removing a name changes at most one name of the result, and each name is chosen by about
+// size*hosts/len(names) hosts. All names are returned if size is at least len(names).
 func Choose(host string, names []string, size int) []string {
 	if size >= len(names) {
 		out := slices.Clone(names)
 		slices.Sort(out)
 		return out
 	}
-	ranked := make([]ranking, len(names))
+	ranked := make([]scoredName, len(names))
 	for i, name := range names {
-		ranked[i] = ranking{score(host, name), name}
+		ranked[i] = scoredName{score(host, name), name}
 	}
-	slices.SortFunc(ranked, ranking.compare)
+	slices.SortFunc(ranked, scoredName.compare)
 	out := make([]string, size)
 	for i := range out {
 		out[i] = ranked[i].name
@@ -51,13 +49,14 @@
 	return out
 }
 
-type ranking struct {
+// scoredName is a runner's name with its rendezvous score for a host.
+type scoredName struct {
 	score uint64
 	name  string
 }
 
-// compare puts the higher score first.
-func (r ranking) compare(o ranking) int {
+// compare sorts higher scores first.
+func (r scoredName) compare(o scoredName) int {
 	switch {
 	case r.score > o.score:
 		return -1
@@ -67,6 +66,7 @@
 	return 0
 }
 
+// score returns the rendezvous score of a name for a host.
 func score(host, name string) uint64 {
 	return xxhash.Sum64String(host + "\x00" + name)
 }
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -259,7 +259,7 @@
 // publish puts a new list of instances in force.
 func (h *Host) publish(instances []state.Instance) {
 	h.fleet.Update(instances)
-	h.pool.Retain(h.fleet.Has)
+	h.pool.Retain(h.fleet.Accepts)
 	h.advice.UpdateListed(instances)
 }
 
@@ -334,7 +334,7 @@
 // hosts look often; the settings' seeds don't say which, as they are empty where no
 // role serves peers of the platform's own kind.
 func (h *Host) lookEvery() time.Duration {
-	if h.gate.Among(lookers) {
+	if h.gate.IsAmongFirst(lookers) {
 		return lookOften
 	}
 	return lookSeldom
