--- a/coordination/answer/answer.go
+++ b/coordination/answer/answer.go
@@ -70,11 +70,11 @@
 		return
 	}
 	a.tokens = append(a.tokens, token)
-	a.signal()
+	a.notifyReaders()
 }
 
 // Given returns the tokens so far.
-func (a *Answer) Given() []string {
+func (a *Answer) Tokens() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.tokens[:len(a.tokens):len(a.tokens)]
@@ -93,7 +93,7 @@
 		return
 	}
 	a.end = &e
-	a.signal()
+	a.notifyReaders()
 }
 
 // Ended reports whether the answer has ended.
@@ -103,15 +103,15 @@
 	return a.end != nil
 }
 
-// GaveUp reports whether the answer won't become whole: it has failed, or its
+// Aborted reports whether the answer won't become whole: it has failed, or its
 // work is being cancelled.
-func (a *Answer) GaveUp() bool {
+func (a *Answer) Aborted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.abandoned || a.end != nil && a.end.Err != nil
 }
 
-func (a *Answer) signal() {
+func (a *Answer) notifyReaders() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
@@ -120,7 +120,7 @@
 // or ctx ends; in the last case it returns an empty chunk and ctx's error.
 func (a *Answer) Read(ctx context.Context, from int) (Chunk, error) {
 	for {
-		chunk, changed := a.After(from)
+		chunk, changed := a.Poll(from)
 		if !chunk.Empty() {
 			return chunk, nil
 		}
@@ -132,9 +132,9 @@
 	}
 }
 
-// After returns what there is after the first from tokens, without waiting, and a
+// Poll returns what there is after the first from tokens, without waiting, and a
 // channel that is closed when there is more.
-func (a *Answer) After(from int) (Chunk, <-chan struct{}) {
+func (a *Answer) Poll(from int) (Chunk, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	from = min(max(from, 0), len(a.tokens))
@@ -145,30 +145,30 @@
 // end. An answer without readers for longer than the grace time is abandoned:
 // its work is cancelled.
 type Registry struct {
-	clock state.Clock
-	grace time.Duration
-	keep  time.Duration
+	clock       state.Clock
+	gracePeriod time.Duration
+	retention   time.Duration
 
 	mu      sync.Mutex
 	answers map[key]*Answer
-	// expiring are the ended answers, oldest first; while there are any, one
+	// pendingRemovals are the ended answers, oldest first; while there are any, one
 	// goroutine forgets them.
-	expiring []expiry
+	pendingRemovals []pendingRemoval
 }
 
 // key finds an answer: request ids are each customer's own.
 type key struct{ customer, id string }
 
-// expiry is an ended answer and the time to forget it.
-type expiry struct {
+// pendingRemoval is an ended answer and the time to forget it.
+type pendingRemoval struct {
 	at     time.Time
 	answer *Answer
 }
 
 // NewRegistry returns an empty registry. Grace is how long work goes on without
 // a reader; keep is how long an ended answer can still be read.
-func NewRegistry(c state.Clock, grace, keep time.Duration) *Registry {
-	return &Registry{clock: c, grace: grace, keep: keep, answers: map[key]*Answer{}}
+func NewRegistry(c state.Clock, gracePeriod, retention time.Duration) *Registry {
+	return &Registry{clock: c, gracePeriod: gracePeriod, retention: retention, answers: map[key]*Answer{}}
 }
 
 // Open adds a running answer under its customer's id. When the id is taken it
@@ -177,7 +177,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := key{m.Customer, m.ID}
-	if found, ok := r.answers[k]; ok && !found.GaveUp() {
+	if found, ok := r.answers[k]; ok && !found.Aborted() {
 		return found, false
 	}
 	a := &Answer{Meta: m, cancel: cancel, changed: make(chan struct{})}
@@ -199,8 +199,8 @@
 	return len(r.answers)
 }
 
-// Forget drops an ended answer at once, for answers that nobody can ask for.
-func (r *Registry) Forget(a *Answer) {
+// Remove drops an ended answer at once, for answers that nobody can ask for.
+func (r *Registry) Remove(a *Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	k := key{a.Customer, a.ID}
@@ -209,32 +209,32 @@
 	}
 }
 
-// Expire forgets an answer that has ended once it has been kept for long enough.
+// ScheduleRemoval forgets an answer that has ended once it has been kept for long enough.
 // It returns at once; the end of ctx leaves the answer where it is.
-func (r *Registry) Expire(ctx context.Context, a *Answer) {
-	due := expiry{r.clock.Now().Add(r.keep), a}
+func (r *Registry) ScheduleRemoval(ctx context.Context, a *Answer) {
+	due := pendingRemoval{r.clock.Now().Add(r.retention), a}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.expiring = append(r.expiring, due)
-	if len(r.expiring) == 1 {
-		go r.forgetExpired(ctx)
+	r.pendingRemovals = append(r.pendingRemovals, due)
+	if len(r.pendingRemovals) == 1 {
+		go r.removeExpired(ctx)
 	}
 }
 
-// forgetExpired forgets ended answers, each at its time, until there are none.
-func (r *Registry) forgetExpired(ctx context.Context) {
+// removeExpired forgets ended answers, each at its time, until there are none.
+func (r *Registry) removeExpired(ctx context.Context) {
 	for {
 		r.mu.Lock()
-		next := r.expiring[0]
+		next := r.pendingRemovals[0]
 		r.mu.Unlock()
 		if r.clock.Sleep(ctx, next.at.Sub(r.clock.Now())) != nil {
 			return
 		}
-		r.Forget(next.answer)
+		r.Remove(next.answer)
 		r.mu.Lock()
-		r.expiring[0] = expiry{}
-		r.expiring = r.expiring[1:]
-		done := len(r.expiring) == 0
+		r.pendingRemovals[0] = pendingRemoval{}
+		r.pendingRemovals = r.pendingRemovals[1:]
+		done := len(r.pendingRemovals) == 0
 		r.mu.Unlock()
 		if done {
 			return
@@ -266,7 +266,7 @@
 	}
 	epoch := a.epoch
 	return func(ctx context.Context) {
-		if r.clock.Sleep(ctx, r.grace) != nil {
+		if r.clock.Sleep(ctx, r.gracePeriod) != nil {
 			return
 		}
 		a.mu.Lock()
--- a/coordination/answer/answer_test.go
+++ b/coordination/answer/answer_test.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	grace = time.Second
-	keep  = time.Minute
+	gracePeriod = time.Second
+	retention   = time.Minute
 )
 
 // inBubble runs a test with an empty registry.
 func inBubble(t *testing.T, test func(is *is.I, r *answer.Registry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		test(is.New(t), answer.NewRegistry(clocktest.Bubble{}, grace, keep))
+		test(is.New(t), answer.NewRegistry(clocktest.Bubble{}, gracePeriod, retention))
 	})
 }
 
@@ -30,7 +30,7 @@
 
 var errFailed = errors.New("failed")
 
-func TestReadersGetEveryTokenFromTheirOwnPlace(t *testing.T) {
+func TestReadersGetAllTokensFromTheirOffset(t *testing.T) {
 	inBubble(t, func(is *is.I, r *answer.Registry) {
 		a, _ := r.Open(meta("t", "1"), func() {})
 		read := func(from int) []string {
@@ -62,12 +62,12 @@
 		is.Equal(one, []string{"a", "b", "c"})
 		is.Equal(two, []string{"c"})
 		is.Equal(read(3), nil)
-		is.Equal(len(a.Given()), 3)
-		is.Equal(a.GaveUp(), false)
+		is.Equal(len(a.Tokens()), 3)
+		is.Equal(a.Aborted(), false)
 	})
 }
 
-func TestReadEndsWithItsContext(t *testing.T) {
+func TestReadReturnsWhenContextEnds(t *testing.T) {
 	inBubble(t, func(is *is.I, r *answer.Registry) {
 		a, _ := r.Open(meta("t", "1"), func() {})
 		ctx, stop := context.WithTimeout(context.Background(), time.Second)
@@ -77,7 +77,7 @@
 	})
 }
 
-func TestIDsAreEachCustomersOwn(t *testing.T) {
+func TestIDsAreScopedToCustomers(t *testing.T) {
 	inBubble(t, func(is *is.I, r *answer.Registry) {
 		a, opened := r.Open(meta("t", "1"), func() {})
 		is.True(opened)
@@ -91,16 +91,16 @@
 	})
 }
 
-func TestAnswerThatWasGivenUpIsReplaced(t *testing.T) {
+func TestAbortedAnswerIsReplaced(t *testing.T) {
 	inBubble(t, func(is *is.I, r *answer.Registry) {
 		old, _ := r.Open(meta("t", "1"), func() {})
 		old.Fail(errFailed)
-		r.Expire(context.Background(), old)
-		is.True(old.GaveUp())
-		time.Sleep(keep / 2)
+		r.ScheduleRemoval(context.Background(), old)
+		is.True(old.Aborted())
+		time.Sleep(retention / 2)
 		a, opened := r.Open(meta("t", "1"), func() {})
 		is.True(opened && a != old)
-		time.Sleep(keep)
+		time.Sleep(retention)
 		is.True(r.Find("1", "t") == a) // the old one's expiry leaves it
 	})
 }
@@ -129,36 +129,36 @@
 				r.Attach(a)
 				is.True(r.Detach(a) == nil) // one still reads
 				go r.Detach(a)(context.Background())
-				time.Sleep(grace / 2)
+				time.Sleep(gracePeriod / 2)
 				c.during(r, a)
-				time.Sleep(grace/2 + time.Millisecond)
+				time.Sleep(gracePeriod/2 + time.Millisecond)
 				synctest.Wait()
 				is.Equal(cancelled, c.abandoned)
-				is.Equal(a.GaveUp(), c.abandoned)
+				is.Equal(a.Aborted(), c.abandoned)
 				is.Equal(r.Attach(a), !c.abandoned)
-				time.Sleep(grace)
+				time.Sleep(gracePeriod)
 			})
 		})
 	}
 }
 
-func TestEndedAnswersAreKeptForTheirTime(t *testing.T) {
+func TestEndedAnswersAreRemovedAfterRetention(t *testing.T) {
 	inBubble(t, func(is *is.I, r *answer.Registry) {
 		for _, id := range []string{"1", "2", "3"} {
 			a, _ := r.Open(meta("t", id), func() {})
 			a.Finish("stop")
-			r.Expire(context.Background(), a)
-			time.Sleep(keep / 4)
+			r.ScheduleRemoval(context.Background(), a)
+			time.Sleep(retention / 4)
 		}
 		is.Equal(r.Len(), 3)
-		time.Sleep(keep/4 + time.Millisecond)
+		time.Sleep(retention/4 + time.Millisecond)
 		is.Equal(r.Len(), 2)
 		is.True(r.Find("1", "t") == nil)
-		time.Sleep(keep)
+		time.Sleep(retention)
 		is.Equal(r.Len(), 0)
 		a, _ := r.Open(meta("t", "4"), func() {})
-		r.Expire(context.Background(), a)
-		time.Sleep(keep + time.Millisecond)
+		r.ScheduleRemoval(context.Background(), a)
+		time.Sleep(retention + time.Millisecond)
 		is.Equal(r.Len(), 0)
 	})
 }
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -90,7 +90,7 @@
 	Pick(v *snapshot.View, q Query) (Choice, error)
 	// Begin notes that an attempt at the chosen runner starts. It returns false
 	// when the runner must not be used after all.
-	Begin(q Query, c Choice) (Attempt, bool)
+	Begin(q Query, c Choice) (AttemptObserver, bool)
 }
 
 // PathChooser is a Router that can tell whether a model request is finished sooner
@@ -100,8 +100,8 @@
 	Apart(v *snapshot.View, q Query) bool
 }
 
-// Attempt takes note of how one attempt went.
-type Attempt interface {
+// AttemptObserver takes note of how one attempt went.
+type AttemptObserver interface {
 	// FirstToken is called once, with the time since the attempt began.
 	FirstToken(after time.Duration)
 	// End is called once; it is neither a success nor a failure of the runner
@@ -114,7 +114,7 @@
 
 // The outcomes of an attempt.
 const (
-	AttemptWhole AttemptOutcome = iota
+	AttemptSucceeded AttemptOutcome = iota
 	AttemptFailed
 	AttemptCancelled
 )
@@ -159,16 +159,16 @@
 
 // The counters.
 const (
-	CountAttempts       Counter = "attempts"
-	CountRetries        Counter = "retries"
-	CountResumptions    Counter = "resumptions"
-	CountForeignEvents  Counter = "foreign_events"
-	CountDoubledEvents  Counter = "doubled_events"
-	CountReordered      Counter = "reordered_events"
-	CountReroutes       Counter = "reroutes_after_drain"
-	CountPrefillApart   Counter = "prefill_apart"
-	CountPrefillFailed  Counter = "prefill_apart_failed"
-	CountForeignAnswers Counter = "foreign_answers"
+	CountAttempts        Counter = "attempts"
+	CountRetries         Counter = "retries"
+	CountResumptions     Counter = "resumptions"
+	CountForeignEvents   Counter = "foreign_events"
+	CountDuplicateEvents Counter = "doubled_events"
+	CountReordered       Counter = "reordered_events"
+	CountReroutes        Counter = "reroutes_after_drain"
+	CountSplitPrefills   Counter = "prefill_apart"
+	CountSplitFailures   Counter = "prefill_apart_failed"
+	CountForeignAnswers  Counter = "foreign_answers"
 )
 
 // Meter counts events and observes times.
@@ -188,7 +188,7 @@
 	Recorder Recorder
 	Meter    Meter
 	// Crashes is told of attempts that break off; Quarantine is asked before each.
-	Crashes    Crashes
+	Crashes    CrashReporter
 	Quarantine Quarantine
 	Clock      state.Clock
 	// NewID makes attempt ids that are unique over the fleet.
@@ -199,9 +199,9 @@
 	MaxAttempts int
 	// StallTimeout is the longest pause between two events of a stream.
 	StallTimeout time.Duration
-	// PrefillApartTokens is the prompt size from which prompt and output go to
+	// SplitPromptTokens is the prompt size from which prompt and output go to
 	// engines of their own when there are such.
-	PrefillApartTokens int
+	SplitPromptTokens int
 	// Isolated reports that this host may count as gone by now; nil means never.
 	// It is asked between the count and the sending of each attempt: a host that
 	// slept in between must not send on what it knew before.
@@ -266,10 +266,10 @@
 	RetryAfter time.Duration
 	// NotRun is true when it is certain that the request ran nowhere.
 	NotRun bool
-	// Unsure is true when this request ran nowhere but an earlier one with the
-	// same key may have run; see Unsure.
-	Unsure bool
-	Cause  error
+	// EarlierMayHaveRun is true when this request ran nowhere but an earlier one with the
+	// same key may have run; see EarlierMayHaveRun.
+	EarlierMayHaveRun bool
+	Cause             error
 }
 
 // Error implements error.
@@ -278,17 +278,17 @@
 // Unwrap returns the cause.
 func (r *Refusal) Unwrap() error { return r.Cause }
 
-// Unsure takes "not run" back from a refusal that was made without looking at
+// ClearNotRun takes "not run" back from a refusal that was made without looking at
 // the key's record: the key may belong to a call that ran at another host, and a
 // caller who is told "not run" would run it again under a new key.
-func Unsure(err error) error {
+func ClearNotRun(err error) error {
 	var refusal *Refusal
 	if !errors.As(err, &refusal) || !refusal.NotRun {
 		return err
 	}
 	unsure := *refusal
 	unsure.NotRun = false
-	unsure.Unsure = true
+	unsure.EarlierMayHaveRun = true
 	unsure.Message += "; whether an earlier request with this key ran is not known here: ask again with the same key"
 	unsure.RetryAfter = max(unsure.RetryAfter, time.Second)
 	return &unsure
@@ -309,7 +309,7 @@
 type entered struct {
 	Choice
 	ticket  *snapshot.Ticket
-	attempt Attempt
+	attempt AttemptObserver
 	started time.Time
 }
 
@@ -317,7 +317,7 @@
 // the one whose end is no failure of the runner.
 func (e *entered) end(ctx context.Context, clock state.Clock, err error) {
 	e.ticket.Done()
-	outcome := AttemptWhole
+	outcome := AttemptSucceeded
 	switch {
 	case err != nil && (ctx.Err() != nil || errors.Is(err, errLate)):
 		outcome = AttemptCancelled
--- a/coordination/dispatch/engines_test.go
+++ b/coordination/dispatch/engines_test.go
@@ -282,7 +282,7 @@
 
 var _ dispatch.Sink = (*sink)(nil)
 
-func (s *sink) Given() []string {
+func (s *sink) Tokens() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tokens[:len(s.tokens):len(s.tokens)]
--- a/coordination/dispatch/generate.go
+++ b/coordination/dispatch/generate.go
@@ -28,8 +28,8 @@
 
 // Sink takes the tokens of an answer in order, each once.
 type Sink interface {
-	// Given returns the tokens taken so far.
-	Given() []string
+	// Tokens returns the tokens taken so far.
+	Tokens() []string
 	Append(token string)
 	// Finish marks the answer whole; reason is "stop" or "length".
 	Finish(reason string)
@@ -82,7 +82,7 @@
 		return
 	}
 	g.d.o.Quarantine.Answered(g.r.Digest)
-	g.d.record(g.r, state.DecisionAnswer, "whole", fmt.Sprintf("%d tokens given", len(g.sink.Given())), nil)
+	g.d.record(g.r, state.DecisionAnswer, "whole", fmt.Sprintf("%d tokens given", len(g.sink.Tokens())), nil)
 }
 
 // work is the load of the request once given tokens are there already.
@@ -97,12 +97,12 @@
 func (g *generation) run(ctx context.Context) error {
 	g.d.o.Retries.CountRequest(g.r.Service)
 	for {
-		before := len(g.sink.Given())
+		before := len(g.sink.Tokens())
 		err := g.turn(ctx)
 		if err == nil {
 			return nil
 		}
-		if len(g.sink.Given()) > before {
+		if len(g.sink.Tokens()) > before {
 			g.failures = 0
 		}
 		pause, refusal := g.next(ctx, err)
@@ -123,7 +123,7 @@
 		return 0, g.cancelled(ctx)
 	}
 	g.failures++
-	if len(g.sink.Given()) > 0 {
+	if len(g.sink.Tokens()) > 0 {
 		return g.resume(err)
 	}
 	return g.repeat(err)
@@ -170,7 +170,7 @@
 		g.spent++
 	}
 	if g.spent >= resumeFactor*g.d.o.MaxAttempts {
-		return 0, &Refusal{Reason: ReasonUpstream, Message: fmt.Sprintf("the answer broke off after %d tokens and could not be resumed; send the request again", len(g.sink.Given())), RetryAfter: time.Second, Cause: err}
+		return 0, &Refusal{Reason: ReasonUpstream, Message: fmt.Sprintf("the answer broke off after %d tokens and could not be resumed; send the request again", len(g.sink.Tokens())), RetryAfter: time.Second, Cause: err}
 	}
 	g.d.o.Meter.Count(CountResumptions, 1)
 	return g.d.o.Retries.Backoff(g.failures), nil
@@ -222,7 +222,7 @@
 func (g *generation) firstLimit() (limit time.Duration, byDeadline bool) {
 	left := g.left()
 	limit = max(g.d.o.StallTimeout, left/2)
-	if len(g.sink.Given()) == 0 && left < limit {
+	if len(g.sink.Tokens()) == 0 && left < limit {
 		return left, true
 	}
 	return limit, false
--- a/coordination/dispatch/generate_test.go
+++ b/coordination/dispatch/generate_test.go
@@ -245,7 +245,7 @@
 		w.start(t)
 		s, _, err := w.ask(t.Context(), promptOf("p", 2), 1)
 		is.True(err != nil)
-		is.Equal(len(s.Given()), 0)
+		is.Equal(len(s.Tokens()), 0)
 		is.Equal(len(w.engines.seen()), 0)
 		is.NoErr(w.leftovers())
 	})
--- a/coordination/dispatch/harness_test.go
+++ b/coordination/dispatch/harness_test.go
@@ -45,7 +45,7 @@
 	meter    meter
 	isolated atomic.Bool
 	// crashes and held are those of a crashFleet's host; by default nothing crashes.
-	crashes dispatch.Crashes
+	crashes dispatch.CrashReporter
 	held    dispatch.Quarantine
 	d       *dispatch.Dispatcher
 }
@@ -90,7 +90,7 @@
 		Keeper: w.keeper, Engines: w.engines, Services: w.services, Router: w.router, Admitter: &w.grants,
 		Retries: w.retries, Claimer: w.claimer, Recorder: silent{}, Meter: &w.meter, Clock: clocktest.Bubble{}, Crashes: w.crashes, Quarantine: w.held,
 		NewID: func() string { return "a" + strconv.FormatInt(attempts.Add(1), 10) }, Host: "h",
-		MaxAttempts: maxAttempts, StallTimeout: stallTimeout, PrefillApartTokens: apartTokens, RecordTimeout: recordTimeout,
+		MaxAttempts: maxAttempts, StallTimeout: stallTimeout, SplitPromptTokens: apartTokens, RecordTimeout: recordTimeout,
 		Isolated: w.isolated.Load,
 	})
 	if err != nil {
@@ -171,7 +171,7 @@
 	return true
 }
 
-func (r *router) Begin(_ dispatch.Query, c dispatch.Choice) (dispatch.Attempt, bool) {
+func (r *router) Begin(_ dispatch.Query, c dispatch.Choice) (dispatch.AttemptObserver, bool) {
 	done := func(bool) {}
 	if r.breakers != nil {
 		var err error
--- a/coordination/dispatch/once.go
+++ b/coordination/dispatch/once.go
@@ -73,7 +73,7 @@
 	if !r.NotRepeatable || r.First {
 		return err
 	}
-	return Unsure(err)
+	return ClearNotRun(err)
 }
 
 // heldCall is a call under a claim.
--- a/coordination/dispatch/parts.go
+++ b/coordination/dispatch/parts.go
@@ -15,7 +15,7 @@
 // so that an outage of one role can't double the load of the others. A part that
 // finds no runner has cost nothing, and the request goes to one engine at once.
 func (g *generation) turn(ctx context.Context) error {
-	given := g.sink.Given()
+	given := g.sink.Tokens()
 	if !g.apart(given) {
 		return g.generate(ctx, Whole, upstream.KV{}, given)
 	}
@@ -28,7 +28,7 @@
 	}
 	g.together = true
 	if ctx.Err() == nil {
-		g.d.o.Meter.Count(CountPrefillFailed, 1)
+		g.d.o.Meter.Count(CountSplitFailures, 1)
 	}
 	var refusal *Refusal
 	if errors.As(err, &refusal) && !isHeld(err) {
@@ -68,7 +68,7 @@
 func (g *generation) soonerApart() bool {
 	chooser, ok := g.d.o.Router.(PathChooser)
 	if !ok {
-		return g.c.PromptTokens >= g.d.o.PrefillApartTokens
+		return g.c.PromptTokens >= g.d.o.SplitPromptTokens
 	}
 	return chooser.Apart(g.d.o.Keeper.View(), g.query(Whole, g.c.work(0)))
 }
@@ -91,7 +91,7 @@
 	}
 	e.end(ctx, g.d.o.Clock, err)
 	if err == nil {
-		g.d.o.Meter.Count(CountPrefillApart, 1)
+		g.d.o.Meter.Count(CountSplitPrefills, 1)
 		return kv, nil
 	}
 	g.d.noteBroken(ctx, g.r, e, err, false)
--- a/coordination/dispatch/pump.go
+++ b/coordination/dispatch/pump.go
@@ -65,12 +65,12 @@
 		}
 		// The last token says that it is the last; the end mark adds nothing to
 		// that, so its loss is no reason to have more computed.
-		if finish != "" && (err != nil || check.Whole()) {
+		if finish != "" && (err != nil || check.Complete()) {
 			p.g.sink.Finish(finish)
 			return nil
 		}
 		if errors.Is(err, io.EOF) {
-			return stream.ErrCut
+			return stream.ErrTruncated
 		}
 		if err != nil {
 			return err
@@ -93,7 +93,7 @@
 func (p *pump) count(c *stream.Checker) {
 	n := c.Counts()
 	p.g.d.o.Meter.Count(CountForeignEvents, n.Foreign)
-	p.g.d.o.Meter.Count(CountDoubledEvents, n.Doubled)
+	p.g.d.o.Meter.Count(CountDuplicateEvents, n.Duplicate)
 	p.g.d.o.Meter.Count(CountReordered, n.Reordered)
 }
 
@@ -103,7 +103,7 @@
 	if ctx.Err() != nil || err == errStalled || err == errLate {
 		return true
 	}
-	return p.accepted && err != stream.ErrCut
+	return p.accepted && err != stream.ErrTruncated
 }
 
 // watch ends the attempt when the engine is silent for too long, or when the
--- a/coordination/dispatch/quarantine.go
+++ b/coordination/dispatch/quarantine.go
@@ -10,8 +10,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Crashes is told of work that broke off at an upstream without its end.
-type Crashes interface {
+// CrashReporter is told of work that broke off at an upstream without its end.
+type CrashReporter interface {
 	// ReportBroken doesn't wait.
 	ReportBroken(u state.Upstream, s quarantine.Suspect)
 }
--- a/coordination/dispatch/unsure_test.go
+++ b/coordination/dispatch/unsure_test.go
@@ -59,7 +59,7 @@
 			var refusal *Refusal
 			is.True(errors.As(err, &refusal))
 			is.Equal(refusal.NotRun, c.notRun)
-			is.Equal(refusal.Unsure, !c.notRun)
+			is.Equal(refusal.EarlierMayHaveRun, !c.notRun)
 			is.True(refusal.RetryAfter >= time.Second)
 		})
 	}
--- a/coordination/stream/stream.go
+++ b/coordination/stream/stream.go
@@ -8,13 +8,13 @@
 	"github.com/thymerack/thymerack/coordination/upstream"
 )
 
-// maxAhead is how many events may wait for a missing earlier one.
-const maxAhead = 64
+// maxReorderDistance is how many events may wait for a missing earlier one.
+const maxReorderDistance = 64
 
 // The ways in which a stream fails to be a whole answer.
 var (
-	// ErrCut says that the connection ended without the end mark.
-	ErrCut = errors.New("the stream ended without its end mark; resume it from the tokens already given")
+	// ErrTruncated says that the connection ended without the end mark.
+	ErrTruncated = errors.New("the stream ended without its end mark; resume it from the tokens already given")
 	// ErrGap says that a token is missing.
 	ErrGap = errors.New("a token of the stream is missing; resume it from the tokens already given")
 )
@@ -23,92 +23,92 @@
 type Counts struct {
 	// Foreign events carried another attempt's id.
 	Foreign int
-	// Doubled events had been seen before.
-	Doubled int
+	// Duplicate events had been seen before.
+	Duplicate int
 	// Reordered events came before an earlier one and were held back.
 	Reordered int
 }
 
 // Checker checks one attempt. It isn't safe for concurrent use.
 type Checker struct {
-	attempt string
-	next    int
-	ahead   map[int]upstream.Event
-	finish  string
-	ended   bool
-	counts  Counts
+	attempt  string
+	nextSeq  int
+	buffered map[int]upstream.Event
+	finish   string
+	ended    bool
+	counts   Counts
 }
 
 // NewChecker returns a checker for an attempt whose first event must be
 // numbered next.
 func NewChecker(attempt string, next int) *Checker {
-	return &Checker{attempt: attempt, next: next}
+	return &Checker{attempt: attempt, nextSeq: next}
 }
 
 // Accept takes one event and calls give for every token that is now in order.
 // It returns ErrGap when the missing event can't be waited for any longer.
-func (c *Checker) Accept(e upstream.Event, give func(upstream.Event)) error {
+func (c *Checker) Accept(e upstream.Event, deliver func(upstream.Event)) error {
 	if e.End {
-		return c.end()
+		return c.acceptEnd()
 	}
 	if e.Attempt != c.attempt {
 		c.counts.Foreign++
 		return nil
 	}
-	if e.Seq < c.next || c.finish != "" {
-		c.counts.Doubled++
+	if e.Seq < c.nextSeq || c.finish != "" {
+		c.counts.Duplicate++
 		return nil
 	}
-	if e.Seq > c.next {
-		return c.hold(e)
+	if e.Seq > c.nextSeq {
+		return c.buffer(e)
 	}
-	c.take(e, give)
+	c.advance(e, deliver)
 	for {
-		held, ok := c.ahead[c.next]
+		held, ok := c.buffered[c.nextSeq]
 		if !ok {
 			return nil
 		}
-		delete(c.ahead, c.next)
-		c.take(held, give)
+		delete(c.buffered, c.nextSeq)
+		c.advance(held, deliver)
 	}
 }
 
-// Whole reports whether the last token and then the end mark have come.
-func (c *Checker) Whole() bool { return c.ended && c.finish != "" }
+// Complete reports whether the last token and then the end mark have come.
+func (c *Checker) Complete() bool { return c.ended && c.finish != "" }
 
 // Counts returns what was thrown away so far.
 func (c *Checker) Counts() Counts { return c.counts }
 
-func (c *Checker) take(e upstream.Event, give func(upstream.Event)) {
-	c.next++
+func (c *Checker) advance(e upstream.Event, deliver func(upstream.Event)) {
+	c.nextSeq++
 	c.finish = e.Finish
-	give(e)
+	deliver(e)
 }
 
-func (c *Checker) hold(e upstream.Event) error {
-	if _, ok := c.ahead[e.Seq]; ok {
-		c.counts.Doubled++
+func (c *Checker) buffer(e upstream.Event) error {
+	if _, ok := c.buffered[e.Seq]; ok {
+		c.counts.Duplicate++
 		return nil
 	}
-	if e.Seq-c.next > maxAhead {
+	if e.Seq-c.nextSeq > maxReorderDistance {
 		return ErrGap
 	}
-	if c.ahead == nil {
-		c.ahead = map[int]upstream.Event{}
+	if c.buffered == nil {
+		c.buffered = map[int]upstream.Event{}
 	}
 	c.counts.Reordered++
-	c.ahead[e.Seq] = e
+	c.buffered[e.Seq] = e
 	return nil
 }
 
-// end takes the end mark. One that comes before the last token is no end: the
+// acceptEnd takes the acceptEnd mark. One that comes before the last token is no acceptEnd: the
 // mark carries no attempt id, so it proves nothing by itself.
-func (c *Checker) end() error {
+func (c *Checker) acceptEnd() error {
 	if c.finish == "" {
-		if len(c.ahead) > 0 {
+		if len(c.buffered) > 0 {
 			return ErrGap
 		}
-		return ErrCut
+		return ErrTruncated
 	}
 	c.ended = true
 	return nil
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -295,7 +295,7 @@
 		Router: d.decide.router, Admitter: d.decide.admitter, Retries: d.decide.retries,
 		Claimer: d.decide.claimer, Recorder: d.book, Meter: d.metrics, Clock: d.clock, Crashes: brokenWork{d}, Quarantine: d.quarantine,
 		NewID: d.newAttemptID, Host: s.Host.Name, MaxAttempts: s.Streams.MaxAttempts,
-		StallTimeout: s.Streams.StallTimeout, PrefillApartTokens: s.Streams.PrefillApartTokens,
+		StallTimeout: s.Streams.StallTimeout, SplitPromptTokens: s.Streams.PrefillApartTokens,
 		RecordTimeout: s.Claims.RecordTimeout, Isolated: d.member.Isolated,
 	})
 	if err != nil {
--- a/daemon/decide.go
+++ b/daemon/decide.go
@@ -73,7 +73,7 @@
 }
 
 // Begin implements dispatch.Router.
-func (r *router) Begin(q dispatch.Query, c dispatch.Choice) (dispatch.Attempt, bool) {
+func (r *router) Begin(q dispatch.Query, c dispatch.Choice) (dispatch.AttemptObserver, bool) {
 	done, err := r.breakers.Begin(c.Runner.Name)
 	if err != nil {
 		return nil, false
@@ -99,7 +99,7 @@
 // runner and counts as a success, so that a half-open breaker isn't kept open.
 func (a *attempt) End(o dispatch.AttemptOutcome, took time.Duration) {
 	a.done(o != dispatch.AttemptFailed)
-	if o == dispatch.AttemptWhole {
+	if o == dispatch.AttemptSucceeded {
 		a.r.route.RecordLatency(a.runner, took)
 	}
 }
--- a/daemon/logged.go
+++ b/daemon/logged.go
@@ -22,7 +22,7 @@
 // Generate implements front.Dispatcher.
 func (l *loggedDispatcher) Generate(ctx context.Context, r *dispatch.Request, c *dispatch.Completion, sink dispatch.Sink) error {
 	err := l.Dispatcher.Generate(ctx, r, c, sink)
-	l.ended(ctx, r, err, slog.Int("tokens", len(sink.Given())))
+	l.ended(ctx, r, err, slog.Int("tokens", len(sink.Tokens())))
 	return err
 }
 
--- a/transport/front/answers_test.go
+++ b/transport/front/answers_test.go
@@ -70,7 +70,7 @@
 		select {
 		case n := <-g.give:
 			for range n {
-				sink.Append(tokenText(len(sink.Given())))
+				sink.Append(tokenText(len(sink.Tokens())))
 			}
 		case err := <-g.finish:
 			if err == nil {
--- a/transport/front/completions.go
+++ b/transport/front/completions.go
@@ -137,7 +137,7 @@
 		return nil, nil, nil
 	}
 	a := s.o.Answers.Find(m.id, m.customer.Name)
-	if a != nil && (m.from > 0 || !a.GaveUp()) {
+	if a != nil && (m.from > 0 || !a.Aborted()) {
 		if a.Fingerprint != m.fingerprint {
 			return nil, nil, errIDUsed
 		}
@@ -209,7 +209,7 @@
 func (s *Server) leave(m *modelRequest, a *answer.Answer) {
 	s.detach(a)
 	if !m.chosen && !m.body.Stream {
-		s.o.Answers.Forget(a)
+		s.o.Answers.Remove(a)
 	}
 }
 
@@ -221,9 +221,9 @@
 	if err := s.o.Dispatcher.Generate(ctx, r, comp, sink); err != nil {
 		a.Fail(err)
 	} else {
-		s.o.Estimator.Learn(r.Customer, r.Class, len(a.Given()))
+		s.o.Estimator.Learn(r.Customer, r.Class, len(a.Tokens()))
 	}
-	s.o.Answers.Expire(s.base, a)
+	s.o.Answers.ScheduleRemoval(s.base, a)
 }
 
 func completionOf(body callerapi.CompletionRequest, chat bool) *dispatch.Completion {
--- a/transport/front/problem.go
+++ b/transport/front/problem.go
@@ -100,7 +100,7 @@
 		return callerapi.OutcomeDone
 	case r.Reason == dispatch.ReasonRunning:
 		return callerapi.OutcomeRunning
-	case r.Unsure, r.Reason == dispatch.ReasonUnknown:
+	case r.EarlierMayHaveRun, r.Reason == dispatch.ReasonUnknown:
 		return callerapi.OutcomeUnknown
 	}
 	return ""
--- a/transport/front/send.go
+++ b/transport/front/send.go
@@ -35,7 +35,7 @@
 }
 
 func (l *localSource) read(ctx context.Context, from int, wait time.Duration) (answer.Chunk, error) {
-	chunk, changed := l.answer.After(from)
+	chunk, changed := l.answer.Poll(from)
 	if !chunk.Empty() {
 		return chunk, nil
 	}
@@ -48,7 +48,7 @@
 	for chunk.Empty() {
 		select {
 		case <-changed:
-			chunk, changed = l.answer.After(from)
+			chunk, changed = l.answer.Poll(from)
 		case <-l.timer.C:
 			return answer.Chunk{}, nil
 		case <-ctx.Done():
--- a/transport/front/services.go
+++ b/transport/front/services.go
@@ -90,7 +90,7 @@
 	if c.Get(callerapi.HeaderKey) == "" || first(c) {
 		return err
 	}
-	return dispatch.Unsure(err)
+	return dispatch.ClearNotRun(err)
 }
 
 // servicePath is the part of the path behind the service's name, with the query.
