--- a/coordination/answer/answer.go
+++ b/coordination/answer/answer.go
@@ -1,6 +1,6 @@
-// Package answer keeps the answers that a host is producing, apart from the
-// connections that read them: a caller whose connection broke comes back and
-// reads the rest, here or through another host.
+// Package answer buffers the answers that a host generates, independently of the
+// connections that read them. A caller whose connection broke reconnects, to this host or
+// through another one, and reads the rest.
 package answer
 
 import (
@@ -11,58 +11,63 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Meta says what an answer belongs to. It never changes.
+// Meta describes the request of an answer. It is immutable.
 type Meta struct {
+	// ID is the request id, unique within the customer.
 	ID       string
 	Customer string
 	Class    string
 	Model    string
-	// Chat answers are written as chat messages.
+	// Chat is true if the answer is formatted as a chat message.
 	Chat bool
-	// PromptTokens is the size of the prompt as estimated.
+	// PromptTokens is the estimated prompt size.
 	PromptTokens int
-	// Fingerprint tells a repeat of the request from another one under its id.
+	// Fingerprint is a hash of the request's content. It distinguishes a repetition of
+	// the request from another request with the same id.
 	Fingerprint uint64
 }
 
-// End says how an answer ended.
+// End is the result of an answer: either Finish or Err is set.
 type End struct {
-	// Finish is "stop" or "length" for a whole answer.
+	// Finish is the finish reason of a complete answer, "stop" or "length".
 	Finish string
-	// Err is set when the answer was given up; it is what the caller is told.
+	// Err is the error of a failed answer. It is sent to the caller.
 	Err error
 }
 
-// Chunk is what a reader gets: the tokens from an index on.
+// Chunk is the part of an answer that a reader hasn't read yet.
 type Chunk struct {
 	Tokens []string
-	// End is set once no more tokens follow these.
+	// End is set if no tokens follow these.
 	End *End
 }
 
-// Empty reports whether there is neither a token nor the end.
+// Empty reports whether the chunk has neither tokens nor the end.
 func (c Chunk) Empty() bool { return len(c.Tokens) == 0 && c.End == nil }
 
-// Answer is one answer: an append-only list of tokens and an end.
+// Answer is an append-only list of tokens with an end. It is safe for concurrent use by
+// one writer and several readers.
 type Answer struct {
 	Meta
-	// cancel ends the work behind the answer.
+	// cancel stops the generation of the answer.
 	cancel context.CancelFunc
 
-	mu      sync.Mutex
-	tokens  []string
-	end     *End
+	mu     sync.Mutex
+	tokens []string
+	end    *End
+	// changed is closed, and replaced, at each change of tokens or end.
 	changed chan struct{}
+	// readers is the number of attached readers.
 	readers int
-	// epoch grows with every Attach, so that a pending abandonment can tell
-	// whether a reader came in between.
+	// epoch counts the calls of Attach. A pending abandonment compares it to detect
+	// readers that attached meanwhile.
 	epoch int
-	// abandoned is set once the work is cancelled for want of a reader. Nobody
-	// can attach any more.
+	// abandoned is set when the generation is cancelled because no reader was attached
+	// for the grace period. No reader can attach any more.
 	abandoned bool
 }
 
-// Append adds one token.
+// Append adds one token. After the end it does nothing.
 func (a *Answer) Append(token string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -73,17 +78,17 @@
 	a.notifyReaders()
 }
 
-// Given returns the tokens so far.
+// Tokens returns the tokens appended so far.
 func (a *Answer) Tokens() []string {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.tokens[:len(a.tokens):len(a.tokens)]
 }
 
-// Finish ends the answer as whole.
+// Finish completes the answer; reason is "stop" or "length". After the end it does nothing.
 func (a *Answer) Finish(reason string) { a.finish(End{Finish: reason}) }
 
-// Fail ends the answer as given up.
+// Fail ends the answer with an error. After the end it does nothing.
 func (a *Answer) Fail(err error) { a.finish(End{Err: err}) }
 
 func (a *Answer) finish(e End) {
@@ -103,21 +108,22 @@
 	return a.end != nil
 }
 
-// Aborted reports whether the answer won't become whole: it has failed, or its
-// work is being cancelled.
+// Aborted reports whether the answer will never be complete: it has failed, or its
+// generation was cancelled because no reader was attached.
 func (a *Answer) Aborted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.abandoned || a.end != nil && a.end.Err != nil
 }
 
+// notifyReaders wakes the waiting readers. The caller holds mu.
 func (a *Answer) notifyReaders() {
 	close(a.changed)
 	a.changed = make(chan struct{})
 }
 
-// Read waits until there is something after the first from tokens, or the end,
-// or ctx ends; in the last case it returns an empty chunk and ctx's error.
+// Read returns the tokens from index from on, and the end if it was reached. It waits until
+// there is either; if ctx ends first, it returns an empty chunk and ctx's error.
 func (a *Answer) Read(ctx context.Context, from int) (Chunk, error) {
 	for {
 		chunk, changed := a.Poll(from)
@@ -132,8 +138,8 @@
 	}
 }
 
-// Poll returns what there is after the first from tokens, without waiting, and a
-// channel that is closed when there is more.
+// Poll returns the tokens from index from on, and the end if it was reached, without
+// waiting. The channel is closed at the next change.
 func (a *Answer) Poll(from int) (Chunk, <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -141,9 +147,9 @@
 	return Chunk{Tokens: a.tokens[from:len(a.tokens):len(a.tokens)], End: a.end}, a.changed
 }
 
-// Registry finds answers by request id and forgets them some time after their
-// end. An answer without readers for longer than the grace time is abandoned:
-// its work is cancelled.
+// Registry holds the answers of a host by customer and request id, and removes them some
+// time after their end. An answer that has no reader for the grace period is abandoned: its
+// generation is cancelled. A Registry is safe for concurrent use.
 type Registry struct {
 	clock       state.Clock
 	gracePeriod time.Duration
@@ -151,28 +157,29 @@
 
 	mu      sync.Mutex
 	answers map[key]*Answer
-	// pendingRemovals are the ended answers, oldest first; while there are any, one
-	// goroutine forgets them.
+	// pendingRemovals lists the ended answers by the time of their removal. While it
+	// isn't empty, one goroutine runs removeExpired.
 	pendingRemovals []pendingRemoval
 }
 
-// key finds an answer: request ids are each customer's own.
+// key identifies an answer; request ids are unique only within a customer.
 type key struct{ customer, id string }
 
-// pendingRemoval is an ended answer and the time to forget it.
+// pendingRemoval is an ended answer and the time of its removal.
 type pendingRemoval struct {
 	at     time.Time
 	answer *Answer
 }
 
-// NewRegistry returns an empty registry. Grace is how long work goes on without
-// a reader; keep is how long an ended answer can still be read.
+// NewRegistry returns an empty registry. gracePeriod is how long an answer is generated
+// without a reader; retention is how long an ended answer can be read.
 func NewRegistry(c state.Clock, gracePeriod, retention time.Duration) *Registry {
 	return &Registry{clock: c, gracePeriod: gracePeriod, retention: retention, answers: map[key]*Answer{}}
 }
 
-// Open adds a running answer under its customer's id. When the id is taken it
-// returns the answer found there and false; one that was given up is replaced.
+// Open adds an answer; cancel must stop its generation. If the customer already has an
+// answer with this id, Open returns that one and false, unless it was aborted: then it is
+// replaced.
 func (r *Registry) Open(m Meta, cancel context.CancelFunc) (*Answer, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -185,21 +192,22 @@
 	return a, true
 }
 
-// Find returns the answer of that id if it belongs to the customer, or nil.
+// Find returns the customer's answer with this id, or nil if there is none.
 func (r *Registry) Find(id, customer string) *Answer {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.answers[key{customer, id}]
 }
 
-// Len returns the number of answers held, ended ones included.
+// Len returns the number of answers in the registry, including ended ones.
 func (r *Registry) Len() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.answers)
 }
 
-// Remove drops an ended answer at once, for answers that nobody can ask for.
+// Remove removes an ended answer at once, without the retention. It is for answers that
+// can't be requested again.
 func (r *Registry) Remove(a *Answer) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,8 +217,8 @@
 	}
 }
 
-// ScheduleRemoval forgets an answer that has ended once it has been kept for long enough.
-// It returns at once; the end of ctx leaves the answer where it is.
+// ScheduleRemoval removes an ended answer after the retention. It returns at once. If ctx
+// ends first, the answer stays.
 func (r *Registry) ScheduleRemoval(ctx context.Context, a *Answer) {
 	due := pendingRemoval{r.clock.Now().Add(r.retention), a}
 	r.mu.Lock()
@@ -221,7 +229,7 @@
 	}
 }
 
-// removeExpired forgets ended answers, each at its time, until there are none.
+// removeExpired removes the ended answers when they are due, until none is left.
 func (r *Registry) removeExpired(ctx context.Context) {
 	for {
 		r.mu.Lock()
@@ -242,7 +250,7 @@
 	}
 }
 
-// Attach counts a reader in. It returns false when the answer is abandoned.
+// Attach adds a reader. It returns false if the answer is abandoned.
 func (r *Registry) Attach(a *Answer) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -254,9 +262,9 @@
 	return true
 }
 
-// Detach counts a reader out. When it was the last one of a running answer, it
-// returns the function that abandons the answer unless somebody attaches within
-// the grace time; the caller runs it in a goroutine. Otherwise it returns nil.
+// Detach removes a reader. If it was the last one and the answer hasn't ended, Detach
+// returns a function that waits for the grace period and abandons the answer unless a
+// reader attaches meanwhile; the caller must run it in a goroutine. Otherwise it returns nil.
 func (r *Registry) Detach(a *Answer) func(ctx context.Context) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/coordination/answer/answer_test.go
+++ b/coordination/answer/answer_test.go
@@ -18,7 +18,7 @@
 	retention   = time.Minute
 )
 
-// inBubble runs a test with an empty registry.
+// inBubble runs a test with an empty registry in a synctest bubble.
 func inBubble(t *testing.T, test func(is *is.I, r *answer.Registry)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -101,24 +101,24 @@
 		a, opened := r.Open(meta("t", "1"), func() {})
 		is.True(opened && a != old)
 		time.Sleep(retention)
-		is.True(r.Find("1", "t") == a) // the old one's expiry leaves it
+		is.True(r.Find("1", "t") == a) // the removal of the old answer doesn't remove its replacement
 	})
 }
 
 func TestAbandonment(t *testing.T) {
 	cases := []struct {
 		name string
-		// during happens in the middle of the grace time.
+		// during runs in the middle of the grace period.
 		during    func(r *answer.Registry, a *answer.Answer)
 		abandoned bool
 	}{
-		{"nobody comes", func(*answer.Registry, *answer.Answer) {}, true},
-		{"a reader comes", func(r *answer.Registry, a *answer.Answer) { r.Attach(a) }, false},
-		{"a reader comes and goes", func(r *answer.Registry, a *answer.Answer) {
+		{"no reader attaches", func(*answer.Registry, *answer.Answer) {}, true},
+		{"a reader attaches", func(r *answer.Registry, a *answer.Answer) { r.Attach(a) }, false},
+		{"a reader attaches and detaches", func(r *answer.Registry, a *answer.Answer) {
 			r.Attach(a)
 			go r.Detach(a)(context.Background())
-		}, false}, // its own grace time isn't over yet
-		{"it ends", func(_ *answer.Registry, a *answer.Answer) { a.Finish("stop") }, false},
+		}, false}, // the grace period starts again and isn't over yet
+		{"the answer ends", func(_ *answer.Registry, a *answer.Answer) { a.Finish("stop") }, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -127,7 +127,7 @@
 				a, _ := r.Open(meta("t", "1"), func() { cancelled = true })
 				r.Attach(a)
 				r.Attach(a)
-				is.True(r.Detach(a) == nil) // one still reads
+				is.True(r.Detach(a) == nil) // another reader is still attached
 				go r.Detach(a)(context.Background())
 				time.Sleep(gracePeriod / 2)
 				c.during(r, a)
--- a/coordination/stream/stream.go
+++ b/coordination/stream/stream.go
@@ -1,5 +1,6 @@
-// Package stream checks the events of one attempt: that they are this attempt's
-// own, each token comes once and in order, and the answer ends with its mark.
+// Package stream validates the event stream of one attempt: it discards events of
+// other attempts and duplicates, puts reordered tokens in order, and detects missing
+// tokens and a missing end mark.
 package stream
 
 import (
@@ -8,45 +9,53 @@
 	"github.com/thymerack/thymerack/coordination/upstream"
 )
 
-// maxReorderDistance is how many events may wait for a missing earlier one.
+// maxReorderDistance bounds how far an event's number may be ahead of the next expected
+// one, and so how many events are buffered for a missing one.
 const maxReorderDistance = 64
 
-// The ways in which a stream fails to be a whole answer.
+// The errors of an incomplete stream. In both cases the answer can be resumed from the
+// tokens already delivered.
 var (
-	// ErrTruncated says that the connection ended without the end mark.
+	// ErrTruncated means that the stream ended, or its end mark arrived, before the
+	// last token.
 	ErrTruncated = errors.New("the stream ended without its end mark; resume it from the tokens already given")
-	// ErrGap says that a token is missing.
+	// ErrGap means that a token is missing.
 	ErrGap = errors.New("a token of the stream is missing; resume it from the tokens already given")
 )
 
-// Counts says what a Checker has thrown away.
+// Counts counts the irregular events that a Checker received.
 type Counts struct {
-	// Foreign events carried another attempt's id.
+	// Foreign events carried another attempt's id and were discarded.
 	Foreign int
-	// Duplicate events had been seen before.
+	// Duplicate events repeated a token, or followed the last one, and were discarded.
 	Duplicate int
-	// Reordered events came before an earlier one and were held back.
+	// Reordered events arrived ahead of a missing one and were buffered.
 	Reordered int
 }
 
-// Checker checks one attempt. It isn't safe for concurrent use.
+// Checker validates the stream of one attempt. It isn't safe for concurrent use.
 type Checker struct {
-	attempt  string
-	nextSeq  int
+	attempt string
+	// nextSeq is the number of the next token to deliver.
+	nextSeq int
+	// buffered holds reordered events by their number.
 	buffered map[int]upstream.Event
-	finish   string
-	ended    bool
-	counts   Counts
+	// finish is the finish reason, which arrives with the last token.
+	finish string
+	// ended is set once the end mark has arrived after the last token.
+	ended  bool
+	counts Counts
 }
 
-// NewChecker returns a checker for an attempt whose first event must be
-// numbered next.
+// NewChecker returns a checker for the attempt with this id, whose first event must have
+// the number next.
 func NewChecker(attempt string, next int) *Checker {
 	return &Checker{attempt: attempt, nextSeq: next}
 }
 
-// Accept takes one event and calls give for every token that is now in order.
-// It returns ErrGap when the missing event can't be waited for any longer.
+// Accept processes one event and calls deliver for every token that is now in order. It
+// returns ErrGap when an event is too far ahead of a missing one, or the end mark arrives
+// while one is missing, and ErrTruncated when the end mark precedes the last token.
 func (c *Checker) Accept(e upstream.Event, deliver func(upstream.Event)) error {
 	if e.End {
 		return c.acceptEnd()
@@ -73,18 +82,20 @@
 	}
 }
 
-// Complete reports whether the last token and then the end mark have come.
+// Complete reports whether the last token and then the end mark have arrived.
 func (c *Checker) Complete() bool { return c.ended && c.finish != "" }
 
-// Counts returns what was thrown away so far.
+// Counts returns the irregular events received so far.
 func (c *Checker) Counts() Counts { return c.counts }
 
+// advance delivers the event that is next in order.
 func (c *Checker) advance(e upstream.Event, deliver func(upstream.Event)) {
 	c.nextSeq++
 	c.finish = e.Finish
 	deliver(e)
 }
 
+// buffer keeps a reordered event until the missing ones have arrived.
 func (c *Checker) buffer(e upstream.Event) error {
 	if _, ok := c.buffered[e.Seq]; ok {
 		c.counts.Duplicate++
@@ -101,8 +112,8 @@
 	return nil
 }
 
-// acceptEnd takes the acceptEnd mark. One that comes before the last token is no acceptEnd: the
-// mark carries no attempt id, so it proves nothing by itself.
+// acceptEnd processes the end mark. The mark carries no attempt id, so it may belong to
+// another attempt: it completes the stream only after the last token.
 func (c *Checker) acceptEnd() error {
 	if c.finish == "" {
 		if len(c.buffered) > 0 {
--- a/coordination/stream/stream_test.go
+++ b/coordination/stream/stream_test.go
@@ -27,13 +27,13 @@
 	}{
 		{"in order", 0, []upstream.Event{event("a", 0, ""), event("a", 1, "stop"), end}, "t0 t1 ", true, nil, Counts{}},
 		{"resumed", 1, []upstream.Event{event("a", 1, "stop"), end}, "t1 ", true, nil, Counts{}},
-		{"doubled", 0, []upstream.Event{event("a", 0, ""), event("a", 0, ""), event("a", 1, "stop"), end}, "t0 t1 ", true, nil, Counts{Duplicate: 1}},
+		{"duplicate", 0, []upstream.Event{event("a", 0, ""), event("a", 0, ""), event("a", 1, "stop"), end}, "t0 t1 ", true, nil, Counts{Duplicate: 1}},
 		{"reordered", 0, []upstream.Event{event("a", 1, ""), event("a", 0, ""), event("a", 2, "stop"), end}, "t0 t1 t2 ", true, nil, Counts{Reordered: 1}},
-		{"another's answer", 0, []upstream.Event{event("b", 0, ""), event("a", 0, "stop"), end}, "t0 ", true, nil, Counts{Foreign: 1}},
+		{"event of another attempt", 0, []upstream.Event{event("b", 0, ""), event("a", 0, "stop"), end}, "t0 ", true, nil, Counts{Foreign: 1}},
 		{"no end mark", 0, []upstream.Event{event("a", 0, "stop")}, "t0 ", false, nil, Counts{}},
-		{"end mark too early", 0, []upstream.Event{event("a", 0, ""), end}, "t0 ", false, ErrTruncated, Counts{}},
-		{"end mark over a gap", 0, []upstream.Event{event("a", 1, "stop"), end}, "", false, ErrGap, Counts{Reordered: 1}},
-		{"too far ahead", 0, []upstream.Event{event("a", maxReorderDistance+1, "")}, "", false, ErrGap, Counts{}},
+		{"end mark before the last token", 0, []upstream.Event{event("a", 0, ""), end}, "t0 ", false, ErrTruncated, Counts{}},
+		{"end mark while a token is missing", 0, []upstream.Event{event("a", 1, "stop"), end}, "", false, ErrGap, Counts{Reordered: 1}},
+		{"beyond the reorder distance", 0, []upstream.Event{event("a", maxReorderDistance+1, "")}, "", false, ErrGap, Counts{}},
 		{"after the last token", 0, []upstream.Event{event("a", 0, "stop"), event("a", 1, ""), end}, "t0 ", true, nil, Counts{Duplicate: 1}},
 	}
 	for _, c := range cases {
