--- a/coordination/dispatch/call.go
+++ b/coordination/dispatch/call.go
@@ -12,10 +12,10 @@
 )
 
 // oneCall is the work of one call of a plain service.
-var oneCall = snapshot.Work{Requests: 1}
+var callWork = snapshot.Work{Requests: 1}
 
 // statusFailed is the first status that says that the service itself failed.
-const statusFailed = 500
+const minServerError = 500
 
 // errForeignAnswer says that a service answered another attempt.
 var errForeignAnswer = errors.New("the answer carries another attempt's id and was discarded")
@@ -25,24 +25,24 @@
 func (d *Dispatcher) Call(ctx context.Context, r *Request, c upstream.Call) (upstream.Answer, error) {
 	// A call under a key may have run before: its record is looked at first, and the call
 	// refused when it would be sent.
-	if refusal := d.held(r); refusal != nil && !r.NotRepeatable {
+	if refusal := d.checkQuarantine(r); refusal != nil && !r.NotRepeatable {
 		d.record(r, state.DecisionAdmit, "refused", refusal.Message, nil)
-		return upstream.Answer{}, neverRun(0, refusal)
+		return upstream.Answer{}, markNotRun(0, refusal)
 	}
-	grant, err := d.o.Admitter.Admit(ctx, r, oneCall)
+	grant, err := d.o.Admitter.Admit(ctx, r, callWork)
 	if err != nil {
 		d.record(r, state.DecisionAdmit, "refused", err.Error(), nil)
-		return upstream.Answer{}, beforeClaim(r, err)
+		return upstream.Answer{}, refuseBeforeClaim(r, err)
 	}
 	if r.NotRepeatable {
-		return d.callOnce(ctx, r, c, grant)
+		return d.callAtMostOnce(ctx, r, c, grant)
 	}
 	defer grant.Done()
 	return d.callRepeatable(ctx, r, c)
 }
 
 // limit ends ctx after a time by the dispatcher's clock.
-func (d *Dispatcher) limit(ctx context.Context, after time.Duration) (context.Context, context.CancelFunc) {
+func (d *Dispatcher) withTimeout(ctx context.Context, after time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
 	go func() {
 		if d.o.Clock.Sleep(ctx, after) == nil {
@@ -54,32 +54,32 @@
 
 // untilDeadline ends ctx at the request's deadline. One that ends by itself by
 // then is left as it is, which saves a goroutine for each call.
-func (d *Dispatcher) untilDeadline(ctx context.Context, r *Request) (context.Context, context.CancelFunc) {
+func (d *Dispatcher) withDeadline(ctx context.Context, r *Request) (context.Context, context.CancelFunc) {
 	if end, ok := ctx.Deadline(); ok && !end.After(r.Deadline) {
 		return ctx, func() {}
 	}
-	return d.limit(ctx, d.left(r))
+	return d.withTimeout(ctx, d.timeLeft(r))
 }
 
 // callerLeft reports whether ctx ended before its deadline.
-func callerLeft(ctx context.Context) bool {
+func isCancelled(ctx context.Context) bool {
 	return ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
 // left is the time to the request's deadline.
-func (d *Dispatcher) left(r *Request) time.Duration { return r.Deadline.Sub(d.o.Clock.Now()) }
+func (d *Dispatcher) timeLeft(r *Request) time.Duration { return r.Deadline.Sub(d.o.Clock.Now()) }
 
 func (d *Dispatcher) callRepeatable(ctx context.Context, r *Request, c upstream.Call) (upstream.Answer, error) {
 	d.o.Retries.CountRequest(r.Service)
-	limited, stop := d.untilDeadline(ctx, r)
+	callCtx, stop := d.withDeadline(ctx, r)
 	defer stop()
-	var failed []string
+	var failedRunners []string
 	for attempt := 1; ; attempt++ {
-		a, name, err := d.callAt(limited, r, c, failed)
+		a, name, err := d.callAt(callCtx, r, c, failedRunners)
 		if err == nil {
 			return a, nil
 		}
-		failed = append(failed, name)
+		failedRunners = append(failedRunners, name)
 		pause := d.o.Retries.Backoff(attempt)
 		if refusal := d.refuseCall(ctx, r, attempt, pause, err); refusal != nil {
 			return upstream.Answer{}, refusal
@@ -87,7 +87,7 @@
 		d.o.Meter.Count(CountRetries, 1)
 		d.record(r, state.DecisionRetry, "another attempt", err.Error(), nil)
 		if d.o.Clock.Sleep(ctx, pause) != nil {
-			return upstream.Answer{}, callCancelled(ctx)
+			return upstream.Answer{}, refuseCancelledCall(ctx)
 		}
 	}
 }
@@ -96,11 +96,11 @@
 func (d *Dispatcher) refuseCall(ctx context.Context, r *Request, attempt int, pause time.Duration, err error) error {
 	var refusal *Refusal
 	switch {
-	case callerLeft(ctx):
-		return callCancelled(ctx)
+	case isCancelled(ctx):
+		return refuseCancelledCall(ctx)
 	case errors.As(err, &refusal):
-		return neverRun(attempt-1, refusal)
-	case ctx.Err() != nil || pause >= d.left(r):
+		return markNotRun(attempt-1, refusal)
+	case ctx.Err() != nil || pause >= d.timeLeft(r):
 		return &Refusal{Reason: ReasonDeadline, Message: "no upstream answered in time; allow more time or come back later", RetryAfter: time.Second, Cause: err}
 	case attempt >= d.o.MaxAttempts || !d.o.Retries.Allow(r.Service):
 		return &Refusal{Reason: ReasonUpstream, Message: fmt.Sprintf("the call failed at %d upstreams; try again later", attempt), RetryAfter: time.Second, Cause: err}
@@ -108,14 +108,14 @@
 	return nil
 }
 
-func callCancelled(ctx context.Context) *Refusal {
+func refuseCancelledCall(ctx context.Context) *Refusal {
 	return &Refusal{Reason: ReasonCancelled, Message: "the call was cancelled because its caller went away; send it again", Cause: ctx.Err()}
 }
 
 // callAt makes one attempt at a runner of the router's choice and returns its name.
-func (d *Dispatcher) callAt(ctx context.Context, r *Request, c upstream.Call, failed []string) (upstream.Answer, string, error) {
-	q := Query{Request: r, Part: Whole, Work: oneCall, Exclude: failed}
-	e, err := d.enter(q)
+func (d *Dispatcher) callAt(ctx context.Context, r *Request, c upstream.Call, failedRunners []string) (upstream.Answer, string, error) {
+	q := Query{Request: r, Part: Whole, Work: callWork, Exclude: failedRunners}
+	e, err := d.startAttempt(q)
 	if err != nil {
 		return upstream.Answer{}, "", err
 	}
@@ -129,10 +129,10 @@
 	}
 	e.end(ctx, d.o.Clock, err)
 	if err != nil {
-		d.noteBroken(ctx, r, e, err, false)
+		d.reportBroken(ctx, r, e, err, false)
 		return a, name, err
 	}
-	if a.Status < statusFailed {
+	if a.Status < minServerError {
 		d.o.Quarantine.Answered(r.Digest)
 	}
 	return a, name, nil
@@ -140,9 +140,9 @@
 
 // send sends the call unless its deadline has passed by now, as when this host
 // was paused.
-func (d *Dispatcher) send(ctx context.Context, e *entered, r *Request, c upstream.Call) (upstream.Answer, error) {
-	if d.left(r) <= 0 {
-		return upstream.Answer{}, &upstream.SendError{Upstream: e.Runner.Name, Cause: errLate}
+func (d *Dispatcher) send(ctx context.Context, e *activeAttempt, r *Request, c upstream.Call) (upstream.Answer, error) {
+	if d.timeLeft(r) <= 0 {
+		return upstream.Answer{}, &upstream.SendError{Upstream: e.Runner.Name, Cause: errDeadline}
 	}
 	return d.o.Services.Call(ctx, e.Runner.Upstream, c)
 }
--- a/coordination/dispatch/call_test.go
+++ b/coordination/dispatch/call_test.go
@@ -50,7 +50,7 @@
 	return w.d.Call(ctx, r, upstream.Call{Method: "POST", Path: "/x"})
 }
 
-func TestRepeatableCallIsTriedElsewhere(t *testing.T) {
+func TestRepeatableCallIsRetriedAtAnotherRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld()
@@ -61,11 +61,11 @@
 		is.Equal(string(a.Body), "done ")
 		is.Equal(len(w.services.calls), 3)
 		is.Equal(w.meter.of(dispatch.CountForeignAnswers), 1)
-		is.NoErr(w.leftovers())
+		is.NoErr(w.checkReleased())
 	})
 }
 
-func TestRepeatableCallIsRefusedAtOnce(t *testing.T) {
+func TestRepeatableCallIsRefusedWithoutDelay(t *testing.T) {
 	cases := []struct {
 		name   string
 		plan   []callFault
@@ -103,28 +103,28 @@
 				is.Equal(refusal.NotRun, c.notRun)
 				is.True(refusal.RetryAfter > 0)
 				is.Equal(time.Since(now), c.took)
-				is.NoErr(w.leftovers())
+				is.NoErr(w.checkReleased())
 			})
 		})
 	}
 }
 
-func TestCallerThatLeavesEndsARepeatableCall(t *testing.T) {
+func TestCancellationEndsRepeatableCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld()
 		w.services.plan = []callFault{callHung}
 		w.start(t)
-		ctx, leave := context.WithCancel(t.Context())
-		go func() { time.Sleep(time.Millisecond); leave() }()
+		ctx, cancel := context.WithCancel(t.Context())
+		go func() { time.Sleep(time.Millisecond); cancel() }()
 		_, err := w.call(ctx, "", false)
 		is.Equal(reasonOf(err), dispatch.ReasonCancelled)
-		is.Equal(w.services.cut, 1)
+		is.Equal(w.services.abandoned, 1)
 		is.Equal(len(w.services.calls), 1)
 	})
 }
 
-func TestCallOutlivesItsDeadlineAndIsRecorded(t *testing.T) {
+func TestClaimedCallRunsPastDeadlineAndIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
@@ -140,18 +140,18 @@
 		is.Equal(reasonOf(err), dispatch.ReasonRunning)
 		is.Equal(time.Since(now), deadline)
 		is.Equal(w.d.Running(), int64(1))
-		is.Equal(w.grants.back.Load(), int64(0)) // it still takes its room
+		is.Equal(w.admitter.released.Load(), int64(0)) // it still takes its room
 		time.Sleep(slowCall)
 		is.Equal(w.d.Running(), int64(0))
-		is.NoErr(w.leftovers())
+		is.NoErr(w.checkReleased())
 		a, err := w.call(t.Context(), key, false)
 		is.NoErr(err)
 		is.Equal(string(a.Body), "done "+key)
-		is.Equal(w.services.ran(key), 1)
+		is.Equal(w.services.runCount(key), 1)
 	})
 }
 
-func TestKnownAnswerIsNotHeldBackByItsRecord(t *testing.T) {
+func TestAnswerDoesNotWaitForSlowRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
@@ -181,7 +181,7 @@
 	})
 }
 
-func TestSlowPlatformDoesNotHoldARefusalBack(t *testing.T) {
+func TestSlowPlatformDoesNotDelayRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
@@ -196,20 +196,20 @@
 		is.True(time.Since(now) <= deadline)
 		p.SetScript(nil)
 		time.Sleep(time.Minute)
-		is.Equal(w.services.ran(keyAt(now)), 0)
+		is.Equal(w.services.runCount(keyAt(now)), 0)
 	})
 }
 
 // TestNotRunIsNotSaidOfAKeyUsedBefore refuses the repetition of a call that has
 // run, before its claim can be looked at.
-func TestNotRunIsNotSaidOfAKeyUsedBefore(t *testing.T) {
+func TestUsedKeyIsNotRefusedAsNotRun(t *testing.T) {
 	cases := map[string]func(w *world){
 		"overloaded": func(w *world) {
-			w.grants.refuse = &dispatch.Refusal{Reason: dispatch.ReasonOverloaded, Message: "come back", RetryAfter: time.Second, NotRun: true}
+			w.admitter.refuse = &dispatch.Refusal{Reason: dispatch.ReasonOverloaded, Message: "come back", RetryAfter: time.Second, NotRun: true}
 		},
 		"no runner": func(w *world) { w.keeper.SetListed(nil) },
 	}
-	for name, breakIt := range cases {
+	for name, induce := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -220,7 +220,7 @@
 				key := keyAt(time.Now())
 				_, err := w.call(t.Context(), key, true)
 				is.NoErr(err)
-				breakIt(w)
+				induce(w)
 				a, err := w.call(t.Context(), key, false)
 				var refusal *dispatch.Refusal
 				if errors.As(err, &refusal) {
@@ -236,7 +236,7 @@
 	}
 }
 
-func TestRepeatedKeyGetsItsAnswerWithoutARunner(t *testing.T) {
+func TestRepeatedKeyIsAnsweredWithoutRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
@@ -253,7 +253,7 @@
 	})
 }
 
-func TestClaimedCallIsNotSentPastItsDeadline(t *testing.T) {
+func TestClaimedCallIsNotSentAfterDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
--- a/coordination/dispatch/crashes_test.go
+++ b/coordination/dispatch/crashes_test.go
@@ -22,37 +22,37 @@
 // Cause: attempts are bounded for each request at its host. Nothing knew its copies.
 //
 // Proof: three hosts that share engines; the engines that a prompt ends are counted.
-func TestFewEnginesEndUnderOneRequest(t *testing.T) {
-	for name, begins := range map[string]int{"before its answer": 0, "after its answer began": 2} {
+func TestCrashingRequestEndsFewEngines(t *testing.T) {
+	for name, tokensBefore := range map[string]int{"before its answer": 0, "after its answer began": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				f := newCrashFleet(t, 3)
 				for n := range 12 {
 					host := f.hosts[n%len(f.hosts)]
-					at := begins
-					host.engines.of = func(string) act {
-						a := act{broken, at}
-						at = 0 // it goes on after what was given
+					failAt := tokensBefore
+					host.engines.faultOf = func(string) plannedFault {
+						a := plannedFault{broken, failAt}
+						failAt = 0 // it goes on after what was given
 						return a
 					}
 					_, _, err := host.ask(t.Context(), promptOf("deadly", 5), 1)
 					is.True(err != nil)
-					host.engines.of = nil
+					host.engines.faultOf = nil
 					s, _, err := host.ask(t.Context(), promptOf(fmt.Sprint("other", n), 3), 1)
 					is.NoErr(s.check(err)) // others are served all the while
 					time.Sleep(time.Second)
 				}
-				ended := 0
+				crashes := 0
 				for _, h := range f.hosts {
-					for _, a := range h.engines.seen() {
+					for _, a := range h.engines.receivedAttempts() {
 						if a.Prompt.Text == promptOf("deadly", 5) {
-							ended++
+							crashes++
 						}
 					}
 				}
-				t.Logf("%d engines ended", ended)
-				is.True(ended <= mostEnded)
+				t.Logf("%d engines ended", crashes)
+				is.True(crashes <= maxEngineCrashes)
 			})
 		})
 	}
@@ -60,10 +60,10 @@
 
 // mostEnded is two crashes that hold a request, and as many attempts as are made before they
 // are told.
-const mostEnded = 4
+const maxEngineCrashes = 4
 
 // A request that is held reaches no upstream, and its caller is told truly whether it ran.
-func TestHeldRequestReachesNoUpstream(t *testing.T) {
+func TestQuarantinedRequestReachesNoUpstream(t *testing.T) {
 	hold := func(f *crashFleet, d quarantine.Digest) {
 		for n := range int64(2) {
 			f.tables[0].Note(quarantine.Crash{Run: state.InstanceID{Name: d.String(), Born: n}, Suspects: []quarantine.Suspect{{Digest: d}}}, true)
@@ -81,7 +81,7 @@
 		is.Equal(refusal.Reason, dispatch.ReasonCrashes)
 		is.True(refusal.NotRun)
 		is.Equal(refusal.RetryAfter, time.Duration(0))
-		is.Equal(len(w.engines.seen()), 0)
+		is.Equal(len(w.engines.receivedAttempts()), 0)
 
 		d := quarantine.DigestOf(quarantine.Content{Body: []byte("call")})
 		hold(f, d)
@@ -97,10 +97,10 @@
 
 // Calls that break off are told, answered ones clear what was held against them; refusals and
 // connections that could not be made say nothing.
-func TestBrokenCallsAreTold(t *testing.T) {
+func TestBrokenCallsAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
-		plan  []callFault
-		ended int
+		plan    []callFault
+		crashes int
 	}{
 		"lost":      {[]callFault{callLost}, 1},
 		"refused":   {[]callFault{callRefused}, 0},
@@ -116,8 +116,8 @@
 				d := quarantine.DigestOf(quarantine.Content{Body: []byte("call")})
 				_, err := w.d.Call(t.Context(), &dispatch.Request{ID: "c", Service: plainService, ArrivedAt: now, Deadline: now.Add(deadline), Digest: d}, upstream.Call{})
 				is.NoErr(err)
-				time.Sleep(2 * toldAfter)
-				is.Equal(f.ended, c.ended)
+				time.Sleep(2 * crashReportDelay)
+				is.Equal(f.crashes, c.crashes)
 				is.True(f.tables[0].Proven(d))
 			})
 		})
--- a/coordination/dispatch/crashfleet_test.go
+++ b/coordination/dispatch/crashfleet_test.go
@@ -16,13 +16,13 @@
 type crashFleet struct {
 	hosts []*world
 
-	mu     sync.Mutex
-	tables []*quarantine.Table
-	ended  int
+	mu      sync.Mutex
+	tables  []*quarantine.Table
+	crashes int
 }
 
 // toldAfter is the time in which a crash is found and told to all hosts.
-const toldAfter = 50 * time.Millisecond
+const crashReportDelay = 50 * time.Millisecond
 
 func newCrashFleet(t *testing.T, n int) *crashFleet {
 	t.Helper()
@@ -31,7 +31,7 @@
 		w := newWorld(mixed(4)...)
 		table := quarantine.NewTable(clocktest.Bubble{})
 		host := &crashHost{f, fmt.Sprint("h", i), table}
-		w.crashes, w.held, w.retries = host, host, patientRetries{}
+		w.crashes, w.quarantine, w.retries = host, host, exponentialRetries{}
 		f.tables = append(f.tables, table)
 		f.hosts = append(f.hosts, w.start(t))
 	}
@@ -39,9 +39,9 @@
 }
 
 // patientRetries allows every retry after pauses like the daemon's: the shortest ones.
-type patientRetries struct{ freeRetries }
+type exponentialRetries struct{ unlimitedRetries }
 
-func (patientRetries) Backoff(attempt int) time.Duration { return backoff << (attempt - 1) }
+func (exponentialRetries) Backoff(attempt int) time.Duration { return backoff << (attempt - 1) }
 
 // crashHost is a host's part of the fleet's quarantine.
 type crashHost struct {
@@ -53,11 +53,11 @@
 // ReportBroken implements dispatch.Crashes: the engine has ended, which all hosts hear.
 func (h *crashHost) ReportBroken(u state.Upstream, s quarantine.Suspect) {
 	h.f.mu.Lock()
-	h.f.ended++
-	run := state.InstanceID{Name: fmt.Sprint(h.name, u.Name), Born: int64(h.f.ended)}
+	h.f.crashes++
+	run := state.InstanceID{Name: fmt.Sprint(h.name, u.Name), Born: int64(h.f.crashes)}
 	h.f.mu.Unlock()
 	c := quarantine.Crash{Run: run, Host: h.name, At: time.Now(), Suspects: []quarantine.Suspect{s}}
-	time.AfterFunc(toldAfter, func() {
+	time.AfterFunc(crashReportDelay, func() {
 		for _, t := range h.f.tables {
 			t.Note(c, t == h.table)
 		}
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -97,7 +97,7 @@
 // with its prompt and its output on engines of their own.
 type PathChooser interface {
 	// Apart is asked only when there are engines for either way.
-	Apart(v *snapshot.View, q Query) bool
+	PreferSplit(v *snapshot.View, q Query) bool
 }
 
 // AttemptObserver takes note of how one attempt went.
@@ -286,12 +286,12 @@
 	if !errors.As(err, &refusal) || !refusal.NotRun {
 		return err
 	}
-	unsure := *refusal
-	unsure.NotRun = false
-	unsure.EarlierMayHaveRun = true
-	unsure.Message += "; whether an earlier request with this key ran is not known here: ask again with the same key"
-	unsure.RetryAfter = max(unsure.RetryAfter, time.Second)
-	return &unsure
+	cleared := *refusal
+	cleared.NotRun = false
+	cleared.EarlierMayHaveRun = true
+	cleared.Message += "; whether an earlier request with this key ran is not known here: ask again with the same key"
+	cleared.RetryAfter = max(cleared.RetryAfter, time.Second)
+	return &cleared
 }
 
 func (d *Dispatcher) record(r *Request, kind state.DecisionKind, chosen, why string, c []state.Candidate) {
@@ -306,33 +306,33 @@
 }
 
 // entered is an attempt that may start: the request is counted in.
-type entered struct {
+type activeAttempt struct {
 	Choice
-	ticket  *snapshot.Ticket
-	attempt AttemptObserver
-	started time.Time
+	ticket   *snapshot.Ticket
+	observer AttemptObserver
+	started  time.Time
 }
 
 // end counts the request out and tells the router how the attempt went. ctx is
 // the one whose end is no failure of the runner.
-func (e *entered) end(ctx context.Context, clock state.Clock, err error) {
+func (e *activeAttempt) end(ctx context.Context, clock state.Clock, err error) {
 	e.ticket.Done()
 	outcome := AttemptSucceeded
 	switch {
-	case err != nil && (ctx.Err() != nil || errors.Is(err, errLate)):
+	case err != nil && (ctx.Err() != nil || errors.Is(err, errDeadline)):
 		outcome = AttemptCancelled
 	case err != nil:
 		outcome = AttemptFailed
 	}
-	e.attempt.End(outcome, clock.Now().Sub(e.started))
+	e.observer.End(outcome, clock.Now().Sub(e.started))
 }
 
 // cancel tells an engine that an attempt was given up. The connection is closed
 // as well, but an engine may only notice that at its next event, and a long
 // prompt has none.
-func (d *Dispatcher) cancel(u state.Upstream, attempt string) {
+func (d *Dispatcher) cancelAttempt(u state.Upstream, attempt string) {
 	go func() {
-		ctx, stop := d.limit(context.Background(), d.o.StallTimeout)
+		ctx, stop := d.withTimeout(context.Background(), d.o.StallTimeout)
 		defer stop()
 		_ = d.o.Engines.Cancel(ctx, u, attempt)
 	}()
@@ -340,9 +340,9 @@
 
 // enter picks a runner and counts the request in. A runner that began to drain
 // between the choice and the count is left and the choice is made anew.
-func (d *Dispatcher) enter(q Query) (*entered, error) {
+func (d *Dispatcher) startAttempt(q Query) (*activeAttempt, error) {
 	for {
-		if refusal := d.held(q.Request); refusal != nil {
+		if refusal := d.checkQuarantine(q.Request); refusal != nil {
 			return nil, refusal
 		}
 		choice, err := d.o.Router.Pick(d.o.Keeper.View(), q)
@@ -352,11 +352,11 @@
 		ticket := d.o.Keeper.Enter(choice.Runner, q.Work)
 		if ticket == nil {
 			d.o.Meter.Count(CountReroutes, 1)
-		} else if attempt, ok := d.o.Router.Begin(q, choice); ok {
-			e := &entered{choice, ticket, attempt, d.o.Clock.Now()}
+		} else if observer, ok := d.o.Router.Begin(q, choice); ok {
+			e := &activeAttempt{choice, ticket, observer, d.o.Clock.Now()}
 			if d.o.Isolated != nil && d.o.Isolated() {
 				e.ticket.Done()
-				e.attempt.End(AttemptCancelled, 0)
+				e.observer.End(AttemptCancelled, 0)
 				return nil, &Refusal{Reason: ReasonNoUpstream, Message: "this host is cut off from its fleet; send the request again, another host will take it", RetryAfter: time.Second}
 			}
 			d.o.Meter.Count(CountAttempts, 1)
--- a/coordination/dispatch/engines_test.go
+++ b/coordination/dispatch/engines_test.go
@@ -23,7 +23,7 @@
 type fault int
 
 const (
-	whole fault = iota
+	noFault fault = iota
 	// unreached: the connection can't be made.
 	unreached
 	// rejected: an error answer in place of a stream.
@@ -33,21 +33,21 @@
 	// The following happen at event number at.
 	cut
 	broken
-	doubled
+	duplicated
 	swapped
-	skipped
+	missing
 	foreign
 	foreignForever
 	earlyEnd
-	silence
+	silent
 	// unended: the connection ends after the last token, before the end mark.
-	unended
+	noEndMark
 	endTwice
-	faults
+	faultCount
 )
 
 // act is one attempt's fault.
-type act struct {
+type plannedFault struct {
 	fault fault
 	at    int
 }
@@ -56,48 +56,48 @@
 // prompt and go on after the tokens given.
 type engines struct {
 	// plan holds the acts of the attempts in their order; whole ones follow.
-	plan []act
+	plan []plannedFault
 	// of, if set, decides by engine instead.
-	of func(engine string) act
+	faultOf func(engine string) plannedFault
 	// prefill, if set, is the outcome of prefills.
 	prefill func(ctx context.Context, engine string) error
 
 	open atomic.Int64
 
 	mu        sync.Mutex
-	attempts  []seen
-	prefills  []seen
+	attempts  []received
+	prefills  []received
 	cancelled []string
 }
 
 // seen is one attempt as an engine saw it.
-type seen struct {
+type received struct {
 	engine string
 	upstream.Generate
 }
 
-func (e *engines) next(engine string, g upstream.Generate) act {
+func (e *engines) next(engine string, g upstream.Generate) plannedFault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.attempts = append(e.attempts, seen{engine, g})
-	if e.of != nil {
-		return e.of(engine)
+	e.attempts = append(e.attempts, received{engine, g})
+	if e.faultOf != nil {
+		return e.faultOf(engine)
 	}
 	if len(e.plan) == 0 {
-		return act{whole, 0}
+		return plannedFault{noFault, 0}
 	}
 	a := e.plan[0]
 	e.plan = e.plan[1:]
 	return a
 }
 
-func (e *engines) seen() []seen {
+func (e *engines) receivedAttempts() []received {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]seen(nil), e.attempts...)
+	return append([]received(nil), e.attempts...)
 }
 
-var errTest = errors.New("made to fail by the test")
+var errInjected = errors.New("made to fail by the test")
 
 func sendError(engine string, maybeSent bool, err error) error {
 	return &upstream.SendError{Upstream: engine, MaybeSent: maybeSent, Cause: err}
@@ -107,22 +107,22 @@
 	a := e.next(u.Name, g)
 	switch a.fault {
 	case unreached:
-		return nil, sendError(u.Name, false, errTest)
+		return nil, sendError(u.Name, false, errInjected)
 	case rejected:
-		return nil, sendError(u.Name, true, errTest)
+		return nil, sendError(u.Name, true, errInjected)
 	case unaccepted:
 		<-ctx.Done()
 		return nil, sendError(u.Name, true, ctx.Err())
 	}
 	e.open.Add(1)
-	s := &tokens{e: e, ctx: ctx, engine: u.Name, closed: make(chan struct{})}
-	s.steps = script(g, a)
+	s := &fakeStream{e: e, ctx: ctx, engine: u.Name, closed: make(chan struct{})}
+	s.steps = stepsOf(g, a)
 	return s, nil
 }
 
 func (e *engines) Prefill(ctx context.Context, u state.Upstream, g upstream.Generate) (upstream.KV, error) {
 	e.mu.Lock()
-	e.prefills = append(e.prefills, seen{u.Name, g})
+	e.prefills = append(e.prefills, received{u.Name, g})
 	e.mu.Unlock()
 	if e.prefill != nil {
 		if err := e.prefill(ctx, u.Name); err != nil {
@@ -148,7 +148,7 @@
 }
 
 // script lists the steps of one attempt.
-func script(g upstream.Generate, a act) []step {
+func stepsOf(g upstream.Generate, a plannedFault) []step {
 	var steps []step
 	add := func(e upstream.Event) { steps = append(steps, step{event: &e}) }
 	total := lengthOf(g.Prompt.Text)
@@ -175,13 +175,13 @@
 		case cut:
 			return append(steps, step{err: io.EOF})
 		case broken:
-			return append(steps, step{err: sendError("engine", true, errTest)})
-		case silence:
+			return append(steps, step{err: sendError("engine", true, errInjected)})
+		case silent:
 			return append(steps, step{})
 		case foreignForever:
 			other.Seq = i
 			return append(steps, step{event: &other, forever: true})
-		case doubled:
+		case duplicated:
 			add(event(i))
 		case foreign:
 			other.Seq = i
@@ -195,12 +195,12 @@
 				i++
 				continue
 			}
-		case skipped:
+		case missing:
 			continue
 		}
 		add(event(i))
 	}
-	if a.fault == unended {
+	if a.fault == noEndMark {
 		return append(steps, step{err: io.EOF})
 	}
 	add(upstream.Event{End: true})
@@ -211,7 +211,7 @@
 }
 
 // tokens is one stream.
-type tokens struct {
+type fakeStream struct {
 	e      *engines
 	ctx    context.Context
 	engine string
@@ -220,7 +220,7 @@
 	closed chan struct{}
 }
 
-func (s *tokens) Next() (upstream.Event, error) {
+func (s *fakeStream) Next() (upstream.Event, error) {
 	if s.steps[0].err != nil {
 		return upstream.Event{}, s.steps[0].err
 	}
@@ -237,7 +237,7 @@
 	return *now.event, nil
 }
 
-func (s *tokens) wait(d time.Duration) error {
+func (s *fakeStream) wait(d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -250,7 +250,7 @@
 	}
 }
 
-func (s *tokens) Close() {
+func (s *fakeStream) Close() {
 	s.once.Do(func() {
 		close(s.closed)
 		s.e.open.Add(-1)
--- a/coordination/dispatch/generate.go
+++ b/coordination/dispatch/generate.go
@@ -46,13 +46,13 @@
 	// attempts counts the attempts that were started.
 	attempts int
 	// failures counts the failed turns since the last token.
-	failures int
+	failedRounds int
 	// spent counts the turns that a begun answer may have cost an engine.
-	spent int
+	resumeRounds int
 	// together is set once prompt and output have failed apart.
-	together bool
+	splitFailed bool
 	// failed names the runners that have failed this request.
-	failed []string
+	failedRunners []string
 }
 
 // Generate serves a model request into sink. It returns nil once the answer is
@@ -60,9 +60,9 @@
 // tokens already given. The deadline ends a request that has given nothing yet;
 // an answer that the caller is already receiving is finished.
 func (d *Dispatcher) Generate(ctx context.Context, r *Request, c *Completion, sink Sink) error {
-	if refusal := d.held(r); refusal != nil {
+	if refusal := d.checkQuarantine(r); refusal != nil {
 		d.record(r, state.DecisionAdmit, "refused", refusal.Message, nil)
-		return neverRun(0, refusal)
+		return markNotRun(0, refusal)
 	}
 	grant, err := d.o.Admitter.Admit(ctx, r, c.work(0))
 	if err != nil {
@@ -98,51 +98,51 @@
 	g.d.o.Retries.CountRequest(g.r.Service)
 	for {
 		before := len(g.sink.Tokens())
-		err := g.turn(ctx)
+		err := g.runRound(ctx)
 		if err == nil {
 			return nil
 		}
 		if len(g.sink.Tokens()) > before {
-			g.failures = 0
+			g.failedRounds = 0
 		}
-		pause, refusal := g.next(ctx, err)
+		pause, refusal := g.afterFailure(ctx, err)
 		if refusal != nil {
 			return refusal
 		}
 		g.d.record(g.r, state.DecisionRetry, "another attempt", err.Error(), nil)
 		if g.d.o.Clock.Sleep(ctx, pause) != nil {
-			return g.cancelled(ctx)
+			return g.refuseCancelled(ctx)
 		}
 	}
 }
 
 // next decides what follows a failed turn: another one after a pause, or a
 // refusal.
-func (g *generation) next(ctx context.Context, err error) (time.Duration, *Refusal) {
+func (g *generation) afterFailure(ctx context.Context, err error) (time.Duration, *Refusal) {
 	if ctx.Err() != nil {
-		return 0, g.cancelled(ctx)
+		return 0, g.refuseCancelled(ctx)
 	}
-	g.failures++
+	g.failedRounds++
 	if len(g.sink.Tokens()) > 0 {
 		return g.resume(err)
 	}
-	return g.repeat(err)
+	return g.retry(err)
 }
 
 // repeat decides for a request that has given nothing. It is refused as soon as
 // no further turn can be made in time, and further turns are taken from the
 // service's retry budget.
-func (g *generation) repeat(err error) (time.Duration, *Refusal) {
-	left := g.left()
-	pause := g.d.o.Retries.Backoff(g.failures)
+func (g *generation) retry(err error) (time.Duration, *Refusal) {
+	left := g.timeLeft()
+	pause := g.d.o.Retries.Backoff(g.failedRounds)
 	var refusal *Refusal
 	switch {
 	case left <= 0:
 		return 0, &Refusal{Reason: ReasonDeadline, Message: "the deadline passed before an upstream answered; allow more time or come back later", RetryAfter: time.Second, Cause: err}
 	case errors.As(err, &refusal):
 		return 0, refusal
-	case g.failures >= g.d.o.MaxAttempts:
-		return 0, &Refusal{Reason: ReasonUpstream, Message: fmt.Sprintf("the request failed at %d upstreams; try again", g.failures), RetryAfter: time.Second, Cause: err}
+	case g.failedRounds >= g.d.o.MaxAttempts:
+		return 0, &Refusal{Reason: ReasonUpstream, Message: fmt.Sprintf("the request failed at %d upstreams; try again", g.failedRounds), RetryAfter: time.Second, Cause: err}
 	case pause >= left:
 		return 0, &Refusal{Reason: ReasonDeadline, Message: "an upstream failed and the deadline leaves no time for another; allow more time or come back later", RetryAfter: time.Second, Cause: err}
 	case !g.d.o.Retries.Allow(g.r.Service):
@@ -159,43 +159,43 @@
 func (g *generation) resume(err error) (time.Duration, *Refusal) {
 	var refusal *Refusal
 	noRunner := errors.As(err, &refusal)
-	if isHeld(err) {
+	if isQuarantined(err) {
 		return 0, refusal
 	}
 	if noRunner {
-		g.failed = nil // the runners that failed may be well again
+		g.failedRunners = nil // the runners that failed may be well again
 	}
 	free := noRunner || upstream.NeverSent(err)
-	if !free || g.left() <= 0 {
-		g.spent++
+	if !free || g.timeLeft() <= 0 {
+		g.resumeRounds++
 	}
-	if g.spent >= resumeFactor*g.d.o.MaxAttempts {
+	if g.resumeRounds >= resumeFactor*g.d.o.MaxAttempts {
 		return 0, &Refusal{Reason: ReasonUpstream, Message: fmt.Sprintf("the answer broke off after %d tokens and could not be resumed; send the request again", len(g.sink.Tokens())), RetryAfter: time.Second, Cause: err}
 	}
 	g.d.o.Meter.Count(CountResumptions, 1)
-	return g.d.o.Retries.Backoff(g.failures), nil
+	return g.d.o.Retries.Backoff(g.failedRounds), nil
 }
 
 // left is the time to the deadline; negative once it has passed.
-func (g *generation) left() time.Duration { return g.r.Deadline.Sub(g.d.o.Clock.Now()) }
+func (g *generation) timeLeft() time.Duration { return g.r.Deadline.Sub(g.d.o.Clock.Now()) }
 
-func (g *generation) cancelled(ctx context.Context) *Refusal {
+func (g *generation) refuseCancelled(ctx context.Context) *Refusal {
 	return &Refusal{Reason: ReasonCancelled, Message: "the request was cancelled because its caller went away; send it again", Cause: ctx.Err()}
 }
 
 // enter starts an attempt and records the choice.
-func (g *generation) enter(q Query, what string) (*entered, error) {
-	e, err := g.d.enter(q)
+func (g *generation) startAttempt(q Query, whyPrefix string) (*activeAttempt, error) {
+	e, err := g.d.startAttempt(q)
 	if err != nil {
-		return nil, neverRun(g.attempts, err)
+		return nil, markNotRun(g.attempts, err)
 	}
 	g.attempts++
-	g.d.record(g.r, state.DecisionRoute, e.Runner.Name, what+e.Why, e.Candidates)
+	g.d.record(g.r, state.DecisionRoute, e.Runner.Name, whyPrefix+e.Why, e.Candidates)
 	return e, nil
 }
 
 // neverRun marks a refusal that came before any attempt as "not run".
-func neverRun(attempts int, err error) error {
+func markNotRun(attempts int, err error) error {
 	var refusal *Refusal
 	if attempts > 0 || !errors.As(err, &refusal) {
 		return err
@@ -206,10 +206,10 @@
 }
 
 func (g *generation) query(part Part, w snapshot.Work) Query {
-	return Query{Request: g.r, Part: part, Model: g.c.Model, Work: w, Prefixes: g.c.Prefixes, Exclude: g.failed}
+	return Query{Request: g.r, Part: part, Model: g.c.Model, Work: w, Prefixes: g.c.Prefixes, Exclude: g.failedRunners}
 }
 
-func (g *generation) message(attempt string, e *entered, given []string, kv upstream.KV) upstream.Generate {
+func (g *generation) engineRequest(attempt string, e *activeAttempt, given []string, kv upstream.KV) upstream.Generate {
 	return upstream.Generate{
 		Attempt: attempt, Model: g.c.Model, Prompt: g.c.Prompt, MaxTokens: g.c.MaxTokens,
 		Priority: e.Priority, Given: given, KV: kv,
@@ -219,8 +219,8 @@
 // firstLimit is how long an engine may take to the first token, and whether the
 // deadline sets it. It may take half of the time left: a prompt can wait behind
 // others.
-func (g *generation) firstLimit() (limit time.Duration, byDeadline bool) {
-	left := g.left()
+func (g *generation) firstTokenTimeout() (limit time.Duration, byDeadline bool) {
+	left := g.timeLeft()
 	limit = max(g.d.o.StallTimeout, left/2)
 	if len(g.sink.Tokens()) == 0 && left < limit {
 		return left, true
--- a/coordination/dispatch/generate_test.go
+++ b/coordination/dispatch/generate_test.go
@@ -52,17 +52,17 @@
 			{state.RolePrefill, state.RolePrefill, state.RoleDecode, state.RoleDecode},
 		}
 		roles := rapid.SampledFrom(fleets).Draw(rt, "roles")
-		plan := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) act {
-			return act{fault(rapid.IntRange(0, int(faults)-1).Draw(rt, "fault")), rapid.IntRange(0, n-1).Draw(rt, "at")}
+		plan := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) plannedFault {
+			return plannedFault{fault(rapid.IntRange(0, int(faultCount)-1).Draw(rt, "fault")), rapid.IntRange(0, n-1).Draw(rt, "at")}
 		}), 0, 6).Draw(rt, "plan")
-		promptTokens := rapid.SampledFrom([]int{1, apartTokens}).Draw(rt, "promptTokens")
+		promptTokens := rapid.SampledFrom([]int{1, splitPromptTokens}).Draw(rt, "promptTokens")
 		var failed error
 		synctest.Test(t, func(t *testing.T) {
 			w := newWorld(roles...)
 			w.engines.plan = slices.Clone(plan)
 			w.start(t)
 			s, took, err := w.ask(t.Context(), promptOf("p", n), promptTokens)
-			failed = errors.Join(s.check(err), w.leftovers(), judge(s, err, took))
+			failed = errors.Join(s.check(err), w.checkReleased(), checkRefusal(s, err, took))
 		})
 		if failed != nil {
 			rt.Fatal(failed)
@@ -72,7 +72,7 @@
 
 // judge checks what a caller may expect beyond the text: an answer that has
 // begun is finished, and a refusal isn't held back beyond the deadline.
-func judge(s *sink, err error, took time.Duration) error {
+func checkRefusal(s *sink, err error, took time.Duration) error {
 	if err == nil {
 		return nil
 	}
@@ -85,14 +85,14 @@
 	return nil
 }
 
-func TestBegunAnswerIsFinishedPastItsDeadline(t *testing.T) {
+func TestStartedAnswerCompletesAfterDeadline(t *testing.T) {
 	cases := []struct {
 		name string
 		// plan is of an answer of so many tokens that its deadline passes.
-		plan []act
+		plan []plannedFault
 	}{
-		{"cut once", []act{{cut, 900}}},
-		{"every engine has failed", []act{{cut, 900}, {unreached, 0}, {rejected, 0}, {broken, 0}}},
+		{"cut once", []plannedFault{{cut, 900}}},
+		{"every engine has failed", []plannedFault{{cut, 900}, {unreached, 0}, {rejected, 0}, {broken, 0}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -110,27 +110,27 @@
 	}
 }
 
-func TestResumptionIsBoundedWhenNothingMoreComes(t *testing.T) {
+func TestResumptionWithoutProgressIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(mixed(4)...)
-		w.engines.plan = []act{{cut, 1}}
+		w.engines.plan = []plannedFault{{cut, 1}}
 		for range 1000 {
-			w.engines.plan = append(w.engines.plan, act{rejected, 0})
+			w.engines.plan = append(w.engines.plan, plannedFault{rejected, 0})
 		}
 		w.start(t)
 		s, _, err := w.ask(t.Context(), promptOf("p", 3), 1)
 		is.NoErr(s.check(err))
 		is.Equal(reasonOf(err), dispatch.ReasonUpstream)
-		is.True(len(w.engines.seen()) <= 4*maxAttempts+1)
+		is.True(len(w.engines.receivedAttempts()) <= 4*maxAttempts+1)
 	})
 }
 
-func TestBegunAnswerWaitsForARunner(t *testing.T) {
+func TestStartedAnswerWaitsForRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(mixed(1)...)
-		w.engines.plan = []act{{cut, 1}}
+		w.engines.plan = []plannedFault{{cut, 1}}
 		w.start(t)
 		go func() {
 			time.Sleep(tokenInterval + time.Millisecond)
@@ -144,26 +144,26 @@
 	})
 }
 
-func TestFinishedAnswerWithoutEndMarkIsNotAskedForAgain(t *testing.T) {
+func TestCompleteAnswerWithoutEndMarkIsNotRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(mixed(2)...)
-		w.engines.plan = []act{{unended, 0}}
+		w.engines.plan = []plannedFault{{noEndMark, 0}}
 		w.start(t)
 		s, _, err := w.ask(t.Context(), promptOf("p", 3), 1)
 		is.NoErr(s.check(err))
 		is.NoErr(err)
-		is.Equal(len(w.engines.seen()), 1)
+		is.Equal(len(w.engines.receivedAttempts()), 1)
 	})
 }
 
-func TestSilentEngineIsLeft(t *testing.T) {
-	for _, f := range []fault{silence, foreignForever, unaccepted} {
+func TestSilentEngineIsAbandoned(t *testing.T) {
+	for _, f := range []fault{silent, foreignForever, unaccepted} {
 		t.Run(fmt.Sprint(f), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(mixed(2)...)
-				w.engines.plan = []act{{f, 1}}
+				w.engines.plan = []plannedFault{{f, 1}}
 				w.start(t)
 				s, took, err := w.ask(t.Context(), promptOf("p", 3), 1)
 				is.NoErr(s.check(err))
@@ -171,17 +171,17 @@
 				is.True(took < deadline)
 				synctest.Wait()
 				is.Equal(w.engines.cancelled, []string{"a1"}) // the engine is told
-				is.Equal(w.router.outcomes[w.engines.seen()[0].engine], []dispatch.AttemptOutcome{dispatch.AttemptFailed})
+				is.Equal(w.router.outcomes[w.engines.receivedAttempts()[0].engine], []dispatch.AttemptOutcome{dispatch.AttemptFailed})
 			})
 		})
 	}
 }
 
-func TestDeadlineRefusesAtOnceAndBlamesNoRunner(t *testing.T) {
+func TestDeadlineIsNotARunnerFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(mixed(1)...)
-		w.engines.of = func(string) act { return act{silence, 0} }
+		w.engines.faultOf = func(string) plannedFault { return plannedFault{silent, 0} }
 		w.start(t)
 		now := time.Now()
 		s := &sink{prompt: promptOf("p", 3)}
@@ -195,23 +195,23 @@
 	})
 }
 
-func TestNoAttemptWhenTheDeadlinePassesInThePause(t *testing.T) {
+func TestNoRetryWhenBackoffExceedsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(mixed(2)...)
-		w.engines.of = func(string) act { return act{rejected, 0} }
+		w.engines.faultOf = func(string) plannedFault { return plannedFault{rejected, 0} }
 		w.start(t)
 		now := time.Now()
 		s := &sink{prompt: promptOf("p", 3)}
 		r := &dispatch.Request{Service: modelService, ArrivedAt: now, Deadline: now.Add(backoff / 2)}
 		err := w.d.Generate(t.Context(), r, &dispatch.Completion{Prompt: upstream.Prompt{Text: s.prompt}, MaxTokens: 3}, s)
 		is.Equal(reasonOf(err), dispatch.ReasonDeadline)
-		is.Equal(len(w.engines.seen()), 1)
+		is.Equal(len(w.engines.receivedAttempts()), 1)
 		is.Equal(time.Since(now), time.Duration(0)) // not held back until the deadline
 	})
 }
 
-func TestDrainBetweenChoiceAndCount(t *testing.T) {
+func TestDrainBetweenPickAndEnter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(mixed(2)...)
@@ -227,14 +227,14 @@
 		is.NoErr(s.check(err))
 		is.NoErr(err)
 		is.Equal(w.meter.of(dispatch.CountReroutes), 1)
-		is.Equal(len(w.engines.seen()), 1)
-		is.True(w.engines.seen()[0].engine != drained)
+		is.Equal(len(w.engines.receivedAttempts()), 1)
+		is.True(w.engines.receivedAttempts()[0].engine != drained)
 	})
 }
 
 // A host that slept between the choice and the sending may count as gone by now;
 // the engine may have been changed without it.
-func TestHostThatSleptPastItsStandingSendsNothing(t *testing.T) {
+func TestIsolatedHostSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(mixed(2)...)
@@ -246,8 +246,8 @@
 		s, _, err := w.ask(t.Context(), promptOf("p", 2), 1)
 		is.True(err != nil)
 		is.Equal(len(s.Tokens()), 0)
-		is.Equal(len(w.engines.seen()), 0)
-		is.NoErr(w.leftovers())
+		is.Equal(len(w.engines.receivedAttempts()), 0)
+		is.NoErr(w.checkReleased())
 	})
 }
 
@@ -255,29 +255,29 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(mixed(2)...)
-		w.engines.plan = []act{{silence, 1}}
+		w.engines.plan = []plannedFault{{silent, 1}}
 		w.start(t)
-		ctx, leave := context.WithCancel(t.Context())
-		go func() { time.Sleep(3 * tokenInterval); leave() }()
+		ctx, cancel := context.WithCancel(t.Context())
+		go func() { time.Sleep(3 * tokenInterval); cancel() }()
 		s, took, err := w.ask(ctx, promptOf("p", 3), 1)
 		is.NoErr(s.check(err))
 		is.Equal(reasonOf(err), dispatch.ReasonCancelled)
 		is.Equal(took, 3*tokenInterval)
-		is.NoErr(w.leftovers())
+		is.NoErr(w.checkReleased())
 		synctest.Wait()
 		is.Equal(w.engines.cancelled, []string{"a1"})
-		is.Equal(len(w.engines.seen()), 1)
+		is.Equal(len(w.engines.receivedAttempts()), 1)
 	})
 }
 
-func TestPromptIsCountedOutWithItsFirstToken(t *testing.T) {
+func TestFirstTokenReleasesPrefillWork(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld(mixed(1)...)
-		w.engines.plan = []act{{silence, 1}}
+		w.engines.plan = []plannedFault{{silent, 1}}
 		w.start(t)
-		ctx, leave := context.WithCancel(t.Context())
-		defer leave()
+		ctx, cancel := context.WithCancel(t.Context())
+		defer cancel()
 		go func() { _, _, _ = w.ask(ctx, promptOf("p", 3), 50) }()
 		synctest.Wait()
 		is.Equal(w.keeper.View().Runner("e1").Track.Load().PrefillTokens, int64(50))
@@ -288,29 +288,29 @@
 	})
 }
 
-func TestPromptAndOutputApart(t *testing.T) {
+func TestSplitPrefillAndDecode(t *testing.T) {
 	hang := func(ctx context.Context, _ string) error { <-ctx.Done(); return sendError("e1", true, ctx.Err()) }
-	apart := []state.Role{state.RolePrefill, state.RoleDecode, state.RoleMixed}
-	pure := []state.Role{state.RolePrefill, state.RoleDecode}
-	decodes := []state.Role{state.RolePrefill, state.RoleDecode, state.RoleDecode}
+	split := []state.Role{state.RolePrefill, state.RoleDecode, state.RoleMixed}
+	noMixed := []state.Role{state.RolePrefill, state.RoleDecode}
+	twoDecode := []state.Role{state.RolePrefill, state.RoleDecode, state.RoleDecode}
 	cases := []struct {
 		name         string
 		roles        []state.Role
 		promptTokens int
 		prefill      func(ctx context.Context, engine string) error
-		plan         []act
+		plan         []plannedFault
 		// engines are those that computed output; prefills is how many prompts.
 		engines  []string
 		prefills int
 	}{
-		{"both parts work", apart, apartTokens, nil, nil, []string{"e2"}, 1},
-		{"a short prompt stays on one engine", apart, 1, nil, nil, []string{"e3"}, 0},
-		{"no mixed engine", pure, 1, nil, nil, []string{"e2"}, 1},
-		{"prefill fails", apart, apartTokens, func(context.Context, string) error { return sendError("e1", true, errTest) }, nil, []string{"e3"}, 1},
-		{"prefill hangs", apart, apartTokens, hang, nil, []string{"e3"}, 1},
-		{"decode fails", apart, apartTokens, nil, []act{{rejected, 0}}, []string{"e2", "e3"}, 1},
-		{"decode is cut", apart, apartTokens, nil, []act{{cut, 1}}, []string{"e2", "e3"}, 1},
-		{"decode is cut with no mixed engine", decodes, apartTokens, nil, []act{{cut, 1}}, []string{"e2", "e3"}, 2},
+		{"both parts work", split, splitPromptTokens, nil, nil, []string{"e2"}, 1},
+		{"a short prompt stays on one engine", split, 1, nil, nil, []string{"e3"}, 0},
+		{"no mixed engine", noMixed, 1, nil, nil, []string{"e2"}, 1},
+		{"prefill fails", split, splitPromptTokens, func(context.Context, string) error { return sendError("e1", true, errInjected) }, nil, []string{"e3"}, 1},
+		{"prefill hangs", split, splitPromptTokens, hang, nil, []string{"e3"}, 1},
+		{"decode fails", split, splitPromptTokens, nil, []plannedFault{{rejected, 0}}, []string{"e2", "e3"}, 1},
+		{"decode is cut", split, splitPromptTokens, nil, []plannedFault{{cut, 1}}, []string{"e2", "e3"}, 1},
+		{"decode is cut with no mixed engine", twoDecode, splitPromptTokens, nil, []plannedFault{{cut, 1}}, []string{"e2", "e3"}, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -324,13 +324,13 @@
 				is.NoErr(err)
 				is.True(took < deadline)
 				var engines []string
-				for _, a := range w.engines.seen() {
+				for _, a := range w.engines.receivedAttempts() {
 					engines = append(engines, a.engine)
 				}
 				slices.Sort(engines)
 				is.Equal(engines, c.engines)
 				is.Equal(len(w.engines.prefills), c.prefills)
-				is.NoErr(w.leftovers())
+				is.NoErr(w.checkReleased())
 			})
 		})
 	}
@@ -339,9 +339,9 @@
 // TestOutageMultipliesNoLoad lets half of the engines fail everything they are
 // sent, for requests whose parts go apart, too. Without breakers the retry budget
 // alone bounds the load; with them nearly every answer is whole.
-func TestOutageMultipliesNoLoad(t *testing.T) {
+func TestOutageDoesNotAmplifyLoad(t *testing.T) {
 	const requests = 400
-	apart := []state.Role{state.RolePrefill, state.RolePrefill, state.RoleDecode, state.RoleDecode, state.RoleMixed, state.RoleMixed}
+	split := []state.Role{state.RolePrefill, state.RolePrefill, state.RoleDecode, state.RoleDecode, state.RoleMixed, state.RoleMixed}
 	cases := []struct {
 		name  string
 		roles []state.Role
@@ -350,16 +350,16 @@
 		breakers bool
 	}{
 		{"mixed", mixed(8), 1, false},
-		{"apart", apart, 2, false},
+		{"apart", split, 2, false},
 		{"mixed with breakers", mixed(8), 1, true},
-		{"apart with breakers", apart, 2, true},
+		{"apart with breakers", split, 2, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				w := newWorld(c.roles...)
-				w.breakHalf()
+				w.failHalf()
 				budget, err := retry.NewBudget(retry.BudgetOptions{Clock: clocktest.Bubble{}, Share: func(string) float64 { return 0.1 }})
 				is.NoErr(err)
 				w.retries = budgeted{budget}
@@ -368,17 +368,17 @@
 					is.NoErr(err)
 				}
 				w.start(t)
-				wholes := 0
+				succeeded := 0
 				for range requests {
-					s, _, err := w.ask(t.Context(), promptOf("p", 1), apartTokens)
+					s, _, err := w.ask(t.Context(), promptOf("p", 1), splitPromptTokens)
 					is.NoErr(s.check(err))
 					if err == nil {
-						wholes++
+						succeeded++
 					}
 				}
-				sent := len(w.engines.seen()) + len(w.engines.prefills)
+				sent := len(w.engines.receivedAttempts()) + len(w.engines.prefills)
 				is.True(sent <= c.parts*requests+requests/10+budgetSlack)
-				is.True(!c.breakers || wholes > requests*9/10)
+				is.True(!c.breakers || succeeded > requests*9/10)
 			})
 		})
 	}
@@ -389,17 +389,17 @@
 const budgetSlack = 40
 
 // breakHalf lets every other engine fail everything.
-func (w *world) breakHalf() {
-	dead := map[string]bool{"e1": true, "e3": true, "e5": true, "e7": true}
-	w.engines.of = func(engine string) act {
-		if dead[engine] {
-			return act{rejected, 0}
+func (w *world) failHalf() {
+	failing := map[string]bool{"e1": true, "e3": true, "e5": true, "e7": true}
+	w.engines.faultOf = func(engine string) plannedFault {
+		if failing[engine] {
+			return plannedFault{rejected, 0}
 		}
-		return act{whole, 0}
+		return plannedFault{noFault, 0}
 	}
 	w.engines.prefill = func(_ context.Context, engine string) error {
-		if dead[engine] {
-			return sendError(engine, true, errTest)
+		if failing[engine] {
+			return sendError(engine, true, errInjected)
 		}
 		return nil
 	}
--- a/coordination/dispatch/harness_test.go
+++ b/coordination/dispatch/harness_test.go
@@ -20,11 +20,11 @@
 
 // Limits of the dispatchers under test.
 const (
-	maxAttempts   = 3
-	stallTimeout  = time.Second
-	recordTimeout = 500 * time.Millisecond
-	apartTokens   = 100
-	backoff       = 10 * time.Millisecond
+	maxAttempts       = 3
+	stallTimeout      = time.Second
+	recordTimeout     = 500 * time.Millisecond
+	splitPromptTokens = 100
+	backoff           = 10 * time.Millisecond
 )
 
 const (
@@ -39,31 +39,31 @@
 	engines  *engines
 	services *services
 	router   *router
-	grants   grants
+	admitter admitter
 	claimer  dispatch.Claimer
 	retries  dispatch.Retries
 	meter    meter
 	isolated atomic.Bool
 	// crashes and held are those of a crashFleet's host; by default nothing crashes.
-	crashes dispatch.CrashReporter
-	held    dispatch.Quarantine
-	d       *dispatch.Dispatcher
+	crashes    dispatch.CrashReporter
+	quarantine dispatch.Quarantine
+	d          *dispatch.Dispatcher
 }
 
 // nothingCrashes holds nothing.
-type nothingCrashes struct{}
+type noCrashes struct{}
 
-func (nothingCrashes) ReportBroken(state.Upstream, quarantine.Suspect) {}
+func (noCrashes) ReportBroken(state.Upstream, quarantine.Suspect) {}
 
-func (nothingCrashes) Held(quarantine.Digest) *quarantine.Hold { return nil }
+func (noCrashes) Held(quarantine.Digest) *quarantine.Hold { return nil }
 
-func (nothingCrashes) Answered(quarantine.Digest) {}
+func (noCrashes) Answered(quarantine.Digest) {}
 
 // newWorld makes engines e1, e2, ... with the given roles and service runners
 // s1, s2, s3.
 func newWorld(roles ...state.Role) *world {
 	w := &world{keeper: snapshot.NewKeeper(), engines: &engines{}, services: &services{}, router: &router{}}
-	w.retries, w.claimer, w.crashes, w.held = freeRetries{}, noClaims{}, nothingCrashes{}, nothingCrashes{}
+	w.retries, w.claimer, w.crashes, w.quarantine = unlimitedRetries{}, noClaims{}, noCrashes{}, noCrashes{}
 	var list []state.Listed
 	for i := range roles {
 		list = append(list, state.Listed{Name: engineName(i), Kind: state.ListedEngine, State: state.ListedLive, Service: modelService})
@@ -87,10 +87,10 @@
 	t.Helper()
 	var attempts atomic.Int64
 	d, err := dispatch.New(dispatch.Options{
-		Keeper: w.keeper, Engines: w.engines, Services: w.services, Router: w.router, Admitter: &w.grants,
-		Retries: w.retries, Claimer: w.claimer, Recorder: silent{}, Meter: &w.meter, Clock: clocktest.Bubble{}, Crashes: w.crashes, Quarantine: w.held,
+		Keeper: w.keeper, Engines: w.engines, Services: w.services, Router: w.router, Admitter: &w.admitter,
+		Retries: w.retries, Claimer: w.claimer, Recorder: discardRecorder{}, Meter: &w.meter, Clock: clocktest.Bubble{}, Crashes: w.crashes, Quarantine: w.quarantine,
 		NewID: func() string { return "a" + strconv.FormatInt(attempts.Add(1), 10) }, Host: "h",
-		MaxAttempts: maxAttempts, StallTimeout: stallTimeout, SplitPromptTokens: apartTokens, RecordTimeout: recordTimeout,
+		MaxAttempts: maxAttempts, StallTimeout: stallTimeout, SplitPromptTokens: splitPromptTokens, RecordTimeout: recordTimeout,
 		Isolated: w.isolated.Load,
 	})
 	if err != nil {
@@ -101,7 +101,7 @@
 }
 
 // leftovers names what a finished request must not leave behind.
-func (w *world) leftovers() error {
+func (w *world) checkReleased() error {
 	for _, r := range w.keeper.View().Runners {
 		if left := r.Track.Load(); left != (snapshot.Work{}) {
 			return fmt.Errorf("%s still counts %+v in flight", r.Name, left)
@@ -110,8 +110,8 @@
 	if open := w.engines.open.Load(); open != 0 {
 		return fmt.Errorf("%d streams are still open", open)
 	}
-	if given, back := w.grants.given.Load(), w.grants.back.Load(); given != back {
-		return fmt.Errorf("%d grants given and %d given back", given, back)
+	if granted, released := w.admitter.granted.Load(), w.admitter.released.Load(); granted != released {
+		return fmt.Errorf("%d grants given and %d given back", granted, released)
 	}
 	if begun, ended := w.router.begun.Load(), w.router.ended.Load(); begun != ended {
 		return fmt.Errorf("%d attempts begun and %d ended", begun, ended)
@@ -203,40 +203,40 @@
 }
 
 // grants admits everything, or refuses it all.
-type grants struct {
-	refuse      *dispatch.Refusal
-	given, back atomic.Int64
+type admitter struct {
+	refuse            *dispatch.Refusal
+	granted, released atomic.Int64
 }
 
-func (g *grants) Admit(context.Context, *dispatch.Request, snapshot.Work) (dispatch.Grant, error) {
+func (g *admitter) Admit(context.Context, *dispatch.Request, snapshot.Work) (dispatch.Grant, error) {
 	if g.refuse != nil {
 		return nil, g.refuse
 	}
-	g.given.Add(1)
+	g.granted.Add(1)
 	return &grant{g: g}, nil
 }
 
 type grant struct {
-	g    *grants
+	g    *admitter
 	once sync.Once
 }
 
 func (g *grant) FirstToken() {}
-func (g *grant) Done()       { g.once.Do(func() { g.g.back.Add(1) }) }
+func (g *grant) Done()       { g.once.Do(func() { g.g.released.Add(1) }) }
 
 // freeRetries allows every retry.
-type freeRetries struct{}
+type unlimitedRetries struct{}
 
-func (freeRetries) CountRequest(string)       {}
-func (freeRetries) Allow(string) bool         { return true }
-func (freeRetries) Backoff(int) time.Duration { return backoff }
+func (unlimitedRetries) CountRequest(string)       {}
+func (unlimitedRetries) Allow(string) bool         { return true }
+func (unlimitedRetries) Backoff(int) time.Duration { return backoff }
 
 // noClaims is the claimer of a world that makes no calls under a key.
 type noClaims struct{ dispatch.Claimer }
 
-type silent struct{}
+type discardRecorder struct{}
 
-func (silent) Record(state.Decision) {}
+func (discardRecorder) Record(state.Decision) {}
 
 type meter struct {
 	mu     sync.Mutex
--- a/coordination/dispatch/once.go
+++ b/coordination/dispatch/once.go
@@ -13,12 +13,12 @@
 // callOnce serves a call that may not be repeated: claim, then dispatch, then
 // record. After the claim the call goes on to its record even if the caller
 // leaves, because its outcome must be known to whoever asks next.
-func (d *Dispatcher) callOnce(ctx context.Context, r *Request, c upstream.Call, grant Grant) (upstream.Answer, error) {
-	if err := d.someRunner(r); err != nil {
+func (d *Dispatcher) callAtMostOnce(ctx context.Context, r *Request, c upstream.Call, grant Grant) (upstream.Answer, error) {
+	if err := d.checkRunnerAvailable(r); err != nil {
 		defer grant.Done()
-		return d.withoutRunner(ctx, r, err)
+		return d.answerWithoutRunner(ctx, r, err)
 	}
-	held, outcome, err := d.begin(ctx, r)
+	held, outcome, err := d.claimKey(ctx, r)
 	switch {
 	case err != nil:
 		grant.Done()
@@ -28,48 +28,48 @@
 	case outcome != nil:
 		grant.Done()
 		d.record(r, state.DecisionClaim, string(outcome.Claim.State), "the key was used before", nil)
-		return repeated(outcome.Claim)
+		return outcomeOf(outcome.Claim)
 	}
 	d.record(r, state.DecisionClaim, "claimed", "the key is new", nil)
-	h := &heldCall{d: d, r: r, c: c, held: held, ran: make(chan upstream.Answer, 1), ended: make(chan heldResult, 1)}
+	h := &claimedCall{d: d, r: r, c: c, claim: held, answered: make(chan upstream.Answer, 1), result: make(chan callResult, 1)}
 	h.c.Key = r.Key
 	h.start(context.WithoutCancel(ctx), grant)
 	return h.wait(ctx)
 }
 
 // begin claims the key within the deadline.
-func (d *Dispatcher) begin(ctx context.Context, r *Request) (*claim.Held, *claim.Outcome, error) {
-	ctx, stop := d.untilDeadline(ctx, r)
+func (d *Dispatcher) claimKey(ctx context.Context, r *Request) (*claim.Held, *claim.Outcome, error) {
+	ctx, stop := d.withDeadline(ctx, r)
 	defer stop()
 	return d.o.Claimer.Begin(ctx, claim.Call{Key: r.Key, Customer: r.Customer, Fingerprint: r.Fingerprint, First: r.First})
 }
 
 // someRunner refuses early, before a claim costs a write.
-func (d *Dispatcher) someRunner(r *Request) error {
-	_, err := d.o.Router.Pick(d.o.Keeper.View(), Query{Request: r, Part: Whole, Work: oneCall})
+func (d *Dispatcher) checkRunnerAvailable(r *Request) error {
+	_, err := d.o.Router.Pick(d.o.Keeper.View(), Query{Request: r, Part: Whole, Work: callWork})
 	return err
 }
 
 // withoutRunner answers when there is no runner: a call that ran before still
 // gets what is recorded.
-func (d *Dispatcher) withoutRunner(ctx context.Context, r *Request, cause error) (upstream.Answer, error) {
+func (d *Dispatcher) answerWithoutRunner(ctx context.Context, r *Request, cause error) (upstream.Answer, error) {
 	if r.First {
-		return upstream.Answer{}, neverRun(0, cause)
+		return upstream.Answer{}, markNotRun(0, cause)
 	}
-	ctx, stop := d.limit(ctx, min(d.left(r), d.o.RecordTimeout))
+	ctx, stop := d.withTimeout(ctx, min(d.timeLeft(r), d.o.RecordTimeout))
 	defer stop()
 	found, err := d.o.Claimer.Show(ctx, r.Key)
 	if err != nil || found.Customer != r.Customer || found.Fingerprint != r.Fingerprint {
-		return upstream.Answer{}, beforeClaim(r, cause)
+		return upstream.Answer{}, refuseBeforeClaim(r, cause)
 	}
 	d.record(r, state.DecisionClaim, string(found.State), "the key was used before", nil)
-	return repeated(found)
+	return outcomeOf(found)
 }
 
 // beforeClaim corrects a refusal that was made without a look at the claims:
 // unless the caller never sent the key before, an earlier call with it may have
 // run, and "not run" must not be said.
-func beforeClaim(r *Request, err error) error {
+func refuseBeforeClaim(r *Request, err error) error {
 	if !r.NotRepeatable || r.First {
 		return err
 	}
@@ -77,50 +77,50 @@
 }
 
 // heldCall is a call under a claim.
-type heldCall struct {
-	d    *Dispatcher
-	r    *Request
-	c    upstream.Call
-	held *claim.Held
+type claimedCall struct {
+	d     *Dispatcher
+	r     *Request
+	c     upstream.Call
+	claim *claim.Held
 	// ran has the answer as soon as the call has run, before it is recorded.
-	ran chan upstream.Answer
+	answered chan upstream.Answer
 	// ended has what the call came to, once that is recorded or left to the
 	// claimer.
-	ended chan heldResult
+	result chan callResult
 }
 
 // heldResult is what a call under a claim came to.
-type heldResult struct {
+type callResult struct {
 	answer upstream.Answer
 	err    error
 }
 
 // start runs the call to its end; it keeps its room until then.
-func (h *heldCall) start(ctx context.Context, grant Grant) {
+func (h *claimedCall) start(ctx context.Context, grant Grant) {
 	h.d.running.Add(1)
 	go func() {
 		defer h.d.running.Add(-1)
 		defer grant.Done()
 		a, err := h.run(ctx)
-		h.ended <- heldResult{a, err}
+		h.result <- callResult{a, err}
 	}()
 }
 
 // wait waits for the end until the deadline. A call that is still running then
 // goes on, so that its outcome gets known; the caller is told so at once and can
 // ask again with the same key. An answer that only waits for its record is given.
-func (h *heldCall) wait(ctx context.Context) (upstream.Answer, error) {
-	ctx, stop := h.d.untilDeadline(ctx, h.r)
+func (h *claimedCall) wait(ctx context.Context) (upstream.Answer, error) {
+	ctx, stop := h.d.withDeadline(ctx, h.r)
 	defer stop()
 	select {
-	case got := <-h.ended:
+	case got := <-h.result:
 		return got.answer, got.err
 	case <-ctx.Done():
 	}
 	select {
-	case got := <-h.ended:
+	case got := <-h.result:
 		return got.answer, got.err
-	case a := <-h.ran:
+	case a := <-h.answered:
 		return a, nil
 	default:
 		return upstream.Answer{}, &Refusal{Reason: ReasonRunning, Message: "the call is still running past its deadline; ask again with the same key", RetryAfter: time.Second}
@@ -128,12 +128,12 @@
 }
 
 // run makes attempts until one may have been sent, and records the outcome.
-func (h *heldCall) run(ctx context.Context) (upstream.Answer, error) {
-	var failed []string
+func (h *claimedCall) run(ctx context.Context) (upstream.Answer, error) {
+	var failedRunners []string
 	for attempt := 1; ; attempt++ {
-		a, name, err := h.d.callAt(ctx, h.r, h.c, failed)
+		a, name, err := h.d.callAt(ctx, h.r, h.c, failedRunners)
 		if err == nil {
-			h.ran <- a
+			h.answered <- a
 			h.recordDone(ctx, a)
 			return a, nil
 		}
@@ -142,36 +142,36 @@
 			h.recordUnknown(ctx)
 			return a, &Refusal{Reason: ReasonUnknown, Message: "the call was sent and its outcome is not known; check at the service before you use a new key", Cause: err}
 		}
-		failed = append(failed, name)
-		if refusal != nil || attempt >= h.d.o.MaxAttempts || h.d.left(h.r) <= 0 {
+		failedRunners = append(failedRunners, name)
+		if refusal != nil || attempt >= h.d.o.MaxAttempts || h.d.timeLeft(h.r) <= 0 {
 			return a, h.recordNotRun(ctx, err)
 		}
 	}
 }
 
-func (h *heldCall) recordDone(ctx context.Context, a upstream.Answer) {
-	ctx, stop := h.d.limit(ctx, h.d.o.RecordTimeout)
+func (h *claimedCall) recordDone(ctx context.Context, a upstream.Answer) {
+	ctx, stop := h.d.withTimeout(ctx, h.d.o.RecordTimeout)
 	defer stop()
-	err := h.held.Done(ctx, state.RecordedAnswer{Status: a.Status, ContentType: a.ContentType, Body: a.Body})
+	err := h.claim.Done(ctx, state.RecordedAnswer{Status: a.Status, ContentType: a.ContentType, Body: a.Body})
 	if err != nil {
 		h.d.record(h.r, state.DecisionClaim, "done", "the call ran; its record could not be written yet: "+err.Error(), nil)
 	}
 }
 
-func (h *heldCall) recordUnknown(ctx context.Context) {
-	ctx, stop := h.d.limit(ctx, h.d.o.RecordTimeout)
+func (h *claimedCall) recordUnknown(ctx context.Context) {
+	ctx, stop := h.d.withTimeout(ctx, h.d.o.RecordTimeout)
 	defer stop()
-	if err := h.held.Unknown(ctx); err != nil {
+	if err := h.claim.Unknown(ctx); err != nil {
 		h.d.record(h.r, state.DecisionClaim, "unknown", "the record could not be written yet: "+err.Error(), nil)
 	}
 }
 
 // recordNotRun says "not run" only once that is recorded: before that another
 // host could still take the claim for running.
-func (h *heldCall) recordNotRun(ctx context.Context, cause error) error {
-	ctx, stop := h.d.limit(ctx, h.d.o.RecordTimeout)
+func (h *claimedCall) recordNotRun(ctx context.Context, cause error) error {
+	ctx, stop := h.d.withTimeout(ctx, h.d.o.RecordTimeout)
 	defer stop()
-	if err := h.held.NotRun(ctx); err != nil {
+	if err := h.claim.NotRun(ctx); err != nil {
 		h.d.record(h.r, state.DecisionClaim, "unknown", "nothing was sent, but that could not be recorded: "+err.Error(), nil)
 		return &Refusal{Reason: ReasonUnknown, Message: "the call's outcome could not be recorded; ask again with the same key", RetryAfter: time.Second, Cause: cause}
 	}
@@ -179,10 +179,10 @@
 }
 
 // repeated turns the record of a key used before into an answer.
-func repeated(c state.Claim) (upstream.Answer, error) {
+func outcomeOf(c state.Claim) (upstream.Answer, error) {
 	switch c.State {
 	case state.ClaimDone:
-		return recorded(c.Answer)
+		return recordedAnswer(c.Answer)
 	case state.ClaimNotRun:
 		return upstream.Answer{}, &Refusal{Reason: ReasonNotRun, Message: "the call with this key did not run and never will; use a new key to try again", NotRun: true}
 	case state.ClaimClaimed:
@@ -193,7 +193,7 @@
 }
 
 // recorded gives the recorded answer of a call that ran.
-func recorded(a *state.RecordedAnswer) (upstream.Answer, error) {
+func recordedAnswer(a *state.RecordedAnswer) (upstream.Answer, error) {
 	if a == nil || a.Truncated {
 		return upstream.Answer{}, &Refusal{Reason: ReasonAnswerLost, Message: "the call with this key ran, but its answer was too large to keep; read the result at the service"}
 	}
--- a/coordination/dispatch/once_test.go
+++ b/coordination/dispatch/once_test.go
@@ -18,22 +18,22 @@
 )
 
 // asked is one request of a caller that asks until it has an answer.
-type asked struct {
+type callerRequest struct {
 	host int
 	// leaves is when the caller closes the connection; zero: never.
-	leaves time.Duration
+	cancelAfter time.Duration
 	// twin sends the same once more at the same moment, to the other host.
-	twin bool
+	duplicate bool
 }
 
 // TestHoldsAtMostOnce lets a caller ask two hosts again and again for
 // one call, while the platform, the service and the caller itself fail.
 func TestHoldsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		asks := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) asked {
-			return asked{
-				host: rapid.IntRange(0, 1).Draw(rt, "host"), twin: rapid.IntRange(0, 3).Draw(rt, "twin") == 0,
-				leaves: time.Duration(rapid.SampledFrom([]int{0, 0, 1, 50, 3000}).Draw(rt, "leaves")) * time.Millisecond,
+		requests := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) callerRequest {
+			return callerRequest{
+				host: rapid.IntRange(0, 1).Draw(rt, "host"), duplicate: rapid.IntRange(0, 3).Draw(rt, "twin") == 0,
+				cancelAfter: time.Duration(rapid.SampledFrom([]int{0, 0, 1, 50, 3000}).Draw(rt, "leaves")) * time.Millisecond,
 			}
 		}), 1, 5).Draw(rt, "asks")
 		calls := rapid.SliceOfN(rapid.SampledFrom([]callFault{
@@ -43,14 +43,14 @@
 			storetest.None, storetest.None, storetest.Refuse, storetest.LoseAnswer,
 		}), 0, 20).Draw(rt, "platform")
 		var failed error
-		synctest.Test(t, func(t *testing.T) { failed = holdAtMostOnce(t, asks, calls, platform) })
+		synctest.Test(t, func(t *testing.T) { failed = runAtMostOnce(t, requests, calls, platform) })
 		if failed != nil {
 			rt.Fatal(failed)
 		}
 	})
 }
 
-func holdAtMostOnce(t *testing.T, asks []asked, calls []callFault, faults []storetest.Fault) error {
+func runAtMostOnce(t *testing.T, requests []callerRequest, calls []callFault, faults []storetest.Fault) error {
 	p := storetest.NewPlatform(time.Second)
 	service := &services{plan: slices.Clone(calls)}
 	var hosts []*world
@@ -73,34 +73,34 @@
 		return f
 	})
 	o := &oracle{key: keyAt(time.Now()), service: service}
-	for i, a := range asks {
-		if o.saidNotRun() {
+	for i, a := range requests {
+		if o.hasNotRun() {
 			break // the caller gives this key up
 		}
 		var both sync.WaitGroup
-		if a.twin {
-			both.Go(func() { o.ask(t, hosts[1-a.host], asked{}, false) })
+		if a.duplicate {
+			both.Go(func() { o.ask(t, hosts[1-a.host], callerRequest{}, false) })
 		}
-		o.ask(t, hosts[a.host], a, i == 0 && !a.twin)
+		o.ask(t, hosts[a.host], a, i == 0 && !a.duplicate)
 		both.Wait()
 	}
 	p.SetScript(nil)
 	time.Sleep(time.Minute) // what is still running ends and is recorded
-	service.heal()
-	if o.mayAsk() {
+	service.clearPlan()
+	if o.resendMustNotRun() {
 		o.settled = true
-		o.ask(t, hosts[0], asked{}, false)
-		o.ask(t, hosts[1], asked{}, false)
+		o.ask(t, hosts[0], callerRequest{}, false)
+		o.ask(t, hosts[1], callerRequest{}, false)
 	}
 	for _, w := range hosts {
-		if err := w.leftovers(); err != nil {
+		if err := w.checkReleased(); err != nil {
 			return err
 		}
 		if n := w.d.Running(); n != 0 {
 			return fmt.Errorf("%d calls still run", n)
 		}
 	}
-	return o.judge()
+	return o.check()
 }
 
 // oracle is what all callers of one key were told.
@@ -114,41 +114,41 @@
 	mu      sync.Mutex
 	answers []string
 	notRun  []*dispatch.Refusal
-	wrong   error
+	problem error
 }
 
-func (o *oracle) ask(t *testing.T, w *world, a asked, first bool) {
-	ctx, leave := context.WithCancel(t.Context())
-	defer leave()
-	left := false
-	if a.leaves > 0 {
+func (o *oracle) ask(t *testing.T, w *world, a callerRequest, first bool) {
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	cancelled := false
+	if a.cancelAfter > 0 {
 		go func() {
-			if (clocktest.Bubble{}).Sleep(ctx, a.leaves) == nil {
-				leave()
+			if (clocktest.Bubble{}).Sleep(ctx, a.cancelAfter) == nil {
+				cancel()
 			}
 		}()
 	}
 	now := time.Now()
 	answer, err := w.call(ctx, o.key, first)
-	left = a.leaves > 0 && time.Since(now) >= a.leaves
+	cancelled = a.cancelAfter > 0 && time.Since(now) >= a.cancelAfter
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if took := time.Since(now); took > deadline {
-		o.wrong = fmt.Errorf("told after %v: %w", took, err)
+		o.problem = fmt.Errorf("told after %v: %w", took, err)
 	}
 	var refusal *dispatch.Refusal
 	switch {
-	case left:
+	case cancelled:
 	case err == nil:
 		o.answers = append(o.answers, string(answer.Body))
 	case errors.As(err, &refusal) && refusal.NotRun:
 		o.notRun = append(o.notRun, refusal)
 	case o.settled && reasonOf(err) == dispatch.ReasonRunning:
-		o.wrong = errors.New("still called running when nothing runs any more")
+		o.problem = errors.New("still called running when nothing runs any more")
 	}
 }
 
-func (o *oracle) saidNotRun() bool {
+func (o *oracle) hasNotRun() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.notRun) > 0
@@ -156,14 +156,14 @@
 
 // mayAsk reports whether another request with the key must not run. One that
 // was refused before its claim may: the caller was told to send it again.
-func (o *oracle) mayAsk() bool {
+func (o *oracle) resendMustNotRun() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return !slices.ContainsFunc(o.notRun, func(r *dispatch.Refusal) bool { return r.Reason == dispatch.ReasonPlatformDown })
 }
 
-func (o *oracle) judge() error {
-	runs := o.service.ran(o.key)
+func (o *oracle) check() error {
+	runs := o.service.runCount(o.key)
 	if runs > 1 {
 		return fmt.Errorf("it ran %d times", runs)
 	}
@@ -175,5 +175,5 @@
 	if len(o.notRun) > 0 && runs > 0 {
 		return fmt.Errorf("said %q of a call that ran", o.notRun[0].Message)
 	}
-	return o.wrong
+	return o.problem
 }
--- a/coordination/dispatch/parts.go
+++ b/coordination/dispatch/parts.go
@@ -14,9 +14,9 @@
 // the next turn has both on one engine; that is a further attempt like any other,
 // so that an outage of one role can't double the load of the others. A part that
 // finds no runner has cost nothing, and the request goes to one engine at once.
-func (g *generation) turn(ctx context.Context) error {
+func (g *generation) runRound(ctx context.Context) error {
 	given := g.sink.Tokens()
-	if !g.apart(given) {
+	if !g.shouldSplit(given) {
 		return g.generate(ctx, Whole, upstream.KV{}, given)
 	}
 	kv, err := g.prefill(ctx, given)
@@ -26,12 +26,12 @@
 	if err == nil {
 		return nil
 	}
-	g.together = true
+	g.splitFailed = true
 	if ctx.Err() == nil {
 		g.d.o.Meter.Count(CountSplitFailures, 1)
 	}
 	var refusal *Refusal
-	if errors.As(err, &refusal) && !isHeld(err) {
+	if errors.As(err, &refusal) && !isQuarantined(err) {
 		return g.generate(ctx, Whole, upstream.KV{}, given)
 	}
 	return err
@@ -39,7 +39,7 @@
 
 // apart reports whether prompt and output should go to engines of their own:
 // when the answer is sooner whole that way, and always when no engine takes both.
-func (g *generation) apart(given []string) bool {
+func (g *generation) shouldSplit(given []string) bool {
 	var prefill, decode, whole bool
 	for _, r := range g.d.o.Keeper.View().RunnersOf(g.r.Service) {
 		if !r.TakesWork() {
@@ -60,45 +60,45 @@
 	if !whole {
 		return true
 	}
-	return !g.together && len(given) == 0 && g.soonerApart()
+	return !g.splitFailed && len(given) == 0 && g.prefersSplit()
 }
 
 // soonerApart asks the router which way is sooner; a router that can't tell sends
 // long prompts apart.
-func (g *generation) soonerApart() bool {
+func (g *generation) prefersSplit() bool {
 	chooser, ok := g.d.o.Router.(PathChooser)
 	if !ok {
 		return g.c.PromptTokens >= g.d.o.SplitPromptTokens
 	}
-	return chooser.Apart(g.d.o.Keeper.View(), g.query(Whole, g.c.work(0)))
+	return chooser.PreferSplit(g.d.o.Keeper.View(), g.query(Whole, g.c.work(0)))
 }
 
 // prefill computes the prompt, and the tokens given, on a prefill engine.
 func (g *generation) prefill(ctx context.Context, given []string) (upstream.KV, error) {
 	work := snapshot.Work{Requests: 1, PrefillTokens: int64(g.c.PromptTokens + len(given))}
-	e, err := g.enter(g.query(Prefill, work), "prompt: ")
+	e, err := g.startAttempt(g.query(Prefill, work), "prompt: ")
 	if err != nil {
 		return upstream.KV{}, err
 	}
-	limit, byDeadline := g.firstLimit()
-	limited, stop := g.d.limit(ctx, limit)
+	limit, byDeadline := g.firstTokenTimeout()
+	prefillCtx, stop := g.d.withTimeout(ctx, limit)
 	defer stop()
 	attempt := g.d.o.NewID()
-	kv, err := g.d.o.Engines.Prefill(limited, e.Runner.Upstream, g.message(attempt, e, given, upstream.KV{}))
-	ended := limited.Err() != nil
+	kv, err := g.d.o.Engines.Prefill(prefillCtx, e.Runner.Upstream, g.engineRequest(attempt, e, given, upstream.KV{}))
+	ended := prefillCtx.Err() != nil
 	if err != nil && ended && byDeadline && ctx.Err() == nil {
-		err = errLate
+		err = errDeadline
 	}
 	e.end(ctx, g.d.o.Clock, err)
 	if err == nil {
 		g.d.o.Meter.Count(CountSplitPrefills, 1)
 		return kv, nil
 	}
-	g.d.noteBroken(ctx, g.r, e, err, false)
+	g.d.reportBroken(ctx, g.r, e, err, false)
 	if ended {
-		g.d.cancel(e.Runner.Upstream, attempt)
+		g.d.cancelAttempt(e.Runner.Upstream, attempt)
 	}
-	g.failed = append(g.failed, e.Runner.Name)
+	g.failedRunners = append(g.failedRunners, e.Runner.Name)
 	return upstream.KV{}, fmt.Errorf("prefill at %s: %w", e.Runner.Name, err)
 }
 
@@ -108,25 +108,25 @@
 	if part == Decode {
 		work.PrefillTokens = 0
 	}
-	e, err := g.enter(g.query(part, work), "")
-	if err != nil && part == Whole && !isHeld(err) {
+	e, err := g.startAttempt(g.query(part, work), "")
+	if err != nil && part == Whole && !isQuarantined(err) {
 		// A decode engine computes a prompt too, only slower: better than none.
-		e, err = g.enter(g.query(Decode, work), "no mixed engine: ")
+		e, err = g.startAttempt(g.query(Decode, work), "no mixed engine: ")
 	}
 	if err != nil {
 		return err
 	}
 	p := &pump{g: g, e: e}
 	attempt := g.d.o.NewID()
-	err = p.run(ctx, g.message(attempt, e, given, kv))
+	err = p.run(ctx, g.engineRequest(attempt, e, given, kv))
 	e.end(ctx, g.d.o.Clock, err)
 	if err == nil {
 		return nil
 	}
-	g.d.noteBroken(ctx, g.r, e, err, p.lastToken.Load() != 0)
-	if p.stillRuns(ctx, err) {
-		g.d.cancel(e.Runner.Upstream, attempt)
+	g.d.reportBroken(ctx, g.r, e, err, p.lastToken.Load() != 0)
+	if p.mayStillRun(ctx, err) {
+		g.d.cancelAttempt(e.Runner.Upstream, attempt)
 	}
-	g.failed = append(g.failed, e.Runner.Name)
+	g.failedRunners = append(g.failedRunners, e.Runner.Name)
 	return fmt.Errorf("attempt at %s: %w", e.Runner.Name, err)
 }
--- a/coordination/dispatch/quarantine.go
+++ b/coordination/dispatch/quarantine.go
@@ -25,7 +25,7 @@
 }
 
 // held returns the refusal of a request that crashes what runs it, or nil.
-func (d *Dispatcher) held(r *Request) *Refusal {
+func (d *Dispatcher) checkQuarantine(r *Request) *Refusal {
 	hold := d.o.Quarantine.Held(r.Digest)
 	if hold == nil {
 		return nil
@@ -35,7 +35,7 @@
 }
 
 // isHeld reports whether err is the refusal of a request that is held.
-func isHeld(err error) bool {
+func isQuarantined(err error) bool {
 	var refusal *Refusal
 	return errors.As(err, &refusal) && refusal.Reason == ReasonCrashes
 }
@@ -43,9 +43,9 @@
 // noteBroken notes that an attempt broke off at its upstream, which may have crashed under
 // it; answering says that a part of the answer had arrived. That the caller left or the
 // deadline passed says nothing, nor does an upstream that refused or got nothing.
-func (d *Dispatcher) noteBroken(ctx context.Context, r *Request, e *entered, err error, answering bool) {
+func (d *Dispatcher) reportBroken(ctx context.Context, r *Request, e *activeAttempt, err error, answering bool) {
 	var failed *upstream.SendError
-	if ctx.Err() != nil || errors.Is(err, errLate) || (errors.As(err, &failed) && (!failed.MaybeSent || failed.Refused)) {
+	if ctx.Err() != nil || errors.Is(err, errDeadline) || (errors.As(err, &failed) && (!failed.MaybeSent || failed.Refused)) {
 		return
 	}
 	d.o.Crashes.ReportBroken(e.Runner.Upstream, quarantine.Suspect{
--- a/coordination/dispatch/services_test.go
+++ b/coordination/dispatch/services_test.go
@@ -44,24 +44,24 @@
 	// runs counts executions by key.
 	runs map[string]int
 	// cut counts calls that were given up while they ran.
-	cut int
+	abandoned int
 }
 
 func (s *services) Call(ctx context.Context, u state.Upstream, c upstream.Call) (upstream.Answer, error) {
 	switch f := s.next(c); f {
 	case callUnreached:
-		return upstream.Answer{}, sendError(u.Name, false, errTest)
+		return upstream.Answer{}, sendError(u.Name, false, errInjected)
 	case callRefused:
-		return upstream.Answer{}, &upstream.SendError{Upstream: u.Name, MaybeSent: true, Refused: true, Cause: errTest}
+		return upstream.Answer{}, &upstream.SendError{Upstream: u.Name, MaybeSent: true, Refused: true, Cause: errInjected}
 	case callHung:
 		select {
 		case <-ctx.Done():
 		case <-time.After(hungCall):
 		}
-		return upstream.Answer{}, s.gaveUp(u.Name, ctx)
+		return upstream.Answer{}, s.abandon(u.Name, ctx)
 	case callLost:
 		s.run(c.Key)
-		return upstream.Answer{}, sendError(u.Name, true, errTest)
+		return upstream.Answer{}, sendError(u.Name, true, errInjected)
 	case callForeign:
 		s.run(c.Key)
 		return upstream.Answer{Attempt: "of-another", Status: 200, Body: []byte("another's")}, nil
@@ -69,7 +69,7 @@
 		s.run(c.Key)
 		select {
 		case <-ctx.Done():
-			return upstream.Answer{}, s.gaveUp(u.Name, ctx)
+			return upstream.Answer{}, s.abandon(u.Name, ctx)
 		case <-time.After(slowCall):
 		}
 	default:
@@ -91,16 +91,16 @@
 }
 
 // heal ends the plan.
-func (s *services) heal() {
+func (s *services) clearPlan() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.plan = nil
 }
 
-func (s *services) gaveUp(name string, ctx context.Context) error {
+func (s *services) abandon(name string, ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut++
+	s.abandoned++
 	return sendError(name, true, context.Cause(ctx))
 }
 
@@ -113,7 +113,7 @@
 	s.runs[key]++
 }
 
-func (s *services) ran(key string) int {
+func (s *services) runCount(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
--- a/coordination/dispatch/unsure_test.go
+++ b/coordination/dispatch/unsure_test.go
@@ -15,9 +15,9 @@
 )
 
 // fullAdmitter refuses everything.
-type fullAdmitter struct{}
+type refusingAdmitter struct{}
 
-func (fullAdmitter) Admit(context.Context, *Request, snapshot.Work) (Grant, error) {
+func (refusingAdmitter) Admit(context.Context, *Request, snapshot.Work) (Grant, error) {
 	return nil, &Refusal{Reason: ReasonOverloaded, Message: "full", RetryAfter: time.Second, NotRun: true}
 }
 
@@ -41,7 +41,7 @@
 
 // A call runs at one host; its caller loses the connection and asks again at a
 // host that is full. That host must not say "not run": it never saw the record.
-func TestRefusalBeforeTheClaimDoesNotSpeakForTheKey(t *testing.T) {
+func TestRefusalBeforeClaimDoesNotSayNotRun(t *testing.T) {
 	cases := []struct {
 		name                 string
 		notRepeatable, first bool
@@ -51,7 +51,7 @@
 		{"a key never sent before", true, true, true},
 		{"a key that may have been sent", true, false, false},
 	}
-	d := &Dispatcher{o: Options{Keeper: snapshot.NewKeeper(), Admitter: fullAdmitter{}, Recorder: noRecorder{}, Clock: zeroClock{}, Quarantine: emptyQuarantine{}}}
+	d := &Dispatcher{o: Options{Keeper: snapshot.NewKeeper(), Admitter: refusingAdmitter{}, Recorder: noRecorder{}, Clock: zeroClock{}, Quarantine: emptyQuarantine{}}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
--- a/daemon/decide.go
+++ b/daemon/decide.go
@@ -57,8 +57,8 @@
 // priorityBatch is the batch at which the time between tokens is taken.
 const priorityBatch = 16
 
-// Apart implements dispatch.PathChooser.
-func (r *router) Apart(v *snapshot.View, q dispatch.Query) bool {
+// PreferSplit implements dispatch.PathChooser.
+func (r *router) PreferSplit(v *snapshot.View, q dispatch.Query) bool {
 	path, err := r.route.PickPath(v, queryOf(q))
 	return err == nil && path.Split
 }
@@ -90,12 +90,12 @@
 	done      func(ok bool)
 }
 
-// FirstToken implements dispatch.Attempt.
+// FirstToken implements dispatch.AttemptObserver.
 func (a *attempt) FirstToken(after time.Duration) {
 	a.r.route.RecordFirstToken(a.runner, a.predicted, after)
 }
 
-// End implements dispatch.Attempt. A cancelled attempt says nothing against the
+// End implements dispatch.AttemptObserver. A cancelled attempt says nothing against the
 // runner and counts as a success, so that a half-open breaker isn't kept open.
 func (a *attempt) End(o dispatch.AttemptOutcome, took time.Duration) {
 	a.done(o != dispatch.AttemptFailed)
--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -88,10 +88,10 @@
 	}
 }
 
-// brokenWork implements dispatch.Crashes.
+// brokenWork implements dispatch.CrashReporter.
 type brokenWork struct{ d *Daemon }
 
-// ReportBroken implements dispatch.Crashes.
+// ReportBroken implements dispatch.CrashReporter.
 func (b brokenWork) ReportBroken(u state.Upstream, s quarantine.Suspect) {
 	b.d.crashes.ReportBroken(runOf(u), s)
 }
