--- a/coordination/dispatch/call.go
+++ b/coordination/dispatch/call.go
@@ -11,20 +11,21 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// oneCall is the work of one call of a plain service.
+// callWork is the load of one call of a plain service.
 var callWork = snapshot.Work{Requests: 1}
 
-// statusFailed is the first status that says that the service itself failed.
+// minServerError is the lowest HTTP status by which a service reports its own failure. Only an
+// answer below it is reported to the quarantine as answered.
 const minServerError = 500
 
-// errForeignAnswer says that a service answered another attempt.
+// errForeignAnswer means that the answer of a service belongs to another attempt.
 var errForeignAnswer = errors.New("the answer carries another attempt's id and was discarded")
 
-// Call serves one call of a plain service. The error is a *Refusal. A ctx whose
-// deadline is the request's, or earlier, spares the dispatcher a timer.
+// Call serves one call of a plain service. Its error is a *Refusal. If ctx has a deadline no
+// later than the request's, the dispatcher needs no timer of its own.
 func (d *Dispatcher) Call(ctx context.Context, r *Request, c upstream.Call) (upstream.Answer, error) {
-	// A call under a key may have run before: its record is looked at first, and the call
-	// refused when it would be sent.
+	// An at-most-once call isn't refused here, because it may have run before: its record
+	// is read first, and startAttempt refuses the call if it would be sent.
 	if refusal := d.checkQuarantine(r); refusal != nil && !r.NotRepeatable {
 		d.record(r, state.DecisionAdmit, "refused", refusal.Message, nil)
 		return upstream.Answer{}, markNotRun(0, refusal)
@@ -41,7 +42,7 @@
 	return d.callRepeatable(ctx, r, c)
 }
 
-// limit ends ctx after a time by the dispatcher's clock.
+// withTimeout returns a context that ends after the given time of the dispatcher's clock.
 func (d *Dispatcher) withTimeout(ctx context.Context, after time.Duration) (context.Context, context.CancelFunc) {
 	ctx, stop := context.WithCancel(ctx)
 	go func() {
@@ -52,8 +53,8 @@
 	return ctx, stop
 }
 
-// untilDeadline ends ctx at the request's deadline. One that ends by itself by
-// then is left as it is, which saves a goroutine for each call.
+// withDeadline returns a context that ends at the request's deadline. If ctx itself ends by
+// then, it is returned unchanged, which saves a goroutine per call.
 func (d *Dispatcher) withDeadline(ctx context.Context, r *Request) (context.Context, context.CancelFunc) {
 	if end, ok := ctx.Deadline(); ok && !end.After(r.Deadline) {
 		return ctx, func() {}
@@ -61,14 +62,16 @@
 	return d.withTimeout(ctx, d.timeLeft(r))
 }
 
-// callerLeft reports whether ctx ended before its deadline.
+// isCancelled reports whether the caller cancelled ctx before its deadline.
 func isCancelled(ctx context.Context) bool {
 	return ctx.Err() != nil && !errors.Is(ctx.Err(), context.DeadlineExceeded)
 }
 
-// left is the time to the request's deadline.
+// timeLeft returns the time until the request's deadline; negative after it.
 func (d *Dispatcher) timeLeft(r *Request) time.Duration { return r.Deadline.Sub(d.o.Clock.Now()) }
 
+// callRepeatable makes attempts until one succeeds, the deadline passes or the retries are
+// used up.
 func (d *Dispatcher) callRepeatable(ctx context.Context, r *Request, c upstream.Call) (upstream.Answer, error) {
 	d.o.Retries.CountRequest(r.Service)
 	callCtx, stop := d.withDeadline(ctx, r)
@@ -92,7 +95,8 @@
 	}
 }
 
-// refuseCall decides whether a failed attempt was the last. ctx is the caller's.
+// refuseCall returns the refusal after a failed attempt, or nil if another attempt follows
+// after the pause. attempt is the number of attempts made; ctx is the caller's.
 func (d *Dispatcher) refuseCall(ctx context.Context, r *Request, attempt int, pause time.Duration, err error) error {
 	var refusal *Refusal
 	switch {
@@ -112,7 +116,8 @@
 	return &Refusal{Reason: ReasonCancelled, Message: "the call was cancelled because its caller went away; send it again", Cause: ctx.Err()}
 }
 
-// callAt makes one attempt at a runner of the router's choice and returns its name.
+// callAt makes one attempt at a runner chosen by the router, other than the failed ones, and
+// returns the runner's name.
 func (d *Dispatcher) callAt(ctx context.Context, r *Request, c upstream.Call, failedRunners []string) (upstream.Answer, string, error) {
 	q := Query{Request: r, Part: Whole, Work: callWork, Exclude: failedRunners}
 	e, err := d.startAttempt(q)
@@ -138,8 +143,8 @@
 	return a, name, nil
 }
 
-// send sends the call unless its deadline has passed by now, as when this host
-// was paused.
+// send sends the call, unless its deadline has passed, for example because this host was
+// suspended.
 func (d *Dispatcher) send(ctx context.Context, e *activeAttempt, r *Request, c upstream.Call) (upstream.Answer, error) {
 	if d.timeLeft(r) <= 0 {
 		return upstream.Answer{}, &upstream.SendError{Upstream: e.Runner.Name, Cause: errDeadline}
--- a/coordination/dispatch/call_test.go
+++ b/coordination/dispatch/call_test.go
@@ -19,13 +19,13 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// keyAt makes a key of the moment.
+// keyAt returns a key, a UUIDv7, with the timestamp t.
 func keyAt(t time.Time) string {
 	ms := uint64(t.UnixMilli())
 	return uuid.UUID{byte(ms >> 40), byte(ms >> 32), byte(ms >> 24), byte(ms >> 16), byte(ms >> 8), byte(ms), 0x70, 0, 0x80}.String()
 }
 
-// withClaims gives the world a claimer at the platform. The returned function
+// withClaims gives the world a claimer that stores its claims in p. The returned function
 // stops it.
 func (w *world) withClaims(t *testing.T, p *storetest.Platform, host string) func() {
 	t.Helper()
@@ -40,7 +40,7 @@
 	return func() { cancel(); running.Wait() }
 }
 
-// call sends one call; a key makes it one that may not be repeated.
+// call sends one call; with a key, it is an at-most-once call.
 func (w *world) call(ctx context.Context, key string, first bool) (upstream.Answer, error) {
 	now := time.Now()
 	r := &dispatch.Request{
@@ -76,7 +76,7 @@
 	}{
 		{"no runner", nil, true, dispatch.ReasonNoUpstream, true, 0},
 		{"every attempt fails", []callFault{callLost, callLost, callLost}, false, dispatch.ReasonUpstream, false, 2 * backoff},
-		{"it hangs", []callFault{callHung}, false, dispatch.ReasonDeadline, false, deadline},
+		{"the attempt hangs", []callFault{callHung}, false, dispatch.ReasonDeadline, false, deadline},
 	}
 	for i := range 2 * len(cases) {
 		c := cases[i/2]
@@ -91,7 +91,7 @@
 				w.start(t)
 				now := time.Now()
 				ctx := t.Context()
-				if i%2 == 0 { // a context that ends with the deadline by itself
+				if i%2 == 0 { // a context that has the request's deadline
 					var cancel context.CancelFunc
 					ctx, cancel = context.WithDeadline(ctx, now.Add(deadline))
 					defer cancel()
@@ -140,7 +140,7 @@
 		is.Equal(reasonOf(err), dispatch.ReasonRunning)
 		is.Equal(time.Since(now), deadline)
 		is.Equal(w.d.Running(), int64(1))
-		is.Equal(w.admitter.released.Load(), int64(0)) // it still takes its room
+		is.Equal(w.admitter.released.Load(), int64(0)) // its grant isn't released yet
 		time.Sleep(slowCall)
 		is.Equal(w.d.Running(), int64(0))
 		is.NoErr(w.checkReleased())
@@ -158,7 +158,7 @@
 		w := newWorld()
 		defer w.withClaims(t, p, "a")()
 		w.start(t)
-		time.Sleep(time.Second) // the layout of the claims is written first
+		time.Sleep(time.Second) // the claimer writes its layout first
 		key := keyAt(time.Now())
 		puts := 0
 		p.SetScript(func(c storetest.Call) storetest.Fault {
@@ -166,7 +166,7 @@
 				puts++
 			}
 			if puts > 1 {
-				time.Sleep(2 * deadline) // the platform is slow from the second write on
+				time.Sleep(2 * deadline) // only the first write, the claim, is fast
 			}
 			return storetest.None
 		})
@@ -200,8 +200,8 @@
 	})
 }
 
-// TestNotRunIsNotSaidOfAKeyUsedBefore refuses the repetition of a call that has
-// run, before its claim can be looked at.
+// A call has run; a repetition that is refused before its claim is read must not be refused
+// as "not run".
 func TestUsedKeyIsNotRefusedAsNotRun(t *testing.T) {
 	cases := map[string]func(w *world){
 		"overloaded": func(w *world) {
@@ -228,7 +228,7 @@
 				} else {
 					is.Equal(string(a.Body), "done "+key)
 				}
-				// A key that was never sent before may be said not to have run.
+				// A refusal for a key that was never sent before may say "not run".
 				_, err = w.call(t.Context(), keyAt(time.Now().Add(time.Millisecond)), true)
 				is.True(errors.As(err, &refusal) && refusal.NotRun)
 			})
@@ -262,7 +262,7 @@
 		w.start(t)
 		picks := 0
 		w.router.afterPick = func(string) {
-			if picks++; picks == 2 { // the first is only a look
+			if picks++; picks == 2 { // the first one only checks that there is a runner
 				time.Sleep(deadline + time.Millisecond)
 			}
 		}
--- a/coordination/dispatch/crashes_test.go
+++ b/coordination/dispatch/crashes_test.go
@@ -15,15 +15,12 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// What was seen where routes are forwarded: a request that ends whatever runs it came again and
-// again, and each copy ended another engine. Here one attempt of a caller alone could cost
-// MaxAttempts engines, four times as many once its answer had begun, and each copy as many again.
-//
-// Cause: attempts are bounded for each request at its host. Nothing knew its copies.
-//
-// Proof: three hosts that share engines; the engines that a prompt ends are counted.
+// A request that crashes engines must be stopped across hosts: attempts are bounded only for
+// one request at its host, so a single copy could otherwise crash MaxAttempts engines, four
+// times as many once its answer had started, and each further copy as many again. Three hosts
+// share crash reports, and the attempts at the crashing prompt are counted.
 func TestCrashingRequestEndsFewEngines(t *testing.T) {
-	for name, tokensBefore := range map[string]int{"before its answer": 0, "after its answer began": 2} {
+	for name, tokensBefore := range map[string]int{"before the first token": 0, "after two tokens": 2} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -33,14 +30,14 @@
 					failAt := tokensBefore
 					host.engines.faultOf = func(string) plannedFault {
 						a := plannedFault{broken, failAt}
-						failAt = 0 // it goes on after what was given
+						failAt = 0 // a resumption continues after the tokens delivered
 						return a
 					}
 					_, _, err := host.ask(t.Context(), promptOf("deadly", 5), 1)
 					is.True(err != nil)
 					host.engines.faultOf = nil
 					s, _, err := host.ask(t.Context(), promptOf(fmt.Sprint("other", n), 3), 1)
-					is.NoErr(s.check(err)) // others are served all the while
+					is.NoErr(s.check(err)) // other requests are still served
 					time.Sleep(time.Second)
 				}
 				crashes := 0
@@ -51,18 +48,18 @@
 						}
 					}
 				}
-				t.Logf("%d engines ended", crashes)
+				t.Logf("%d engines crashed", crashes)
 				is.True(crashes <= maxEngineCrashes)
 			})
 		})
 	}
 }
 
-// mostEnded is two crashes that hold a request, and as many attempts as are made before they
-// are told.
+// maxEngineCrashes is the two crashes that quarantine a request, plus as many attempts made
+// before all hosts know of them.
 const maxEngineCrashes = 4
 
-// A request that is held reaches no upstream, and its caller is told truly whether it ran.
+// A quarantined request reaches no upstream, and its refusal correctly says "not run".
 func TestQuarantinedRequestReachesNoUpstream(t *testing.T) {
 	hold := func(f *crashFleet, d quarantine.Digest) {
 		for n := range int64(2) {
@@ -95,8 +92,8 @@
 	})
 }
 
-// Calls that break off are told, answered ones clear what was held against them; refusals and
-// connections that could not be made say nothing.
+// A call that breaks off is reported as a possible crash, and one that is answered clears the
+// request. Refusals and failed connections are not reported.
 func TestBrokenCallsAreReported(t *testing.T) {
 	for name, c := range map[string]struct {
 		plan    []callFault
--- a/coordination/dispatch/crashfleet_test.go
+++ b/coordination/dispatch/crashfleet_test.go
@@ -11,8 +11,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// crashFleet is hosts with engines of their own, each of which ends under a request that
-// breaks off there.
+// crashFleet is a set of hosts, each with engines of its own, that share crash reports. An
+// engine crashes when a request breaks off there.
 type crashFleet struct {
 	hosts []*world
 
@@ -21,7 +21,7 @@
 	crashes int
 }
 
-// toldAfter is the time in which a crash is found and told to all hosts.
+// crashReportDelay is the time until a crash is detected and known to all hosts.
 const crashReportDelay = 50 * time.Millisecond
 
 func newCrashFleet(t *testing.T, n int) *crashFleet {
@@ -38,19 +38,20 @@
 	return f
 }
 
-// patientRetries allows every retry after pauses like the daemon's: the shortest ones.
+// exponentialRetries allows every retry, with pauses as short as those of the daemon.
 type exponentialRetries struct{ unlimitedRetries }
 
 func (exponentialRetries) Backoff(attempt int) time.Duration { return backoff << (attempt - 1) }
 
-// crashHost is a host's part of the fleet's quarantine.
+// crashHost implements dispatch.CrashReporter and dispatch.Quarantine for one host.
 type crashHost struct {
 	f     *crashFleet
 	name  string
 	table *quarantine.Table
 }
 
-// ReportBroken implements dispatch.Crashes: the engine has ended, which all hosts hear.
+// ReportBroken implements dispatch.CrashReporter. It takes every report for a crash, which
+// all hosts know of after crashReportDelay.
 func (h *crashHost) ReportBroken(u state.Upstream, s quarantine.Suspect) {
 	h.f.mu.Lock()
 	h.f.crashes++
--- a/coordination/dispatch/dispatch.go
+++ b/coordination/dispatch/dispatch.go
@@ -1,7 +1,7 @@
-// Package dispatch carries one classified request through admission, routing
-// and its attempts at upstreams, and keeps the promises on the way: each token
-// once, each answer its own, nothing repeated that may not be, and "not run"
-// only when it is true.
+// Package dispatch serves one classified request: it admits it, routes it, and makes
+// attempts at upstreams. It guarantees that each token is delivered once, that an answer
+// belongs to its own request, that an at-most-once call isn't repeated, and that a refusal
+// says "not run" only if the request ran nowhere.
 package dispatch
 
 import (
@@ -18,98 +18,106 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Request is one classified request.
+// Request is a request with the attributes that classification has assigned to it.
 type Request struct {
-	// ID is the request id that the caller knows.
+	// ID is the request id, which the caller also knows.
 	ID       string
 	Customer string
-	Class    string
-	Urgent   bool
-	Weight   float64
-	Service  string
-	// MaxTokens bounds the output of a model request.
+	// Class is the name of the request's state.Class.
+	Class  string
+	Urgent bool
+	// Weight is the customer's relative share of the admitted work; zero means 1.
+	Weight  float64
+	Service string
+	// MaxTokens bounds the output of a model request, in tokens.
 	MaxTokens int
-	// FailureDomain is the host's own, preferred among equals.
+	// FailureDomain is that of this host. Among equal runners, one in it is preferred.
 	FailureDomain string
 	ArrivedAt     time.Time
 	Deadline      time.Time
-	// NotRepeatable requests run at most once, under Key.
+	// NotRepeatable marks an at-most-once call; Key is its idempotency key.
 	NotRepeatable bool
 	Key           string
-	// First is the caller's statement that it never sent the key before.
+	// First is true if the caller states that it has never sent Key before.
 	First bool
-	// Fingerprint is a hash of the request's content, which tells the uses of a key apart;
-	// Digest is what nobody can make another request's equal to.
+	// Fingerprint is a hash of the request's content that detects different calls under
+	// one key. Digest is a cryptographic hash of the content, which identifies the request in the
+	// quarantine: no caller can make another request with the same digest.
 	Fingerprint uint64
 	Digest      quarantine.Digest
-	// Explain asks for a record of the candidates of each choice.
+	// Explain is true if the candidates of each choice are to be recorded.
 	Explain bool
 }
 
-// Part is the share of a model request that a runner is chosen for.
+// Part is the part of a model request that a runner is chosen for.
 type Part int
 
 // The parts of a model request.
 const (
-	// Whole is prompt and output on one engine.
+	// Whole is prefill and decode at one engine.
 	Whole Part = iota
-	// Prefill is the prompt alone.
+	// Prefill computes the KV cache of the prompt.
 	Prefill
-	// Decode is the output, from an imported KV cache.
+	// Decode generates the output from an imported KV cache.
 	Decode
 )
 
-// Query asks a Router for a runner.
+// Query describes a request, or a part of one, to a Router.
 type Query struct {
 	Request *Request
 	Part    Part
 	Model   string
-	// Work is the load that the request will put on the runner.
+	// Work is the load that the request adds to the runner.
 	Work snapshot.Work
-	// Prefixes are the hashes of growing prefixes of the prompt.
+	// Prefixes are the hashes of increasingly long prefixes of the prompt.
 	Prefixes []uint64
-	// Exclude names runners that have failed this request.
+	// Exclude lists runners that must not be chosen: those that failed this request, or
+	// accept no work.
 	Exclude []string
 }
 
-// Choice is a Router's answer.
+// Choice is the runner that a Router chose for a query.
 type Choice struct {
 	Runner *snapshot.Runner
-	// CachedTokens are prompt tokens thought to be in the runner's cache.
+	// CachedTokens is the predicted number of prompt tokens in the runner's cache.
 	CachedTokens int
 	// FirstToken is the predicted time to the first token.
 	FirstToken time.Duration
-	// Priority is the runner's order of waiting work; larger goes first.
-	Priority   int
-	Why        string
+	// Priority orders the requests that wait at the runner; the largest goes first.
+	Priority int
+	// Why explains the choice in the decision record.
+	Why string
+	// Candidates are the runners compared; set only if Request.Explain is.
 	Candidates []state.Candidate
 }
 
-// Router chooses runners. It returns a *Refusal when there is none.
+// Router chooses runners.
 type Router interface {
+	// Pick chooses a runner for the query. It returns a *Refusal if there is none.
 	Pick(v *snapshot.View, q Query) (Choice, error)
-	// Begin notes that an attempt at the chosen runner starts. It returns false
-	// when the runner must not be used after all.
+	// Begin records that an attempt at the chosen runner starts. It returns false if the
+	// runner must not be used, for example because its circuit breaker is open.
 	Begin(q Query, c Choice) (AttemptObserver, bool)
 }
 
-// PathChooser is a Router that can tell whether a model request is finished sooner
-// with its prompt and its output on engines of their own.
+// PathChooser is implemented by a Router that can predict whether a model request
+// completes sooner if its prefill and its decode run at separate engines.
 type PathChooser interface {
-	// Apart is asked only when there are engines for either way.
+	// PreferSplit reports whether the split path is faster. It is called only if engines
+	// for both paths are available.
 	PreferSplit(v *snapshot.View, q Query) bool
 }
 
-// AttemptObserver takes note of how one attempt went.
+// AttemptObserver receives the progress and the outcome of one attempt.
 type AttemptObserver interface {
-	// FirstToken is called once, with the time since the attempt began.
+	// FirstToken is called at most once, with the time since the attempt began.
 	FirstToken(after time.Duration)
-	// End is called once; it is neither a success nor a failure of the runner
-	// when the attempt was cancelled from this side.
+	// End is called once. An attempt that this host cancelled is neither a success nor a
+	// failure of the runner.
 	End(o AttemptOutcome, took time.Duration)
 }
 
-// AttemptOutcome is how an attempt ended.
+// AttemptOutcome is the result of an attempt.
 type AttemptOutcome int
 
 // The outcomes of an attempt.
@@ -119,59 +127,71 @@
 	AttemptCancelled
 )
 
-// Admitter holds a request back until there is room for it. It returns a
-// *Refusal at once when the deadline can't be kept.
+// Admitter admits requests when there is capacity for them.
 type Admitter interface {
+	// Admit waits for capacity. It returns a *Refusal at once if the deadline can't be met.
 	Admit(ctx context.Context, r *Request, cost snapshot.Work) (Grant, error)
 }
 
-// Grant is the right to run one request.
+// Grant is the capacity that was reserved for one request.
 type Grant interface {
-	// FirstToken gives the room of the prompt back.
+	// FirstToken releases the capacity reserved for the prefill.
 	FirstToken()
-	// Done gives all room back.
+	// Done releases all capacity.
 	Done()
 }
 
-// Retries limits further attempts to a share of the traffic.
+// Retries limits retries to a share of each service's requests and paces them.
 type Retries interface {
-	// CountRequest counts a first attempt; Allow asks for a further one.
+	// CountRequest counts a request, at its first attempt.
 	CountRequest(service string)
+	// Allow takes a retry from the service's budget and reports whether there was one.
 	Allow(service string) bool
-	// Backoff is the pause before the given further attempt, counted from 1.
+	// Backoff returns the pause before the given retry, counted from 1.
 	Backoff(attempt int) time.Duration
 }
 
-// Claimer records calls that may not be repeated.
+// Claimer records at-most-once calls under their keys.
 type Claimer interface {
+	// Begin claims the key for the call, or returns the outcome recorded for it.
 	Begin(ctx context.Context, c claim.Call) (*claim.Held, *claim.Outcome, error)
-	// Show reads a key's record without claiming it.
+	// Show reads the record of a key without claiming it.
 	Show(ctx context.Context, key string) (state.Claim, error)
 }
 
-// Recorder keeps decisions for the operators' questions.
+// Recorder stores decisions, which operators can query.
 type Recorder interface {
 	Record(d state.Decision)
 }
 
-// Counter names what the dispatcher counts.
+// Counter is the name of a counter of the dispatcher.
 type Counter string
 
 // The counters.
 const (
-	CountAttempts        Counter = "attempts"
-	CountRetries         Counter = "retries"
-	CountResumptions     Counter = "resumptions"
+	// CountAttempts counts attempts, including first ones.
+	CountAttempts Counter = "attempts"
+	// CountRetries counts retries of requests that had delivered no token.
+	CountRetries Counter = "retries"
+	// CountResumptions counts resumptions of started answers.
+	CountResumptions Counter = "resumptions"
+	// CountForeignEvents, CountDuplicateEvents and CountReordered count irregular events of
+	// streams; see stream.Counts.
 	CountForeignEvents   Counter = "foreign_events"
 	CountDuplicateEvents Counter = "doubled_events"
 	CountReordered       Counter = "reordered_events"
-	CountReroutes        Counter = "reroutes_after_drain"
-	CountSplitPrefills   Counter = "prefill_apart"
-	CountSplitFailures   Counter = "prefill_apart_failed"
-	CountForeignAnswers  Counter = "foreign_answers"
+	// CountReroutes counts choices that were repeated because the runner accepted no more
+	// work, as when it had begun to drain.
+	CountReroutes Counter = "reroutes_after_drain"
+	// CountSplitPrefills counts successful prefills for a separate decode engine;
+	// CountSplitFailures counts rounds whose split prefill or decode failed.
+	CountSplitPrefills Counter = "prefill_apart"
+	CountSplitFailures Counter = "prefill_apart_failed"
+	// CountForeignAnswers counts answers of plain services to another attempt.
+	CountForeignAnswers Counter = "foreign_answers"
 )
 
-// Meter counts events and observes times.
+// Meter counts the dispatcher's events.
 type Meter interface {
 	Count(c Counter, n int)
 }
@@ -187,40 +207,41 @@
 	Claimer  Claimer
 	Recorder Recorder
 	Meter    Meter
-	// Crashes is told of attempts that break off; Quarantine is asked before each.
+	// Crashes receives attempts that broke off; Quarantine is checked before each attempt.
 	Crashes    CrashReporter
 	Quarantine Quarantine
 	Clock      state.Clock
-	// NewID makes attempt ids that are unique over the fleet.
+	// NewID returns attempt ids that are unique in the fleet.
 	NewID func() string
-	// Host is the host's name, for the records.
+	// Host is the name of this host in decision records.
 	Host string
-	// MaxAttempts bounds the attempts of one request that has given no token.
+	// MaxAttempts bounds the attempts of a request that has delivered no token.
 	MaxAttempts int
-	// StallTimeout is the longest pause between two events of a stream.
+	// StallTimeout is the longest allowed time between two tokens of a stream.
 	StallTimeout time.Duration
-	// SplitPromptTokens is the prompt size from which prompt and output go to
-	// engines of their own when there are such.
+	// SplitPromptTokens is the prompt size, in tokens, from which prefill and decode run at
+	// separate engines. It is used only if Router isn't a PathChooser.
 	SplitPromptTokens int
-	// Isolated reports that this host may count as gone by now; nil means never.
-	// It is asked between the count and the sending of each attempt: a host that
-	// slept in between must not send on what it knew before.
+	// Isolated reports that the fleet may already consider this host gone; nil means never.
+	// It is checked after a runner was chosen and before the request is sent: a host that
+	// was suspended in between must not act on outdated state.
 	Isolated func() bool
-	// RecordTimeout bounds the write of a claim's outcome.
+	// RecordTimeout bounds the write of a claim's outcome, and the read of a record if there
+	// is no runner.
 	RecordTimeout time.Duration
 }
 
-// Dispatcher carries requests through. It is safe for concurrent use.
+// Dispatcher serves requests. It is safe for concurrent use.
 type Dispatcher struct {
 	o Options
-	// running counts the claimed calls that may have outlived their callers.
+	// running counts claimed calls in progress, which may outlive their callers.
 	running atomic.Int64
 }
 
-// Running returns the number of claimed calls that have no outcome yet.
+// Running returns the number of claimed calls without an outcome.
 func (d *Dispatcher) Running() int64 { return d.running.Load() }
 
-// New validates the options.
+// New returns a dispatcher, or an error if the options are invalid.
 func New(o Options) (*Dispatcher, error) {
 	if o.Keeper == nil || o.Engines == nil || o.Services == nil || o.Router == nil || o.Admitter == nil ||
 		o.Retries == nil || o.Claimer == nil || o.Recorder == nil || o.Meter == nil || o.Crashes == nil || o.Quarantine == nil || o.Clock == nil || o.NewID == nil {
@@ -235,7 +256,7 @@
 	return &Dispatcher{o: o}, nil
 }
 
-// Reason is why a request got no answer.
+// Reason is why a request wasn't served.
 type Reason string
 
 // The reasons of a Refusal.
@@ -253,21 +274,21 @@
 	ReasonNotRun       Reason = "did_not_run"
 	ReasonCancelled    Reason = "cancelled"
 	ReasonShutdown     Reason = "shutting_down"
-	// ReasonCrashes says that upstreams crashed under copies of the request.
+	// ReasonCrashes means that copies of the request crashed upstreams.
 	ReasonCrashes Reason = "crashes_upstreams"
 )
 
-// Refusal is the final answer to a request that isn't served. Its message names
-// the remedy.
+// Refusal is the final error of a request that wasn't served. Its message names the
+// remedy.
 type Refusal struct {
 	Reason  Reason
 	Message string
-	// RetryAfter is when coming back is worth while; zero when it isn't.
+	// RetryAfter is the time after which a retry may succeed; zero if none would.
 	RetryAfter time.Duration
-	// NotRun is true when it is certain that the request ran nowhere.
+	// NotRun is true only if it is certain that the request ran nowhere.
 	NotRun bool
-	// EarlierMayHaveRun is true when this request ran nowhere but an earlier one with the
-	// same key may have run; see EarlierMayHaveRun.
+	// EarlierMayHaveRun is true if this request ran nowhere but an earlier one with the
+	// same key may have run; see ClearNotRun.
 	EarlierMayHaveRun bool
 	Cause             error
 }
@@ -278,9 +299,9 @@
 // Unwrap returns the cause.
 func (r *Refusal) Unwrap() error { return r.Cause }
 
-// ClearNotRun takes "not run" back from a refusal that was made without looking at
-// the key's record: the key may belong to a call that ran at another host, and a
-// caller who is told "not run" would run it again under a new key.
+// ClearNotRun replaces NotRun by EarlierMayHaveRun in a refusal that was made without
+// reading the key's record. The key may belong to a call that ran at another host, and a
+// caller that receives "not run" would run it again under a new key.
 func ClearNotRun(err error) error {
 	var refusal *Refusal
 	if !errors.As(err, &refusal) || !refusal.NotRun {
@@ -294,6 +315,7 @@
 	return &cleared
 }
 
+// record stores a decision about the request with the version of the current configuration.
 func (d *Dispatcher) record(r *Request, kind state.DecisionKind, chosen, why string, c []state.Candidate) {
 	var version uint64
 	if cfg := d.o.Keeper.View().Config; cfg != nil {
@@ -305,7 +327,7 @@
 	})
 }
 
-// entered is an attempt that may start: the request is counted in.
+// activeAttempt is an attempt that is counted at its runner and may be sent.
 type activeAttempt struct {
 	Choice
 	ticket   *snapshot.Ticket
@@ -313,8 +335,8 @@
 	started  time.Time
 }
 
-// end counts the request out and tells the router how the attempt went. ctx is
-// the one whose end is no failure of the runner.
+// end removes the request from the runner's count and reports the outcome. If ctx has ended
+// or the deadline has passed, the attempt was cancelled and the runner hasn't failed.
 func (e *activeAttempt) end(ctx context.Context, clock state.Clock, err error) {
 	e.ticket.Done()
 	outcome := AttemptSucceeded
@@ -327,9 +349,9 @@
 	e.observer.End(outcome, clock.Now().Sub(e.started))
 }
 
-// cancel tells an engine that an attempt was given up. The connection is closed
-// as well, but an engine may only notice that at its next event, and a long
-// prompt has none.
+// cancelAttempt tells an engine in the background to stop an attempt. The connection is
+// closed as well, but an engine may notice that only at its next event, and there is none
+// during a long prefill.
 func (d *Dispatcher) cancelAttempt(u state.Upstream, attempt string) {
 	go func() {
 		ctx, stop := d.withTimeout(context.Background(), d.o.StallTimeout)
@@ -338,8 +360,8 @@
 	}()
 }
 
-// enter picks a runner and counts the request in. A runner that began to drain
-// between the choice and the count is left and the choice is made anew.
+// startAttempt chooses a runner and counts the request there. If the runner began to drain
+// or its circuit breaker opened after the choice, another one is chosen.
 func (d *Dispatcher) startAttempt(q Query) (*activeAttempt, error) {
 	for {
 		if refusal := d.checkQuarantine(q.Request); refusal != nil {
@@ -364,8 +386,7 @@
 		} else {
 			ticket.Done()
 		}
-		// The runner takes no work by now; excluding it makes each turn of the
-		// loop try another one.
+		// The runner accepts no more work. Excluding it makes each iteration try another one.
 		q.Exclude = append(q.Exclude[:len(q.Exclude):len(q.Exclude)], choice.Runner.Name)
 	}
 }
--- a/coordination/dispatch/engines_test.go
+++ b/coordination/dispatch/engines_test.go
@@ -16,52 +16,65 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// tokenInterval is the time between two events of an engine.
+// tokenInterval is the time between two events of a stream.
 const tokenInterval = 5 * time.Millisecond
 
-// fault is what an engine does to one attempt.
+// fault is a failure that an engine simulates in one attempt.
 type fault int
 
 const (
+	// noFault: the attempt succeeds.
 	noFault fault = iota
-	// unreached: the connection can't be made.
+	// unreached: the connection can't be established.
 	unreached
-	// rejected: an error answer in place of a stream.
+	// rejected: an error response instead of a stream.
 	rejected
-	// unaccepted: no answer to the request at all.
+	// unaccepted: no response at all.
 	unaccepted
-	// The following happen at event number at.
+	// cut: the connection ends. The faults from cut to silent occur at event number
+	// plannedFault.at.
 	cut
+	// broken: the connection fails.
 	broken
+	// duplicated: the event is sent twice.
 	duplicated
+	// swapped: the event is sent after the next one.
 	swapped
+	// missing: the event isn't sent.
 	missing
+	// foreign: an event of another attempt is sent before this one.
 	foreign
+	// foreignForever: only events of another attempt are sent from here on.
 	foreignForever
+	// earlyEnd: an end mark is sent before the event.
 	earlyEnd
+	// silent: the connection stays open without further events.
 	silent
-	// unended: the connection ends after the last token, before the end mark.
+	// noEndMark: the connection ends after the last token, before the end mark.
 	noEndMark
+	// endTwice: the end mark is sent twice.
 	endTwice
+	// faultCount is the number of faults.
 	faultCount
 )
 
-// act is one attempt's fault.
+// plannedFault is the fault of one attempt and the number of the event at which it occurs.
 type plannedFault struct {
 	fault fault
 	at    int
 }
 
-// engines are all engines of a fleet. They give the text that follows from the
-// prompt and go on after the tokens given.
+// engines simulates all engines of a fleet. The answer to a prompt is determined by the
+// prompt; a resumed attempt continues after the given tokens.
 type engines struct {
-	// plan holds the acts of the attempts in their order; whole ones follow.
+	// plan lists the faults of the attempts in order; later attempts succeed.
 	plan []plannedFault
-	// of, if set, decides by engine instead.
+	// faultOf, if set, returns the fault by engine instead.
 	faultOf func(engine string) plannedFault
-	// prefill, if set, is the outcome of prefills.
+	// prefill, if set, returns the result of a prefill.
 	prefill func(ctx context.Context, engine string) error
 
+	// open is the number of open streams.
 	open atomic.Int64
 
 	mu        sync.Mutex
@@ -70,7 +83,7 @@
 	cancelled []string
 }
 
-// seen is one attempt as an engine saw it.
+// received is one attempt as its engine received it.
 type received struct {
 	engine string
 	upstream.Generate
@@ -139,15 +152,15 @@
 	return nil
 }
 
-// step is one event, an error or, with neither, endless silence.
+// step is one event, an error or, if neither is set, silence.
 type step struct {
 	event *upstream.Event
 	err   error
-	// forever repeats the event without end.
+	// forever repeats the event endlessly.
 	forever bool
 }
 
-// script lists the steps of one attempt.
+// stepsOf returns the steps of one attempt.
 func stepsOf(g upstream.Generate, a plannedFault) []step {
 	var steps []step
 	add := func(e upstream.Event) { steps = append(steps, step{event: &e}) }
@@ -158,7 +171,7 @@
 			e.Finish = "stop"
 		}
 		if i >= total {
-			// An answer whose tokens were all given gets an empty last event.
+			// If all tokens were given already, the engine sends an empty last event.
 			e.Text, e.Finish = "", "stop"
 		}
 		return e
@@ -210,7 +223,7 @@
 	return append(steps, step{err: io.EOF})
 }
 
-// tokens is one stream.
+// fakeStream is the stream of one attempt.
 type fakeStream struct {
 	e      *engines
 	ctx    context.Context
@@ -257,21 +270,23 @@
 	})
 }
 
-// promptOf makes a prompt whose answer has n tokens.
+// promptOf returns a prompt whose answer has n tokens.
 func promptOf(name string, n int) string { return name + " " + strconv.Itoa(n) }
 
+// lengthOf returns the number of tokens in the answer to a prompt.
 func lengthOf(prompt string) int {
 	_, n, _ := strings.Cut(prompt, " ")
 	total, _ := strconv.Atoi(n)
 	return total
 }
 
+// tokenOf returns token i of the answer to a prompt.
 func tokenOf(prompt string, i int) string {
 	name, _, _ := strings.Cut(prompt, " ")
 	return name + ":" + strconv.Itoa(i) + " "
 }
 
-// sink takes an answer and notes what an answer must not show.
+// sink receives an answer and records a deviation from the expected one in problem.
 type sink struct {
 	mu      sync.Mutex
 	prompt  string
@@ -306,8 +321,8 @@
 	s.finish = reason
 }
 
-// check compares the answer with the oracle: the text that the prompt
-// determines, whole if Generate said so, else a part of it and a refusal.
+// check compares the answer with the one that the prompt determines: it must be complete if
+// err is nil, and otherwise a prefix of it with a *dispatch.Refusal.
 func (s *sink) check(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -316,19 +331,19 @@
 	}
 	if err == nil {
 		if s.finish == "" {
-			return fmt.Errorf("called whole after %d tokens without an end", len(s.tokens))
+			return fmt.Errorf("Generate returned nil after %d tokens without a finish reason", len(s.tokens))
 		}
 		return nil
 	}
 	var refusal *dispatch.Refusal
 	if !errors.As(err, &refusal) || refusal.Reason == "" || refusal.Message == "" {
-		return fmt.Errorf("given up without a refusal that names the remedy: %w", err)
+		return fmt.Errorf("failed without a refusal that names the remedy: %w", err)
 	}
 	if s.finish != "" {
-		return fmt.Errorf("finished and refused: %w", err)
+		return fmt.Errorf("the answer was both finished and refused: %w", err)
 	}
 	if refusal.NotRun && len(s.tokens) > 0 {
-		return fmt.Errorf("said to be not run after %d tokens", len(s.tokens))
+		return fmt.Errorf("refused as not run after %d tokens", len(s.tokens))
 	}
 	return nil
 }
--- a/coordination/dispatch/generate.go
+++ b/coordination/dispatch/generate.go
@@ -11,54 +11,56 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// resumeFactor times MaxAttempts bounds the attempts of a request that has given
-// tokens.
+// resumeFactor times MaxAttempts bounds the rounds in which a started answer is resumed.
 const resumeFactor = 4
 
-// Completion is a model request.
+// Completion is the content of a model request.
 type Completion struct {
 	Model     string
 	Prompt    upstream.Prompt
 	MaxTokens int
-	// PromptTokens and ExpectedOutput are estimates.
+	// PromptTokens and ExpectedOutput are estimates, in tokens.
 	PromptTokens   int
 	ExpectedOutput int
-	Prefixes       []uint64
+	// Prefixes are the hashes of increasingly long prefixes of the prompt.
+	Prefixes []uint64
 }
 
-// Sink takes the tokens of an answer in order, each once.
+// Sink receives the tokens of an answer, in order and each once.
 type Sink interface {
-	// Tokens returns the tokens taken so far.
+	// Tokens returns the tokens received so far.
 	Tokens() []string
 	Append(token string)
-	// Finish marks the answer whole; reason is "stop" or "length".
+	// Finish completes the answer; reason is "stop" or "length".
 	Finish(reason string)
 }
 
-// generation is the state of one model request on its way. It makes turns, each
-// of which is one attempt, or two when prompt and output go apart.
+// generation is the state of a model request in progress. It runs in rounds, each of which
+// is one attempt, or two if prefill and decode are split.
 type generation struct {
 	d     *Dispatcher
 	r     *Request
 	c     *Completion
 	sink  Sink
 	grant Grant
-	// attempts counts the attempts that were started.
+	// attempts counts the attempts started.
 	attempts int
-	// failures counts the failed turns since the last token.
+	// failedRounds counts the failed rounds since the last token.
 	failedRounds int
-	// spent counts the turns that a begun answer may have cost an engine.
+	// resumeRounds counts the failed rounds of a started answer that may have cost an engine
+	// work, and all of them after the deadline.
 	resumeRounds int
-	// together is set once prompt and output have failed apart.
+	// splitFailed is set when a split prefill or decode has failed. From then on the request
+	// is split only if no engine does both.
 	splitFailed bool
-	// failed names the runners that have failed this request.
+	// failedRunners names the runners that failed this request.
 	failedRunners []string
 }
 
-// Generate serves a model request into sink. It returns nil once the answer is
-// whole, or a *Refusal. A stream that breaks is resumed elsewhere from the
-// tokens already given. The deadline ends a request that has given nothing yet;
-// an answer that the caller is already receiving is finished.
+// Generate serves a model request into sink. It returns nil once the answer is complete, or
+// a *Refusal. An interrupted stream is resumed at another engine from the tokens already
+// delivered. The deadline ends a request that has delivered no token; an answer that the
+// caller is already receiving is completed.
 func (d *Dispatcher) Generate(ctx context.Context, r *Request, c *Completion, sink Sink) error {
 	if refusal := d.checkQuarantine(r); refusal != nil {
 		d.record(r, state.DecisionAdmit, "refused", refusal.Message, nil)
@@ -76,6 +78,8 @@
 	return err
 }
 
+// recordEnd records the outcome of the request, and reports a complete answer to the
+// quarantine.
 func (g *generation) recordEnd(err error) {
 	if err != nil {
 		g.d.record(g.r, state.DecisionAnswer, "failed", err.Error(), nil)
@@ -85,7 +89,8 @@
 	g.d.record(g.r, state.DecisionAnswer, "whole", fmt.Sprintf("%d tokens given", len(g.sink.Tokens())), nil)
 }
 
-// work is the load of the request once given tokens are there already.
+// work returns the load of the request after the given number of tokens was delivered. A
+// resumed answer prefills those too.
 func (c *Completion) work(given int) snapshot.Work {
 	return snapshot.Work{
 		Requests:      1,
@@ -94,6 +99,7 @@
 	}
 }
 
+// run runs rounds until the answer is complete or the request is refused.
 func (g *generation) run(ctx context.Context) error {
 	g.d.o.Retries.CountRequest(g.r.Service)
 	for {
@@ -116,8 +122,7 @@
 	}
 }
 
-// next decides what follows a failed turn: another one after a pause, or a
-// refusal.
+// afterFailure decides what follows a failed round: another one after a pause, or a refusal.
 func (g *generation) afterFailure(ctx context.Context, err error) (time.Duration, *Refusal) {
 	if ctx.Err() != nil {
 		return 0, g.refuseCancelled(ctx)
@@ -129,9 +134,9 @@
 	return g.retry(err)
 }
 
-// repeat decides for a request that has given nothing. It is refused as soon as
-// no further turn can be made in time, and further turns are taken from the
-// service's retry budget.
+// retry decides for a request that has delivered no token. It is refused as soon as no
+// further round can start before the deadline. Further rounds use up the service's retry
+// budget.
 func (g *generation) retry(err error) (time.Duration, *Refusal) {
 	left := g.timeLeft()
 	pause := g.d.o.Retries.Backoff(g.failedRounds)
@@ -152,10 +157,9 @@
 	return pause, nil
 }
 
-// resume decides for an answer that has begun. The caller would otherwise hold
-// half of it, so neither the deadline nor the retry budget ends it; it waits for
-// a runner until the deadline, and the attempts that may cost an engine work are
-// bounded by themselves.
+// resume decides for a started answer. Its caller would be left with an incomplete answer,
+// so neither the deadline nor the retry budget ends it. Until the deadline it may wait for a
+// runner; the rounds that may cost an engine work are bounded by resumeFactor.
 func (g *generation) resume(err error) (time.Duration, *Refusal) {
 	var refusal *Refusal
 	noRunner := errors.As(err, &refusal)
@@ -163,7 +167,7 @@
 		return 0, refusal
 	}
 	if noRunner {
-		g.failedRunners = nil // the runners that failed may be well again
+		g.failedRunners = nil // the failed runners may have recovered
 	}
 	free := noRunner || upstream.NeverSent(err)
 	if !free || g.timeLeft() <= 0 {
@@ -176,14 +180,15 @@
 	return g.d.o.Retries.Backoff(g.failedRounds), nil
 }
 
-// left is the time to the deadline; negative once it has passed.
+// timeLeft returns the time until the deadline; negative after it.
 func (g *generation) timeLeft() time.Duration { return g.r.Deadline.Sub(g.d.o.Clock.Now()) }
 
 func (g *generation) refuseCancelled(ctx context.Context) *Refusal {
 	return &Refusal{Reason: ReasonCancelled, Message: "the request was cancelled because its caller went away; send it again", Cause: ctx.Err()}
 }
 
-// enter starts an attempt and records the choice.
+// startAttempt starts an attempt and records the choice, its reason prefixed by whyPrefix. A
+// refusal before the first attempt is marked as "not run".
 func (g *generation) startAttempt(q Query, whyPrefix string) (*activeAttempt, error) {
 	e, err := g.d.startAttempt(q)
 	if err != nil {
@@ -194,7 +199,7 @@
 	return e, nil
 }
 
-// neverRun marks a refusal that came before any attempt as "not run".
+// markNotRun marks a refusal as "not run" if no attempt was made before it.
 func markNotRun(attempts int, err error) error {
 	var refusal *Refusal
 	if attempts > 0 || !errors.As(err, &refusal) {
@@ -216,9 +221,9 @@
 	}
 }
 
-// firstLimit is how long an engine may take to the first token, and whether the
-// deadline sets it. It may take half of the time left: a prompt can wait behind
-// others.
+// firstTokenTimeout returns how long an engine may take until the first token, and whether
+// that is the time until the deadline. It is half of the time left, but at least the stall
+// timeout, since a prompt may wait behind others.
 func (g *generation) firstTokenTimeout() (limit time.Duration, byDeadline bool) {
 	left := g.timeLeft()
 	limit = max(g.d.o.StallTimeout, left/2)
--- a/coordination/dispatch/generate_test.go
+++ b/coordination/dispatch/generate_test.go
@@ -22,8 +22,7 @@
 
 const deadline = 4 * time.Second
 
-// ask sends one model request and returns its answer, what it came to and how
-// long that took.
+// ask sends one model request and returns its answer, how long it took and its error.
 func (w *world) ask(ctx context.Context, prompt string, promptTokens int) (*sink, time.Duration, error) {
 	s := &sink{prompt: prompt}
 	now := time.Now()
@@ -33,6 +32,7 @@
 	return s, time.Since(now), err
 }
 
+// reasonOf returns the reason of a refusal; empty for other errors.
 func reasonOf(err error) dispatch.Reason {
 	var refusal *dispatch.Refusal
 	if errors.As(err, &refusal) {
@@ -41,8 +41,8 @@
 	return ""
 }
 
-// TestHoldsOwnWholeAnswer breaks attempts at every event and in every
-// way. The oracle is the text that the prompt determines.
+// TestHoldsOwnWholeAnswer makes attempts fail in every way at every event. Each caller must
+// get the complete answer that its prompt determines, or a refusal in time.
 func TestHoldsOwnWholeAnswer(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(rt, "tokens")
@@ -70,14 +70,14 @@
 	})
 }
 
-// judge checks what a caller may expect beyond the text: an answer that has
-// begun is finished, and a refusal isn't held back beyond the deadline.
+// checkRefusal checks a failed request: a started answer must be completed, and a refusal
+// must arrive by the deadline.
 func checkRefusal(s *sink, err error, took time.Duration) error {
 	if err == nil {
 		return nil
 	}
 	if len(s.tokens) > 0 {
-		return fmt.Errorf("an answer was cut after %d tokens: %w", len(s.tokens), err)
+		return fmt.Errorf("a started answer failed after %d tokens: %w", len(s.tokens), err)
 	}
 	if took > deadline {
 		return fmt.Errorf("refused after %v, %v past the deadline: %w", took, took-deadline, err)
@@ -88,11 +88,11 @@
 func TestStartedAnswerCompletesAfterDeadline(t *testing.T) {
 	cases := []struct {
 		name string
-		// plan is of an answer of so many tokens that its deadline passes.
+		// plan is for an answer with so many tokens that it continues past its deadline.
 		plan []plannedFault
 	}{
 		{"cut once", []plannedFault{{cut, 900}}},
-		{"every engine has failed", []plannedFault{{cut, 900}, {unreached, 0}, {rejected, 0}, {broken, 0}}},
+		{"every engine has failed once", []plannedFault{{cut, 900}, {unreached, 0}, {rejected, 0}, {broken, 0}}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -170,7 +170,7 @@
 				is.NoErr(err)
 				is.True(took < deadline)
 				synctest.Wait()
-				is.Equal(w.engines.cancelled, []string{"a1"}) // the engine is told
+				is.Equal(w.engines.cancelled, []string{"a1"}) // the engine gets a cancellation
 				is.Equal(w.router.outcomes[w.engines.receivedAttempts()[0].engine], []dispatch.AttemptOutcome{dispatch.AttemptFailed})
 			})
 		})
@@ -207,7 +207,7 @@
 		err := w.d.Generate(t.Context(), r, &dispatch.Completion{Prompt: upstream.Prompt{Text: s.prompt}, MaxTokens: 3}, s)
 		is.Equal(reasonOf(err), dispatch.ReasonDeadline)
 		is.Equal(len(w.engines.receivedAttempts()), 1)
-		is.Equal(time.Since(now), time.Duration(0)) // not held back until the deadline
+		is.Equal(time.Since(now), time.Duration(0)) // refused without waiting for the deadline
 	})
 }
 
@@ -232,8 +232,8 @@
 	})
 }
 
-// A host that slept between the choice and the sending may count as gone by now;
-// the engine may have been changed without it.
+// If a host was suspended between the choice of an engine and the sending, the fleet may
+// already consider it gone and may have changed the engine's role. It must not send.
 func TestIsolatedHostSendsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -299,12 +299,12 @@
 		promptTokens int
 		prefill      func(ctx context.Context, engine string) error
 		plan         []plannedFault
-		// engines are those that computed output; prefills is how many prompts.
+		// engines lists those that made decode attempts; prefills is the number of prefills.
 		engines  []string
 		prefills int
 	}{
-		{"both parts work", split, splitPromptTokens, nil, nil, []string{"e2"}, 1},
-		{"a short prompt stays on one engine", split, 1, nil, nil, []string{"e3"}, 0},
+		{"both parts succeed", split, splitPromptTokens, nil, nil, []string{"e2"}, 1},
+		{"a short prompt isn't split", split, 1, nil, nil, []string{"e3"}, 0},
 		{"no mixed engine", noMixed, 1, nil, nil, []string{"e2"}, 1},
 		{"prefill fails", split, splitPromptTokens, func(context.Context, string) error { return sendError("e1", true, errInjected) }, nil, []string{"e3"}, 1},
 		{"prefill hangs", split, splitPromptTokens, hang, nil, []string{"e3"}, 1},
@@ -336,23 +336,23 @@
 	}
 }
 
-// TestOutageMultipliesNoLoad lets half of the engines fail everything they are
-// sent, for requests whose parts go apart, too. Without breakers the retry budget
-// alone bounds the load; with them nearly every answer is whole.
+// TestOutageDoesNotAmplifyLoad lets half of the engines fail every request. The retry budget
+// alone must bound the load, also if prefill and decode are split; with circuit breakers,
+// more than nine in ten answers must also be complete.
 func TestOutageDoesNotAmplifyLoad(t *testing.T) {
 	const requests = 400
 	split := []state.Role{state.RolePrefill, state.RolePrefill, state.RoleDecode, state.RoleDecode, state.RoleMixed, state.RoleMixed}
 	cases := []struct {
 		name  string
 		roles []state.Role
-		// parts is how many engines a request is sent to when all goes well.
+		// parts is the number of attempts of a request without failures.
 		parts    int
 		breakers bool
 	}{
 		{"mixed", mixed(8), 1, false},
-		{"apart", split, 2, false},
+		{"split", split, 2, false},
 		{"mixed with breakers", mixed(8), 1, true},
-		{"apart with breakers", split, 2, true},
+		{"split with breakers", split, 2, true},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -384,11 +384,11 @@
 	}
 }
 
-// budgetSlack is the burst of a retry budget and what it earns in the seconds
-// that the requests take.
+// budgetSlack is the burst of a retry budget and the retries that it accrues while the
+// requests run.
 const budgetSlack = 40
 
-// breakHalf lets every other engine fail everything.
+// failHalf lets every other engine fail every request.
 func (w *world) failHalf() {
 	failing := map[string]bool{"e1": true, "e3": true, "e5": true, "e7": true}
 	w.engines.faultOf = func(engine string) plannedFault {
@@ -405,6 +405,7 @@
 	}
 }
 
+// budgeted limits retries by a retry.Budget and doesn't pause before them.
 type budgeted struct{ *retry.Budget }
 
 func (budgeted) Backoff(int) time.Duration { return 0 }
--- a/coordination/dispatch/harness_test.go
+++ b/coordination/dispatch/harness_test.go
@@ -18,7 +18,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Limits of the dispatchers under test.
+// Options of the dispatchers under test.
 const (
 	maxAttempts       = 3
 	stallTimeout      = time.Second
@@ -32,7 +32,7 @@
 	plainService = "app"
 )
 
-// world is one dispatcher with fakes around it. Its fields may be changed until
+// world is a dispatcher with fakes for all its dependencies. Its fields may be changed until
 // start is called.
 type world struct {
 	keeper   *snapshot.Keeper
@@ -44,13 +44,13 @@
 	retries  dispatch.Retries
 	meter    meter
 	isolated atomic.Bool
-	// crashes and held are those of a crashFleet's host; by default nothing crashes.
+	// crashes and quarantine are those of a crashFleet's host; by default nothing crashes.
 	crashes    dispatch.CrashReporter
 	quarantine dispatch.Quarantine
 	d          *dispatch.Dispatcher
 }
 
-// nothingCrashes holds nothing.
+// noCrashes ignores crash reports and quarantines no request.
 type noCrashes struct{}
 
 func (noCrashes) ReportBroken(state.Upstream, quarantine.Suspect) {}
@@ -59,8 +59,8 @@
 
 func (noCrashes) Answered(quarantine.Digest) {}
 
-// newWorld makes engines e1, e2, ... with the given roles and service runners
-// s1, s2, s3.
+// newWorld returns a world with engines e1, e2, ... of the given roles and the runners s1,
+// s2 and s3 of a plain service.
 func newWorld(roles ...state.Role) *world {
 	w := &world{keeper: snapshot.NewKeeper(), engines: &engines{}, services: &services{}, router: &router{}}
 	w.retries, w.claimer, w.crashes, w.quarantine = unlimitedRetries{}, noClaims{}, noCrashes{}, noCrashes{}
@@ -83,6 +83,7 @@
 // mixed returns n mixed engines.
 func mixed(n int) []state.Role { return slices.Repeat([]state.Role{state.RoleMixed}, n) }
 
+// start creates the dispatcher.
 func (w *world) start(t *testing.T) *world {
 	t.Helper()
 	var attempts atomic.Int64
@@ -100,31 +101,33 @@
 	return w
 }
 
-// leftovers names what a finished request must not leave behind.
+// checkReleased returns an error if a finished request has left work counted, a stream open,
+// a grant unreleased or an attempt without end.
 func (w *world) checkReleased() error {
 	for _, r := range w.keeper.View().Runners {
 		if left := r.Track.Load(); left != (snapshot.Work{}) {
-			return fmt.Errorf("%s still counts %+v in flight", r.Name, left)
+			return fmt.Errorf("runner %s still counts %+v in flight", r.Name, left)
 		}
 	}
 	if open := w.engines.open.Load(); open != 0 {
 		return fmt.Errorf("%d streams are still open", open)
 	}
 	if granted, released := w.admitter.granted.Load(), w.admitter.released.Load(); granted != released {
-		return fmt.Errorf("%d grants given and %d given back", granted, released)
+		return fmt.Errorf("%d grants issued and %d released", granted, released)
 	}
 	if begun, ended := w.router.begun.Load(), w.router.ended.Load(); begun != ended {
-		return fmt.Errorf("%d attempts begun and %d ended", begun, ended)
+		return fmt.Errorf("%d attempts started and %d ended", begun, ended)
 	}
 	return nil
 }
 
-// router picks a runner that serves the part and isn't excluded, in turn; one of
-// the part's own role goes first.
+// router chooses, in turn, a runner that serves the part and isn't excluded. It prefers one
+// that serves only this part.
 type router struct {
-	// afterPick is called between the choice and the count.
+	// afterPick, if set, is called after a runner was chosen and before the request is
+	// counted there.
 	afterPick func(runner string)
-	// breakers are optional.
+	// breakers, if set, are the circuit breakers of the runners.
 	breakers *retry.Breakers
 
 	begun, ended atomic.Int64
@@ -161,6 +164,7 @@
 	return dispatch.Choice{}, &dispatch.Refusal{Reason: dispatch.ReasonNoUpstream, Message: "no runner; come back", RetryAfter: time.Second}
 }
 
+// serves reports whether runners of the role serve the part.
 func serves(role state.Role, p dispatch.Part) bool {
 	switch role {
 	case state.RolePrefill:
@@ -183,6 +187,7 @@
 	return &attempt{r: r, runner: c.Runner.Name, done: done}, true
 }
 
+// attempt records the outcome of an attempt in its router.
 type attempt struct {
 	r      *router
 	runner string
@@ -202,7 +207,7 @@
 	a.r.outcomes[a.runner] = append(a.r.outcomes[a.runner], o)
 }
 
-// grants admits everything, or refuses it all.
+// admitter admits every request or, if refuse is set, refuses every one.
 type admitter struct {
 	refuse            *dispatch.Refusal
 	granted, released atomic.Int64
@@ -216,6 +221,7 @@
 	return &grant{g: g}, nil
 }
 
+// grant counts its release in its admitter.
 type grant struct {
 	g    *admitter
 	once sync.Once
@@ -224,20 +230,22 @@
 func (g *grant) FirstToken() {}
 func (g *grant) Done()       { g.once.Do(func() { g.g.released.Add(1) }) }
 
-// freeRetries allows every retry.
+// unlimitedRetries allows every retry after a constant pause.
 type unlimitedRetries struct{}
 
 func (unlimitedRetries) CountRequest(string)       {}
 func (unlimitedRetries) Allow(string) bool         { return true }
 func (unlimitedRetries) Backoff(int) time.Duration { return backoff }
 
-// noClaims is the claimer of a world that makes no calls under a key.
+// noClaims is the claimer of a world without at-most-once calls.
 type noClaims struct{ dispatch.Claimer }
 
+// discardRecorder discards decisions.
 type discardRecorder struct{}
 
 func (discardRecorder) Record(state.Decision) {}
 
+// meter records counters by name.
 type meter struct {
 	mu     sync.Mutex
 	counts map[dispatch.Counter]int
--- a/coordination/dispatch/once.go
+++ b/coordination/dispatch/once.go
@@ -10,9 +10,9 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// callOnce serves a call that may not be repeated: claim, then dispatch, then
-// record. After the claim the call goes on to its record even if the caller
-// leaves, because its outcome must be known to whoever asks next.
+// callAtMostOnce serves an at-most-once call: it claims the key, sends the call and records
+// the outcome. Once claimed, the call continues until it is recorded even if its caller
+// leaves, so that a later request with the key gets the outcome.
 func (d *Dispatcher) callAtMostOnce(ctx context.Context, r *Request, c upstream.Call, grant Grant) (upstream.Answer, error) {
 	if err := d.checkRunnerAvailable(r); err != nil {
 		defer grant.Done()
@@ -37,21 +37,22 @@
 	return h.wait(ctx)
 }
 
-// begin claims the key within the deadline.
+// claimKey claims the key, at the latest by the deadline.
 func (d *Dispatcher) claimKey(ctx context.Context, r *Request) (*claim.Held, *claim.Outcome, error) {
 	ctx, stop := d.withDeadline(ctx, r)
 	defer stop()
 	return d.o.Claimer.Begin(ctx, claim.Call{Key: r.Key, Customer: r.Customer, Fingerprint: r.Fingerprint, First: r.First})
 }
 
-// someRunner refuses early, before a claim costs a write.
+// checkRunnerAvailable returns a refusal if there is no runner, which saves the write of a
+// claim.
 func (d *Dispatcher) checkRunnerAvailable(r *Request) error {
 	_, err := d.o.Router.Pick(d.o.Keeper.View(), Query{Request: r, Part: Whole, Work: callWork})
 	return err
 }
 
-// withoutRunner answers when there is no runner: a call that ran before still
-// gets what is recorded.
+// answerWithoutRunner returns the recorded outcome if the call has run before, and otherwise
+// the refusal cause.
 func (d *Dispatcher) answerWithoutRunner(ctx context.Context, r *Request, cause error) (upstream.Answer, error) {
 	if r.First {
 		return upstream.Answer{}, markNotRun(0, cause)
@@ -66,9 +67,9 @@
 	return outcomeOf(found)
 }
 
-// beforeClaim corrects a refusal that was made without a look at the claims:
-// unless the caller never sent the key before, an earlier call with it may have
-// run, and "not run" must not be said.
+// refuseBeforeClaim corrects a refusal that was made before the key was claimed. Unless the
+// caller states that it never sent the key before, an earlier call with the key may have run,
+// so the refusal must not say "not run".
 func refuseBeforeClaim(r *Request, err error) error {
 	if !r.NotRepeatable || r.First {
 		return err
@@ -76,26 +77,25 @@
 	return ClearNotRun(err)
 }
 
-// heldCall is a call under a claim.
+// claimedCall is a call whose key this host has claimed.
 type claimedCall struct {
 	d     *Dispatcher
 	r     *Request
 	c     upstream.Call
 	claim *claim.Held
-	// ran has the answer as soon as the call has run, before it is recorded.
+	// answered receives the answer as soon as the call has run, before it is recorded.
 	answered chan upstream.Answer
-	// ended has what the call came to, once that is recorded or left to the
-	// claimer.
+	// result receives the result once it is recorded, or left to the claimer to record.
 	result chan callResult
 }
 
-// heldResult is what a call under a claim came to.
+// callResult is the result of a claimed call.
 type callResult struct {
 	answer upstream.Answer
 	err    error
 }
 
-// start runs the call to its end; it keeps its room until then.
+// start runs the call in the background. Its grant is released when the call ends.
 func (h *claimedCall) start(ctx context.Context, grant Grant) {
 	h.d.running.Add(1)
 	go func() {
@@ -106,9 +106,9 @@
 	}()
 }
 
-// wait waits for the end until the deadline. A call that is still running then
-// goes on, so that its outcome gets known; the caller is told so at once and can
-// ask again with the same key. An answer that only waits for its record is given.
+// wait waits for the result until the deadline. A call that is still running then continues,
+// so that its outcome is recorded, and the caller is told to send the same key again. An
+// answer that isn't recorded yet is returned all the same.
 func (h *claimedCall) wait(ctx context.Context) (upstream.Answer, error) {
 	ctx, stop := h.d.withDeadline(ctx, h.r)
 	defer stop()
@@ -166,8 +166,8 @@
 	}
 }
 
-// recordNotRun says "not run" only once that is recorded: before that another
-// host could still take the claim for running.
+// recordNotRun records that the call didn't run, and returns the refusal. It says "not run"
+// only once that is recorded: before that, another host could still consider the call running.
 func (h *claimedCall) recordNotRun(ctx context.Context, cause error) error {
 	ctx, stop := h.d.withTimeout(ctx, h.d.o.RecordTimeout)
 	defer stop()
@@ -178,7 +178,7 @@
 	return &Refusal{Reason: ReasonNoUpstream, Message: "no upstream could be reached in time and the call did not run; come back with a new key", RetryAfter: time.Second, NotRun: true, Cause: cause}
 }
 
-// repeated turns the record of a key used before into an answer.
+// outcomeOf returns the answer or refusal for a key that was used before.
 func outcomeOf(c state.Claim) (upstream.Answer, error) {
 	switch c.State {
 	case state.ClaimDone:
@@ -192,7 +192,7 @@
 	}
 }
 
-// recorded gives the recorded answer of a call that ran.
+// recordedAnswer returns the recorded answer of a call that ran.
 func recordedAnswer(a *state.RecordedAnswer) (upstream.Answer, error) {
 	if a == nil || a.Truncated {
 		return upstream.Answer{}, &Refusal{Reason: ReasonAnswerLost, Message: "the call with this key ran, but its answer was too large to keep; read the result at the service"}
@@ -200,7 +200,7 @@
 	return upstream.Answer{Status: a.Status, ContentType: a.ContentType, Body: a.Body}, nil
 }
 
-// refuseClaim turns a claim's error into the caller's final answer.
+// refuseClaim returns the refusal for an error of Claimer.Begin.
 func refuseClaim(err error) *Refusal {
 	var key *claim.KeyError
 	if errors.As(err, &key) {
--- a/coordination/dispatch/once_test.go
+++ b/coordination/dispatch/once_test.go
@@ -17,25 +17,26 @@
 	"github.com/thymerack/thymerack/coordination/store/storetest"
 )
 
-// asked is one request of a caller that asks until it has an answer.
+// callerRequest is one request of a caller that repeats its call until it gets an answer.
 type callerRequest struct {
 	host int
-	// leaves is when the caller closes the connection; zero: never.
+	// cancelAfter is when the caller closes the connection; zero means never.
 	cancelAfter time.Duration
-	// twin sends the same once more at the same moment, to the other host.
+	// duplicate sends the same request at the same time to the other host as well.
 	duplicate bool
 }
 
-// TestHoldsAtMostOnce lets a caller ask two hosts again and again for
-// one call, while the platform, the service and the caller itself fail.
+// TestHoldsAtMostOnce lets a caller send one call repeatedly to two hosts while the platform
+// and the service fail and the caller closes connections. The call must run at most once, and
+// each answer or refusal must agree with whether it ran.
 func TestHoldsAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		requests := rapid.SliceOfN(rapid.Custom(func(rt *rapid.T) callerRequest {
 			return callerRequest{
-				host: rapid.IntRange(0, 1).Draw(rt, "host"), duplicate: rapid.IntRange(0, 3).Draw(rt, "twin") == 0,
-				cancelAfter: time.Duration(rapid.SampledFrom([]int{0, 0, 1, 50, 3000}).Draw(rt, "leaves")) * time.Millisecond,
+				host: rapid.IntRange(0, 1).Draw(rt, "host"), duplicate: rapid.IntRange(0, 3).Draw(rt, "duplicate") == 0,
+				cancelAfter: time.Duration(rapid.SampledFrom([]int{0, 0, 1, 50, 3000}).Draw(rt, "cancelAfter")) * time.Millisecond,
 			}
-		}), 1, 5).Draw(rt, "asks")
+		}), 1, 5).Draw(rt, "requests")
 		calls := rapid.SliceOfN(rapid.SampledFrom([]callFault{
 			callDone, callUnreached, callUnreached, callUnreached, callUnreached, callRefused, callLost, callSlow, callForeign, callHung,
 		}), 0, 6).Draw(rt, "calls")
@@ -50,6 +51,8 @@
 	})
 }
 
+// runAtMostOnce runs one plan of requests and faults and returns an error if a guarantee was
+// broken.
 func runAtMostOnce(t *testing.T, requests []callerRequest, calls []callFault, faults []storetest.Fault) error {
 	p := storetest.NewPlatform(time.Second)
 	service := &services{plan: slices.Clone(calls)}
@@ -75,7 +78,7 @@
 	o := &oracle{key: keyAt(time.Now()), service: service}
 	for i, a := range requests {
 		if o.hasNotRun() {
-			break // the caller gives this key up
+			break // the caller doesn't send this key again
 		}
 		var both sync.WaitGroup
 		if a.duplicate {
@@ -85,7 +88,7 @@
 		both.Wait()
 	}
 	p.SetScript(nil)
-	time.Sleep(time.Minute) // what is still running ends and is recorded
+	time.Sleep(time.Minute) // calls in progress end and are recorded
 	service.clearPlan()
 	if o.resendMustNotRun() {
 		o.settled = true
@@ -97,18 +100,18 @@
 			return err
 		}
 		if n := w.d.Running(); n != 0 {
-			return fmt.Errorf("%d calls still run", n)
+			return fmt.Errorf("%d claimed calls are still running", n)
 		}
 	}
 	return o.check()
 }
 
-// oracle is what all callers of one key were told.
+// oracle collects the responses to all requests with one key and checks them.
 type oracle struct {
 	key     string
 	service *services
 
-	// settled is set once nothing can be under way any more.
+	// settled is set once no call is in progress any more.
 	settled bool
 
 	mu      sync.Mutex
@@ -117,6 +120,7 @@
 	problem error
 }
 
+// ask sends the call to a host and records the response.
 func (o *oracle) ask(t *testing.T, w *world, a callerRequest, first bool) {
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
@@ -134,7 +138,7 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if took := time.Since(now); took > deadline {
-		o.problem = fmt.Errorf("told after %v: %w", took, err)
+		o.problem = fmt.Errorf("the response took %v, longer than the deadline: %w", took, err)
 	}
 	var refusal *dispatch.Refusal
 	switch {
@@ -144,28 +148,31 @@
 	case errors.As(err, &refusal) && refusal.NotRun:
 		o.notRun = append(o.notRun, refusal)
 	case o.settled && reasonOf(err) == dispatch.ReasonRunning:
-		o.problem = errors.New("still called running when nothing runs any more")
+		o.problem = errors.New("the call was reported as running after it had ended")
 	}
 }
 
+// hasNotRun reports whether a request was refused as not run.
 func (o *oracle) hasNotRun() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return len(o.notRun) > 0
 }
 
-// mayAsk reports whether another request with the key must not run. One that
-// was refused before its claim may: the caller was told to send it again.
+// resendMustNotRun reports whether a further request with the key must not run the call. After
+// a refusal that preceded the claim it may run, since the caller was told to send it again.
 func (o *oracle) resendMustNotRun() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return !slices.ContainsFunc(o.notRun, func(r *dispatch.Refusal) bool { return r.Reason == dispatch.ReasonPlatformDown })
 }
 
+// check returns an error if the call ran more than once, or a response disagrees with the
+// number of runs.
 func (o *oracle) check() error {
 	runs := o.service.runCount(o.key)
 	if runs > 1 {
-		return fmt.Errorf("it ran %d times", runs)
+		return fmt.Errorf("the call ran %d times", runs)
 	}
 	for _, a := range o.answers {
 		if a != "done "+o.key || runs == 0 {
@@ -173,7 +180,7 @@
 		}
 	}
 	if len(o.notRun) > 0 && runs > 0 {
-		return fmt.Errorf("said %q of a call that ran", o.notRun[0].Message)
+		return fmt.Errorf("the refusal %q says not run, but the call ran", o.notRun[0].Message)
 	}
 	return o.problem
 }
--- a/coordination/dispatch/parts.go
+++ b/coordination/dispatch/parts.go
@@ -10,10 +10,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// turn makes one attempt, in two parts when that is possible. When a part fails
-// the next turn has both on one engine; that is a further attempt like any other,
-// so that an outage of one role can't double the load of the others. A part that
-// finds no runner has cost nothing, and the request goes to one engine at once.
+// runRound makes one attempt, or two if prefill and decode are split. If one of the two
+// fails, the next round uses a single engine if there is one for both. That round counts as
+// a retry like any other, so that an outage of one role can't double the load of the others.
+// If there is no runner for one of the two, that part has cost nothing, and the request goes
+// to a single engine at once.
 func (g *generation) runRound(ctx context.Context) error {
 	given := g.sink.Tokens()
 	if !g.shouldSplit(given) {
@@ -37,8 +38,8 @@
 	return err
 }
 
-// apart reports whether prompt and output should go to engines of their own:
-// when the answer is sooner whole that way, and always when no engine takes both.
+// shouldSplit reports whether prefill and decode should run at separate engines: always if
+// no engine does both, and otherwise if that completes the answer sooner.
 func (g *generation) shouldSplit(given []string) bool {
 	var prefill, decode, whole bool
 	for _, r := range g.d.o.Keeper.View().RunnersOf(g.r.Service) {
@@ -63,8 +64,8 @@
 	return !g.splitFailed && len(given) == 0 && g.prefersSplit()
 }
 
-// soonerApart asks the router which way is sooner; a router that can't tell sends
-// long prompts apart.
+// prefersSplit reports whether the router prefers the split path. If the router can't
+// predict that, long prompts are split.
 func (g *generation) prefersSplit() bool {
 	chooser, ok := g.d.o.Router.(PathChooser)
 	if !ok {
@@ -73,7 +74,7 @@
 	return chooser.PreferSplit(g.d.o.Keeper.View(), g.query(Whole, g.c.work(0)))
 }
 
-// prefill computes the prompt, and the tokens given, on a prefill engine.
+// prefill computes the KV cache of the prompt and the given tokens at a prefill engine.
 func (g *generation) prefill(ctx context.Context, given []string) (upstream.KV, error) {
 	work := snapshot.Work{Requests: 1, PrefillTokens: int64(g.c.PromptTokens + len(given))}
 	e, err := g.startAttempt(g.query(Prefill, work), "prompt: ")
@@ -102,7 +103,8 @@
 	return upstream.KV{}, fmt.Errorf("prefill at %s: %w", e.Runner.Name, err)
 }
 
-// generate runs the output, or the whole request, on one engine.
+// generate makes one attempt to decode the output from kv, or, if part is Whole, to run
+// prefill and decode at one engine.
 func (g *generation) generate(ctx context.Context, part Part, kv upstream.KV, given []string) error {
 	work := g.c.work(len(given))
 	if part == Decode {
@@ -110,7 +112,7 @@
 	}
 	e, err := g.startAttempt(g.query(part, work), "")
 	if err != nil && part == Whole && !isQuarantined(err) {
-		// A decode engine computes a prompt too, only slower: better than none.
+		// A decode engine can also prefill, only more slowly.
 		e, err = g.startAttempt(g.query(Decode, work), "no mixed engine: ")
 	}
 	if err != nil {
--- a/coordination/dispatch/pump.go
+++ b/coordination/dispatch/pump.go
@@ -11,25 +11,25 @@
 	"github.com/thymerack/thymerack/coordination/upstream"
 )
 
-// Why this host ended an attempt.
+// The reasons for which this host ends an attempt.
 var (
-	// errStalled says that an engine went silent.
+	// errStalled means that an engine sent no token for too long.
 	errStalled = errors.New("the engine gave no token for longer than the stall timeout; the attempt was ended")
-	// errLate says that the deadline passed; that is no failure of the engine.
+	// errDeadline means that the deadline passed, which isn't a failure of the engine.
 	errDeadline = errors.New("the deadline passed before the first token; the attempt was ended")
 )
 
-// pump moves the events of one attempt into the sink.
+// pump copies the tokens of one attempt to the sink.
 type pump struct {
 	g *generation
 	e *activeAttempt
-	// lastToken is the time of the last token, in Unix nanoseconds; 0 before the
-	// first.
+	// lastToken is the time of the last token, in Unix nanoseconds; 0 before the first one.
 	lastToken atomic.Int64
-	// accepted is set once the engine has taken the attempt.
+	// accepted is set once the engine has accepted the attempt.
 	accepted bool
 }
 
+// run makes the attempt and enforces its timeouts. It returns nil once the answer is complete.
 func (p *pump) run(ctx context.Context, m upstream.Generate) error {
 	ctx, stop := context.WithCancelCause(ctx)
 	defer stop(nil)
@@ -41,6 +41,8 @@
 	return err
 }
 
+// copyEvents sends the request and copies its tokens until the answer is complete or the
+// stream fails.
 func (p *pump) copyEvents(ctx context.Context, m upstream.Generate) error {
 	s, err := p.g.d.o.Engines.Generate(ctx, p.e.Runner.Upstream, m)
 	if err != nil {
@@ -54,7 +56,7 @@
 	deliver := func(e upstream.Event) {
 		p.noteToken()
 		finish = e.Finish
-		if e.Text != "" || finish == "" { // an empty last event is no token
+		if e.Text != "" || finish == "" { // an empty last event has no token
 			p.g.sink.Append(e.Text)
 		}
 	}
@@ -63,8 +65,8 @@
 		if err == nil {
 			err = check.Accept(e, deliver)
 		}
-		// The last token says that it is the last; the end mark adds nothing to
-		// that, so its loss is no reason to have more computed.
+		// The last token carries the finish reason, so the answer is complete even if the end
+		// mark is missing: a retry would only repeat the work.
 		if finish != "" && (err != nil || check.Complete()) {
 			p.g.sink.Finish(finish)
 			return nil
@@ -78,8 +80,8 @@
 	}
 }
 
-// observe notes a token. Only tokens count as a sign of life: an engine that
-// repeats itself or answers somebody else gives this caller nothing.
+// noteToken records the arrival of a token. Duplicates and events of other attempts don't
+// postpone the stall timeout, since they don't advance the answer.
 func (p *pump) noteToken() {
 	now := p.g.d.o.Clock.Now()
 	if p.lastToken.Swap(now.UnixNano()) != 0 {
@@ -90,6 +92,7 @@
 	p.e.observer.FirstToken(now.Sub(p.e.started))
 }
 
+// countAnomalies adds the irregular events of the stream to the counters.
 func (p *pump) countAnomalies(c *stream.Checker) {
 	n := c.Counts()
 	p.g.d.o.Meter.Count(CountForeignEvents, n.Foreign)
@@ -97,8 +100,8 @@
 	p.g.d.o.Meter.Count(CountReordered, n.Reordered)
 }
 
-// stillRuns reports whether the engine may go on with a failed attempt unless it
-// is told.
+// mayStillRun reports whether the engine may continue a failed attempt unless it is told to
+// cancel it.
 func (p *pump) mayStillRun(ctx context.Context, err error) bool {
 	if ctx.Err() != nil || err == errStalled || err == errDeadline {
 		return true
@@ -106,8 +109,8 @@
 	return p.accepted && err != stream.ErrTruncated
 }
 
-// watch ends the attempt when the engine is silent for too long, or when the
-// deadline passes before anything was given.
+// enforceTimeouts ends the attempt if the engine sends no token for too long, or if the
+// deadline passes before the answer has started.
 func (p *pump) enforceTimeouts(ctx context.Context, stop context.CancelCauseFunc) {
 	limit, byDeadline := p.g.firstTokenTimeout()
 	end := p.e.started.Add(limit)
--- a/coordination/dispatch/quarantine.go
+++ b/coordination/dispatch/quarantine.go
@@ -10,21 +10,21 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// CrashReporter is told of work that broke off at an upstream without its end.
+// CrashReporter receives requests that broke off at an upstream before they were complete.
 type CrashReporter interface {
-	// ReportBroken doesn't wait.
+	// ReportBroken reports that the request broke off at u. It doesn't block.
 	ReportBroken(u state.Upstream, s quarantine.Suspect)
 }
 
-// Quarantine knows the requests that crash what runs them.
+// Quarantine knows the requests that crash upstreams.
 type Quarantine interface {
-	// Held returns why a request may reach no upstream, or nil.
+	// Held returns the hold of a request that must not reach any upstream, or nil.
 	Held(d quarantine.Digest) *quarantine.Hold
-	// Answered notes that an upstream has answered the request whole.
+	// Answered reports that an upstream has answered the request completely.
 	Answered(d quarantine.Digest)
 }
 
-// held returns the refusal of a request that crashes what runs it, or nil.
+// checkQuarantine returns the refusal of a quarantined request, or nil.
 func (d *Dispatcher) checkQuarantine(r *Request) *Refusal {
 	hold := d.o.Quarantine.Held(r.Digest)
 	if hold == nil {
@@ -34,15 +34,16 @@
 	return &Refusal{Reason: ReasonCrashes, Message: why.Error(), Cause: why}
 }
 
-// isHeld reports whether err is the refusal of a request that is held.
+// isQuarantined reports whether err is the refusal of a quarantined request.
 func isQuarantined(err error) bool {
 	var refusal *Refusal
 	return errors.As(err, &refusal) && refusal.Reason == ReasonCrashes
 }
 
-// noteBroken notes that an attempt broke off at its upstream, which may have crashed under
-// it; answering says that a part of the answer had arrived. That the caller left or the
-// deadline passed says nothing, nor does an upstream that refused or got nothing.
+// reportBroken reports an attempt that broke off at its upstream, which may have crashed
+// because of it. answering is true if part of the answer had arrived. Nothing is reported if
+// the caller cancelled the request, the deadline passed, or the upstream refused the request
+// or never received it.
 func (d *Dispatcher) reportBroken(ctx context.Context, r *Request, e *activeAttempt, err error, answering bool) {
 	var failed *upstream.SendError
 	if ctx.Err() != nil || errors.Is(err, errDeadline) || (errors.As(err, &failed) && (!failed.MaybeSent || failed.Refused)) {
--- a/coordination/dispatch/services_test.go
+++ b/coordination/dispatch/services_test.go
@@ -9,41 +9,42 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// callFault is what a service runner does to one call.
+// callFault is a failure that a service runner simulates in one call.
 type callFault int
 
 const (
+	// callDone: the call runs and is answered.
 	callDone callFault = iota
-	// callUnreached: the connection can't be made.
+	// callUnreached: the connection can't be established.
 	callUnreached
-	// callRefused: it answers that it won't take the work.
+	// callRefused: the runner responds that it doesn't accept the call.
 	callRefused
-	// callLost: it runs and its answer is lost.
+	// callLost: the call runs and its answer is lost.
 	callLost
-	// callSlow: it runs and answers after slowCall.
+	// callSlow: the call runs and is answered after slowCall.
 	callSlow
-	// callForeign: it runs and answers another attempt.
+	// callForeign: the call runs, but the answer carries another attempt's id.
 	callForeign
-	// callHung: it neither runs nor answers until the attempt is given up.
+	// callHung: the call neither runs nor is answered until the attempt is cancelled.
 	callHung
 )
 
 const (
 	slowCall = 10 * time.Second
-	// hungCall is when the client of the services gives a call up.
+	// hungCall is the time after which the client of the services cancels a call.
 	hungCall = 30 * time.Second
 )
 
-// services are all runners of a plain service.
+// services simulates all runners of a plain service.
 type services struct {
-	// plan holds the faults of the calls in their order.
+	// plan lists the faults of the calls in order; later calls succeed.
 	plan []callFault
 
 	mu    sync.Mutex
 	calls []upstream.Call
-	// runs counts executions by key.
+	// runs counts the executions by key.
 	runs map[string]int
-	// cut counts calls that were given up while they ran.
+	// abandoned counts the calls that were cancelled before they were answered.
 	abandoned int
 }
 
@@ -90,13 +91,14 @@
 	return f
 }
 
-// heal ends the plan.
+// clearPlan lets all further calls succeed.
 func (s *services) clearPlan() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.plan = nil
 }
 
+// abandon counts a cancelled call and returns its error.
 func (s *services) abandon(name string, ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,6 +115,7 @@
 	s.runs[key]++
 }
 
+// runCount returns how often the call with the key ran.
 func (s *services) runCount(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/dispatch/unsure_test.go
+++ b/coordination/dispatch/unsure_test.go
@@ -14,33 +14,35 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// fullAdmitter refuses everything.
+// refusingAdmitter refuses every request as overloaded.
 type refusingAdmitter struct{}
 
 func (refusingAdmitter) Admit(context.Context, *Request, snapshot.Work) (Grant, error) {
 	return nil, &Refusal{Reason: ReasonOverloaded, Message: "full", RetryAfter: time.Second, NotRun: true}
 }
 
-// noRecorder forgets decisions.
-// emptyQuarantine holds nothing.
+// emptyQuarantine holds no request.
 type emptyQuarantine struct{}
 
 func (emptyQuarantine) Held(quarantine.Digest) *quarantine.Hold { return nil }
 
 func (emptyQuarantine) Answered(quarantine.Digest) {}
 
+// noRecorder discards decisions.
 type noRecorder struct{}
 
 func (noRecorder) Record(state.Decision) {}
 
+// zeroClock is always at the zero time and never waits.
 type zeroClock struct{}
 
 func (zeroClock) Now() time.Time { return time.Time{} }
 
 func (zeroClock) Sleep(ctx context.Context, _ time.Duration) error { return ctx.Err() }
 
-// A call runs at one host; its caller loses the connection and asks again at a
-// host that is full. That host must not say "not run": it never saw the record.
+// A call runs at one host; its caller loses the connection and sends it again to a host that
+// is overloaded. That host hasn't read the key's record, so it must not refuse the call as
+// "not run".
 func TestRefusalBeforeClaimDoesNotSayNotRun(t *testing.T) {
 	cases := []struct {
 		name                 string
