--- a/coordination/dispatch/call_test.go
+++ b/coordination/dispatch/call_test.go
@@ -19,13 +19,13 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// keyAt makes a key of the moment.
+// keyAt returns a key, a UUIDv7, with the timestamp t.
 func keyAt(t time.Time) string {
 	ms := uint64(t.UnixMilli())
 	return uuid.UUID{byte(ms >> 40), byte(ms >> 32), byte(ms >> 24), byte(ms >> 16), byte(ms >> 8), byte(ms), 0x70, 0, 0x80}.String()
 }
 
-// withClaims gives the world a claimer at the platform. The returned function
+// withClaims gives the world a claimer that stores its claims in p. The returned function
 // stops it.
 func (w *world) withClaims(t *testing.T, p *storetest.Platform, host string) func() {
 	t.Helper()
@@ -40,7 +40,7 @@
 	return func() { cancel(); running.Wait() }
 }
 
-// call sends one call; a key makes it one that may not be repeated.
+// call sends one call; with a key, it is an at-most-once call.
 func (w *world) call(ctx context.Context, key string, first bool) (upstream.Answer, error) {
 	now := time.Now()
 	r := &dispatch.Request{
@@ -50,7 +50,7 @@
 	return w.d.Call(ctx, r, upstream.Call{Method: "POST", Path: "/x"})
 }
 
-func TestRepeatableCallIsTriedElsewhere(t *testing.T) {
+func TestRepeatableCallIsRetriedAtAnotherRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld()
@@ -61,11 +61,11 @@
 		is.Equal(string(a.Body), "done ")
 		is.Equal(len(w.services.calls), 3)
 		is.Equal(w.meter.of(dispatch.CountForeignAnswers), 1)
-		is.NoErr(w.leftovers())
+		is.NoErr(w.checkReleased())
 	})
 }
 
-func TestRepeatableCallIsRefusedAtOnce(t *testing.T) {
+func TestRepeatableCallIsRefusedWithoutDelay(t *testing.T) {
 	cases := []struct {
 		name   string
 		plan   []callFault
@@ -76,7 +76,7 @@
 	}{
 		{"no runner", nil, true, dispatch.ReasonNoUpstream, true, 0},
 		{"every attempt fails", []callFault{callLost, callLost, callLost}, false, dispatch.ReasonUpstream, false, 2 * backoff},
-		{"it hangs", []callFault{callHung}, false, dispatch.ReasonDeadline, false, deadline},
+		{"the attempt hangs", []callFault{callHung}, false, dispatch.ReasonDeadline, false, deadline},
 	}
 	for i := range 2 * len(cases) {
 		c := cases[i/2]
@@ -91,7 +91,7 @@
 				w.start(t)
 				now := time.Now()
 				ctx := t.Context()
-				if i%2 == 0 { // a context that ends with the deadline by itself
+				if i%2 == 0 { // a context that has the request's deadline
 					var cancel context.CancelFunc
 					ctx, cancel = context.WithDeadline(ctx, now.Add(deadline))
 					defer cancel()
@@ -103,28 +103,28 @@
 				is.Equal(refusal.NotRun, c.notRun)
 				is.True(refusal.RetryAfter > 0)
 				is.Equal(time.Since(now), c.took)
-				is.NoErr(w.leftovers())
+				is.NoErr(w.checkReleased())
 			})
 		})
 	}
 }
 
-func TestCallerThatLeavesEndsARepeatableCall(t *testing.T) {
+func TestCancellationEndsRepeatableCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		w := newWorld()
 		w.services.plan = []callFault{callHung}
 		w.start(t)
-		ctx, leave := context.WithCancel(t.Context())
-		go func() { time.Sleep(time.Millisecond); leave() }()
+		ctx, cancel := context.WithCancel(t.Context())
+		go func() { time.Sleep(time.Millisecond); cancel() }()
 		_, err := w.call(ctx, "", false)
 		is.Equal(reasonOf(err), dispatch.ReasonCancelled)
-		is.Equal(w.services.cut, 1)
+		is.Equal(w.services.abandoned, 1)
 		is.Equal(len(w.services.calls), 1)
 	})
 }
 
-func TestCallOutlivesItsDeadlineAndIsRecorded(t *testing.T) {
+func TestClaimedCallRunsPastDeadlineAndIsRecorded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
@@ -140,25 +140,25 @@
 		is.Equal(reasonOf(err), dispatch.ReasonRunning)
 		is.Equal(time.Since(now), deadline)
 		is.Equal(w.d.Running(), int64(1))
-		is.Equal(w.grants.back.Load(), int64(0)) // it still takes its room
+		is.Equal(w.admitter.released.Load(), int64(0)) // its grant isn't released yet
 		time.Sleep(slowCall)
 		is.Equal(w.d.Running(), int64(0))
-		is.NoErr(w.leftovers())
+		is.NoErr(w.checkReleased())
 		a, err := w.call(t.Context(), key, false)
 		is.NoErr(err)
 		is.Equal(string(a.Body), "done "+key)
-		is.Equal(w.services.ran(key), 1)
+		is.Equal(w.services.runCount(key), 1)
 	})
 }
 
-func TestKnownAnswerIsNotHeldBackByItsRecord(t *testing.T) {
+func TestAnswerDoesNotWaitForSlowRecord(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
 		w := newWorld()
 		defer w.withClaims(t, p, "a")()
 		w.start(t)
-		time.Sleep(time.Second) // the layout of the claims is written first
+		time.Sleep(time.Second) // the claimer writes its layout first
 		key := keyAt(time.Now())
 		puts := 0
 		p.SetScript(func(c storetest.Call) storetest.Fault {
@@ -166,7 +166,7 @@
 				puts++
 			}
 			if puts > 1 {
-				time.Sleep(2 * deadline) // the platform is slow from the second write on
+				time.Sleep(2 * deadline) // only the first write, the claim, is fast
 			}
 			return storetest.None
 		})
@@ -181,7 +181,7 @@
 	})
 }
 
-func TestSlowPlatformDoesNotHoldARefusalBack(t *testing.T) {
+func TestSlowPlatformDoesNotDelayRefusal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
@@ -196,20 +196,20 @@
 		is.True(time.Since(now) <= deadline)
 		p.SetScript(nil)
 		time.Sleep(time.Minute)
-		is.Equal(w.services.ran(keyAt(now)), 0)
+		is.Equal(w.services.runCount(keyAt(now)), 0)
 	})
 }
 
-// TestNotRunIsNotSaidOfAKeyUsedBefore refuses the repetition of a call that has
-// run, before its claim can be looked at.
-func TestNotRunIsNotSaidOfAKeyUsedBefore(t *testing.T) {
+// A call has run; a repetition that is refused before its claim is read must not be refused
+// as "not run".
+func TestUsedKeyIsNotRefusedAsNotRun(t *testing.T) {
 	cases := map[string]func(w *world){
 		"overloaded": func(w *world) {
-			w.grants.refuse = &dispatch.Refusal{Reason: dispatch.ReasonOverloaded, Message: "come back", RetryAfter: time.Second, NotRun: true}
+			w.admitter.refuse = &dispatch.Refusal{Reason: dispatch.ReasonOverloaded, Message: "come back", RetryAfter: time.Second, NotRun: true}
 		},
 		"no runner": func(w *world) { w.keeper.SetListed(nil) },
 	}
-	for name, breakIt := range cases {
+	for name, induce := range cases {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -220,7 +220,7 @@
 				key := keyAt(time.Now())
 				_, err := w.call(t.Context(), key, true)
 				is.NoErr(err)
-				breakIt(w)
+				induce(w)
 				a, err := w.call(t.Context(), key, false)
 				var refusal *dispatch.Refusal
 				if errors.As(err, &refusal) {
@@ -228,7 +228,7 @@
 				} else {
 					is.Equal(string(a.Body), "done "+key)
 				}
-				// A key that was never sent before may be said not to have run.
+				// A refusal for a key that was never sent before may say "not run".
 				_, err = w.call(t.Context(), keyAt(time.Now().Add(time.Millisecond)), true)
 				is.True(errors.As(err, &refusal) && refusal.NotRun)
 			})
@@ -236,7 +236,7 @@
 	}
 }
 
-func TestRepeatedKeyGetsItsAnswerWithoutARunner(t *testing.T) {
+func TestRepeatedKeyIsAnsweredWithoutRunner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
@@ -253,7 +253,7 @@
 	})
 }
 
-func TestClaimedCallIsNotSentPastItsDeadline(t *testing.T) {
+func TestClaimedCallIsNotSentAfterDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
@@ -262,7 +262,7 @@
 		w.start(t)
 		picks := 0
 		w.router.afterPick = func(string) {
-			if picks++; picks == 2 { // the first is only a look
+			if picks++; picks == 2 { // the first one only checks that there is a runner
 				time.Sleep(deadline + time.Millisecond)
 			}
 		}
--- a/coordination/dispatch/crashfleet_test.go
+++ b/coordination/dispatch/crashfleet_test.go
@@ -11,18 +11,18 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// crashFleet is hosts with engines of their own, each of which ends under a request that
-// breaks off there.
+// crashFleet is a set of hosts, each with engines of its own, that share crash reports. An
+// engine crashes when a request breaks off there.
 type crashFleet struct {
 	hosts []*world
 
-	mu     sync.Mutex
-	tables []*quarantine.Table
-	ended  int
+	mu      sync.Mutex
+	tables  []*quarantine.Table
+	crashes int
 }
 
-// toldAfter is the time in which a crash is found and told to all hosts.
-const toldAfter = 50 * time.Millisecond
+// crashReportDelay is the time until a crash is detected and known to all hosts.
+const crashReportDelay = 50 * time.Millisecond
 
 func newCrashFleet(t *testing.T, n int) *crashFleet {
 	t.Helper()
@@ -31,33 +31,34 @@
 		w := newWorld(mixed(4)...)
 		table := quarantine.NewTable(clocktest.Bubble{})
 		host := &crashHost{f, fmt.Sprint("h", i), table}
-		w.crashes, w.held, w.retries = host, host, patientRetries{}
+		w.crashes, w.quarantine, w.retries = host, host, exponentialRetries{}
 		f.tables = append(f.tables, table)
 		f.hosts = append(f.hosts, w.start(t))
 	}
 	return f
 }
 
-// patientRetries allows every retry after pauses like the daemon's: the shortest ones.
-type patientRetries struct{ freeRetries }
+// exponentialRetries allows every retry, with pauses as short as those of the daemon.
+type exponentialRetries struct{ unlimitedRetries }
 
-func (patientRetries) Backoff(attempt int) time.Duration { return backoff << (attempt - 1) }
+func (exponentialRetries) Backoff(attempt int) time.Duration { return backoff << (attempt - 1) }
 
-// crashHost is a host's part of the fleet's quarantine.
+// crashHost implements dispatch.CrashReporter and dispatch.Quarantine for one host.
 type crashHost struct {
 	f     *crashFleet
 	name  string
 	table *quarantine.Table
 }
 
-// ReportBroken implements dispatch.Crashes: the engine has ended, which all hosts hear.
+// ReportBroken implements dispatch.CrashReporter. It takes every report for a crash, which
+// all hosts know of after crashReportDelay.
 func (h *crashHost) ReportBroken(u state.Upstream, s quarantine.Suspect) {
 	h.f.mu.Lock()
-	h.f.ended++
-	run := state.InstanceID{Name: fmt.Sprint(h.name, u.Name), Born: int64(h.f.ended)}
+	h.f.crashes++
+	run := state.InstanceID{Name: fmt.Sprint(h.name, u.Name), Born: int64(h.f.crashes)}
 	h.f.mu.Unlock()
 	c := quarantine.Crash{Run: run, Host: h.name, At: time.Now(), Suspects: []quarantine.Suspect{s}}
-	time.AfterFunc(toldAfter, func() {
+	time.AfterFunc(crashReportDelay, func() {
 		for _, t := range h.f.tables {
 			t.RecordCrash(c, t == h.table)
 		}
--- a/coordination/dispatch/engines_test.go
+++ b/coordination/dispatch/engines_test.go
@@ -16,88 +16,101 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// tokenInterval is the time between two events of an engine.
+// tokenInterval is the time between two events of a stream.
 const tokenInterval = 5 * time.Millisecond
 
-// fault is what an engine does to one attempt.
+// fault is a failure that an engine simulates in one attempt.
 type fault int
 
 const (
-	whole fault = iota
-	// unreached: the connection can't be made.
+	// noFault: the attempt succeeds.
+	noFault fault = iota
+	// unreached: the connection can't be established.
 	unreached
-	// rejected: an error answer in place of a stream.
+	// rejected: an error response instead of a stream.
 	rejected
-	// unaccepted: no answer to the request at all.
+	// unaccepted: no response at all.
 	unaccepted
-	// The following happen at event number at.
+	// cut: the connection ends. The faults from cut to silent occur at event number
+	// plannedFault.at.
 	cut
+	// broken: the connection fails.
 	broken
-	doubled
+	// duplicated: the event is sent twice.
+	duplicated
+	// swapped: the event is sent after the next one.
 	swapped
-	skipped
+	// missing: the event isn't sent.
+	missing
+	// foreign: an event of another attempt is sent before this one.
 	foreign
+	// foreignForever: only events of another attempt are sent from here on.
 	foreignForever
+	// earlyEnd: an end mark is sent before the event.
 	earlyEnd
-	silence
-	// unended: the connection ends after the last token, before the end mark.
-	unended
+	// silent: the connection stays open without further events.
+	silent
+	// noEndMark: the connection ends after the last token, before the end mark.
+	noEndMark
+	// endTwice: the end mark is sent twice.
 	endTwice
-	faults
+	// faultCount is the number of faults.
+	faultCount
 )
 
-// act is one attempt's fault.
-type act struct {
+// plannedFault is the fault of one attempt and the number of the event at which it occurs.
+type plannedFault struct {
 	fault fault
 	at    int
 }
 
-// engines are all engines of a fleet. They give the text that follows from the
-// prompt and go on after the tokens given.
+// engines simulates all engines of a fleet. The answer to a prompt is determined by the
+// prompt; a resumed attempt continues after the given tokens.
 type engines struct {
-	// plan holds the acts of the attempts in their order; whole ones follow.
-	plan []act
-	// of, if set, decides by engine instead.
-	of func(engine string) act
-	// prefill, if set, is the outcome of prefills.
+	// plan lists the faults of the attempts in order; later attempts succeed.
+	plan []plannedFault
+	// faultOf, if set, returns the fault by engine instead.
+	faultOf func(engine string) plannedFault
+	// prefill, if set, returns the result of a prefill.
 	prefill func(ctx context.Context, engine string) error
 
+	// open is the number of open streams.
 	open atomic.Int64
 
 	mu        sync.Mutex
-	attempts  []seen
-	prefills  []seen
+	attempts  []received
+	prefills  []received
 	cancelled []string
 }
 
-// seen is one attempt as an engine saw it.
-type seen struct {
+// received is one attempt as its engine received it.
+type received struct {
 	engine string
 	upstream.Generate
 }
 
-func (e *engines) next(engine string, g upstream.Generate) act {
+func (e *engines) next(engine string, g upstream.Generate) plannedFault {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.attempts = append(e.attempts, seen{engine, g})
-	if e.of != nil {
-		return e.of(engine)
+	e.attempts = append(e.attempts, received{engine, g})
+	if e.faultOf != nil {
+		return e.faultOf(engine)
 	}
 	if len(e.plan) == 0 {
-		return act{whole, 0}
+		return plannedFault{noFault, 0}
 	}
 	a := e.plan[0]
 	e.plan = e.plan[1:]
 	return a
 }
 
-func (e *engines) seen() []seen {
+func (e *engines) receivedAttempts() []received {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return append([]seen(nil), e.attempts...)
+	return append([]received(nil), e.attempts...)
 }
 
-var errTest = errors.New("made to fail by the test")
+var errInjected = errors.New("made to fail by the test")
 
 func sendError(engine string, maybeSent bool, err error) error {
 	return &upstream.SendError{Upstream: engine, MaybeSent: maybeSent, Cause: err}
@@ -107,22 +120,22 @@
 	a := e.next(u.Name, g)
 	switch a.fault {
 	case unreached:
-		return nil, sendError(u.Name, false, errTest)
+		return nil, sendError(u.Name, false, errInjected)
 	case rejected:
-		return nil, sendError(u.Name, true, errTest)
+		return nil, sendError(u.Name, true, errInjected)
 	case unaccepted:
 		<-ctx.Done()
 		return nil, sendError(u.Name, true, ctx.Err())
 	}
 	e.open.Add(1)
-	s := &tokens{e: e, ctx: ctx, engine: u.Name, closed: make(chan struct{})}
-	s.steps = script(g, a)
+	s := &fakeStream{e: e, ctx: ctx, engine: u.Name, closed: make(chan struct{})}
+	s.steps = stepsOf(g, a)
 	return s, nil
 }
 
 func (e *engines) Prefill(ctx context.Context, u state.Upstream, g upstream.Generate) (upstream.KV, error) {
 	e.mu.Lock()
-	e.prefills = append(e.prefills, seen{u.Name, g})
+	e.prefills = append(e.prefills, received{u.Name, g})
 	e.mu.Unlock()
 	if e.prefill != nil {
 		if err := e.prefill(ctx, u.Name); err != nil {
@@ -139,16 +152,16 @@
 	return nil
 }
 
-// step is one event, an error or, with neither, endless silence.
+// step is one event, an error or, if neither is set, silence.
 type step struct {
 	event *upstream.Event
 	err   error
-	// forever repeats the event without end.
+	// forever repeats the event endlessly.
 	forever bool
 }
 
-// script lists the steps of one attempt.
-func script(g upstream.Generate, a act) []step {
+// stepsOf returns the steps of one attempt.
+func stepsOf(g upstream.Generate, a plannedFault) []step {
 	var steps []step
 	add := func(e upstream.Event) { steps = append(steps, step{event: &e}) }
 	total := lengthOf(g.Prompt.Text)
@@ -158,7 +171,7 @@
 			e.Finish = "stop"
 		}
 		if i >= total {
-			// An answer whose tokens were all given gets an empty last event.
+			// If all tokens were given already, the engine sends an empty last event.
 			e.Text, e.Finish = "", "stop"
 		}
 		return e
@@ -175,13 +188,13 @@
 		case cut:
 			return append(steps, step{err: io.EOF})
 		case broken:
-			return append(steps, step{err: sendError("engine", true, errTest)})
-		case silence:
+			return append(steps, step{err: sendError("engine", true, errInjected)})
+		case silent:
 			return append(steps, step{})
 		case foreignForever:
 			other.Seq = i
 			return append(steps, step{event: &other, forever: true})
-		case doubled:
+		case duplicated:
 			add(event(i))
 		case foreign:
 			other.Seq = i
@@ -195,12 +208,12 @@
 				i++
 				continue
 			}
-		case skipped:
+		case missing:
 			continue
 		}
 		add(event(i))
 	}
-	if a.fault == unended {
+	if a.fault == noEndMark {
 		return append(steps, step{err: io.EOF})
 	}
 	add(upstream.Event{End: true})
@@ -210,8 +223,8 @@
 	return append(steps, step{err: io.EOF})
 }
 
-// tokens is one stream.
-type tokens struct {
+// fakeStream is the stream of one attempt.
+type fakeStream struct {
 	e      *engines
 	ctx    context.Context
 	engine string
@@ -220,7 +233,7 @@
 	closed chan struct{}
 }
 
-func (s *tokens) Next() (upstream.Event, error) {
+func (s *fakeStream) Next() (upstream.Event, error) {
 	if s.steps[0].err != nil {
 		return upstream.Event{}, s.steps[0].err
 	}
@@ -237,7 +250,7 @@
 	return *now.event, nil
 }
 
-func (s *tokens) wait(d time.Duration) error {
+func (s *fakeStream) wait(d time.Duration) error {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
@@ -250,28 +263,30 @@
 	}
 }
 
-func (s *tokens) Close() {
+func (s *fakeStream) Close() {
 	s.once.Do(func() {
 		close(s.closed)
 		s.e.open.Add(-1)
 	})
 }
 
-// promptOf makes a prompt whose answer has n tokens.
+// promptOf returns a prompt whose answer has n tokens.
 func promptOf(name string, n int) string { return name + " " + strconv.Itoa(n) }
 
+// lengthOf returns the number of tokens in the answer to a prompt.
 func lengthOf(prompt string) int {
 	_, n, _ := strings.Cut(prompt, " ")
 	total, _ := strconv.Atoi(n)
 	return total
 }
 
+// tokenOf returns token i of the answer to a prompt.
 func tokenOf(prompt string, i int) string {
 	name, _, _ := strings.Cut(prompt, " ")
 	return name + ":" + strconv.Itoa(i) + " "
 }
 
-// sink takes an answer and notes what an answer must not show.
+// sink receives an answer and records a deviation from the expected one in problem.
 type sink struct {
 	mu      sync.Mutex
 	prompt  string
@@ -282,7 +297,7 @@
 
 var _ dispatch.Sink = (*sink)(nil)
 
-func (s *sink) Given() []string {
+func (s *sink) Tokens() []string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.tokens[:len(s.tokens):len(s.tokens)]
@@ -306,8 +321,8 @@
 	s.finish = reason
 }
 
-// check compares the answer with the oracle: the text that the prompt
-// determines, whole if Generate said so, else a part of it and a refusal.
+// check compares the answer with the one that the prompt determines: it must be complete if
+// err is nil, and otherwise a prefix of it with a *dispatch.Refusal.
 func (s *sink) check(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -316,19 +331,19 @@
 	}
 	if err == nil {
 		if s.finish == "" {
-			return fmt.Errorf("called whole after %d tokens without an end", len(s.tokens))
+			return fmt.Errorf("Generate returned nil after %d tokens without a finish reason", len(s.tokens))
 		}
 		return nil
 	}
 	var refusal *dispatch.Refusal
 	if !errors.As(err, &refusal) || refusal.Reason == "" || refusal.Message == "" {
-		return fmt.Errorf("given up without a refusal that names the remedy: %w", err)
+		return fmt.Errorf("failed without a refusal that names the remedy: %w", err)
 	}
 	if s.finish != "" {
-		return fmt.Errorf("finished and refused: %w", err)
+		return fmt.Errorf("the answer was both finished and refused: %w", err)
 	}
 	if refusal.NotRun && len(s.tokens) > 0 {
-		return fmt.Errorf("said to be not run after %d tokens", len(s.tokens))
+		return fmt.Errorf("refused as not run after %d tokens", len(s.tokens))
 	}
 	return nil
 }
--- a/coordination/dispatch/harness_test.go
+++ b/coordination/dispatch/harness_test.go
@@ -18,13 +18,13 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Limits of the dispatchers under test.
+// Options of the dispatchers under test.
 const (
-	maxAttempts   = 3
-	stallTimeout  = time.Second
-	recordTimeout = 500 * time.Millisecond
-	apartTokens   = 100
-	backoff       = 10 * time.Millisecond
+	maxAttempts       = 3
+	stallTimeout      = time.Second
+	recordTimeout     = 500 * time.Millisecond
+	splitPromptTokens = 100
+	backoff           = 10 * time.Millisecond
 )
 
 const (
@@ -32,38 +32,38 @@
 	plainService = "app"
 )
 
-// world is one dispatcher with fakes around it. Its fields may be changed until
+// world is a dispatcher with fakes for all its dependencies. Its fields may be changed until
 // start is called.
 type world struct {
 	keeper   *snapshot.Keeper
 	engines  *engines
 	services *services
 	router   *router
-	grants   grants
+	admitter admitter
 	claimer  dispatch.Claimer
 	retries  dispatch.Retries
 	meter    meter
 	isolated atomic.Bool
-	// crashes and held are those of a crashFleet's host; by default nothing crashes.
-	crashes dispatch.Crashes
-	held    dispatch.Quarantine
-	d       *dispatch.Dispatcher
+	// crashes and quarantine are those of a crashFleet's host; by default nothing crashes.
+	crashes    dispatch.CrashReporter
+	quarantine dispatch.Quarantine
+	d          *dispatch.Dispatcher
 }
 
-// nothingCrashes holds nothing.
-type nothingCrashes struct{}
+// noCrashes ignores crash reports and quarantines no request.
+type noCrashes struct{}
 
-func (nothingCrashes) ReportBroken(state.Upstream, quarantine.Suspect) {}
+func (noCrashes) ReportBroken(state.Upstream, quarantine.Suspect) {}
 
-func (nothingCrashes) Held(quarantine.Digest) *quarantine.Hold { return nil }
+func (noCrashes) Held(quarantine.Digest) *quarantine.Hold { return nil }
 
-func (nothingCrashes) ReportAnswered(quarantine.Digest) {}
+func (noCrashes) ReportAnswered(quarantine.Digest) {}
 
-// newWorld makes engines e1, e2, ... with the given roles and service runners
-// s1, s2, s3.
+// newWorld returns a world with engines e1, e2, ... of the given roles and the runners s1,
+// s2 and s3 of a plain service.
 func newWorld(roles ...state.Role) *world {
 	w := &world{keeper: snapshot.NewKeeper(), engines: &engines{}, services: &services{}, router: &router{}}
-	w.retries, w.claimer, w.crashes, w.held = freeRetries{}, noClaims{}, nothingCrashes{}, nothingCrashes{}
+	w.retries, w.claimer, w.crashes, w.quarantine = unlimitedRetries{}, noClaims{}, noCrashes{}, noCrashes{}
 	var list []state.Listed
 	for i := range roles {
 		list = append(list, state.Listed{Name: engineName(i), Kind: state.ListedEngine, State: state.ListedLive, Service: modelService})
@@ -83,14 +83,15 @@
 // mixed returns n mixed engines.
 func mixed(n int) []state.Role { return slices.Repeat([]state.Role{state.RoleMixed}, n) }
 
+// start creates the dispatcher.
 func (w *world) start(t *testing.T) *world {
 	t.Helper()
 	var attempts atomic.Int64
 	d, err := dispatch.New(dispatch.Options{
-		Keeper: w.keeper, Engines: w.engines, Services: w.services, Router: w.router, Admitter: &w.grants,
-		Retries: w.retries, Claimer: w.claimer, Recorder: silent{}, Meter: &w.meter, Clock: clocktest.Bubble{}, Crashes: w.crashes, Quarantine: w.held,
+		Keeper: w.keeper, Engines: w.engines, Services: w.services, Router: w.router, Admitter: &w.admitter,
+		Retries: w.retries, Claimer: w.claimer, Recorder: discardRecorder{}, Meter: &w.meter, Clock: clocktest.Bubble{}, Crashes: w.crashes, Quarantine: w.quarantine,
 		NewID: func() string { return "a" + strconv.FormatInt(attempts.Add(1), 10) }, Host: "h",
-		MaxAttempts: maxAttempts, StallTimeout: stallTimeout, PrefillApartTokens: apartTokens, RecordTimeout: recordTimeout,
+		MaxAttempts: maxAttempts, StallTimeout: stallTimeout, SplitPromptTokens: splitPromptTokens, RecordTimeout: recordTimeout,
 		Isolated: w.isolated.Load,
 	})
 	if err != nil {
@@ -100,31 +101,33 @@
 	return w
 }
 
-// leftovers names what a finished request must not leave behind.
-func (w *world) leftovers() error {
+// checkReleased returns an error if a finished request has left work counted, a stream open,
+// a grant unreleased or an attempt without end.
+func (w *world) checkReleased() error {
 	for _, r := range w.keeper.View().Runners {
 		if left := r.Track.Load(); left != (snapshot.Work{}) {
-			return fmt.Errorf("%s still counts %+v in flight", r.Name, left)
+			return fmt.Errorf("runner %s still counts %+v in flight", r.Name, left)
 		}
 	}
 	if open := w.engines.open.Load(); open != 0 {
 		return fmt.Errorf("%d streams are still open", open)
 	}
-	if given, back := w.grants.given.Load(), w.grants.back.Load(); given != back {
-		return fmt.Errorf("%d grants given and %d given back", given, back)
+	if granted, released := w.admitter.granted.Load(), w.admitter.released.Load(); granted != released {
+		return fmt.Errorf("%d grants issued and %d released", granted, released)
 	}
 	if begun, ended := w.router.begun.Load(), w.router.ended.Load(); begun != ended {
-		return fmt.Errorf("%d attempts begun and %d ended", begun, ended)
+		return fmt.Errorf("%d attempts started and %d ended", begun, ended)
 	}
 	return nil
 }
 
-// router picks a runner that serves the part and isn't excluded, in turn; one of
-// the part's own role goes first.
+// router chooses, in turn, a runner that serves the part and isn't excluded. It prefers one
+// that serves only this part.
 type router struct {
-	// afterPick is called between the choice and the count.
+	// afterPick, if set, is called after a runner was chosen and before the request is
+	// counted there.
 	afterPick func(runner string)
-	// breakers are optional.
+	// breakers, if set, are the circuit breakers of the runners.
 	breakers *retry.Breakers
 
 	begun, ended atomic.Int64
@@ -161,6 +164,7 @@
 	return dispatch.Choice{}, &dispatch.Refusal{Reason: dispatch.ReasonNoUpstream, Message: "no runner; come back", RetryAfter: time.Second}
 }
 
+// serves reports whether runners of the role serve the part.
 func serves(role state.Role, p dispatch.Part) bool {
 	switch role {
 	case state.RolePrefill:
@@ -171,7 +175,7 @@
 	return true
 }
 
-func (r *router) Begin(_ dispatch.Query, c dispatch.Choice) (dispatch.Attempt, bool) {
+func (r *router) Begin(_ dispatch.Query, c dispatch.Choice) (dispatch.AttemptObserver, bool) {
 	done := func(bool) {}
 	if r.breakers != nil {
 		var err error
@@ -183,6 +187,7 @@
 	return &attempt{r: r, runner: c.Runner.Name, done: done}, true
 }
 
+// attempt records the outcome of an attempt in its router.
 type attempt struct {
 	r      *router
 	runner string
@@ -202,42 +207,45 @@
 	a.r.outcomes[a.runner] = append(a.r.outcomes[a.runner], o)
 }
 
-// grants admits everything, or refuses it all.
-type grants struct {
-	refuse      *dispatch.Refusal
-	given, back atomic.Int64
+// admitter admits every request or, if refuse is set, refuses every one.
+type admitter struct {
+	refuse            *dispatch.Refusal
+	granted, released atomic.Int64
 }
 
-func (g *grants) Admit(context.Context, *dispatch.Request, snapshot.Work) (dispatch.Grant, error) {
+func (g *admitter) Admit(context.Context, *dispatch.Request, snapshot.Work) (dispatch.Grant, error) {
 	if g.refuse != nil {
 		return nil, g.refuse
 	}
-	g.given.Add(1)
+	g.granted.Add(1)
 	return &grant{g: g}, nil
 }
 
+// grant counts its release in its admitter.
 type grant struct {
-	g    *grants
+	g    *admitter
 	once sync.Once
 }
 
 func (g *grant) FirstToken() {}
-func (g *grant) Done()       { g.once.Do(func() { g.g.back.Add(1) }) }
+func (g *grant) Done()       { g.once.Do(func() { g.g.released.Add(1) }) }
 
-// freeRetries allows every retry.
-type freeRetries struct{}
+// unlimitedRetries allows every retry after a constant pause.
+type unlimitedRetries struct{}
 
-func (freeRetries) CountRequest(string)       {}
-func (freeRetries) Allow(string) bool         { return true }
-func (freeRetries) Backoff(int) time.Duration { return backoff }
+func (unlimitedRetries) CountRequest(string)       {}
+func (unlimitedRetries) Allow(string) bool         { return true }
+func (unlimitedRetries) Backoff(int) time.Duration { return backoff }
 
-// noClaims is the claimer of a world that makes no calls under a key.
+// noClaims is the claimer of a world without at-most-once calls.
 type noClaims struct{ dispatch.Claimer }
 
-type silent struct{}
+// discardRecorder discards decisions.
+type discardRecorder struct{}
 
-func (silent) Record(state.Decision) {}
+func (discardRecorder) Record(state.Decision) {}
 
+// meter records counters by name.
 type meter struct {
 	mu     sync.Mutex
 	counts map[dispatch.Counter]int
--- a/coordination/dispatch/unsure_test.go
+++ b/coordination/dispatch/notrun_test.go
@@ -14,34 +14,36 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// fullAdmitter refuses everything.
-type fullAdmitter struct{}
+// refusingAdmitter refuses every request as overloaded.
+type refusingAdmitter struct{}
 
-func (fullAdmitter) Admit(context.Context, *Request, snapshot.Work) (Grant, error) {
+func (refusingAdmitter) Admit(context.Context, *Request, snapshot.Work) (Grant, error) {
 	return nil, &Refusal{Reason: ReasonOverloaded, Message: "full", RetryAfter: time.Second, NotRun: true}
 }
 
-// noRecorder forgets decisions.
-// emptyQuarantine holds nothing.
+// emptyQuarantine holds no request.
 type emptyQuarantine struct{}
 
 func (emptyQuarantine) Held(quarantine.Digest) *quarantine.Hold { return nil }
 
 func (emptyQuarantine) ReportAnswered(quarantine.Digest) {}
 
+// noRecorder discards decisions.
 type noRecorder struct{}
 
 func (noRecorder) Record(state.Decision) {}
 
+// zeroClock is always at the zero time and never waits.
 type zeroClock struct{}
 
 func (zeroClock) Now() time.Time { return time.Time{} }
 
 func (zeroClock) Sleep(ctx context.Context, _ time.Duration) error { return ctx.Err() }
 
-// A call runs at one host; its caller loses the connection and asks again at a
-// host that is full. That host must not say "not run": it never saw the record.
-func TestRefusalBeforeTheClaimDoesNotSpeakForTheKey(t *testing.T) {
+// A call runs at one host; its caller loses the connection and sends it again to a host that
+// is overloaded. That host hasn't read the key's record, so it must not refuse the call as
+// "not run".
+func TestRefusalBeforeClaimDoesNotSayNotRun(t *testing.T) {
 	cases := []struct {
 		name                 string
 		notRepeatable, first bool
@@ -51,7 +53,7 @@
 		{"a key never sent before", true, true, true},
 		{"a key that may have been sent", true, false, false},
 	}
-	d := &Dispatcher{o: Options{Keeper: snapshot.NewKeeper(), Admitter: fullAdmitter{}, Recorder: noRecorder{}, Clock: zeroClock{}, Quarantine: emptyQuarantine{}}}
+	d := &Dispatcher{o: Options{Keeper: snapshot.NewKeeper(), Admitter: refusingAdmitter{}, Recorder: noRecorder{}, Clock: zeroClock{}, Quarantine: emptyQuarantine{}}}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -59,7 +61,7 @@
 			var refusal *Refusal
 			is.True(errors.As(err, &refusal))
 			is.Equal(refusal.NotRun, c.notRun)
-			is.Equal(refusal.Unsure, !c.notRun)
+			is.Equal(refusal.EarlierMayHaveRun, !c.notRun)
 			is.True(refusal.RetryAfter >= time.Second)
 		})
 	}
--- a/coordination/dispatch/services_test.go
+++ b/coordination/dispatch/services_test.go
@@ -9,59 +9,60 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// callFault is what a service runner does to one call.
+// callFault is a failure that a service runner simulates in one call.
 type callFault int
 
 const (
+	// callDone: the call runs and is answered.
 	callDone callFault = iota
-	// callUnreached: the connection can't be made.
+	// callUnreached: the connection can't be established.
 	callUnreached
-	// callRefused: it answers that it won't take the work.
+	// callRefused: the runner responds that it doesn't accept the call.
 	callRefused
-	// callLost: it runs and its answer is lost.
+	// callLost: the call runs and its answer is lost.
 	callLost
-	// callSlow: it runs and answers after slowCall.
+	// callSlow: the call runs and is answered after slowCall.
 	callSlow
-	// callForeign: it runs and answers another attempt.
+	// callForeign: the call runs, but the answer carries another attempt's id.
 	callForeign
-	// callHung: it neither runs nor answers until the attempt is given up.
+	// callHung: the call neither runs nor is answered until the attempt is cancelled.
 	callHung
 )
 
 const (
 	slowCall = 10 * time.Second
-	// hungCall is when the client of the services gives a call up.
+	// hungCall is the time after which the client of the services cancels a call.
 	hungCall = 30 * time.Second
 )
 
-// services are all runners of a plain service.
+// services simulates all runners of a plain service.
 type services struct {
-	// plan holds the faults of the calls in their order.
+	// plan lists the faults of the calls in order; later calls succeed.
 	plan []callFault
 
 	mu    sync.Mutex
 	calls []upstream.Call
-	// runs counts executions by key.
+	// runs counts the executions by key.
 	runs map[string]int
-	// cut counts calls that were given up while they ran.
-	cut int
+	// abandoned counts the calls that were cancelled before they were answered.
+	abandoned int
 }
 
 func (s *services) Call(ctx context.Context, u state.Upstream, c upstream.Call) (upstream.Answer, error) {
 	switch f := s.next(c); f {
 	case callUnreached:
-		return upstream.Answer{}, sendError(u.Name, false, errTest)
+		return upstream.Answer{}, sendError(u.Name, false, errInjected)
 	case callRefused:
-		return upstream.Answer{}, &upstream.SendError{Upstream: u.Name, MaybeSent: true, Refused: true, Cause: errTest}
+		return upstream.Answer{}, &upstream.SendError{Upstream: u.Name, MaybeSent: true, Refused: true, Cause: errInjected}
 	case callHung:
 		select {
 		case <-ctx.Done():
 		case <-time.After(hungCall):
 		}
-		return upstream.Answer{}, s.gaveUp(u.Name, ctx)
+		return upstream.Answer{}, s.abandon(u.Name, ctx)
 	case callLost:
 		s.run(c.Key)
-		return upstream.Answer{}, sendError(u.Name, true, errTest)
+		return upstream.Answer{}, sendError(u.Name, true, errInjected)
 	case callForeign:
 		s.run(c.Key)
 		return upstream.Answer{Attempt: "of-another", Status: 200, Body: []byte("another's")}, nil
@@ -69,7 +70,7 @@
 		s.run(c.Key)
 		select {
 		case <-ctx.Done():
-			return upstream.Answer{}, s.gaveUp(u.Name, ctx)
+			return upstream.Answer{}, s.abandon(u.Name, ctx)
 		case <-time.After(slowCall):
 		}
 	default:
@@ -90,17 +91,18 @@
 	return f
 }
 
-// heal ends the plan.
-func (s *services) heal() {
+// clearPlan lets all further calls succeed.
+func (s *services) clearPlan() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.plan = nil
 }
 
-func (s *services) gaveUp(name string, ctx context.Context) error {
+// abandon counts a cancelled call and returns its error.
+func (s *services) abandon(name string, ctx context.Context) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.cut++
+	s.abandoned++
 	return sendError(name, true, context.Cause(ctx))
 }
 
@@ -113,7 +115,8 @@
 	s.runs[key]++
 }
 
-func (s *services) ran(key string) int {
+// runCount returns how often the call with the key ran.
+func (s *services) runCount(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
