--- a/coordination/explain/explain.go
+++ b/coordination/explain/explain.go
@@ -31,8 +31,8 @@
 	Clock state.Clock
 	// Host is the host's name; its batches are named after it.
 	Host string
-	// Keep is how many records stay in memory.
-	Keep int
+	// MaxRecords is how many records stay in memory.
+	MaxRecords int
 	// FlushInterval is the time that one batch covers.
 	FlushInterval time.Duration
 	// MaxBatchBytes bounds a compressed batch; older records beyond are dropped
@@ -41,8 +41,8 @@
 	Log           *slog.Logger
 }
 
-// Book is one host's record of its decisions. It is safe for concurrent use.
-type Book struct {
+// Recorder is one host's record of its decisions. It is safe for concurrent use.
+type Recorder struct {
 	o   Options
 	enc *zstd.Encoder
 
@@ -59,38 +59,38 @@
 type Batch struct {
 	Host string `msgpack:"h"`
 	// Slot time, in units of the flush interval since the epoch.
-	Turn      int64            `msgpack:"t"`
+	Window    int64            `msgpack:"t"`
 	Decisions []state.Decision `msgpack:"d"`
 	// Dropped counts records that found no room.
 	Dropped int `msgpack:"x"`
 }
 
 // New validates the options.
-func New(o Options) (*Book, error) {
+func New(o Options) (*Recorder, error) {
 	if o.Store == nil || o.Clock == nil || o.Log == nil || o.Host == "" {
 		return nil, errors.New("explain: Store, Clock, Log and Host are required; set them")
 	}
-	if o.Keep < 1 || o.FlushInterval <= 0 || o.MaxBatchBytes < 1 {
+	if o.MaxRecords < 1 || o.FlushInterval <= 0 || o.MaxBatchBytes < 1 {
 		return nil, errors.New("explain: Keep, FlushInterval and MaxBatchBytes must be positive")
 	}
 	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<17))
 	if err != nil {
 		return nil, fmt.Errorf("explain: compressor: %w", err)
 	}
-	return &Book{o: o, enc: enc, ring: make([]state.Decision, 0, o.Keep)}, nil
+	return &Recorder{o: o, enc: enc, ring: make([]state.Decision, 0, o.MaxRecords)}, nil
 }
 
 // Record keeps one decision. It never blocks on the platform.
-func (b *Book) Record(d state.Decision) {
+func (b *Recorder) Record(d state.Decision) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.ring) < b.o.Keep {
+	if len(b.ring) < b.o.MaxRecords {
 		b.ring = append(b.ring, d)
 	} else {
 		b.ring[b.next] = d
 	}
-	b.next = (b.next + 1) % b.o.Keep
-	if len(b.pending) < b.o.Keep {
+	b.next = (b.next + 1) % b.o.MaxRecords
+	if len(b.pending) < b.o.MaxRecords {
 		b.pending = append(b.pending, d)
 	} else {
 		b.dropped++
@@ -98,7 +98,7 @@
 }
 
 // Find returns the records in memory about a subject, oldest first.
-func (b *Book) Find(subject string) []state.Decision {
+func (b *Recorder) Find(subject string) []state.Decision {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []state.Decision
@@ -112,7 +112,7 @@
 }
 
 // Run writes batches until ctx ends, and a last one then.
-func (b *Book) Run(ctx context.Context) error {
+func (b *Recorder) Run(ctx context.Context) error {
 	for b.o.Clock.Sleep(ctx, b.o.FlushInterval) == nil {
 		b.flushLogged(ctx)
 	}
@@ -122,7 +122,7 @@
 	return ctx.Err()
 }
 
-func (b *Book) flushLogged(ctx context.Context) {
+func (b *Recorder) flushLogged(ctx context.Context) {
 	if err := b.Flush(ctx); err != nil {
 		b.o.Log.Warn("explanations not written; they stay in memory", "error", err)
 	}
@@ -130,7 +130,7 @@
 
 // Flush writes what is pending as one batch. On failure the records stay
 // pending for the next flush.
-func (b *Book) Flush(ctx context.Context) error {
+func (b *Recorder) Flush(ctx context.Context) error {
 	b.mu.Lock()
 	pending, dropped := b.pending, b.dropped
 	b.pending, b.dropped = nil, 0
@@ -145,20 +145,20 @@
 	return nil
 }
 
-func (b *Book) putBack(pending []state.Decision, dropped int) {
+func (b *Recorder) putBack(pending []state.Decision, dropped int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.pending = append(pending, b.pending...)
 	b.dropped += dropped
-	if extra := len(b.pending) - b.o.Keep; extra > 0 {
+	if extra := len(b.pending) - b.o.MaxRecords; extra > 0 {
 		b.pending = b.pending[extra:]
 		b.dropped += extra
 	}
 }
 
-func (b *Book) write(ctx context.Context, decisions []state.Decision, dropped int) error {
-	turn := TurnOf(b.o.Clock.Now(), b.o.FlushInterval)
-	value, err := b.encode(Batch{Host: b.o.Host, Turn: turn, Decisions: decisions, Dropped: dropped})
+func (b *Recorder) write(ctx context.Context, decisions []state.Decision, dropped int) error {
+	turn := WindowOf(b.o.Clock.Now(), b.o.FlushInterval)
+	value, err := b.encode(Batch{Host: b.o.Host, Window: turn, Decisions: decisions, Dropped: dropped})
 	if err != nil {
 		return err
 	}
@@ -179,7 +179,7 @@
 }
 
 // encode compresses the batch and halves it until it fits.
-func (b *Book) encode(batch Batch) ([]byte, error) {
+func (b *Recorder) encode(batch Batch) ([]byte, error) {
 	for {
 		raw, err := msgpack.Marshal(batch)
 		if err != nil {
@@ -216,8 +216,8 @@
 // maxDecodedBytes bounds the memory that one batch may take.
 const maxDecodedBytes = 32 << 20
 
-// TurnOf returns the turn that a time falls into.
-func TurnOf(t time.Time, interval time.Duration) int64 { return t.UnixNano() / int64(interval) }
+// WindowOf returns the turn that a time falls into.
+func WindowOf(t time.Time, interval time.Duration) int64 { return t.UnixNano() / int64(interval) }
 
 // SlotName names a batch object.
 func SlotName(host string, slot int) string { return fmt.Sprintf("%s.%02d", host, slot) }
--- a/coordination/explain/explain_test.go
+++ b/coordination/explain/explain_test.go
@@ -16,10 +16,10 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-func newBook(t *testing.T, p *storetest.Platform, keep, bytes int) *Book {
+func newBook(t *testing.T, p *storetest.Platform, keep, bytes int) *Recorder {
 	t.Helper()
 	b, err := New(Options{
-		Store: p.Client("h1"), Clock: clocktest.Bubble{}, Host: "h1", Keep: keep,
+		Store: p.Client("h1"), Clock: clocktest.Bubble{}, Host: "h1", MaxRecords: keep,
 		FlushInterval: 5 * time.Second, MaxBatchBytes: bytes, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
--- a/coordination/explain/search.go
+++ b/coordination/explain/search.go
@@ -24,7 +24,7 @@
 			return out, err
 		}
 		batch, err := Decode(o.Value)
-		if err != nil || (!from.IsZero() && batch.Turn < TurnOf(from, interval)) {
+		if err != nil || (!from.IsZero() && batch.Window < WindowOf(from, interval)) {
 			continue
 		}
 		for _, d := range batch.Decisions {
--- a/coordination/scale/approach.go
+++ b/coordination/scale/approach.go
@@ -11,15 +11,15 @@
 // look is what one look at a service found.
 type look struct {
 	spec state.ServiceSpec
-	plan Numbers
+	plan Counts
 	// serving take work, less those that were drained since; listed are those that leave
 	// as well.
-	serving, listed Numbers
+	serving, listed Counts
 	now             time.Time
 }
 
 // approach orders a place's number, as far as what takes work stays enough.
-func (m *Manager) approach(ctx context.Context, s *service, l look, p Place) {
+func (m *Manager) approach(ctx context.Context, s *service, l look, p Pool) {
 	want := l.plan[p]
 	have, known := s.ordered[p]
 	if !known {
@@ -43,17 +43,17 @@
 // without: none that the load needs, no on-demand ones before the spot runners that the
 // plan has in their place serve, as far as there is room for these beside them, and of spot
 // runners no few, which come and go by themselves.
-func (m *Manager) mayLeave(s *service, l look, p Place, leaving int) int {
+func (m *Manager) mayLeave(s *service, l look, p Pool, leaving int) int {
 	if p.Kind == Spot && leaving <= spotSlack {
 		return 0
 	}
-	if p.Kind == OnDemand && l.now.Add(l.spec.Scale.Boot+settle).Before(m.o.QuietUntil) && s.granted(l.plan) {
+	if p.Kind == OnDemand && l.now.Add(l.spec.Scale.Boot+settle).Before(m.o.NoTrafficUntil) && s.granted(l.plan) {
 		return leaving // others serve before the first caller comes
 	}
 	if p.Kind == OnDemand {
 		for d := range l.spec.Scale.DomainPrices {
-			room := l.spec.Scale.MaxPerDomain - l.listed[Place{d, OnDemand}]
-			if l.serving[Place{d, Spot}] < min(l.plan[Place{d, Spot}], room)-spotSlack {
+			room := l.spec.Scale.MaxPerDomain - l.listed[Pool{d, OnDemand}]
+			if l.serving[Pool{d, Spot}] < min(l.plan[Pool{d, Spot}], room)-spotSlack {
 				return 0
 			}
 		}
@@ -62,7 +62,7 @@
 }
 
 // granted reports whether the spot runners of a plan were ordered and are to be had.
-func (s *service) granted(plan Numbers) bool {
+func (s *service) granted(plan Counts) bool {
 	for p, n := range plan {
 		if p.Kind == Spot && s.ordered[p] < n {
 			return false
@@ -73,7 +73,7 @@
 
 // lost reports whether ordered spot runners are missing and are to be ordered again: they were
 // taken back, which is known from those that leave unasked, or never booted.
-func (s *service) lost(l look, p Place, want int) bool {
+func (s *service) lost(l look, p Pool, want int) bool {
 	if p.Kind != Spot || want <= l.serving[p] {
 		delete(s.reclaimed, p)
 		return false
@@ -92,14 +92,14 @@
 }
 
 // order orders a place's number; lost says that the one that it had is ordered again.
-func (m *Manager) order(ctx context.Context, s *service, l look, p Place, desired int, lost bool) {
+func (m *Manager) order(ctx context.Context, s *service, l look, p Pool, desired int, lost bool) {
 	term, err := m.o.Lease.Permit()
 	if err != nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err = m.o.Platform.Order(ctx, term, l.spec.Name, p, desired, m.o.Lease.Still(term))
+	err = m.o.Platform.SetDesired(ctx, term, l.spec.Name, p, desired, m.o.Lease.Still(term))
 	m.o.Log.Info("runners ordered", "service", l.spec.Name, "failure_domain", p.FailureDomain, "kind", string(p.Kind), "desired", desired,
 		"before", s.ordered[p], "need", s.need, "term", term, "refused", err != nil, "cause", causeOf(err))
 	switch {
--- a/coordination/scale/manager.go
+++ b/coordination/scale/manager.go
@@ -44,28 +44,28 @@
 // Platform takes orders. An order may have been taken although Order returns an error other than
 // ErrUnavailable.
 type Platform interface {
-	// Order asks for a number of runners under the term of that number; permit is asked last
+	// SetDesired asks for a number of runners under the term of that number; permit is asked last
 	// before the bytes leave.
-	Order(ctx context.Context, term uint64, service string, p Place, desired int, permit func() error) error
+	SetDesired(ctx context.Context, term uint64, service string, p Pool, desired int, permit func() error) error
 }
 
 // Options configure a Manager. All fields are required.
 type Options struct {
-	Platform Platform
-	Lease    *lease.Lessor
-	Needs    Needs
-	Clock    state.Clock
-	Log      *slog.Logger
+	Platform      Platform
+	Lease         *lease.Lessor
+	InitialCounts InitialCounts
+	Clock         state.Clock
+	Log           *slog.Logger
 	// Services lists the services whose numbers may be ordered.
 	Services func() []state.ServiceSpec
 	// Instances lists all of a service's runners, also those that leave.
 	Instances func(service string) []state.Instance
-	// NeedShare is the number of runners that carry the load, as a share of those that a
+	// RequiredShare is the number of runners that carry the load, as a share of those that a
 	// deployment starts with.
-	NeedShare float64
-	// QuietUntil is before when no caller comes, as at the first start of a deployment; zero if
+	RequiredShare float64
+	// NoTrafficUntil is before when no caller comes, as at the first start of a deployment; zero if
 	// that isn't known.
-	QuietUntil time.Time
+	NoTrafficUntil time.Time
 }
 
 // Manager orders numbers of runners while it holds the lease. Hold alone uses it, but for
@@ -90,23 +90,23 @@
 	counted int
 	since   time.Time
 	// ordered are the numbers ordered in this term, and when.
-	ordered    Numbers
-	orderedAt  map[Place]time.Time
-	repeatedAt map[Place]time.Time
+	ordered    Counts
+	orderedAt  map[Pool]time.Time
+	repeatedAt map[Pool]time.Time
 	// drained are the runners that were ordered to drain and may still be listed.
-	drained map[Place]drainOrder
+	drained map[Pool]drainOrder
 	// reclaimed are the places whose runners are being taken back, and were ordered again.
-	reclaimed map[Place]bool
+	reclaimed map[Pool]bool
 	// dryUntil is until when a failure domain counts as without spot runners, and pauseUntil
 	// when a place may be ordered for again.
 	dryUntil   map[string]time.Time
-	pauseUntil map[Place]time.Time
+	pauseUntil map[Pool]time.Time
 }
 
 func newService(now time.Time) *service {
 	return &service{
-		begun: now, ordered: Numbers{}, orderedAt: map[Place]time.Time{}, repeatedAt: map[Place]time.Time{},
-		drained: map[Place]drainOrder{}, reclaimed: map[Place]bool{}, dryUntil: map[string]time.Time{}, pauseUntil: map[Place]time.Time{},
+		begun: now, ordered: Counts{}, orderedAt: map[Pool]time.Time{}, repeatedAt: map[Pool]time.Time{},
+		drained: map[Pool]drainOrder{}, reclaimed: map[Pool]bool{}, dryUntil: map[string]time.Time{}, pauseUntil: map[Pool]time.Time{},
 	}
 }
 
@@ -118,7 +118,7 @@
 
 // New validates the options.
 func New(o Options) (*Manager, error) {
-	if o.Platform == nil || o.Lease == nil || o.Needs.Store == nil || o.Clock == nil || o.Log == nil || o.Services == nil || o.Instances == nil || o.NeedShare <= 0 {
+	if o.Platform == nil || o.Lease == nil || o.InitialCounts.Store == nil || o.Clock == nil || o.Log == nil || o.Services == nil || o.Instances == nil || o.RequiredShare <= 0 {
 		return nil, errors.New("scale: a field of Options is missing; set all of them")
 	}
 	return &Manager{o: o}, nil
@@ -146,7 +146,7 @@
 
 // noteResizing notes whether runners that take work are about to leave, or nothing of the plan
 // takes work yet. Those that are still to come needn't be waited for.
-func (m *Manager) noteResizing(service string, plan, serving Numbers) {
+func (m *Manager) noteResizing(service string, plan, serving Counts) {
 	arrived := false
 	for p, n := range serving {
 		if n > plan[p]+spotSlack {
@@ -185,11 +185,11 @@
 
 // plan is the plan for what there is. What can't be had now stays ordered, and is asked for
 // again once it may be had.
-func (s *service) plan(spec state.ServiceSpec, serving Numbers, now time.Time) Numbers {
+func (s *service) plan(spec state.ServiceSpec, serving Counts, now time.Time) Counts {
 	limited := s.limited(serving, spec, now)
-	plan := Plan(Wish{Spec: *spec.Scale, Need: s.need, Limited: limited})
+	plan := Plan(Requirements{Spec: *spec.Scale, Runners: s.need, SpotLimits: limited})
 	for d := range limited {
-		if p := (Place{d, Spot}); plan[p] < s.ordered[p] {
+		if p := (Pool{d, Spot}); plan[p] < s.ordered[p] {
 			plan[p] = s.ordered[p]
 			s.pauseUntil[p] = later(s.pauseUntil[p], s.dryUntil[d])
 		}
@@ -205,10 +205,10 @@
 }
 
 // count counts a service's runners by place: those that take work, and all that are listed.
-func count(instances []state.Instance) (serving, listed Numbers) {
-	serving, listed = Numbers{}, Numbers{}
+func count(instances []state.Instance) (serving, listed Counts) {
+	serving, listed = Counts{}, Counts{}
 	for _, i := range instances {
-		p := Place{i.FailureDomain, OnDemand}
+		p := Pool{i.FailureDomain, OnDemand}
 		if i.Spot {
 			p.Kind = Spot
 		}
@@ -222,12 +222,12 @@
 
 // places are those of a service, spot runners first: what replaces others is ordered before
 // they are drained.
-func places(s *state.ScaleSpec) []Place {
+func places(s *state.ScaleSpec) []Pool {
 	domains := byPrice(*s)
-	var out []Place
+	var out []Pool
 	for _, kind := range kinds {
 		for _, d := range domains {
-			out = append(out, Place{d, kind})
+			out = append(out, Pool{d, kind})
 		}
 	}
 	return out
@@ -235,7 +235,7 @@
 
 // known reports whether the service's need is known. The first holder takes it from what the
 // deployment starts with, once that has stood for a moment, and keeps it for the others.
-func (m *Manager) known(ctx context.Context, name string, s *service, serving Numbers, now time.Time) bool {
+func (m *Manager) known(ctx context.Context, name string, s *service, serving Counts, now time.Time) bool {
 	if s.need > 0 {
 		m.keepAgain(ctx, name, s)
 		return true
@@ -249,14 +249,14 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	base, err := m.o.Needs.First(ctx, name, s.counted)
+	base, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.counted)
 	if err != nil {
 		m.o.Log.Warn("number of runners at the start not read; tried again", "service", name, "cause", err.Error())
 		s.since = now
 		return false
 	}
 	s.base, s.keptIn = base, m.o.Lease.Epoch()
-	s.need = max(1, int(m.o.NeedShare*float64(base)+0.5))
+	s.need = max(1, int(m.o.RequiredShare*float64(base)+0.5))
 	m.o.Log.Info("need of a new term", "service", name, "need", s.need, "at_start", base, "listed", s.counted)
 	return true
 }
@@ -269,7 +269,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if _, err := m.o.Needs.First(ctx, name, s.base); err != nil {
+	if _, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.base); err != nil {
 		m.o.Log.Warn("number of runners at the start not kept again; tried again", "service", name, "cause", err.Error())
 		return
 	}
@@ -277,10 +277,10 @@
 }
 
 // limited bounds the spot runners of failure domains where no more are to be had.
-func (s *service) limited(serving Numbers, spec state.ServiceSpec, now time.Time) map[string]int {
+func (s *service) limited(serving Counts, spec state.ServiceSpec, now time.Time) map[string]int {
 	out := map[string]int{}
 	for d := range spec.Scale.DomainPrices {
-		p := Place{d, Spot}
+		p := Pool{d, Spot}
 		late := s.ordered[p] > serving[p] && now.Sub(s.orderedAt[p]) > lateBoots*spec.Scale.Boot
 		if now.Before(s.dryUntil[d]) || late {
 			out[d] = serving[p]
--- a/coordination/scale/manager_test.go
+++ b/coordination/scale/manager_test.go
@@ -26,7 +26,7 @@
 	spec    state.ServiceSpec
 	runners map[string]*runner
 	next    int
-	desired Numbers
+	desired Counts
 	dry     map[string]bool
 	orders  int
 	// lost loses the answers to orders, broken lets no runner boot.
@@ -35,29 +35,29 @@
 }
 
 type runner struct {
-	place    Place
+	place    Pool
 	serves   time.Time
 	draining bool
 }
 
 func newCloud(onDemand int) *cloud {
 	spec := threeDomains()
-	c := &cloud{spec: state.ServiceSpec{Name: "llm", Scale: &spec}, runners: map[string]*runner{}, desired: Numbers{}, dry: map[string]bool{}}
+	c := &cloud{spec: state.ServiceSpec{Name: "llm", Scale: &spec}, runners: map[string]*runner{}, desired: Counts{}, dry: map[string]bool{}}
 	for i := range onDemand {
-		p := Place{[]string{"nord", "sud", "depot"}[i%3], OnDemand}
+		p := Pool{[]string{"nord", "sud", "depot"}[i%3], OnDemand}
 		c.desired[p]++
 		c.start(p, time.Now())
 	}
 	return c
 }
 
-func (c *cloud) start(p Place, serves time.Time) {
+func (c *cloud) start(p Pool, serves time.Time) {
 	c.next++
 	c.runners[fmt.Sprint("r", c.next)] = &runner{place: p, serves: serves}
 }
 
-// Order implements Platform.
-func (c *cloud) Order(_ context.Context, term uint64, _ string, p Place, desired int, permit func() error) error {
+// SetDesired implements Platform.
+func (c *cloud) SetDesired(_ context.Context, term uint64, _ string, p Pool, desired int, permit func() error) error {
 	if err := permit(); err != nil {
 		return err
 	}
@@ -85,7 +85,7 @@
 }
 
 // count is the number of a place's runners that stay.
-func (c *cloud) count(p Place) int {
+func (c *cloud) count(p Pool) int {
 	n := 0
 	for _, r := range c.runners {
 		if r.place == p && !r.draining {
@@ -107,7 +107,7 @@
 	defer c.mu.Unlock()
 	c.dry[domain] = true
 	for name, r := range c.runners {
-		if r.place == (Place{domain, Spot}) {
+		if r.place == (Pool{domain, Spot}) {
 			r.draining = true
 			time.AfterFunc(2*time.Second, func() { c.end(name) })
 		}
@@ -155,14 +155,14 @@
 	return least
 }
 
-func (c *cloud) places() Numbers {
-	out := Numbers{}
+func (c *cloud) places() Counts {
+	out := Counts{}
 	for _, i := range c.list("") {
 		kind := OnDemand
 		if i.Spot {
 			kind = Spot
 		}
-		out[Place{i.FailureDomain, kind}]++
+		out[Pool{i.FailureDomain, kind}]++
 	}
 	return out
 }
@@ -185,8 +185,8 @@
 		t.Fatal(err)
 	}
 	m, err := New(Options{
-		Platform: c, Lease: lessor, Needs: Needs{p.Client(host)}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
-		Services: func() []state.ServiceSpec { return []state.ServiceSpec{c.spec} }, Instances: c.list, NeedShare: 1,
+		Platform: c, Lease: lessor, InitialCounts: InitialCounts{p.Client(host)}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
+		Services: func() []state.ServiceSpec { return []state.ServiceSpec{c.spec} }, Instances: c.list, RequiredShare: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -226,7 +226,7 @@
 		is.True(c.leastServing(30*time.Second) >= 57)
 		n := c.places()
 		is.True(n.total() < 95)
-		is.Equal(n[Place{"nord", OnDemand}]+n[Place{"sud", OnDemand}]+n[Place{"depot", OnDemand}], 0)
+		is.Equal(n[Pool{"nord", OnDemand}]+n[Pool{"sud", OnDemand}]+n[Pool{"depot", OnDemand}], 0)
 		before := c.ordersSoFar()
 		time.Sleep(time.Minute)
 		is.Equal(c.ordersSoFar(), before) // nothing flaps
@@ -243,7 +243,7 @@
 		is.True(c.leastServing(9*time.Second) >= 57)
 		c.setDry(false, "nord", "sud", "depot")
 		time.Sleep(10 * time.Second)
-		is.True(c.places()[Place{"sud", Spot}] >= 28)
+		is.True(c.places()[Pool{"sud", Spot}] >= 28)
 		is.True(c.ordersSoFar()-before < 15) // a dry domain is asked each two seconds
 	})
 }
@@ -288,7 +288,7 @@
 		p.RestoreBefore(time.Minute)
 		time.Sleep(10 * time.Second)
 		stop()
-		n, err := Needs{p.Client("test")}.First(context.Background(), c.spec.Name, 999)
+		n, err := InitialCounts{p.Client("test")}.LoadOrStore(context.Background(), c.spec.Name, 999)
 		is.NoErr(err)
 		is.Equal(n, 57)
 	})
@@ -327,7 +327,7 @@
 		c.setDry(false, "nord", "sud", "depot")
 		time.Sleep(30 * time.Second)
 		n := c.places()
-		is.Equal(n[Place{"nord", OnDemand}]+n[Place{"sud", OnDemand}]+n[Place{"depot", OnDemand}], 0)
+		is.Equal(n[Pool{"nord", OnDemand}]+n[Pool{"sud", OnDemand}]+n[Pool{"depot", OnDemand}], 0)
 		is.True(n.total() >= 84)
 	})
 }
@@ -336,12 +336,12 @@
 func TestResizingEndsOnceNobodyIsAboutToLeave(t *testing.T) {
 	is := is.New(t)
 	m := &Manager{}
-	plan := Numbers{{"nord", Spot}: 29, {"sud", Spot}: 29}
-	m.noteResizing("llm", plan, Numbers{{"nord", OnDemand}: 19, {"sud", OnDemand}: 19})
+	plan := Counts{{"nord", Spot}: 29, {"sud", Spot}: 29}
+	m.noteResizing("llm", plan, Counts{{"nord", OnDemand}: 19, {"sud", OnDemand}: 19})
 	is.True(m.Resizing("llm"))
-	m.noteResizing("llm", plan, Numbers{{"nord", OnDemand}: 19, {"nord", Spot}: 19, {"sud", Spot}: 19})
+	m.noteResizing("llm", plan, Counts{{"nord", OnDemand}: 19, {"nord", Spot}: 19, {"sud", Spot}: 19})
 	is.True(m.Resizing("llm"))
-	m.noteResizing("llm", plan, Numbers{{"nord", Spot}: 19, {"sud", Spot}: 19})
+	m.noteResizing("llm", plan, Counts{{"nord", Spot}: 19, {"sud", Spot}: 19})
 	is.True(!m.Resizing("llm"))
 }
 
@@ -350,18 +350,18 @@
 func TestOnDemandRunnersLeaveAtOnceBeforeTheFirstCaller(t *testing.T) {
 	is := is.New(t)
 	spec := threeDomains()
-	plan := Numbers{{"nord", Spot}: 29, {"sud", Spot}: 29, {"depot", Spot}: 29}
-	serving := Numbers{{"nord", OnDemand}: 19, {"sud", OnDemand}: 19, {"depot", OnDemand}: 19}
+	plan := Counts{{"nord", Spot}: 29, {"sud", Spot}: 29, {"depot", Spot}: 29}
+	serving := Counts{{"nord", OnDemand}: 19, {"sud", OnDemand}: 19, {"depot", OnDemand}: 19}
 	start := time.Unix(1000, 0)
-	m := &Manager{o: Options{QuietUntil: start.Add(12 * time.Second)}}
-	leaving := func(ordered Numbers, at time.Duration) int {
+	m := &Manager{o: Options{NoTrafficUntil: start.Add(12 * time.Second)}}
+	leaving := func(ordered Counts, at time.Duration) int {
 		s := &service{need: 57, ordered: ordered}
 		l := look{spec: state.ServiceSpec{Scale: &spec}, plan: plan, serving: serving, listed: serving, now: start.Add(at)}
-		return m.mayLeave(s, l, Place{"nord", OnDemand}, 19)
+		return m.mayLeave(s, l, Pool{"nord", OnDemand}, 19)
 	}
 	is.Equal(leaving(plan, 6*time.Second), 19)
-	is.Equal(leaving(Numbers{{"nord", Spot}: 29}, 6*time.Second), 0) // the others weren't granted
-	is.Equal(leaving(plan, 7*time.Second), 0)                        // they would serve after that
-	m.o.QuietUntil = time.Time{}
+	is.Equal(leaving(Counts{{"nord", Spot}: 29}, 6*time.Second), 0) // the others weren't granted
+	is.Equal(leaving(plan, 7*time.Second), 0)                       // they would serve after that
+	m.o.NoTrafficUntil = time.Time{}
 	is.Equal(leaving(plan, 6*time.Second), 0)
 }
--- a/coordination/scale/needs.go
+++ b/coordination/scale/needs.go
@@ -18,12 +18,12 @@
 	AtStart int `json:"at_start"`
 }
 
-// Needs keeps, for later holders of the lease, the number of runners that a service started
+// InitialCounts keeps, for later holders of the lease, the number of runners that a service started
 // with: what they find listed is what earlier holders ordered.
-type Needs struct{ Store store.Store }
+type InitialCounts struct{ Store store.Store }
 
-// First returns the number that a service started with, which is n if nobody has kept one.
-func (k Needs) First(ctx context.Context, service string, n int) (int, error) {
+// LoadOrStore returns the number that a service started with, which is n if nobody has kept one.
+func (k InitialCounts) LoadOrStore(ctx context.Context, service string, n int) (int, error) {
 	o, err := k.Store.Get(ctx, kindNeeds, service)
 	if errors.Is(err, store.ErrNotFound) {
 		return k.create(ctx, service, n)
@@ -39,7 +39,7 @@
 }
 
 // create keeps n. After an error it is unknown whether it did; it is read the next time.
-func (k Needs) create(ctx context.Context, service string, n int) (int, error) {
+func (k InitialCounts) create(ctx context.Context, service string, n int) (int, error) {
 	value, err := json.Marshal(kept{n})
 	if err != nil {
 		return 0, fmt.Errorf("encode the number of runners of %s: %w", service, err)
--- a/coordination/scale/plan.go
+++ b/coordination/scale/plan.go
@@ -19,17 +19,17 @@
 // kinds are all of them, in the order in which they are ordered.
 var kinds = []Kind{Spot, OnDemand}
 
-// Place is what a number of runners is ordered for.
-type Place struct {
+// Pool is what a number of runners is ordered for.
+type Pool struct {
 	FailureDomain string
 	Kind          Kind
 }
 
-// Numbers are runners by place.
-type Numbers map[Place]int
+// Counts are runners by place.
+type Counts map[Pool]int
 
 // total is the number of all runners.
-func (n Numbers) total() int {
+func (n Counts) total() int {
 	out := 0
 	for _, v := range n {
 		out += v
@@ -37,14 +37,14 @@
 	return out
 }
 
-// Wish is what a plan is made for.
-type Wish struct {
+// Requirements is what a plan is made for.
+type Requirements struct {
 	Spec state.ScaleSpec
-	// Need is the number of runners that carry the load.
-	Need int
-	// Limited bounds the number of spot runners of a failure domain where no more are to be
+	// Runners is the number of runners that carry the load.
+	Runners int
+	// SpotLimits bounds the number of spot runners of a failure domain where no more are to be
 	// had at present, by what there is.
-	Limited map[string]int
+	SpotLimits map[string]int
 }
 
 // Plan returns the cheapest numbers that carry the load, also once the spot runners of any
@@ -54,7 +54,7 @@
 //
 // With three failure domains and spot runners at a seventh of the price half as many more than
 // needed cost a quarter of what the needed ones cost on demand.
-func Plan(w Wish) Numbers {
+func Plan(w Requirements) Counts {
 	domains := byPrice(w.Spec)
 	best := onDemandOnly(w, domains)
 	bestCost := w.cost(best)
@@ -82,24 +82,24 @@
 	return out
 }
 
-func onDemandOnly(w Wish, domains []string) Numbers {
-	n := Numbers{}
-	w.fill(n, domains, w.Need)
+func onDemandOnly(w Requirements, domains []string) Counts {
+	n := Counts{}
+	w.fill(n, domains, w.Runners)
 	return n
 }
 
 // withSpot is a plan with that many spot runners in each failure domain that has them: as
 // many as carry the load without one of the domains, or what there is, and on-demand ones for
 // what is missing now.
-func (w Wish) withSpot(domains []string, each int) Numbers {
-	n := Numbers{}
+func (w Requirements) withSpot(domains []string, each int) Counts {
+	n := Counts{}
 	spot, largest, bounded := 0, 0, false
 	for _, d := range domains {
 		have := each
-		if limit, limited := w.Limited[d]; limited && limit < have {
+		if limit, limited := w.SpotLimits[d]; limited && limit < have {
 			have, bounded = limit, true
 		}
-		n[Place{d, Spot}] = have
+		n[Pool{d, Spot}] = have
 		spot += have
 		largest = max(largest, have)
 	}
@@ -107,24 +107,24 @@
 	if bounded || len(domains) == 1 {
 		reserve = 0 // a loss now would be the second
 	}
-	w.fill(n, domains, w.Need-(spot-reserve))
+	w.fill(n, domains, w.Runners-(spot-reserve))
 	return n
 }
 
 // fill adds on-demand runners, spread evenly as far as each failure domain's bounds allow, and
 // raises each to its least number.
-func (w Wish) fill(n Numbers, domains []string, missing int) {
+func (w Requirements) fill(n Counts, domains []string, missing int) {
 	for _, d := range domains {
-		if short := w.Spec.MinPerDomain - n[Place{d, Spot}]; short > 0 {
-			n[Place{d, OnDemand}] = short
+		if short := w.Spec.MinPerDomain - n[Pool{d, Spot}]; short > 0 {
+			n[Pool{d, OnDemand}] = short
 			missing -= short
 		}
 	}
 	for added := true; missing > 0 && added; {
 		added = false
 		for _, d := range domains {
-			if missing > 0 && n[Place{d, Spot}]+n[Place{d, OnDemand}] < w.Spec.MaxPerDomain {
-				n[Place{d, OnDemand}]++
+			if missing > 0 && n[Pool{d, Spot}]+n[Pool{d, OnDemand}] < w.Spec.MaxPerDomain {
+				n[Pool{d, OnDemand}]++
 				missing--
 				added = true
 			}
@@ -134,7 +134,7 @@
 
 // cost is the price of the numbers for a second; runners that are missing for the load cost
 // more than any that there are.
-func (w Wish) cost(n Numbers) float64 {
+func (w Requirements) cost(n Counts) float64 {
 	out := 0.0
 	for p, count := range n {
 		price := w.Spec.DomainPrices[p.FailureDomain]
@@ -143,7 +143,7 @@
 		}
 		out += price * float64(count)
 	}
-	return out + missingPrice*float64(max(0, w.Need-n.total()))
+	return out + missingPrice*float64(max(0, w.Runners-n.total()))
 }
 
 // missingPrice is above the price of any runner: callers go before prices.
--- a/coordination/scale/plan_test.go
+++ b/coordination/scale/plan_test.go
@@ -19,16 +19,16 @@
 }
 
 // without is the number of runners that are left when a domain's spot runners are taken back.
-func (n Numbers) without(domain string) int { return n.total() - n[Place{domain, Spot}] }
+func (n Counts) without(domain string) int { return n.total() - n[Pool{domain, Spot}] }
 
 // Spot runners of three domains carry the load without those of any one of them.
 func TestSpotRunnersStandByForTheLossOfADomain(t *testing.T) {
 	is := is.New(t)
-	w := Wish{Spec: threeDomains(), Need: 57}
+	w := Requirements{Spec: threeDomains(), Runners: 57}
 	n := Plan(w)
 	for domain := range w.Spec.DomainPrices {
 		is.True(n.without(domain) >= 57)
-		is.Equal(n[Place{domain, OnDemand}], 0)
+		is.Equal(n[Pool{domain, OnDemand}], 0)
 	}
 	is.True(w.cost(n) < 0.3*w.cost(onDemandOnly(w, byPrice(w.Spec))))
 }
@@ -37,37 +37,37 @@
 // carry the load; nothing is had on demand for a second loss.
 func TestReclaimedDomainIsBorneByTheOthers(t *testing.T) {
 	is := is.New(t)
-	w := Wish{Spec: threeDomains(), Need: 57, Limited: map[string]int{"nord": 0, "sud": 29, "depot": 29}}
+	w := Requirements{Spec: threeDomains(), Runners: 57, SpotLimits: map[string]int{"nord": 0, "sud": 29, "depot": 29}}
 	n := Plan(w)
 	is.True(n.total() >= 57)
-	is.True(n[Place{"nord", OnDemand}]+n[Place{"sud", OnDemand}]+n[Place{"depot", OnDemand}] <= 1) // the least of a domain
+	is.True(n[Pool{"nord", OnDemand}]+n[Pool{"sud", OnDemand}]+n[Pool{"depot", OnDemand}] <= 1) // the least of a domain
 }
 
 // None to be had from the start: runners on demand carry all of it, the cheapest places first.
 func TestNoSpotRunnersAtAll(t *testing.T) {
 	is := is.New(t)
-	w := Wish{Spec: threeDomains(), Need: 57, Limited: map[string]int{"nord": 0, "sud": 0, "depot": 0}}
+	w := Requirements{Spec: threeDomains(), Runners: 57, SpotLimits: map[string]int{"nord": 0, "sud": 0, "depot": 0}}
 	n := Plan(w)
 	is.Equal(n.total(), 57)
-	is.True(n[Place{"nord", OnDemand}] >= n[Place{"sud", OnDemand}])
+	is.True(n[Pool{"nord", OnDemand}] >= n[Pool{"sud", OnDemand}])
 }
 
 func TestDearSpotRunnersAreNotHad(t *testing.T) {
 	is := is.New(t)
 	spec := threeDomains()
 	spec.SpotPrice = 0.9
-	n := Plan(Wish{Spec: spec, Need: 57})
+	n := Plan(Requirements{Spec: spec, Runners: 57})
 	for domain := range spec.DomainPrices {
-		is.Equal(n[Place{domain, Spot}], 0)
+		is.Equal(n[Pool{domain, Spot}], 0)
 	}
 	spec.SpotPrice = 0
-	is.Equal(Plan(Wish{Spec: spec, Need: 57}).total(), 57)
+	is.Equal(Plan(Requirements{Spec: spec, Runners: 57}).total(), 57)
 }
 
 // Whatever is to be had, a plan carries the load if the bounds allow it, and keeps them.
 func TestPlansCarryTheLoadWithinTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := Wish{Limited: map[string]int{}}
+		w := Requirements{SpotLimits: map[string]int{}}
 		w.Spec.DomainPrices = map[string]float64{}
 		w.Spec.MinPerDomain = rapid.IntRange(0, 3).Draw(t, "min")
 		w.Spec.MaxPerDomain = w.Spec.MinPerDomain + rapid.IntRange(0, 40).Draw(t, "more")
@@ -77,20 +77,20 @@
 			d := string(rune('a' + i))
 			w.Spec.DomainPrices[d] = rapid.Float64Range(0.1, 2).Draw(t, "price")
 			if rapid.Bool().Draw(t, "limited") {
-				w.Limited[d] = rapid.IntRange(0, w.Spec.MaxPerDomain).Draw(t, "limit")
+				w.SpotLimits[d] = rapid.IntRange(0, w.Spec.MaxPerDomain).Draw(t, "limit")
 			}
 		}
-		w.Need = rapid.IntRange(0, domains*w.Spec.MaxPerDomain).Draw(t, "need")
+		w.Runners = rapid.IntRange(0, domains*w.Spec.MaxPerDomain).Draw(t, "need")
 		n := Plan(w)
-		if n.total() < w.Need {
-			t.Fatalf("%v carries %d of %d", n, n.total(), w.Need)
+		if n.total() < w.Runners {
+			t.Fatalf("%v carries %d of %d", n, n.total(), w.Runners)
 		}
 		for d := range w.Spec.DomainPrices {
-			both := n[Place{d, Spot}] + n[Place{d, OnDemand}]
+			both := n[Pool{d, Spot}] + n[Pool{d, OnDemand}]
 			if both < w.Spec.MinPerDomain || both > w.Spec.MaxPerDomain {
 				t.Fatalf("%v has %d in %s", n, both, d)
 			}
-			if limit, limited := w.Limited[d]; limited && n[Place{d, Spot}] > limit {
+			if limit, limited := w.SpotLimits[d]; limited && n[Pool{d, Spot}] > limit {
 				t.Fatalf("%v has more spot runners in %s than there are", n, d)
 			}
 		}
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -263,13 +263,13 @@
 func (d *Daemon) newCoordination() error {
 	s := d.settings
 	book, err := explain.New(explain.Options{
-		Store: d.store, Clock: d.clock, Host: s.Host.Name, Keep: keptDecisions,
+		Store: d.store, Clock: d.clock, Host: s.Host.Name, MaxRecords: keptDecisions,
 		FlushInterval: explainInterval, MaxBatchBytes: state.MaxConfigBytes, Log: d.log,
 	})
 	if err != nil {
 		return err
 	}
-	d.book = &loggedBook{Book: book, log: d.log}
+	d.book = &loggedBook{Recorder: book, log: d.log}
 	d.add("explain", d.book.Run)
 	d.answers = answer.NewRegistry(d.clock, s.Streams.AbandonAfter, s.Streams.KeepEnded)
 	d.prober, err = probe.New(probe.Options{
--- a/daemon/logged.go
+++ b/daemon/logged.go
@@ -50,12 +50,12 @@
 
 // loggedBook logs every decision at level debug and keeps its record.
 type loggedBook struct {
-	*explain.Book
+	*explain.Recorder
 	log *slog.Logger
 }
 
 // Record implements the recorders of coordination.
 func (l *loggedBook) Record(d state.Decision) {
-	l.Book.Record(d)
+	l.Recorder.Record(d)
 	l.log.Debug("decision", "kind", string(d.Kind), "subject", d.Subject, "chosen", d.Chosen, "why", d.Why, "config_version", d.ConfigVersion)
 }
--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -61,9 +61,9 @@
 	}
 	var err error
 	h.scaler, err = scale.New(scale.Options{
-		Platform: h.duties, Lease: h.lessor, Needs: scale.Needs{Store: h.store}, Clock: h.clock, Log: h.log,
-		Services: h.scalableServices, Instances: h.fleet.Instances, NeedShare: h.o.RunnerNeed,
-		QuietUntil: h.quietUntil(),
+		Platform: h.duties, Lease: h.lessor, InitialCounts: scale.InitialCounts{Store: h.store}, Clock: h.clock, Log: h.log,
+		Services: h.scalableServices, Instances: h.fleet.Instances, RequiredShare: h.o.RunnerNeed,
+		NoTrafficUntil: h.quietUntil(),
 	})
 	return err
 }
