--- a/coordination/explain/explain.go
+++ b/coordination/explain/explain.go
@@ -43,8 +43,8 @@
 
 // Recorder is one host's record of its decisions. It is safe for concurrent use.
 type Recorder struct {
-	o   Options
-	enc *zstd.Encoder
+	o       Options
+	encoder *zstd.Encoder
 
 	mu      sync.Mutex
 	ring    []state.Decision
@@ -73,36 +73,36 @@
 	if o.MaxRecords < 1 || o.FlushInterval <= 0 || o.MaxBatchBytes < 1 {
 		return nil, errors.New("explain: Keep, FlushInterval and MaxBatchBytes must be positive")
 	}
-	enc, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<17))
+	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<17))
 	if err != nil {
 		return nil, fmt.Errorf("explain: compressor: %w", err)
 	}
-	return &Recorder{o: o, enc: enc, ring: make([]state.Decision, 0, o.MaxRecords)}, nil
+	return &Recorder{o: o, encoder: encoder, ring: make([]state.Decision, 0, o.MaxRecords)}, nil
 }
 
 // Record keeps one decision. It never blocks on the platform.
-func (b *Recorder) Record(d state.Decision) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if len(b.ring) < b.o.MaxRecords {
-		b.ring = append(b.ring, d)
+func (r *Recorder) Record(d state.Decision) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if len(r.ring) < r.o.MaxRecords {
+		r.ring = append(r.ring, d)
 	} else {
-		b.ring[b.next] = d
+		r.ring[r.next] = d
 	}
-	b.next = (b.next + 1) % b.o.MaxRecords
-	if len(b.pending) < b.o.MaxRecords {
-		b.pending = append(b.pending, d)
+	r.next = (r.next + 1) % r.o.MaxRecords
+	if len(r.pending) < r.o.MaxRecords {
+		r.pending = append(r.pending, d)
 	} else {
-		b.dropped++
+		r.dropped++
 	}
 }
 
 // Find returns the records in memory about a subject, oldest first.
-func (b *Recorder) Find(subject string) []state.Decision {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (r *Recorder) Find(subject string) []state.Decision {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []state.Decision
-	for _, d := range b.ring {
+	for _, d := range r.ring {
 		if d.Subject == subject {
 			out = append(out, d)
 		}
@@ -112,81 +112,81 @@
 }
 
 // Run writes batches until ctx ends, and a last one then.
-func (b *Recorder) Run(ctx context.Context) error {
-	for b.o.Clock.Sleep(ctx, b.o.FlushInterval) == nil {
-		b.flushLogged(ctx)
+func (r *Recorder) Run(ctx context.Context) error {
+	for r.o.Clock.Sleep(ctx, r.o.FlushInterval) == nil {
+		r.flushAndLog(ctx)
 	}
-	last, stop := context.WithTimeout(context.WithoutCancel(ctx), b.o.FlushInterval)
+	last, stop := context.WithTimeout(context.WithoutCancel(ctx), r.o.FlushInterval)
 	defer stop()
-	b.flushLogged(last)
+	r.flushAndLog(last)
 	return ctx.Err()
 }
 
-func (b *Recorder) flushLogged(ctx context.Context) {
-	if err := b.Flush(ctx); err != nil {
-		b.o.Log.Warn("explanations not written; they stay in memory", "error", err)
+func (r *Recorder) flushAndLog(ctx context.Context) {
+	if err := r.Flush(ctx); err != nil {
+		r.o.Log.Warn("explanations not written; they stay in memory", "error", err)
 	}
 }
 
 // Flush writes what is pending as one batch. On failure the records stay
 // pending for the next flush.
-func (b *Recorder) Flush(ctx context.Context) error {
-	b.mu.Lock()
-	pending, dropped := b.pending, b.dropped
-	b.pending, b.dropped = nil, 0
-	b.mu.Unlock()
+func (r *Recorder) Flush(ctx context.Context) error {
+	r.mu.Lock()
+	pending, dropped := r.pending, r.dropped
+	r.pending, r.dropped = nil, 0
+	r.mu.Unlock()
 	if len(pending) == 0 {
 		return nil
 	}
-	if err := b.write(ctx, pending, dropped); err != nil {
-		b.putBack(pending, dropped)
+	if err := r.writeBatch(ctx, pending, dropped); err != nil {
+		r.requeue(pending, dropped)
 		return err
 	}
 	return nil
 }
 
-func (b *Recorder) putBack(pending []state.Decision, dropped int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.pending = append(pending, b.pending...)
-	b.dropped += dropped
-	if extra := len(b.pending) - b.o.MaxRecords; extra > 0 {
-		b.pending = b.pending[extra:]
-		b.dropped += extra
+func (r *Recorder) requeue(pending []state.Decision, dropped int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.pending = append(pending, r.pending...)
+	r.dropped += dropped
+	if extra := len(r.pending) - r.o.MaxRecords; extra > 0 {
+		r.pending = r.pending[extra:]
+		r.dropped += extra
 	}
 }
 
-func (b *Recorder) write(ctx context.Context, decisions []state.Decision, dropped int) error {
-	turn := WindowOf(b.o.Clock.Now(), b.o.FlushInterval)
-	value, err := b.encode(Batch{Host: b.o.Host, Window: turn, Decisions: decisions, Dropped: dropped})
+func (r *Recorder) writeBatch(ctx context.Context, decisions []state.Decision, dropped int) error {
+	window := WindowOf(r.o.Clock.Now(), r.o.FlushInterval)
+	value, err := r.encode(Batch{Host: r.o.Host, Window: window, Decisions: decisions, Dropped: dropped})
 	if err != nil {
 		return err
 	}
-	slot := int(turn % Slots)
-	name := SlotName(b.o.Host, slot)
-	version, err := b.o.Store.Put(ctx, store.KindExplain, name, b.versions[slot], value)
+	slot := int(window % Slots)
+	name := SlotName(r.o.Host, slot)
+	version, err := r.o.Store.Put(ctx, store.KindExplain, name, r.versions[slot], value)
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
 		// An earlier run of this host, or a write whose answer was lost, left
 		// another version. Only this host writes here, so it is overwritten.
-		version, err = b.o.Store.Put(ctx, store.KindExplain, name, conflict.Actual, value)
+		version, err = r.o.Store.Put(ctx, store.KindExplain, name, conflict.Actual, value)
 	}
 	if err != nil {
 		return fmt.Errorf("explain: batch %s: %w", name, err)
 	}
-	b.versions[slot] = version
+	r.versions[slot] = version
 	return nil
 }
 
 // encode compresses the batch and halves it until it fits.
-func (b *Recorder) encode(batch Batch) ([]byte, error) {
+func (r *Recorder) encode(batch Batch) ([]byte, error) {
 	for {
 		raw, err := msgpack.Marshal(batch)
 		if err != nil {
 			return nil, fmt.Errorf("explain: encode: %w", err)
 		}
-		value := b.enc.EncodeAll(raw, nil)
-		if len(value) <= b.o.MaxBatchBytes || len(batch.Decisions) < 2 {
+		value := r.encoder.EncodeAll(raw, nil)
+		if len(value) <= r.o.MaxBatchBytes || len(batch.Decisions) < 2 {
 			return value, nil
 		}
 		half := len(batch.Decisions) / 2
--- a/coordination/explain/explain_test.go
+++ b/coordination/explain/explain_test.go
@@ -16,16 +16,16 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-func newBook(t *testing.T, p *storetest.Platform, keep, bytes int) *Recorder {
+func newRecorder(t *testing.T, p *storetest.Platform, keep, bytes int) *Recorder {
 	t.Helper()
-	b, err := New(Options{
+	r, err := New(Options{
 		Store: p.Client("h1"), Clock: clocktest.Bubble{}, Host: "h1", MaxRecords: keep,
 		FlushInterval: 5 * time.Second, MaxBatchBytes: bytes, Log: slog.New(slog.DiscardHandler),
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return b
+	return r
 }
 
 func TestRecordsOutliveTheHost(t *testing.T) {
@@ -34,11 +34,11 @@
 		p := storetest.NewPlatform(time.Second)
 		ctx, stop := context.WithCancel(t.Context())
 		for run := range 2 {
-			b := newBook(t, p, 100, 1<<20)
+			r := newRecorder(t, p, 100, 1<<20)
 			done := make(chan error)
 			runCtx, end := context.WithCancel(ctx)
-			go func() { done <- b.Run(runCtx) }()
-			b.Record(state.Decision{At: time.Now(), Subject: "r1", Chosen: fmt.Sprint(run), Why: "because"})
+			go func() { done <- r.Run(runCtx) }()
+			r.Record(state.Decision{At: time.Now(), Subject: "r1", Chosen: fmt.Sprint(run), Why: "because"})
 			time.Sleep(6 * time.Second)
 			end()
 			<-done
@@ -56,21 +56,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
-		b := newBook(t, p, 3, 1<<20)
+		r := newRecorder(t, p, 3, 1<<20)
 		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.Refuse })
 		for i := range 5 {
-			b.Record(state.Decision{At: time.Now(), Subject: fmt.Sprint(i)})
+			r.Record(state.Decision{At: time.Now(), Subject: fmt.Sprint(i)})
 		}
-		is.True(store.IsUnavailable(b.Flush(t.Context())))
+		is.True(store.IsUnavailable(r.Flush(t.Context())))
 		p.SetScript(nil)
-		is.NoErr(b.Flush(t.Context()))
+		is.NoErr(r.Flush(t.Context()))
 		objects, _, err := p.Client("operator").List(t.Context(), store.KindExplain)
 		is.NoErr(err)
 		batch, err := Decode(objects[0].Value)
 		is.NoErr(err)
 		is.Equal(len(batch.Decisions), 3)
 		is.Equal(batch.Dropped, 2)
-		is.Equal(len(b.Find("4")), 1)
-		is.Equal(len(b.Find("0")), 0)
+		is.Equal(len(r.Find("4")), 1)
+		is.Equal(len(r.Find("0")), 0)
 	})
 }
--- a/coordination/scale/manager.go
+++ b/coordination/scale/manager.go
@@ -14,28 +14,28 @@
 
 const (
 	// pollEvery is how often the holder compares numbers with the plan; it costs no call.
-	pollEvery = 250 * time.Millisecond
+	pollInterval = 250 * time.Millisecond
 	// callTimeout bounds a call.
 	callTimeout = time.Second
 	// settle is how long the number of runners must stand before the first plan: when a
 	// deployment starts, its runners list themselves within a heartbeat (1.2 s).
-	settle = 1200 * time.Millisecond
+	settleTime = 1200 * time.Millisecond
 	// unknownFor is how long what hangs on the number of runners waits for a need that can't
 	// be read from the store.
-	unknownFor = 10 * time.Second
+	initialCountTimeout = 10 * time.Second
 	// askAgain is the pause after an order that failed, and dryFor how long a failure domain
 	// counts as without spot runners after the platform had none.
-	askAgain = time.Second
-	dryFor   = 2 * time.Second
+	retryInterval     = time.Second
+	spotRetryInterval = 2 * time.Second
 	// drainsFor is how long a runner that was ordered to go may still be listed: it drains for some
 	// seconds, at times for many.
-	drainsFor = 15 * time.Second
+	drainTimeout = 15 * time.Second
 	// spotSlack is how many spot runners of a failure domain may be missing or too many for
 	// nothing to be ordered: single ones crash and are back by themselves.
-	spotSlack = 2
+	spotTolerance = 2
 	// lateBoots is how many times the time of a boot ordered runners may take to be listed
 	// before others are ordered in their place.
-	lateBoots = 2
+	bootTimeoutFactor = 2
 )
 
 // ErrUnavailable says that there are no runners of the kind to be had at present.
@@ -72,46 +72,46 @@
 // Resizing.
 type Manager struct {
 	o        Options
-	services map[string]*service
+	services map[string]*serviceState
 	// resizing is set for services whose number of runners is about to change, for those who
 	// ask from elsewhere.
 	resizing sync.Map
 }
 
 // service is what is known of one service in a term.
-type service struct {
-	begun time.Time
+type serviceState struct {
+	startedAt time.Time
 	// need is the number of runners that carry the load; 0 until it is known. base is what it was
 	// worked out from, and keptIn the store's epoch in which that was last known to be kept.
-	need   int
-	base   int
-	keptIn uint64
+	required      int
+	initial       int
+	storedInEpoch uint64
 	// counted is how many runners were listed when last they were counted, since when.
-	counted int
-	since   time.Time
+	lastCount      int
+	lastCountSince time.Time
 	// ordered are the numbers ordered in this term, and when.
-	ordered    Counts
-	orderedAt  map[Pool]time.Time
-	repeatedAt map[Pool]time.Time
+	requested   Counts
+	requestedAt map[Pool]time.Time
+	acceptedAt  map[Pool]time.Time
 	// drained are the runners that were ordered to drain and may still be listed.
-	drained map[Pool]drainOrder
+	drainRequests map[Pool]drainRequest
 	// reclaimed are the places whose runners are being taken back, and were ordered again.
 	reclaimed map[Pool]bool
 	// dryUntil is until when a failure domain counts as without spot runners, and pauseUntil
 	// when a place may be ordered for again.
-	dryUntil   map[string]time.Time
-	pauseUntil map[Pool]time.Time
+	noSpotUntil   map[string]time.Time
+	nextRequestAt map[Pool]time.Time
 }
 
-func newService(now time.Time) *service {
-	return &service{
-		begun: now, ordered: Counts{}, orderedAt: map[Pool]time.Time{}, repeatedAt: map[Pool]time.Time{},
-		drained: map[Pool]drainOrder{}, reclaimed: map[Pool]bool{}, dryUntil: map[string]time.Time{}, pauseUntil: map[Pool]time.Time{},
+func newServiceState(now time.Time) *serviceState {
+	return &serviceState{
+		startedAt: now, requested: Counts{}, requestedAt: map[Pool]time.Time{}, acceptedAt: map[Pool]time.Time{},
+		drainRequests: map[Pool]drainRequest{}, reclaimed: map[Pool]bool{}, noSpotUntil: map[string]time.Time{}, nextRequestAt: map[Pool]time.Time{},
 	}
 }
 
 // drainOrder is a number of runners that were ordered to drain; after until they are gone.
-type drainOrder struct {
+type drainRequest struct {
 	n     int
 	until time.Time
 }
@@ -126,12 +126,12 @@
 
 // Hold orders numbers for one term of the lease, until ctx ends with it.
 func (m *Manager) Hold(ctx context.Context) {
-	m.services = map[string]*service{}
+	m.services = map[string]*serviceState{}
 	for {
 		for _, spec := range m.o.Services() {
-			m.serve(ctx, spec)
+			m.reconcile(ctx, spec)
 		}
-		if m.o.Clock.Sleep(ctx, pollEvery) != nil {
+		if m.o.Clock.Sleep(ctx, pollInterval) != nil {
 			return
 		}
 	}
@@ -140,58 +140,58 @@
 // Resizing reports whether many of a service's runners are about to leave by what this host has
 // ordered, or is about to order for the first time in a term.
 func (m *Manager) Resizing(service string) bool {
-	_, is := m.resizing.Load(service)
-	return is
+	_, resizing := m.resizing.Load(service)
+	return resizing
 }
 
 // noteResizing notes whether runners that take work are about to leave, or nothing of the plan
 // takes work yet. Those that are still to come needn't be waited for.
-func (m *Manager) noteResizing(service string, plan, serving Counts) {
-	arrived := false
+func (m *Manager) updateResizing(service string, plan, serving Counts) {
+	plannedServing := false
 	for p, n := range serving {
-		if n > plan[p]+spotSlack {
+		if n > plan[p]+spotTolerance {
 			m.resizing.Store(service, true)
 			return
 		}
-		arrived = arrived || (n > 0 && plan[p] > 0)
+		plannedServing = plannedServing || (n > 0 && plan[p] > 0)
 	}
-	if arrived {
+	if plannedServing {
 		m.resizing.Delete(service)
 	}
 }
 
 // serve compares one service's numbers with the plan.
-func (m *Manager) serve(ctx context.Context, spec state.ServiceSpec) {
+func (m *Manager) reconcile(ctx context.Context, spec state.ServiceSpec) {
 	s := m.services[spec.Name]
 	if s == nil {
-		s = newService(m.o.Clock.Now())
+		s = newServiceState(m.o.Clock.Now())
 		m.services[spec.Name] = s
 		m.resizing.Store(spec.Name, true)
 	}
 	now := m.o.Clock.Now()
-	serving, listed := count(m.o.Instances(spec.Name))
-	if !m.known(ctx, spec.Name, s, serving, now) || m.o.Lease.Silent() {
-		if now.Sub(s.begun) > unknownFor {
+	serving, listed := countRunners(m.o.Instances(spec.Name))
+	if !m.resolveRequired(ctx, spec.Name, s, serving, now) || m.o.Lease.Silent() {
+		if now.Sub(s.startedAt) > initialCountTimeout {
 			m.resizing.Delete(spec.Name)
 		}
 		return
 	}
-	l := look{spec: spec, plan: s.plan(spec, serving, now), serving: maps.Clone(serving), listed: listed, now: now}
-	for _, p := range places(spec.Scale) {
-		m.approach(ctx, s, l, p)
+	obs := observation{spec: spec, plan: s.plan(spec, serving, now), serving: maps.Clone(serving), listed: listed, now: now}
+	for _, p := range pools(spec.Scale) {
+		m.adjustPool(ctx, s, obs, p)
 	}
-	m.noteResizing(spec.Name, l.plan, serving)
+	m.updateResizing(spec.Name, obs.plan, serving)
 }
 
 // plan is the plan for what there is. What can't be had now stays ordered, and is asked for
 // again once it may be had.
-func (s *service) plan(spec state.ServiceSpec, serving Counts, now time.Time) Counts {
-	limited := s.limited(serving, spec, now)
-	plan := Plan(Requirements{Spec: *spec.Scale, Runners: s.need, SpotLimits: limited})
-	for d := range limited {
-		if p := (Pool{d, Spot}); plan[p] < s.ordered[p] {
-			plan[p] = s.ordered[p]
-			s.pauseUntil[p] = later(s.pauseUntil[p], s.dryUntil[d])
+func (s *serviceState) plan(spec state.ServiceSpec, serving Counts, now time.Time) Counts {
+	limits := s.spotLimits(serving, spec, now)
+	plan := Plan(Requirements{Spec: *spec.Scale, Runners: s.required, SpotLimits: limits})
+	for d := range limits {
+		if p := (Pool{d, Spot}); plan[p] < s.requested[p] {
+			plan[p] = s.requested[p]
+			s.nextRequestAt[p] = later(s.nextRequestAt[p], s.noSpotUntil[d])
 		}
 	}
 	return plan
@@ -205,7 +205,7 @@
 }
 
 // count counts a service's runners by place: those that take work, and all that are listed.
-func count(instances []state.Instance) (serving, listed Counts) {
+func countRunners(instances []state.Instance) (serving, listed Counts) {
 	serving, listed = Counts{}, Counts{}
 	for _, i := range instances {
 		p := Pool{i.FailureDomain, OnDemand}
@@ -222,8 +222,8 @@
 
 // places are those of a service, spot runners first: what replaces others is ordered before
 // they are drained.
-func places(s *state.ScaleSpec) []Pool {
-	domains := byPrice(*s)
+func pools(s *state.ScaleSpec) []Pool {
+	domains := domainsByPrice(*s)
 	var out []Pool
 	for _, kind := range kinds {
 		for _, d := range domains {
@@ -235,54 +235,54 @@
 
 // known reports whether the service's need is known. The first holder takes it from what the
 // deployment starts with, once that has stood for a moment, and keeps it for the others.
-func (m *Manager) known(ctx context.Context, name string, s *service, serving Counts, now time.Time) bool {
-	if s.need > 0 {
-		m.keepAgain(ctx, name, s)
+func (m *Manager) resolveRequired(ctx context.Context, name string, s *serviceState, serving Counts, now time.Time) bool {
+	if s.required > 0 {
+		m.storeInitialAgain(ctx, name, s)
 		return true
 	}
-	if n := serving.total(); n == 0 || n != s.counted {
-		s.counted, s.since = n, now
+	if n := serving.total(); n == 0 || n != s.lastCount {
+		s.lastCount, s.lastCountSince = n, now
 		return false
 	}
-	if now.Sub(s.since) < settle {
+	if now.Sub(s.lastCountSince) < settleTime {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	base, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.counted)
+	initial, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.lastCount)
 	if err != nil {
 		m.o.Log.Warn("number of runners at the start not read; tried again", "service", name, "cause", err.Error())
-		s.since = now
+		s.lastCountSince = now
 		return false
 	}
-	s.base, s.keptIn = base, m.o.Lease.Epoch()
-	s.need = max(1, int(m.o.RequiredShare*float64(base)+0.5))
-	m.o.Log.Info("need of a new term", "service", name, "need", s.need, "at_start", base, "listed", s.counted)
+	s.initial, s.storedInEpoch = initial, m.o.Lease.Epoch()
+	s.required = max(1, int(m.o.RequiredShare*float64(initial)+0.5))
+	m.o.Log.Info("need of a new term", "service", name, "need", s.required, "at_start", initial, "listed", s.lastCount)
 	return true
 }
 
 // keepAgain keeps the number at the start again once the store was restored from an older copy.
-func (m *Manager) keepAgain(ctx context.Context, name string, s *service) {
+func (m *Manager) storeInitialAgain(ctx context.Context, name string, s *serviceState) {
 	epoch := m.o.Lease.Epoch()
-	if epoch <= s.keptIn {
+	if epoch <= s.storedInEpoch {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if _, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.base); err != nil {
+	if _, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.initial); err != nil {
 		m.o.Log.Warn("number of runners at the start not kept again; tried again", "service", name, "cause", err.Error())
 		return
 	}
-	s.keptIn = epoch
+	s.storedInEpoch = epoch
 }
 
 // limited bounds the spot runners of failure domains where no more are to be had.
-func (s *service) limited(serving Counts, spec state.ServiceSpec, now time.Time) map[string]int {
+func (s *serviceState) spotLimits(serving Counts, spec state.ServiceSpec, now time.Time) map[string]int {
 	out := map[string]int{}
 	for d := range spec.Scale.DomainPrices {
 		p := Pool{d, Spot}
-		late := s.ordered[p] > serving[p] && now.Sub(s.orderedAt[p]) > lateBoots*spec.Scale.Boot
-		if now.Before(s.dryUntil[d]) || late {
+		bootOverdue := s.requested[p] > serving[p] && now.Sub(s.requestedAt[p]) > bootTimeoutFactor*spec.Scale.Boot
+		if now.Before(s.noSpotUntil[d]) || bootOverdue {
 			out[d] = serving[p]
 		}
 	}
--- a/coordination/scale/needs.go
+++ b/coordination/scale/needs.go
@@ -10,10 +10,10 @@
 )
 
 // kindNeeds is the kind of the objects that keep what services started with.
-const kindNeeds = "thymerack-runners"
+const kindInitialCounts = "thymerack-runners"
 
 // kept is the object of one service.
-type kept struct {
+type initialCount struct {
 	// AtStart is the number of runners when numbers were first ordered.
 	AtStart int `json:"at_start"`
 }
@@ -23,28 +23,28 @@
 type InitialCounts struct{ Store store.Store }
 
 // LoadOrStore returns the number that a service started with, which is n if nobody has kept one.
-func (k InitialCounts) LoadOrStore(ctx context.Context, service string, n int) (int, error) {
-	o, err := k.Store.Get(ctx, kindNeeds, service)
+func (c InitialCounts) LoadOrStore(ctx context.Context, service string, n int) (int, error) {
+	o, err := c.Store.Get(ctx, kindInitialCounts, service)
 	if errors.Is(err, store.ErrNotFound) {
-		return k.create(ctx, service, n)
+		return c.create(ctx, service, n)
 	}
 	if err != nil {
 		return 0, err
 	}
-	var r kept
-	if err := json.Unmarshal(o.Value, &r); err != nil || r.AtStart <= 0 {
-		return 0, fmt.Errorf("the number of runners that %s started with is not readable (%q); delete the object %s/%s", service, o.Value, kindNeeds, service)
+	var stored initialCount
+	if err := json.Unmarshal(o.Value, &stored); err != nil || stored.AtStart <= 0 {
+		return 0, fmt.Errorf("the number of runners that %s started with is not readable (%q); delete the object %s/%s", service, o.Value, kindInitialCounts, service)
 	}
-	return r.AtStart, nil
+	return stored.AtStart, nil
 }
 
 // create keeps n. After an error it is unknown whether it did; it is read the next time.
-func (k InitialCounts) create(ctx context.Context, service string, n int) (int, error) {
-	value, err := json.Marshal(kept{n})
+func (c InitialCounts) create(ctx context.Context, service string, n int) (int, error) {
+	value, err := json.Marshal(initialCount{n})
 	if err != nil {
 		return 0, fmt.Errorf("encode the number of runners of %s: %w", service, err)
 	}
-	if _, err := k.Store.Put(ctx, kindNeeds, service, store.Absent, value); err != nil {
+	if _, err := c.Store.Put(ctx, kindInitialCounts, service, store.Absent, value); err != nil {
 		return 0, err
 	}
 	return n, nil
--- a/coordination/scale/plan.go
+++ b/coordination/scale/plan.go
@@ -54,16 +54,16 @@
 //
 // With three failure domains and spot runners at a seventh of the price half as many more than
 // needed cost a quarter of what the needed ones cost on demand.
-func Plan(w Requirements) Counts {
-	domains := byPrice(w.Spec)
-	best := onDemandOnly(w, domains)
-	bestCost := w.cost(best)
-	if w.Spec.SpotPrice <= 0 {
+func Plan(r Requirements) Counts {
+	domains := domainsByPrice(r.Spec)
+	best := planOnDemand(r, domains)
+	bestCost := r.cost(best)
+	if r.Spec.SpotPrice <= 0 {
 		return best
 	}
-	for each := 1; each <= w.Spec.MaxPerDomain; each++ {
-		n := w.withSpot(domains, each)
-		if cost := w.cost(n); cost < bestCost {
+	for perDomain := 1; perDomain <= r.Spec.MaxPerDomain; perDomain++ {
+		n := r.planWithSpot(domains, perDomain)
+		if cost := r.cost(n); cost < bestCost {
 			best, bestCost = n, cost
 		}
 	}
@@ -71,7 +71,7 @@
 }
 
 // byPrice are the failure domains, the cheapest first.
-func byPrice(s state.ScaleSpec) []string {
+func domainsByPrice(s state.ScaleSpec) []string {
 	out := make([]string, 0, len(s.DomainPrices))
 	for domain := range s.DomainPrices {
 		out = append(out, domain)
@@ -82,48 +82,48 @@
 	return out
 }
 
-func onDemandOnly(w Requirements, domains []string) Counts {
+func planOnDemand(r Requirements, domains []string) Counts {
 	n := Counts{}
-	w.fill(n, domains, w.Runners)
+	r.addOnDemand(n, domains, r.Runners)
 	return n
 }
 
 // withSpot is a plan with that many spot runners in each failure domain that has them: as
 // many as carry the load without one of the domains, or what there is, and on-demand ones for
 // what is missing now.
-func (w Requirements) withSpot(domains []string, each int) Counts {
+func (r Requirements) planWithSpot(domains []string, perDomain int) Counts {
 	n := Counts{}
-	spot, largest, bounded := 0, 0, false
+	spot, largest, domainLimited := 0, 0, false
 	for _, d := range domains {
-		have := each
-		if limit, limited := w.SpotLimits[d]; limited && limit < have {
-			have, bounded = limit, true
+		count := perDomain
+		if limit, limited := r.SpotLimits[d]; limited && limit < count {
+			count, domainLimited = limit, true
 		}
-		n[Pool{d, Spot}] = have
-		spot += have
-		largest = max(largest, have)
+		n[Pool{d, Spot}] = count
+		spot += count
+		largest = max(largest, count)
 	}
 	reserve := largest
-	if bounded || len(domains) == 1 {
+	if domainLimited || len(domains) == 1 {
 		reserve = 0 // a loss now would be the second
 	}
-	w.fill(n, domains, w.Runners-(spot-reserve))
+	r.addOnDemand(n, domains, r.Runners-(spot-reserve))
 	return n
 }
 
 // fill adds on-demand runners, spread evenly as far as each failure domain's bounds allow, and
 // raises each to its least number.
-func (w Requirements) fill(n Counts, domains []string, missing int) {
+func (r Requirements) addOnDemand(n Counts, domains []string, missing int) {
 	for _, d := range domains {
-		if short := w.Spec.MinPerDomain - n[Pool{d, Spot}]; short > 0 {
-			n[Pool{d, OnDemand}] = short
-			missing -= short
+		if shortfall := r.Spec.MinPerDomain - n[Pool{d, Spot}]; shortfall > 0 {
+			n[Pool{d, OnDemand}] = shortfall
+			missing -= shortfall
 		}
 	}
 	for added := true; missing > 0 && added; {
 		added = false
 		for _, d := range domains {
-			if missing > 0 && n[Pool{d, Spot}]+n[Pool{d, OnDemand}] < w.Spec.MaxPerDomain {
+			if missing > 0 && n[Pool{d, Spot}]+n[Pool{d, OnDemand}] < r.Spec.MaxPerDomain {
 				n[Pool{d, OnDemand}]++
 				missing--
 				added = true
@@ -134,17 +134,17 @@
 
 // cost is the price of the numbers for a second; runners that are missing for the load cost
 // more than any that there are.
-func (w Requirements) cost(n Counts) float64 {
+func (r Requirements) cost(n Counts) float64 {
 	out := 0.0
 	for p, count := range n {
-		price := w.Spec.DomainPrices[p.FailureDomain]
+		price := r.Spec.DomainPrices[p.FailureDomain]
 		if p.Kind == Spot {
-			price *= w.Spec.SpotPrice
+			price *= r.Spec.SpotPrice
 		}
 		out += price * float64(count)
 	}
-	return out + missingPrice*float64(max(0, w.Runners-n.total()))
+	return out + missingRunnerPrice*float64(max(0, r.Runners-n.total()))
 }
 
 // missingPrice is above the price of any runner: callers go before prices.
-const missingPrice = 1e3
+const missingRunnerPrice = 1e3
