--- a/coordination/scale/approach.go
+++ b/coordination/scale/approach.go
@@ -8,17 +8,18 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// look is what one look at a service found.
+// observation is the state of a service at one comparison with its plan.
 type observation struct {
 	spec state.ServiceSpec
 	plan Counts
-	// serving take work, less those that were drained since; listed are those that leave
-	// as well.
+	// serving counts the runners that take work, less those whose drain was requested during
+	// this comparison; listed also counts the draining ones.
 	serving, listed Counts
 	now             time.Time
 }
 
-// approach orders a place's number, as far as what takes work stays enough.
+// adjustPool requests the planned count of a pool, or the lowest count above it that keeps
+// enough runners serving.
 func (m *Manager) adjustPool(ctx context.Context, s *serviceState, obs observation, p Pool) {
 	want := obs.plan[p]
 	have, known := s.requested[p]
@@ -39,16 +40,16 @@
 	m.request(ctx, s, obs, p, want, repeat)
 }
 
-// mayLeave is how many of a place's runners may be drained of those that the plan does
-// without: none that the load needs, no on-demand ones before the spot runners that the
-// plan has in their place serve, as far as there is room for these beside them, and of spot
-// runners no few, which come and go by themselves.
+// countDrainable returns how many of a pool's surplus runners may be drained now. Runners that
+// carry the load stay. On-demand runners stay until the planned spot runners serve, as far as
+// MaxPerDomain has room for both at once. A surplus of spot runners within spotTolerance stays,
+// since their number varies by itself.
 func (m *Manager) countDrainable(s *serviceState, obs observation, p Pool, surplus int) int {
 	if p.Kind == Spot && surplus <= spotTolerance {
 		return 0
 	}
 	if p.Kind == OnDemand && obs.now.Add(obs.spec.Scale.Boot+settleTime).Before(m.o.NoTrafficUntil) && s.spotGranted(obs.plan) {
-		return surplus // others serve before the first caller comes
+		return surplus // the spot runners serve before the first traffic
 	}
 	if p.Kind == OnDemand {
 		for d := range obs.spec.Scale.DomainPrices {
@@ -61,7 +62,7 @@
 	return max(0, min(surplus, obs.serving.total()-s.required))
 }
 
-// granted reports whether the spot runners of a plan were ordered and are to be had.
+// spotGranted reports whether the platform has accepted requests for all spot runners of a plan.
 func (s *serviceState) spotGranted(plan Counts) bool {
 	for p, n := range plan {
 		if p.Kind == Spot && s.requested[p] < n {
@@ -71,8 +72,9 @@
 	return true
 }
 
-// lost reports whether ordered spot runners are missing and are to be ordered again: they were
-// taken back, which is known from those that leave unasked, or never booted.
+// shouldRepeat reports whether the request for a pool's spot runners must be sent again because
+// some of them are missing: they were reclaimed, which shows in runners that drain without a
+// request, or they never booted. A reclaim is reported once.
 func (s *serviceState) shouldRepeat(obs observation, p Pool, want int) bool {
 	if p.Kind != Spot || want <= obs.serving[p] {
 		delete(s.reclaimed, p)
@@ -91,7 +93,8 @@
 	return missing > spotTolerance && obs.now.Sub(s.requestedAt[p]) > obs.spec.Scale.Boot+settleTime && obs.now.Sub(s.acceptedAt[p]) > spotRetryInterval
 }
 
-// order orders a place's number; lost says that the one that it had is ordered again.
+// request asks the platform for a pool's count. repeat is set if the count is requested again
+// because runners are missing.
 func (m *Manager) request(ctx context.Context, s *serviceState, obs observation, p Pool, desired int, repeat bool) {
 	term, err := m.o.Lease.Permit()
 	if err != nil {
@@ -100,7 +103,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err = m.o.Platform.SetDesired(ctx, term, obs.spec.Name, p, desired, m.o.Lease.Still(term))
-	m.o.Log.Info("runners ordered", "service", obs.spec.Name, "failure_domain", p.FailureDomain, "kind", string(p.Kind), "desired", desired,
+	m.o.Log.Info("runner count requested", "service", obs.spec.Name, "failure_domain", p.FailureDomain, "kind", string(p.Kind), "desired", desired,
 		"before", s.requested[p], "need", s.required, "term", term, "refused", err != nil, "cause", errorText(err))
 	switch {
 	case err == nil:
@@ -116,6 +119,7 @@
 	}
 }
 
+// errorText returns the text of an error, and an empty string for nil.
 func errorText(err error) string {
 	if err == nil {
 		return ""
--- a/coordination/scale/doc.go
+++ b/coordination/scale/doc.go
@@ -1,7 +1,7 @@
-// Package scale decides how many runners of a service there are in each failure domain, and of
-// which kind: on-demand runners, or spot runners, which cost a part of that and may be taken
-// back, all those of a failure domain at once.
+// Package scale decides how many runners each service has in each failure domain, and of which
+// kind: on-demand runners, or spot runners, which cost a fraction of the on-demand price and can
+// be reclaimed by the platform at any time, all those of a failure domain at once.
 //
-// Plan is the decision, without clock or network; Manager carries it out while it holds the
-// lease of the duties.
+// Plan computes the counts and uses neither clock nor network. Manager requests them from the
+// platform while this host holds the lease.
 package scale
--- a/coordination/scale/manager.go
+++ b/coordination/scale/manager.go
@@ -13,92 +13,102 @@
 )
 
 const (
-	// pollEvery is how often the holder compares numbers with the plan; it costs no call.
+	// pollInterval is the time between comparisons of the runners with the plan. A comparison
+	// makes no call.
 	pollInterval = 250 * time.Millisecond
-	// callTimeout bounds a call.
+	// callTimeout bounds each call to the platform or the store.
 	callTimeout = time.Second
-	// settle is how long the number of runners must stand before the first plan: when a
-	// deployment starts, its runners list themselves within a heartbeat (1.2 s).
+	// settleTime is how long the number of serving runners must stay the same before the first
+	// plan: when a deployment starts, its runners are listed within one heartbeat (1.2 s).
 	settleTime = 1200 * time.Millisecond
-	// unknownFor is how long what hangs on the number of runners waits for a need that can't
-	// be read from the store.
+	// initialCountTimeout is how long Resizing stays true while the initial count can't be read
+	// from the store; work that waits for the resize goes on after it.
 	initialCountTimeout = 10 * time.Second
-	// askAgain is the pause after an order that failed, and dryFor how long a failure domain
-	// counts as without spot runners after the platform had none.
+	// retryInterval is the pause after a request that failed. spotRetryInterval is how long a
+	// failure domain counts as having no spot capacity after the platform returned
+	// ErrUnavailable.
 	retryInterval     = time.Second
 	spotRetryInterval = 2 * time.Second
-	// drainsFor is how long a runner that was ordered to go may still be listed: it drains for some
-	// seconds, at times for many.
+	// drainTimeout is how long a runner whose drain was requested may still be listed. A drain
+	// usually takes a few seconds, but can take much longer.
 	drainTimeout = 15 * time.Second
-	// spotSlack is how many spot runners of a failure domain may be missing or too many for
-	// nothing to be ordered: single ones crash and are back by themselves.
+	// spotTolerance is how many spot runners of a failure domain may be missing or in surplus
+	// without a new request: single runners crash and restart by themselves.
 	spotTolerance = 2
-	// lateBoots is how many times the time of a boot ordered runners may take to be listed
-	// before others are ordered in their place.
+	// bootTimeoutFactor times the boot time is how long requested spot runners may take to be
+	// listed before other runners are requested instead.
 	bootTimeoutFactor = 2
 )
 
-// ErrUnavailable says that there are no runners of the kind to be had at present.
-var ErrUnavailable = errors.New("no runners of that kind are to be had there now; order others, or again later")
+// ErrUnavailable is returned if the platform has no capacity for the requested kind of runner at
+// present.
+var ErrUnavailable = errors.New("no runners of that kind are available in that failure domain now; request others, or retry later")
 
-// Platform takes orders. An order may have been taken although Order returns an error other than
-// ErrUnavailable.
+// Platform starts and drains runners on request. A request may have taken effect although
+// SetDesired returns an error other than ErrUnavailable.
 type Platform interface {
-	// SetDesired asks for a number of runners under the term of that number; permit is asked last
-	// before the bytes leave.
+	// SetDesired requests the number of runners of a service in a pool, under the lease term
+	// with that number. It calls permit right before it sends the request, and sends nothing if
+	// permit returns an error.
 	SetDesired(ctx context.Context, term uint64, service string, p Pool, desired int, permit func() error) error
 }
 
-// Options configure a Manager. All fields are required.
+// Options configure a Manager. All fields except NoTrafficUntil are required.
 type Options struct {
 	Platform      Platform
 	Lease         *lease.Lessor
 	InitialCounts InitialCounts
 	Clock         state.Clock
 	Log           *slog.Logger
-	// Services lists the services whose numbers may be ordered.
+	// Services lists the services whose runner counts are managed; Scale is set in each.
 	Services func() []state.ServiceSpec
-	// Instances lists all of a service's runners, also those that leave.
+	// Instances lists all runners of a service, including the draining ones.
 	Instances func(service string) []state.Instance
-	// RequiredShare is the number of runners that carry the load, as a share of those that a
-	// deployment starts with.
+	// RequiredShare is the number of runners that carry the load, as a fraction of the number
+	// that the deployment starts with.
 	RequiredShare float64
-	// NoTrafficUntil is before when no caller comes, as at the first start of a deployment; zero if
-	// that isn't known.
+	// NoTrafficUntil is the time before which no caller sends requests, as at the first start of
+	// a deployment; zero if it isn't known.
 	NoTrafficUntil time.Time
 }
 
-// Manager orders numbers of runners while it holds the lease. Hold alone uses it, but for
-// Resizing.
+// Manager requests runner counts while this host holds the lease. Only Resizing is safe to call
+// concurrently with Hold.
 type Manager struct {
 	o        Options
 	services map[string]*serviceState
-	// resizing is set for services whose number of runners is about to change, for those who
-	// ask from elsewhere.
+	// resizing has an entry for each service for which Resizing reports true. Resizing reads it
+	// from other goroutines.
 	resizing sync.Map
 }
 
-// service is what is known of one service in a term.
+// serviceState is the state of one service during one term of the lease.
 type serviceState struct {
 	startedAt time.Time
-	// need is the number of runners that carry the load; 0 until it is known. base is what it was
-	// worked out from, and keptIn the store's epoch in which that was last known to be kept.
+	// required is the number of runners that carry the load; 0 until it is known. It is computed
+	// from initial, the number of runners that the service started with. storedInEpoch is the
+	// last store epoch in which initial is known to be stored.
 	required      int
 	initial       int
 	storedInEpoch uint64
-	// counted is how many runners were listed when last they were counted, since when.
+	// lastCount is the number of serving runners until required is known, and lastCountSince
+	// the time since which it is unchanged.
 	lastCount      int
 	lastCountSince time.Time
-	// ordered are the numbers ordered in this term, and when.
+	// requested holds the counts that the platform accepted in this term. requestedAt is when
+	// a count was last changed or requested again for missing runners, and acceptedAt when the
+	// last request was accepted.
 	requested   Counts
 	requestedAt map[Pool]time.Time
 	acceptedAt  map[Pool]time.Time
-	// drained are the runners that were ordered to drain and may still be listed.
+	// drainRequests holds the latest drain request of each pool; its runners may still be
+	// listed.
 	drainRequests map[Pool]drainRequest
-	// reclaimed are the places whose runners are being taken back, and were ordered again.
+	// reclaimed holds the pools whose spot runners are being reclaimed and for which
+	// shouldRepeat has already reported that.
 	reclaimed map[Pool]bool
-	// dryUntil is until when a failure domain counts as without spot runners, and pauseUntil
-	// when a place may be ordered for again.
+	// noSpotUntil is the time until which a failure domain counts as having no spot capacity,
+	// and nextRequestAt the earliest time of a pool's next request.
 	noSpotUntil   map[string]time.Time
 	nextRequestAt map[Pool]time.Time
 }
@@ -110,13 +120,14 @@
 	}
 }
 
-// drainOrder is a number of runners that were ordered to drain; after until they are gone.
+// drainRequest is a number of runners whose drain was requested. They count as removed after
+// until.
 type drainRequest struct {
 	n     int
 	until time.Time
 }
 
-// New validates the options.
+// New returns a Manager, or an error that names the remedy if an option is missing.
 func New(o Options) (*Manager, error) {
 	if o.Platform == nil || o.Lease == nil || o.InitialCounts.Store == nil || o.Clock == nil || o.Log == nil || o.Services == nil || o.Instances == nil || o.RequiredShare <= 0 {
 		return nil, errors.New("scale: a field of Options is missing; set all of them")
@@ -124,7 +135,8 @@
 	return &Manager{o: o}, nil
 }
 
-// Hold orders numbers for one term of the lease, until ctx ends with it.
+// Hold keeps the runners of all services at the planned counts during one term of the lease. It
+// returns when ctx ends, which happens at the latest with the term.
 func (m *Manager) Hold(ctx context.Context) {
 	m.services = map[string]*serviceState{}
 	for {
@@ -137,15 +149,16 @@
 	}
 }
 
-// Resizing reports whether many of a service's runners are about to leave by what this host has
-// ordered, or is about to order for the first time in a term.
+// Resizing reports whether many of a service's runners are about to drain because of a request
+// of this host, or because of the first request of the term, which is still to come.
 func (m *Manager) Resizing(service string) bool {
 	_, resizing := m.resizing.Load(service)
 	return resizing
 }
 
-// noteResizing notes whether runners that take work are about to leave, or nothing of the plan
-// takes work yet. Those that are still to come needn't be waited for.
+// updateResizing sets the resizing state of a service while serving runners are about to drain,
+// and clears it once no pool has more than spotTolerance surplus runners and at least one planned
+// pool serves. Planned runners that don't serve yet don't delay that.
 func (m *Manager) updateResizing(service string, plan, serving Counts) {
 	plannedServing := false
 	for p, n := range serving {
@@ -160,7 +173,7 @@
 	}
 }
 
-// serve compares one service's numbers with the plan.
+// reconcile compares the runners of one service with the plan and requests the differences.
 func (m *Manager) reconcile(ctx context.Context, spec state.ServiceSpec) {
 	s := m.services[spec.Name]
 	if s == nil {
@@ -183,8 +196,9 @@
 	m.updateResizing(spec.Name, obs.plan, serving)
 }
 
-// plan is the plan for what there is. What can't be had now stays ordered, and is asked for
-// again once it may be had.
+// plan returns the planned counts under the present limits on spot runners. Spot runners that
+// are unavailable at present stay requested, and the request is repeated once the failure domain
+// may have capacity again.
 func (s *serviceState) plan(spec state.ServiceSpec, serving Counts, now time.Time) Counts {
 	limits := s.spotLimits(serving, spec, now)
 	plan := Plan(Requirements{Spec: *spec.Scale, Runners: s.required, SpotLimits: limits})
@@ -197,6 +211,7 @@
 	return plan
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -204,7 +219,8 @@
 	return b
 }
 
-// count counts a service's runners by place: those that take work, and all that are listed.
+// countRunners counts the runners of a service by pool: those that take work, and all that are
+// listed.
 func countRunners(instances []state.Instance) (serving, listed Counts) {
 	serving, listed = Counts{}, Counts{}
 	for _, i := range instances {
@@ -220,8 +236,8 @@
 	return serving, listed
 }
 
-// places are those of a service, spot runners first: what replaces others is ordered before
-// they are drained.
+// pools returns the pools of a service, those of spot runners first, so that replacements are
+// requested before the runners that they replace are drained.
 func pools(s *state.ScaleSpec) []Pool {
 	domains := domainsByPrice(*s)
 	var out []Pool
@@ -233,8 +249,9 @@
 	return out
 }
 
-// known reports whether the service's need is known. The first holder takes it from what the
-// deployment starts with, once that has stood for a moment, and keeps it for the others.
+// resolveRequired reports whether the required number of runners is known, and determines it if
+// possible. The first holder of the lease derives it from the number of runners that the service
+// starts with, once that is unchanged for settleTime, and stores that number for later holders.
 func (m *Manager) resolveRequired(ctx context.Context, name string, s *serviceState, serving Counts, now time.Time) bool {
 	if s.required > 0 {
 		m.storeInitialAgain(ctx, name, s)
@@ -251,17 +268,18 @@
 	defer cancel()
 	initial, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.lastCount)
 	if err != nil {
-		m.o.Log.Warn("number of runners at the start not read; tried again", "service", name, "cause", err.Error())
+		m.o.Log.Warn("initial number of runners not read; retrying", "service", name, "cause", err.Error())
 		s.lastCountSince = now
 		return false
 	}
 	s.initial, s.storedInEpoch = initial, m.o.Lease.Epoch()
 	s.required = max(1, int(m.o.RequiredShare*float64(initial)+0.5))
-	m.o.Log.Info("need of a new term", "service", name, "need", s.required, "at_start", initial, "listed", s.lastCount)
+	m.o.Log.Info("required number of runners determined", "service", name, "need", s.required, "at_start", initial, "listed", s.lastCount)
 	return true
 }
 
-// keepAgain keeps the number at the start again once the store was restored from an older copy.
+// storeInitialAgain stores the initial number of runners again after each restore of the store
+// from an older copy, which may have lost it.
 func (m *Manager) storeInitialAgain(ctx context.Context, name string, s *serviceState) {
 	epoch := m.o.Lease.Epoch()
 	if epoch <= s.storedInEpoch {
@@ -270,13 +288,14 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	if _, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.initial); err != nil {
-		m.o.Log.Warn("number of runners at the start not kept again; tried again", "service", name, "cause", err.Error())
+		m.o.Log.Warn("initial number of runners not stored again after a restore of the store; retrying", "service", name, "cause", err.Error())
 		return
 	}
 	s.storedInEpoch = epoch
 }
 
-// limited bounds the spot runners of failure domains where no more are to be had.
+// spotLimits returns the number of serving spot runners of each failure domain that has no spot
+// capacity at present, or whose requested spot runners don't boot in time.
 func (s *serviceState) spotLimits(serving Counts, spec state.ServiceSpec, now time.Time) map[string]int {
 	out := map[string]int{}
 	for d := range spec.Scale.DomainPrices {
--- a/coordination/scale/needs.go
+++ b/coordination/scale/needs.go
@@ -9,20 +9,21 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// kindNeeds is the kind of the objects that keep what services started with.
+// kindInitialCounts is the kind of the stored objects. Their name is that of the service.
 const kindInitialCounts = "thymerack-runners"
 
-// kept is the object of one service.
+// initialCount is the stored object of one service.
 type initialCount struct {
-	// AtStart is the number of runners when numbers were first ordered.
+	// AtStart is the number of serving runners before the first request for a change.
 	AtStart int `json:"at_start"`
 }
 
-// InitialCounts keeps, for later holders of the lease, the number of runners that a service started
-// with: what they find listed is what earlier holders ordered.
+// InitialCounts stores the number of runners that each service started with. Later holders of the
+// lease can't count it, since the runners that they find are those that earlier holders requested.
 type InitialCounts struct{ Store store.Store }
 
-// LoadOrStore returns the number that a service started with, which is n if nobody has kept one.
+// LoadOrStore returns the number of runners that a service started with. If none is stored, it
+// stores and returns n.
 func (c InitialCounts) LoadOrStore(ctx context.Context, service string, n int) (int, error) {
 	o, err := c.Store.Get(ctx, kindInitialCounts, service)
 	if errors.Is(err, store.ErrNotFound) {
@@ -33,16 +34,17 @@
 	}
 	var stored initialCount
 	if err := json.Unmarshal(o.Value, &stored); err != nil || stored.AtStart <= 0 {
-		return 0, fmt.Errorf("the number of runners that %s started with is not readable (%q); delete the object %s/%s", service, o.Value, kindInitialCounts, service)
+		return 0, fmt.Errorf("invalid initial number of runners of service %s (%q); delete the object %s/%s", service, o.Value, kindInitialCounts, service)
 	}
 	return stored.AtStart, nil
 }
 
-// create keeps n. After an error it is unknown whether it did; it is read the next time.
+// create stores n. After an error n may be stored or not; the next LoadOrStore reads the object
+// again.
 func (c InitialCounts) create(ctx context.Context, service string, n int) (int, error) {
 	value, err := json.Marshal(initialCount{n})
 	if err != nil {
-		return 0, fmt.Errorf("encode the number of runners of %s: %w", service, err)
+		return 0, fmt.Errorf("encode the initial number of runners of service %s: %w", service, err)
 	}
 	if _, err := c.Store.Put(ctx, kindInitialCounts, service, store.Absent, value); err != nil {
 		return 0, err
--- a/coordination/scale/plan.go
+++ b/coordination/scale/plan.go
@@ -7,28 +7,28 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Kind is the terms on which a runner is had.
+// Kind is the pricing model of a runner.
 type Kind string
 
-// The kinds of runner.
+// The kinds of runner. Spot runners are cheaper, and the platform may reclaim them at any time.
 const (
 	OnDemand Kind = "on_demand"
 	Spot     Kind = "spot"
 )
 
-// kinds are all of them, in the order in which they are ordered.
+// kinds lists all kinds in the order in which their runners are requested.
 var kinds = []Kind{Spot, OnDemand}
 
-// Pool is what a number of runners is ordered for.
+// Pool identifies the runners of one kind in one failure domain.
 type Pool struct {
 	FailureDomain string
 	Kind          Kind
 }
 
-// Counts are runners by place.
+// Counts holds the number of runners by pool.
 type Counts map[Pool]int
 
-// total is the number of all runners.
+// total returns the number of runners in all pools.
 func (n Counts) total() int {
 	out := 0
 	for _, v := range n {
@@ -37,23 +37,24 @@
 	return out
 }
 
-// Requirements is what a plan is made for.
+// Requirements is the input of a plan.
 type Requirements struct {
 	Spec state.ScaleSpec
-	// Runners is the number of runners that carry the load.
+	// Runners is the number of serving runners that carry the load.
 	Runners int
-	// SpotLimits bounds the number of spot runners of a failure domain where no more are to be
-	// had at present, by what there is.
+	// SpotLimits bounds the number of spot runners by failure domain. It has an entry, the number
+	// of present runners, only for failure domains without further spot capacity.
 	SpotLimits map[string]int
 }
 
-// Plan returns the cheapest numbers that carry the load, also once the spot runners of any
-// one failure domain are taken back at once. Spot runners that stand by for that are had only
-// where spot runners are: what a loss takes beyond that, on-demand runners replace when it
-// comes, since it is rarer than they are dear.
+// Plan returns the cheapest counts that carry the load, including after a reclaim of all spot
+// runners of any one failure domain. The reserve for that consists of spot runners only. Further
+// losses are replaced by on-demand runners when they happen: they are rare, and on-demand runners
+// held in reserve for them would cost more.
 //
-// With three failure domains and spot runners at a seventh of the price half as many more than
-// needed cost a quarter of what the needed ones cost on demand.
+// With three failure domains and spot runners at a seventh of the on-demand price, a plan with
+// half as many runners again as required costs a quarter of the required number of on-demand
+// runners.
 func Plan(r Requirements) Counts {
 	domains := domainsByPrice(r.Spec)
 	best := planOnDemand(r, domains)
@@ -70,7 +71,7 @@
 	return best
 }
 
-// byPrice are the failure domains, the cheapest first.
+// domainsByPrice returns the failure domains, the cheapest first.
 func domainsByPrice(s state.ScaleSpec) []string {
 	out := make([]string, 0, len(s.DomainPrices))
 	for domain := range s.DomainPrices {
@@ -82,15 +83,16 @@
 	return out
 }
 
+// planOnDemand returns the plan that uses on-demand runners only.
 func planOnDemand(r Requirements, domains []string) Counts {
 	n := Counts{}
 	r.addOnDemand(n, domains, r.Runners)
 	return n
 }
 
-// withSpot is a plan with that many spot runners in each failure domain that has them: as
-// many as carry the load without one of the domains, or what there is, and on-demand ones for
-// what is missing now.
+// planWithSpot returns a plan with perDomain spot runners in each failure domain, or fewer where
+// SpotLimits says so, and on-demand runners for the rest of the load. If no limit applies the
+// plan carries the load without the spot runners of any one failure domain.
 func (r Requirements) planWithSpot(domains []string, perDomain int) Counts {
 	n := Counts{}
 	spot, largest, domainLimited := 0, 0, false
@@ -105,14 +107,14 @@
 	}
 	reserve := largest
 	if domainLimited || len(domains) == 1 {
-		reserve = 0 // a loss now would be the second
+		reserve = 0 // a further loss would be the second, or would leave no domain to carry the load
 	}
 	r.addOnDemand(n, domains, r.Runners-(spot-reserve))
 	return n
 }
 
-// fill adds on-demand runners, spread evenly as far as each failure domain's bounds allow, and
-// raises each to its least number.
+// addOnDemand adds the missing number of on-demand runners, spread evenly over the failure
+// domains as far as MaxPerDomain allows, and raises each failure domain to MinPerDomain.
 func (r Requirements) addOnDemand(n Counts, domains []string, missing int) {
 	for _, d := range domains {
 		if shortfall := r.Spec.MinPerDomain - n[Pool{d, Spot}]; shortfall > 0 {
@@ -132,8 +134,8 @@
 	}
 }
 
-// cost is the price of the numbers for a second; runners that are missing for the load cost
-// more than any that there are.
+// cost returns the price of the counts per second. Each runner that is missing for the load adds
+// missingRunnerPrice.
 func (r Requirements) cost(n Counts) float64 {
 	out := 0.0
 	for p, count := range n {
@@ -146,5 +148,6 @@
 	return out + missingRunnerPrice*float64(max(0, r.Runners-n.total()))
 }
 
-// missingPrice is above the price of any runner: callers go before prices.
+// missingRunnerPrice is the price per second of a missing runner. It is above the price of any
+// runner, so that carrying the load takes precedence over the price.
 const missingRunnerPrice = 1e3
