--- a/coordination/explain/explain.go
+++ b/coordination/explain/explain.go
@@ -1,6 +1,7 @@
-// Package explain keeps the records of a host's decisions, so that an operator
-// can ask why. Records stay in a ring in memory and go to the platform in
-// compressed batches, where they outlive the host.
+// Package explain records the decisions of a host, so that an operator can look
+// up why a request or a runner was treated as it was. Records stay in a ring
+// buffer in memory and are written to the platform's store in compressed
+// batches, where they outlive the host.
 package explain
 
 import (
@@ -20,28 +21,30 @@
 	"github.com/thymerack/thymerack/state/packed"
 )
 
-// Slots is how many batch objects a host name has at the platform. They are
-// used in turn, by time, so that old ones are overwritten and none must be
-// found and deleted.
+// Slots is the number of batch objects of each host name in the store. Each time
+// window writes to the next slot, so that old batches are overwritten and none
+// has to be found and deleted.
 const Slots = 64
 
-// Options configures a Book.
+// Options configure a Recorder. All fields are required.
 type Options struct {
 	Store store.Store
 	Clock state.Clock
-	// Host is the host's name; its batches are named after it.
+	// Host is the name of the host; its batches are named after it.
 	Host string
 	// MaxRecords is how many records stay in memory.
 	MaxRecords int
-	// FlushInterval is the time that one batch covers.
+	// FlushInterval is the length of the window that one batch covers.
 	FlushInterval time.Duration
-	// MaxBatchBytes bounds a compressed batch; older records beyond are dropped
-	// and their number is kept in the batch.
+	// MaxBatchBytes bounds the size of a compressed batch. The oldest records
+	// that don't fit are dropped and counted in Batch.Dropped. A single record
+	// is written even if it is larger.
 	MaxBatchBytes int
 	Log           *slog.Logger
 }
 
-// Recorder is one host's record of its decisions. It is safe for concurrent use.
+// Recorder holds the decision records of one host. Record and Find are safe for
+// concurrent use; only one call of Flush or Run may be active at a time.
 type Recorder struct {
 	o       Options
 	encoder *zstd.Encoder
@@ -51,27 +54,30 @@
 	next    int
 	pending []state.Decision
 	dropped int
-	// versions of the slots as last written by this process.
+	// versions holds the store version of each slot as last written by this
+	// process, store.Absent if it hasn't written the slot.
 	versions [Slots]uint64
 }
 
 // Batch is the content of one batch object.
 type Batch struct {
 	Host string `msgpack:"h"`
-	// Slot time, in units of the flush interval since the epoch.
+	// Window is the number of the time window in which the batch was written,
+	// counted in flush intervals since the Unix epoch.
 	Window    int64            `msgpack:"t"`
 	Decisions []state.Decision `msgpack:"d"`
-	// Dropped counts records that found no room.
+	// Dropped is the number of records that exceeded MaxRecords or
+	// MaxBatchBytes and are missing from the batch.
 	Dropped int `msgpack:"x"`
 }
 
-// New validates the options.
+// New returns a Recorder, or an error that names the options to set.
 func New(o Options) (*Recorder, error) {
 	if o.Store == nil || o.Clock == nil || o.Log == nil || o.Host == "" {
 		return nil, errors.New("explain: Store, Clock, Log and Host are required; set them")
 	}
 	if o.MaxRecords < 1 || o.FlushInterval <= 0 || o.MaxBatchBytes < 1 {
-		return nil, errors.New("explain: Keep, FlushInterval and MaxBatchBytes must be positive")
+		return nil, errors.New("explain: MaxRecords, FlushInterval and MaxBatchBytes must be positive; set them")
 	}
 	encoder, err := zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1), zstd.WithWindowSize(1<<17))
 	if err != nil {
@@ -80,7 +86,7 @@
 	return &Recorder{o: o, encoder: encoder, ring: make([]state.Decision, 0, o.MaxRecords)}, nil
 }
 
-// Record keeps one decision. It never blocks on the platform.
+// Record adds one decision. It never waits for the store.
 func (r *Recorder) Record(d state.Decision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -97,7 +103,7 @@
 	}
 }
 
-// Find returns the records in memory about a subject, oldest first.
+// Find returns the records of a subject in memory, oldest first.
 func (r *Recorder) Find(subject string) []state.Decision {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -111,7 +117,7 @@
 	return out
 }
 
-// Run writes batches until ctx ends, and a last one then.
+// Run writes a batch per FlushInterval until ctx ends, and a last one then.
 func (r *Recorder) Run(ctx context.Context) error {
 	for r.o.Clock.Sleep(ctx, r.o.FlushInterval) == nil {
 		r.flushAndLog(ctx)
@@ -122,13 +128,14 @@
 	return ctx.Err()
 }
 
+// flushAndLog flushes and logs an error, since the next flush tries again.
 func (r *Recorder) flushAndLog(ctx context.Context) {
 	if err := r.Flush(ctx); err != nil {
-		r.o.Log.Warn("explanations not written; they stay in memory", "error", err)
+		r.o.Log.Warn("decision records not written; kept for the next flush", "error", err)
 	}
 }
 
-// Flush writes what is pending as one batch. On failure the records stay
+// Flush writes the pending records as one batch. After an error they stay
 // pending for the next flush.
 func (r *Recorder) Flush(ctx context.Context) error {
 	r.mu.Lock()
@@ -145,6 +152,8 @@
 	return nil
 }
 
+// requeue makes records pending again after a failed write. The oldest beyond
+// MaxRecords are dropped and counted.
 func (r *Recorder) requeue(pending []state.Decision, dropped int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -156,6 +165,7 @@
 	}
 }
 
+// writeBatch writes the records to the slot of the present window.
 func (r *Recorder) writeBatch(ctx context.Context, decisions []state.Decision, dropped int) error {
 	window := WindowOf(r.o.Clock.Now(), r.o.FlushInterval)
 	value, err := r.encode(Batch{Host: r.o.Host, Window: window, Decisions: decisions, Dropped: dropped})
@@ -167,8 +177,8 @@
 	version, err := r.o.Store.Put(ctx, store.KindExplain, name, r.versions[slot], value)
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
-		// An earlier run of this host, or a write whose answer was lost, left
-		// another version. Only this host writes here, so it is overwritten.
+		// An earlier process of this host, or a write whose reply was lost, left
+		// another version. Only this host writes its slots, so it is overwritten.
 		version, err = r.o.Store.Put(ctx, store.KindExplain, name, conflict.Actual, value)
 	}
 	if err != nil {
@@ -178,7 +188,8 @@
 	return nil
 }
 
-// encode compresses the batch and halves it until it fits.
+// encode compresses the batch. While it exceeds MaxBatchBytes, encode drops the
+// older half of its records and counts them as dropped.
 func (r *Recorder) encode(batch Batch) ([]byte, error) {
 	for {
 		raw, err := msgpack.Marshal(batch)
@@ -195,7 +206,7 @@
 	}
 }
 
-// Decode reads a batch object's value.
+// Decode decodes the value of a batch object. It fails if the value is damaged.
 func Decode(value []byte) (Batch, error) {
 	var batch Batch
 	dec, err := zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecodedBytes))
@@ -213,11 +224,12 @@
 	return batch, nil
 }
 
-// maxDecodedBytes bounds the memory that one batch may take.
+// maxDecodedBytes bounds the memory that the decompression of one batch uses.
 const maxDecodedBytes = 32 << 20
 
-// WindowOf returns the turn that a time falls into.
+// WindowOf returns the number of the time window that contains t, counted in
+// intervals since the Unix epoch.
 func WindowOf(t time.Time, interval time.Duration) int64 { return t.UnixNano() / int64(interval) }
 
-// SlotName names a batch object.
+// SlotName returns the name of the batch object of a host's slot.
 func SlotName(host string, slot int) string { return fmt.Sprintf("%s.%02d", host, slot) }
--- a/coordination/explain/explain_test.go
+++ b/coordination/explain/explain_test.go
@@ -16,6 +16,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
+// newRecorder returns a recorder of host h1 that keeps so many records and writes batches of at
+// most so many bytes.
 func newRecorder(t *testing.T, p *storetest.Platform, keep, bytes int) *Recorder {
 	t.Helper()
 	r, err := New(Options{
@@ -28,6 +30,8 @@
 	return r
 }
 
+// Guards against records lost with the process: those of two consecutive runs of a host are found
+// in the store.
 func TestRecordsOutliveTheHost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -52,6 +56,8 @@
 	})
 }
 
+// Guards against records lost in a failed flush: they are written by the next one, up to the bound
+// on records, and those beyond are counted as dropped.
 func TestOutageKeepsRecordsForTheNextFlush(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coordination/explain/search.go
+++ b/coordination/explain/search.go
@@ -10,9 +10,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Search reads a host's batches at the platform for records about a subject,
-// oldest first. It makes one call a slot. From limits it to batches written at
-// or after that time; zero means all.
+// Search returns the records of a subject in the stored batches of a host,
+// oldest first. It makes one call to the store per slot. If from isn't zero,
+// batches of windows before it are left out; a batch that can't be decoded is
+// skipped. After a store error it returns the error and the unsorted records
+// found before.
 func Search(ctx context.Context, s store.Store, host, subject string, from time.Time, interval time.Duration) ([]state.Decision, error) {
 	var out []state.Decision
 	for slot := range Slots {
--- a/coordination/scale/approach.go
+++ b/coordination/scale/approach.go
@@ -42,8 +42,8 @@
 
 // countDrainable returns how many of a pool's surplus runners may be drained now. Runners that
 // carry the load stay. On-demand runners stay until the planned spot runners serve, as far as
-// MaxPerDomain has room for both at once. A surplus of spot runners within spotTolerance stays,
-// since their number varies by itself.
+// MaxPerDomain has room for both at once, unless these serve before the first traffic anyway. A
+// surplus of spot runners within spotTolerance stays, since their number varies by itself.
 func (m *Manager) countDrainable(s *serviceState, obs observation, p Pool, surplus int) int {
 	if p.Kind == Spot && surplus <= spotTolerance {
 		return 0
--- a/coordination/scale/manager_test.go
+++ b/coordination/scale/manager_test.go
@@ -20,7 +20,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// cloud is a platform that starts and ends runners as it is ordered to.
+// fakeCloud is a platform that starts and drains runners as requested.
 type fakeCloud struct {
 	mu       sync.Mutex
 	spec     state.ServiceSpec
@@ -29,17 +29,19 @@
 	desired  Counts
 	noSpot   map[string]bool
 	requests int
-	// lost loses the answers to orders, broken lets no runner boot.
+	// dropReplies fails each request after it took effect; failBoots lets no runner boot.
 	dropReplies, failBoots bool
 	terms                  []uint64
 }
 
+// runner is one runner of a fakeCloud; it is listed from readyAt on.
 type runner struct {
 	pool     Pool
 	readyAt  time.Time
 	draining bool
 }
 
+// newFakeCloud returns a cloud with serving on-demand runners in three failure domains.
 func newFakeCloud(onDemand int) *fakeCloud {
 	spec := threeDomainSpec()
 	c := &fakeCloud{spec: state.ServiceSpec{Name: "llm", Scale: &spec}, runners: map[string]*runner{}, desired: Counts{}, noSpot: map[string]bool{}}
@@ -51,6 +53,7 @@
 	return c
 }
 
+// start adds a runner that serves from readyAt on.
 func (c *fakeCloud) start(p Pool, readyAt time.Time) {
 	c.nextID++
 	c.runners[fmt.Sprint("r", c.nextID)] = &runner{pool: p, readyAt: readyAt}
@@ -79,12 +82,12 @@
 		}
 	}
 	if c.dropReplies {
-		return errors.New("no answer")
+		return errors.New("no reply")
 	}
 	return nil
 }
 
-// count is the number of a place's runners that stay.
+// count returns the number of a pool's runners that aren't draining, booting ones included.
 func (c *fakeCloud) count(p Pool) int {
 	n := 0
 	for _, r := range c.runners {
@@ -95,13 +98,15 @@
 	return n
 }
 
+// remove ends a runner.
 func (c *fakeCloud) remove(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.runners, name)
 }
 
-// reclaim takes the spot runners of a domain back, with a notice of two seconds.
+// reclaim reclaims the spot runners of a domain with a notice of two seconds. The domain has no
+// spot capacity from then on.
 func (c *fakeCloud) reclaim(domain string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -114,6 +119,7 @@
 	}
 }
 
+// setNoSpot sets whether the domains lack spot capacity.
 func (c *fakeCloud) setNoSpot(noSpot bool, domains ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +128,7 @@
 	}
 }
 
-// list are the runners that are listed.
+// list returns all runners that have booted, including the draining ones.
 func (c *fakeCloud) list(string) []state.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -135,7 +141,7 @@
 	return out
 }
 
-// serving is the number of runners that take work.
+// serving returns the number of runners that take work.
 func (c *fakeCloud) serving() int {
 	n := 0
 	for _, i := range c.list("") {
@@ -146,7 +152,7 @@
 	return n
 }
 
-// leastServing watches for so long and returns the least number that took work.
+// minServing returns the lowest number of serving runners within the span.
 func (c *fakeCloud) minServing(span time.Duration) int {
 	least := c.serving()
 	for deadline := time.Now().Add(span); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
@@ -155,6 +161,7 @@
 	return least
 }
 
+// countByPool returns the numbers of listed runners.
 func (c *fakeCloud) countByPool() Counts {
 	out := Counts{}
 	for _, i := range c.list("") {
@@ -167,13 +174,14 @@
 	return out
 }
 
+// requestCount returns the number of requests to date.
 func (c *fakeCloud) requestCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.requests
 }
 
-// hold runs a manager on a host until the returned function is called.
+// startManager runs a manager on a host until the returned function is called.
 func startManager(t *testing.T, c *fakeCloud, p *storetest.Platform, host string) (stop func()) {
 	t.Helper()
 	lessor, err := lease.New(lease.Options{
@@ -205,7 +213,7 @@
 	}
 }
 
-// inCloud plays a test on 57 on-demand runners and one holder.
+// runWithCloud runs a test body on a cloud of 57 on-demand runners with one manager.
 func runWithCloud(t *testing.T, body func(is *is.I, c *fakeCloud, p *storetest.Platform, stop func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -216,11 +224,12 @@
 		defer stop()
 		body(is.New(t), c, p, stop)
 		stop()
-		time.Sleep(10 * time.Second) // what leaves is gone
+		time.Sleep(10 * time.Second) // draining runners end
 	})
 }
 
-// The fleet turns into spot runners without a moment of fewer runners than it had.
+// Guards against a gap in capacity while on-demand runners are replaced by spot runners: at no
+// time do fewer runners serve than at the start. Further requests after that would be flapping.
 func TestOnDemandRunnersDrainOnlyAfterSpotRunnersServe(t *testing.T) {
 	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		is.True(c.minServing(30*time.Second) >= 57)
@@ -229,11 +238,12 @@
 		is.Equal(n[Pool{"nord", OnDemand}]+n[Pool{"sud", OnDemand}]+n[Pool{"depot", OnDemand}], 0)
 		before := c.requestCount()
 		time.Sleep(time.Minute)
-		is.Equal(c.requestCount(), before) // nothing flaps
+		is.Equal(c.requestCount(), before) // no flapping
 	})
 }
 
-// A domain's spot runners are taken back and none are to be had for a while.
+// Guards against lost capacity after the reclaim of a domain's spot runners while no domain has
+// spot capacity. The runners are requested again until the platform has capacity.
 func TestReclaimedSpotRunnersAreRequestedAgain(t *testing.T) {
 	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		time.Sleep(20 * time.Second)
@@ -244,11 +254,11 @@
 		c.setNoSpot(false, "nord", "sud", "depot")
 		time.Sleep(10 * time.Second)
 		is.True(c.countByPool()[Pool{"sud", Spot}] >= 28)
-		is.True(c.requestCount()-before < 15) // a dry domain is asked each two seconds
+		is.True(c.requestCount()-before < 15) // a domain without spot capacity gets one request in two seconds
 	})
 }
 
-// None to be had from the start: the runners that there are stay.
+// Guards against draining on-demand runners when no spot runners are available to replace them.
 func TestUnavailableSpotKeepsOnDemandRunners(t *testing.T) {
 	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		c.setNoSpot(true, "nord", "sud", "depot")
@@ -256,7 +266,7 @@
 	})
 }
 
-// Runners that are ordered and never boot are no reason to send away those that there are.
+// Guards against draining serving runners because of requested runners that never boot.
 func TestFailedBootsDrainNoRunner(t *testing.T) {
 	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		c.mu.Lock()
@@ -266,11 +276,12 @@
 	})
 }
 
-// A holder is lost in the middle; its successor knows what the fleet started with from the
-// store, and does not take twice the number for the need.
+// Guards against a next holder that takes the present number of runners, which is up to twice the
+// initial one during the replacement, for the required number. It reads the initial number from the
+// store instead.
 func TestNextHolderUsesStoredInitialCount(t *testing.T) {
 	runWithCloud(t, func(is *is.I, c *fakeCloud, p *storetest.Platform, stop func()) {
-		time.Sleep(3 * time.Second) // the first orders are out
+		time.Sleep(3 * time.Second) // the first requests have been sent
 		stop()
 		stopNext := startManager(t, c, p, "another")
 		defer stopNext()
@@ -280,8 +291,8 @@
 	})
 }
 
-// Guards against a need that grows with each holder, because a restored store lost how many runners
-// there were at the start: the next holder counts what others have ordered.
+// Guards against a required number that grows with each holder: if a restore of the store loses the
+// initial number, the next holder counts the runners that earlier holders requested.
 func TestInitialCountIsStoredAgainAfterRestore(t *testing.T) {
 	runWithCloud(t, func(is *is.I, c *fakeCloud, p *storetest.Platform, stop func()) {
 		time.Sleep(20 * time.Second)
@@ -294,7 +305,7 @@
 	})
 }
 
-// Orders whose answers are lost are given again and do no harm.
+// Guards against wrong counts after lost replies: the request took effect and is sent again.
 func TestRequestsWithLostRepliesAreRepeated(t *testing.T) {
 	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		c.mu.Lock()
@@ -309,9 +320,10 @@
 	})
 }
 
-// Two domains' spot runners are taken back within a second and none are to be had: runners on
-// demand are ordered at the notice of the second, so that they serve two seconds after its
-// runners are gone at the latest (a boot takes four, the notice is of two).
+// Guards against a late replacement when the spot runners of two domains are reclaimed within a
+// second and no domain has spot capacity. On-demand runners are requested at the second notice, so
+// that they serve at most two seconds after the reclaimed runners end: a boot takes four seconds,
+// and the notice is two seconds.
 func TestSecondReclaimIsReplacedOnNotice(t *testing.T) {
 	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		time.Sleep(20 * time.Second)
@@ -323,7 +335,7 @@
 		is.True(c.serving() >= 57)
 		before := c.requestCount()
 		time.Sleep(10 * time.Second)
-		is.True(c.requestCount()-before <= 3*6) // each domain is asked once in two seconds
+		is.True(c.requestCount()-before <= 3*6) // each domain gets one request in two seconds
 		c.setNoSpot(false, "nord", "sud", "depot")
 		time.Sleep(30 * time.Second)
 		n := c.countByPool()
@@ -332,7 +344,8 @@
 	})
 }
 
-// Roles wait for engines that are about to leave, and not for those that are still to come.
+// Guards against role changes that wait for runners that are still to boot. Only runners that are
+// about to drain count as a resize.
 func TestResizingEndsOnceNoRunnerIsAboutToDrain(t *testing.T) {
 	is := is.New(t)
 	m := &Manager{}
@@ -345,8 +358,9 @@
 	is.True(!m.Resizing("llm"))
 }
 
-// Before the first caller of a deployment comes nobody is served, and on-demand runners needn't
-// wait for those that take their place; once it may have come, they do.
+// Before the first traffic of a deployment on-demand runners needn't wait for their replacements
+// to serve. This guards against draining them early if a replacement would serve only after the
+// first traffic, or was not granted.
 func TestOnDemandRunnersDrainAtOnceBeforeTraffic(t *testing.T) {
 	is := is.New(t)
 	spec := threeDomainSpec()
@@ -360,8 +374,8 @@
 		return m.countDrainable(s, obs, Pool{"nord", OnDemand}, 19)
 	}
 	is.Equal(drainable(plan, 6*time.Second), 19)
-	is.Equal(drainable(Counts{{"nord", Spot}: 29}, 6*time.Second), 0) // the others weren't granted
-	is.Equal(drainable(plan, 7*time.Second), 0)                       // they would serve after that
+	is.Equal(drainable(Counts{{"nord", Spot}: 29}, 6*time.Second), 0) // the other domains' spot runners weren't granted
+	is.Equal(drainable(plan, 7*time.Second), 0)                       // the spot runners would serve after the first traffic
 	m.o.NoTrafficUntil = time.Time{}
 	is.Equal(drainable(plan, 6*time.Second), 0)
 }
--- a/coordination/scale/plan_test.go
+++ b/coordination/scale/plan_test.go
@@ -10,7 +10,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// threeDomains is a service as rostering has it: spot runners at a seventh of the price.
+// threeDomainSpec returns the spec of a service whose spot runners cost a seventh of the on-demand
+// price.
 func threeDomainSpec() state.ScaleSpec {
 	return state.ScaleSpec{
 		MinPerDomain: 1, MaxPerDomain: 38, Boot: 4 * time.Second, SpotPrice: 0.15,
@@ -18,10 +19,11 @@
 	}
 }
 
-// without is the number of runners that are left when a domain's spot runners are taken back.
+// withoutSpotOf returns the number of runners that remain after a reclaim of a domain's spot runners.
 func (n Counts) withoutSpotOf(domain string) int { return n.total() - n[Pool{domain, Spot}] }
 
-// Spot runners of three domains carry the load without those of any one of them.
+// Guards against a plan that doesn't carry the load after the reclaim of any one domain's spot
+// runners, or that needs on-demand runners for it.
 func TestPlanSurvivesSpotLossInOneDomain(t *testing.T) {
 	is := is.New(t)
 	r := Requirements{Spec: threeDomainSpec(), Runners: 57}
@@ -33,17 +35,18 @@
 	is.True(r.cost(n) < 0.3*r.cost(planOnDemand(r, domainsByPrice(r.Spec))))
 }
 
-// While a domain's spot runners are gone and none are to be had anywhere, those of the others
-// carry the load; nothing is had on demand for a second loss.
+// While a domain has lost its spot runners and no domain has further spot capacity, the spot
+// runners of the other domains carry the load. This guards against on-demand runners held in
+// reserve for a second loss.
 func TestRemainingDomainsCarryLoadAfterReclaim(t *testing.T) {
 	is := is.New(t)
 	r := Requirements{Spec: threeDomainSpec(), Runners: 57, SpotLimits: map[string]int{"nord": 0, "sud": 29, "depot": 29}}
 	n := Plan(r)
 	is.True(n.total() >= 57)
-	is.True(n[Pool{"nord", OnDemand}]+n[Pool{"sud", OnDemand}]+n[Pool{"depot", OnDemand}] <= 1) // the least of a domain
+	is.True(n[Pool{"nord", OnDemand}]+n[Pool{"sud", OnDemand}]+n[Pool{"depot", OnDemand}] <= 1) // at least MinPerDomain runners in the domain
 }
 
-// None to be had from the start: runners on demand carry all of it, the cheapest places first.
+// Without any spot capacity on-demand runners carry the whole load, the cheapest domains first.
 func TestPlanWithoutAvailableSpot(t *testing.T) {
 	is := is.New(t)
 	r := Requirements{Spec: threeDomainSpec(), Runners: 57, SpotLimits: map[string]int{"nord": 0, "sud": 0, "depot": 0}}
@@ -52,6 +55,8 @@
 	is.True(n[Pool{"nord", OnDemand}] >= n[Pool{"sud", OnDemand}])
 }
 
+// Guards against spot runners in a plan where their reserve costs more than they save, and against
+// a wrong count for a service without spot runners.
 func TestPlanAvoidsExpensiveSpot(t *testing.T) {
 	is := is.New(t)
 	spec := threeDomainSpec()
@@ -64,7 +69,8 @@
 	is.Equal(Plan(Requirements{Spec: spec, Runners: 57}).total(), 57)
 }
 
-// Whatever is to be had, a plan carries the load if the bounds allow it, and keeps them.
+// Guards against plans that carry too little load although the bounds per domain allow it, and
+// against plans that exceed these bounds or the limits on spot runners.
 func TestPlansCarryTheLoadWithinTheirBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Requirements{SpotLimits: map[string]int{}}
@@ -83,15 +89,15 @@
 		r.Runners = rapid.IntRange(0, domains*r.Spec.MaxPerDomain).Draw(t, "need")
 		n := Plan(r)
 		if n.total() < r.Runners {
-			t.Fatalf("%v carries %d of %d", n, n.total(), r.Runners)
+			t.Fatalf("plan %v has %d runners, %d are required", n, n.total(), r.Runners)
 		}
 		for d := range r.Spec.DomainPrices {
 			total := n[Pool{d, Spot}] + n[Pool{d, OnDemand}]
 			if total < r.Spec.MinPerDomain || total > r.Spec.MaxPerDomain {
-				t.Fatalf("%v has %d in %s", n, total, d)
+				t.Fatalf("plan %v has %d runners in domain %s, outside its bounds", n, total, d)
 			}
 			if limit, limited := r.SpotLimits[d]; limited && n[Pool{d, Spot}] > limit {
-				t.Fatalf("%v has more spot runners in %s than there are", n, d)
+				t.Fatalf("plan %v has more spot runners in domain %s than its limit", n, d)
 			}
 		}
 	})
