--- a/coordination/explain/explain.go
+++ b/coordination/explain/explain.go
@@ -32,7 +32,8 @@
 	Clock state.Clock
 	// Host is the name of the host; its batches are named after it.
 	Host string
-	// MaxRecords is how many records stay in memory.
+	// MaxRecords bounds the records that Find searches, and separately the
+	// records that are pending for the next batch.
 	MaxRecords int
 	// FlushInterval is the length of the window that one batch covers.
 	FlushInterval time.Duration
@@ -49,9 +50,13 @@
 	o       Options
 	encoder *zstd.Encoder
 
-	mu      sync.Mutex
-	ring    []state.Decision
-	next    int
+	mu sync.Mutex
+	// ring holds the latest records, at most MaxRecords; next is the index that
+	// the next record is written to.
+	ring []state.Decision
+	next int
+	// pending holds the records for the next batch, at most MaxRecords; dropped
+	// counts those that exceeded this bound since the last batch.
 	pending []state.Decision
 	dropped int
 	// versions holds the store version of each slot as last written by this
--- a/coordination/scale/manager.go
+++ b/coordination/scale/manager.go
@@ -16,13 +16,15 @@
 	// pollInterval is the time between comparisons of the runners with the plan. A comparison
 	// makes no call.
 	pollInterval = 250 * time.Millisecond
-	// callTimeout bounds each call to the platform or the store.
+	// callTimeout bounds each operation on the platform or the store.
 	callTimeout = time.Second
 	// settleTime is how long the number of serving runners must stay the same before the first
-	// plan: when a deployment starts, its runners are listed within one heartbeat (1.2 s).
+	// plan: when a deployment starts, its runners are listed within one heartbeat (1.2 s). It is
+	// also the margin after the boot of a new runner until it is listed.
 	settleTime = 1200 * time.Millisecond
-	// initialCountTimeout is how long Resizing stays true while the initial count can't be read
-	// from the store; work that waits for the resize goes on after it.
+	// initialCountTimeout is how long Resizing stays true at the start of a term if there is no
+	// plan yet, as when the initial count can't be read from the store. Work that waits for the
+	// resize goes on after it.
 	initialCountTimeout = 10 * time.Second
 	// retryInterval is the pause after a request that failed. spotRetryInterval is how long a
 	// failure domain counts as having no spot capacity after the platform returned
@@ -35,8 +37,8 @@
 	// spotTolerance is how many spot runners of a failure domain may be missing or in surplus
 	// without a new request: single runners crash and restart by themselves.
 	spotTolerance = 2
-	// bootTimeoutFactor times the boot time is how long requested spot runners may take to be
-	// listed before other runners are requested instead.
+	// bootTimeoutFactor times the boot time is how long requested spot runners may take to
+	// serve before other runners are requested instead.
 	bootTimeoutFactor = 2
 )
 
--- a/coordination/scale/plan.go
+++ b/coordination/scale/plan.go
@@ -39,6 +39,7 @@
 
 // Requirements is the input of a plan.
 type Requirements struct {
+	// Spec holds the prices and the bounds of the failure domains.
 	Spec state.ScaleSpec
 	// Runners is the number of serving runners that carry the load.
 	Runners int
