--- a/coordination/scale/manager.go
+++ b/coordination/scale/manager.go
@@ -13,190 +13,207 @@
 )
 
 const (
-	// pollEvery is how often the holder compares numbers with the plan; it costs no call.
-	pollEvery = 250 * time.Millisecond
-	// callTimeout bounds a call.
+	// pollInterval is the time between comparisons of the runners with the plan. A comparison
+	// makes no call.
+	pollInterval = 250 * time.Millisecond
+	// callTimeout bounds each operation on the platform or the store.
 	callTimeout = time.Second
-	// settle is how long the number of runners must stand before the first plan: when a
-	// deployment starts, its runners list themselves within a heartbeat (1.2 s).
-	settle = 1200 * time.Millisecond
-	// unknownFor is how long what hangs on the number of runners waits for a need that can't
-	// be read from the store.
-	unknownFor = 10 * time.Second
-	// askAgain is the pause after an order that failed, and dryFor how long a failure domain
-	// counts as without spot runners after the platform had none.
-	askAgain = time.Second
-	dryFor   = 2 * time.Second
-	// drainsFor is how long a runner that was ordered to go may still be listed: it drains for some
-	// seconds, at times for many.
-	drainsFor = 15 * time.Second
-	// spotSlack is how many spot runners of a failure domain may be missing or too many for
-	// nothing to be ordered: single ones crash and are back by themselves.
-	spotSlack = 2
-	// lateBoots is how many times the time of a boot ordered runners may take to be listed
-	// before others are ordered in their place.
-	lateBoots = 2
+	// settleTime is how long the number of serving runners must stay the same before the first
+	// plan: when a deployment starts, its runners are listed within one heartbeat (1.2 s). It is
+	// also the margin after the boot of a new runner until it is listed.
+	settleTime = 1200 * time.Millisecond
+	// initialCountTimeout is how long Resizing stays true at the start of a term if there is no
+	// plan yet, as when the initial count can't be read from the store. Work that waits for the
+	// resize goes on after it.
+	initialCountTimeout = 10 * time.Second
+	// retryInterval is the pause after a request that failed. spotRetryInterval is how long a
+	// failure domain counts as having no spot capacity after the platform returned
+	// ErrUnavailable.
+	retryInterval     = time.Second
+	spotRetryInterval = 2 * time.Second
+	// drainTimeout is how long a runner whose drain was requested may still be listed. A drain
+	// usually takes a few seconds, but can take much longer.
+	drainTimeout = 15 * time.Second
+	// spotTolerance is how many spot runners of a failure domain may be missing or in surplus
+	// without a new request: single runners crash and restart by themselves.
+	spotTolerance = 2
+	// bootTimeoutFactor times the boot time is how long requested spot runners may take to
+	// serve before other runners are requested instead.
+	bootTimeoutFactor = 2
 )
 
-// ErrUnavailable says that there are no runners of the kind to be had at present.
-var ErrUnavailable = errors.New("no runners of that kind are to be had there now; order others, or again later")
+// ErrUnavailable is returned if the platform has no capacity for the requested kind of runner at
+// present.
+var ErrUnavailable = errors.New("no runners of that kind are available in that failure domain now; request others, or retry later")
 
-// Platform takes orders. An order may have been taken although Order returns an error other than
-// ErrUnavailable.
+// Platform starts and drains runners on request. A request may have taken effect although
+// SetDesired returns an error other than ErrUnavailable.
 type Platform interface {
-	// Order asks for a number of runners under the term of that number; permit is asked last
-	// before the bytes leave.
-	Order(ctx context.Context, term uint64, service string, p Place, desired int, permit func() error) error
+	// SetDesired requests the number of runners of a service in a pool, under the lease term
+	// with that number. It calls permit right before it sends the request, and sends nothing if
+	// permit returns an error.
+	SetDesired(ctx context.Context, term uint64, service string, p Pool, desired int, permit func() error) error
 }
 
-// Options configure a Manager. All fields are required.
+// Options configure a Manager. All fields except NoTrafficUntil are required.
 type Options struct {
-	Platform Platform
-	Lease    *lease.Lessor
-	Needs    Needs
-	Clock    state.Clock
-	Log      *slog.Logger
-	// Services lists the services whose numbers may be ordered.
+	Platform      Platform
+	Lease         *lease.Lessor
+	InitialCounts InitialCounts
+	Clock         state.Clock
+	Log           *slog.Logger
+	// Services lists the services whose runner counts are managed; Scale is set in each.
 	Services func() []state.ServiceSpec
-	// Instances lists all of a service's runners, also those that leave.
+	// Instances lists all runners of a service, including the draining ones.
 	Instances func(service string) []state.Instance
-	// NeedShare is the number of runners that carry the load, as a share of those that a
-	// deployment starts with.
-	NeedShare float64
-	// QuietUntil is before when no caller comes, as at the first start of a deployment; zero if
-	// that isn't known.
-	QuietUntil time.Time
+	// RequiredShare is the number of runners that carry the load, as a fraction of the number
+	// that the deployment starts with.
+	RequiredShare float64
+	// NoTrafficUntil is the time before which no caller sends requests, as at the first start of
+	// a deployment; zero if it isn't known.
+	NoTrafficUntil time.Time
 }
 
-// Manager orders numbers of runners while it holds the lease. Hold alone uses it, but for
-// Resizing.
+// Manager requests runner counts while this host holds the lease. Only Resizing is safe to call
+// concurrently with Hold.
 type Manager struct {
 	o        Options
-	services map[string]*service
-	// resizing is set for services whose number of runners is about to change, for those who
-	// ask from elsewhere.
+	services map[string]*serviceState
+	// resizing has an entry for each service for which Resizing reports true. Resizing reads it
+	// from other goroutines.
 	resizing sync.Map
 }
 
-// service is what is known of one service in a term.
-type service struct {
-	begun time.Time
-	// need is the number of runners that carry the load; 0 until it is known. base is what it was
-	// worked out from, and keptIn the store's epoch in which that was last known to be kept.
-	need   int
-	base   int
-	keptIn uint64
-	// counted is how many runners were listed when last they were counted, since when.
-	counted int
-	since   time.Time
-	// ordered are the numbers ordered in this term, and when.
-	ordered    Numbers
-	orderedAt  map[Place]time.Time
-	repeatedAt map[Place]time.Time
-	// drained are the runners that were ordered to drain and may still be listed.
-	drained map[Place]drainOrder
-	// reclaimed are the places whose runners are being taken back, and were ordered again.
-	reclaimed map[Place]bool
-	// dryUntil is until when a failure domain counts as without spot runners, and pauseUntil
-	// when a place may be ordered for again.
-	dryUntil   map[string]time.Time
-	pauseUntil map[Place]time.Time
+// serviceState is the state of one service during one term of the lease.
+type serviceState struct {
+	startedAt time.Time
+	// required is the number of runners that carry the load; 0 until it is known. It is computed
+	// from initial, the number of runners that the service started with. storedInEpoch is the
+	// last store epoch in which initial is known to be stored.
+	required      int
+	initial       int
+	storedInEpoch uint64
+	// lastCount is the number of serving runners until required is known, and lastCountSince
+	// the time since which it is unchanged.
+	lastCount      int
+	lastCountSince time.Time
+	// requested holds the counts that the platform accepted in this term. requestedAt is when
+	// a count was last changed or requested again for missing runners, and acceptedAt when the
+	// last request was accepted.
+	requested   Counts
+	requestedAt map[Pool]time.Time
+	acceptedAt  map[Pool]time.Time
+	// drainRequests holds the latest drain request of each pool; its runners may still be
+	// listed.
+	drainRequests map[Pool]drainRequest
+	// reclaimed holds the pools whose spot runners are being reclaimed and for which
+	// shouldRepeat has already reported that.
+	reclaimed map[Pool]bool
+	// noSpotUntil is the time until which a failure domain counts as having no spot capacity,
+	// and nextRequestAt the earliest time of a pool's next request.
+	noSpotUntil   map[string]time.Time
+	nextRequestAt map[Pool]time.Time
 }
 
-func newService(now time.Time) *service {
-	return &service{
-		begun: now, ordered: Numbers{}, orderedAt: map[Place]time.Time{}, repeatedAt: map[Place]time.Time{},
-		drained: map[Place]drainOrder{}, reclaimed: map[Place]bool{}, dryUntil: map[string]time.Time{}, pauseUntil: map[Place]time.Time{},
+func newServiceState(now time.Time) *serviceState {
+	return &serviceState{
+		startedAt: now, requested: Counts{}, requestedAt: map[Pool]time.Time{}, acceptedAt: map[Pool]time.Time{},
+		drainRequests: map[Pool]drainRequest{}, reclaimed: map[Pool]bool{}, noSpotUntil: map[string]time.Time{}, nextRequestAt: map[Pool]time.Time{},
 	}
 }
 
-// drainOrder is a number of runners that were ordered to drain; after until they are gone.
-type drainOrder struct {
+// drainRequest is a number of runners whose drain was requested. They count as removed after
+// until.
+type drainRequest struct {
 	n     int
 	until time.Time
 }
 
-// New validates the options.
+// New returns a Manager, or an error that names the remedy if an option is missing.
 func New(o Options) (*Manager, error) {
-	if o.Platform == nil || o.Lease == nil || o.Needs.Store == nil || o.Clock == nil || o.Log == nil || o.Services == nil || o.Instances == nil || o.NeedShare <= 0 {
+	if o.Platform == nil || o.Lease == nil || o.InitialCounts.Store == nil || o.Clock == nil || o.Log == nil || o.Services == nil || o.Instances == nil || o.RequiredShare <= 0 {
 		return nil, errors.New("scale: a field of Options is missing; set all of them")
 	}
 	return &Manager{o: o}, nil
 }
 
-// Hold orders numbers for one term of the lease, until ctx ends with it.
+// Hold keeps the runners of all services at the planned counts during one term of the lease. It
+// returns when ctx ends, which happens at the latest with the term.
 func (m *Manager) Hold(ctx context.Context) {
-	m.services = map[string]*service{}
+	m.services = map[string]*serviceState{}
 	for {
 		for _, spec := range m.o.Services() {
-			m.serve(ctx, spec)
+			m.reconcile(ctx, spec)
 		}
-		if m.o.Clock.Sleep(ctx, pollEvery) != nil {
+		if m.o.Clock.Sleep(ctx, pollInterval) != nil {
 			return
 		}
 	}
 }
 
-// Resizing reports whether many of a service's runners are about to leave by what this host has
-// ordered, or is about to order for the first time in a term.
+// Resizing reports whether many of a service's runners are about to drain because of a request
+// of this host, or because of the first request of the term, which is still to come.
 func (m *Manager) Resizing(service string) bool {
-	_, is := m.resizing.Load(service)
-	return is
+	_, resizing := m.resizing.Load(service)
+	return resizing
 }
 
-// noteResizing notes whether runners that take work are about to leave, or nothing of the plan
-// takes work yet. Those that are still to come needn't be waited for.
-func (m *Manager) noteResizing(service string, plan, serving Numbers) {
-	arrived := false
+// updateResizing sets the resizing state of a service while serving runners are about to drain,
+// and clears it once no pool has more than spotTolerance surplus runners and at least one planned
+// pool serves. Planned runners that don't serve yet don't delay that.
+func (m *Manager) updateResizing(service string, plan, serving Counts) {
+	plannedServing := false
 	for p, n := range serving {
-		if n > plan[p]+spotSlack {
+		if n > plan[p]+spotTolerance {
 			m.resizing.Store(service, true)
 			return
 		}
-		arrived = arrived || (n > 0 && plan[p] > 0)
+		plannedServing = plannedServing || (n > 0 && plan[p] > 0)
 	}
-	if arrived {
+	if plannedServing {
 		m.resizing.Delete(service)
 	}
 }
 
-// serve compares one service's numbers with the plan.
-func (m *Manager) serve(ctx context.Context, spec state.ServiceSpec) {
+// reconcile compares the runners of one service with the plan and requests the differences.
+func (m *Manager) reconcile(ctx context.Context, spec state.ServiceSpec) {
 	s := m.services[spec.Name]
 	if s == nil {
-		s = newService(m.o.Clock.Now())
+		s = newServiceState(m.o.Clock.Now())
 		m.services[spec.Name] = s
 		m.resizing.Store(spec.Name, true)
 	}
 	now := m.o.Clock.Now()
-	serving, listed := count(m.o.Instances(spec.Name))
-	if !m.known(ctx, spec.Name, s, serving, now) || m.o.Lease.Silent() {
-		if now.Sub(s.begun) > unknownFor {
+	serving, listed := countRunners(m.o.Instances(spec.Name))
+	if !m.resolveRequired(ctx, spec.Name, s, serving, now) || m.o.Lease.Silent() {
+		if now.Sub(s.startedAt) > initialCountTimeout {
 			m.resizing.Delete(spec.Name)
 		}
 		return
 	}
-	l := look{spec: spec, plan: s.plan(spec, serving, now), serving: maps.Clone(serving), listed: listed, now: now}
-	for _, p := range places(spec.Scale) {
-		m.approach(ctx, s, l, p)
+	obs := observation{spec: spec, plan: s.plan(spec, serving, now), serving: maps.Clone(serving), listed: listed, now: now}
+	for _, p := range pools(spec.Scale) {
+		m.adjustPool(ctx, s, obs, p)
 	}
-	m.noteResizing(spec.Name, l.plan, serving)
+	m.updateResizing(spec.Name, obs.plan, serving)
 }
 
-// plan is the plan for what there is. What can't be had now stays ordered, and is asked for
-// again once it may be had.
-func (s *service) plan(spec state.ServiceSpec, serving Numbers, now time.Time) Numbers {
-	limited := s.limited(serving, spec, now)
-	plan := Plan(Wish{Spec: *spec.Scale, Need: s.need, Limited: limited})
-	for d := range limited {
-		if p := (Place{d, Spot}); plan[p] < s.ordered[p] {
-			plan[p] = s.ordered[p]
-			s.pauseUntil[p] = later(s.pauseUntil[p], s.dryUntil[d])
+// plan returns the planned counts under the present limits on spot runners. Spot runners that
+// are unavailable at present stay requested, and the request is repeated once the failure domain
+// may have capacity again.
+func (s *serviceState) plan(spec state.ServiceSpec, serving Counts, now time.Time) Counts {
+	limits := s.spotLimits(serving, spec, now)
+	plan := Plan(Requirements{Spec: *spec.Scale, Runners: s.required, SpotLimits: limits})
+	for d := range limits {
+		if p := (Pool{d, Spot}); plan[p] < s.requested[p] {
+			plan[p] = s.requested[p]
+			s.nextRequestAt[p] = later(s.nextRequestAt[p], s.noSpotUntil[d])
 		}
 	}
 	return plan
 }
 
+// later returns the later of two times.
 func later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -204,11 +221,12 @@
 	return b
 }
 
-// count counts a service's runners by place: those that take work, and all that are listed.
-func count(instances []state.Instance) (serving, listed Numbers) {
-	serving, listed = Numbers{}, Numbers{}
+// countRunners counts the runners of a service by pool: those that take work, and all that are
+// listed.
+func countRunners(instances []state.Instance) (serving, listed Counts) {
+	serving, listed = Counts{}, Counts{}
 	for _, i := range instances {
-		p := Place{i.FailureDomain, OnDemand}
+		p := Pool{i.FailureDomain, OnDemand}
 		if i.Spot {
 			p.Kind = Spot
 		}
@@ -220,69 +238,72 @@
 	return serving, listed
 }
 
-// places are those of a service, spot runners first: what replaces others is ordered before
-// they are drained.
-func places(s *state.ScaleSpec) []Place {
-	domains := byPrice(*s)
-	var out []Place
+// pools returns the pools of a service, those of spot runners first, so that replacements are
+// requested before the runners that they replace are drained.
+func pools(s *state.ScaleSpec) []Pool {
+	domains := domainsByPrice(*s)
+	var out []Pool
 	for _, kind := range kinds {
 		for _, d := range domains {
-			out = append(out, Place{d, kind})
+			out = append(out, Pool{d, kind})
 		}
 	}
 	return out
 }
 
-// known reports whether the service's need is known. The first holder takes it from what the
-// deployment starts with, once that has stood for a moment, and keeps it for the others.
-func (m *Manager) known(ctx context.Context, name string, s *service, serving Numbers, now time.Time) bool {
-	if s.need > 0 {
-		m.keepAgain(ctx, name, s)
+// resolveRequired reports whether the required number of runners is known, and determines it if
+// possible. The first holder of the lease derives it from the number of runners that the service
+// starts with, once that is unchanged for settleTime, and stores that number for later holders.
+func (m *Manager) resolveRequired(ctx context.Context, name string, s *serviceState, serving Counts, now time.Time) bool {
+	if s.required > 0 {
+		m.storeInitialAgain(ctx, name, s)
 		return true
 	}
-	if n := serving.total(); n == 0 || n != s.counted {
-		s.counted, s.since = n, now
+	if n := serving.total(); n == 0 || n != s.lastCount {
+		s.lastCount, s.lastCountSince = n, now
 		return false
 	}
-	if now.Sub(s.since) < settle {
+	if now.Sub(s.lastCountSince) < settleTime {
 		return false
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	base, err := m.o.Needs.First(ctx, name, s.counted)
+	initial, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.lastCount)
 	if err != nil {
-		m.o.Log.Warn("number of runners at the start not read; tried again", "service", name, "cause", err.Error())
-		s.since = now
+		m.o.Log.Warn("initial number of runners not read; retrying", "service", name, "cause", err.Error())
+		s.lastCountSince = now
 		return false
 	}
-	s.base, s.keptIn = base, m.o.Lease.Epoch()
-	s.need = max(1, int(m.o.NeedShare*float64(base)+0.5))
-	m.o.Log.Info("need of a new term", "service", name, "need", s.need, "at_start", base, "listed", s.counted)
+	s.initial, s.storedInEpoch = initial, m.o.Lease.Epoch()
+	s.required = max(1, int(m.o.RequiredShare*float64(initial)+0.5))
+	m.o.Log.Info("required number of runners determined", "service", name, "need", s.required, "at_start", initial, "listed", s.lastCount)
 	return true
 }
 
-// keepAgain keeps the number at the start again once the store was restored from an older copy.
-func (m *Manager) keepAgain(ctx context.Context, name string, s *service) {
+// storeInitialAgain stores the initial number of runners again after each restore of the store
+// from an older copy, which may have lost it.
+func (m *Manager) storeInitialAgain(ctx context.Context, name string, s *serviceState) {
 	epoch := m.o.Lease.Epoch()
-	if epoch <= s.keptIn {
+	if epoch <= s.storedInEpoch {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	if _, err := m.o.Needs.First(ctx, name, s.base); err != nil {
-		m.o.Log.Warn("number of runners at the start not kept again; tried again", "service", name, "cause", err.Error())
+	if _, err := m.o.InitialCounts.LoadOrStore(ctx, name, s.initial); err != nil {
+		m.o.Log.Warn("initial number of runners not stored again after a restore of the store; retrying", "service", name, "cause", err.Error())
 		return
 	}
-	s.keptIn = epoch
+	s.storedInEpoch = epoch
 }
 
-// limited bounds the spot runners of failure domains where no more are to be had.
-func (s *service) limited(serving Numbers, spec state.ServiceSpec, now time.Time) map[string]int {
+// spotLimits returns the number of serving spot runners of each failure domain that has no spot
+// capacity at present, or whose requested spot runners don't boot in time.
+func (s *serviceState) spotLimits(serving Counts, spec state.ServiceSpec, now time.Time) map[string]int {
 	out := map[string]int{}
 	for d := range spec.Scale.DomainPrices {
-		p := Place{d, Spot}
-		late := s.ordered[p] > serving[p] && now.Sub(s.orderedAt[p]) > lateBoots*spec.Scale.Boot
-		if now.Before(s.dryUntil[d]) || late {
+		p := Pool{d, Spot}
+		bootOverdue := s.requested[p] > serving[p] && now.Sub(s.requestedAt[p]) > bootTimeoutFactor*spec.Scale.Boot
+		if now.Before(s.noSpotUntil[d]) || bootOverdue {
 			out[d] = serving[p]
 		}
 	}
--- a/coordination/scale/manager_test.go
+++ b/coordination/scale/manager_test.go
@@ -20,123 +20,129 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// cloud is a platform that starts and ends runners as it is ordered to.
-type cloud struct {
-	mu      sync.Mutex
-	spec    state.ServiceSpec
-	runners map[string]*runner
-	next    int
-	desired Numbers
-	dry     map[string]bool
-	orders  int
-	// lost loses the answers to orders, broken lets no runner boot.
-	lost, broken bool
-	terms        []uint64
+// fakeCloud is a platform that starts and drains runners as requested.
+type fakeCloud struct {
+	mu       sync.Mutex
+	spec     state.ServiceSpec
+	runners  map[string]*runner
+	nextID   int
+	desired  Counts
+	noSpot   map[string]bool
+	requests int
+	// dropReplies fails each request after it took effect; failBoots lets no runner boot.
+	dropReplies, failBoots bool
+	terms                  []uint64
 }
 
+// runner is one runner of a fakeCloud; it is listed from readyAt on.
 type runner struct {
-	place    Place
-	serves   time.Time
+	pool     Pool
+	readyAt  time.Time
 	draining bool
 }
 
-func newCloud(onDemand int) *cloud {
-	spec := threeDomains()
-	c := &cloud{spec: state.ServiceSpec{Name: "llm", Scale: &spec}, runners: map[string]*runner{}, desired: Numbers{}, dry: map[string]bool{}}
+// newFakeCloud returns a cloud with serving on-demand runners in three failure domains.
+func newFakeCloud(onDemand int) *fakeCloud {
+	spec := threeDomainSpec()
+	c := &fakeCloud{spec: state.ServiceSpec{Name: "llm", Scale: &spec}, runners: map[string]*runner{}, desired: Counts{}, noSpot: map[string]bool{}}
 	for i := range onDemand {
-		p := Place{[]string{"nord", "sud", "depot"}[i%3], OnDemand}
+		p := Pool{[]string{"nord", "sud", "depot"}[i%3], OnDemand}
 		c.desired[p]++
 		c.start(p, time.Now())
 	}
 	return c
 }
 
-func (c *cloud) start(p Place, serves time.Time) {
-	c.next++
-	c.runners[fmt.Sprint("r", c.next)] = &runner{place: p, serves: serves}
+// start adds a runner that serves from readyAt on.
+func (c *fakeCloud) start(p Pool, readyAt time.Time) {
+	c.nextID++
+	c.runners[fmt.Sprint("r", c.nextID)] = &runner{pool: p, readyAt: readyAt}
 }
 
-// Order implements Platform.
-func (c *cloud) Order(_ context.Context, term uint64, _ string, p Place, desired int, permit func() error) error {
+// SetDesired implements Platform.
+func (c *fakeCloud) SetDesired(_ context.Context, term uint64, _ string, p Pool, desired int, permit func() error) error {
 	if err := permit(); err != nil {
 		return err
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.orders++
+	c.requests++
 	c.terms = append(c.terms, term)
-	if p.Kind == Spot && c.dry[p.FailureDomain] && desired > c.count(p) {
+	if p.Kind == Spot && c.noSpot[p.FailureDomain] && desired > c.count(p) {
 		return ErrUnavailable
 	}
 	c.desired[p] = desired
-	for c.count(p) < desired && !c.broken {
+	for c.count(p) < desired && !c.failBoots {
 		c.start(p, time.Now().Add(c.spec.Scale.Boot))
 	}
 	for name, r := range c.runners {
-		if r.place == p && !r.draining && c.count(p) > desired {
+		if r.pool == p && !r.draining && c.count(p) > desired {
 			r.draining = true
-			time.AfterFunc(3*time.Second, func() { c.end(name) })
+			time.AfterFunc(3*time.Second, func() { c.remove(name) })
 		}
 	}
-	if c.lost {
-		return errors.New("no answer")
+	if c.dropReplies {
+		return errors.New("no reply")
 	}
 	return nil
 }
 
-// count is the number of a place's runners that stay.
-func (c *cloud) count(p Place) int {
+// count returns the number of a pool's runners that aren't draining, booting ones included.
+func (c *fakeCloud) count(p Pool) int {
 	n := 0
 	for _, r := range c.runners {
-		if r.place == p && !r.draining {
+		if r.pool == p && !r.draining {
 			n++
 		}
 	}
 	return n
 }
 
-func (c *cloud) end(name string) {
+// remove ends a runner.
+func (c *fakeCloud) remove(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	delete(c.runners, name)
 }
 
-// reclaim takes the spot runners of a domain back, with a notice of two seconds.
-func (c *cloud) reclaim(domain string) {
+// reclaim reclaims the spot runners of a domain with a notice of two seconds. The domain has no
+// spot capacity from then on.
+func (c *fakeCloud) reclaim(domain string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.dry[domain] = true
+	c.noSpot[domain] = true
 	for name, r := range c.runners {
-		if r.place == (Place{domain, Spot}) {
+		if r.pool == (Pool{domain, Spot}) {
 			r.draining = true
-			time.AfterFunc(2*time.Second, func() { c.end(name) })
+			time.AfterFunc(2*time.Second, func() { c.remove(name) })
 		}
 	}
 }
 
-func (c *cloud) setDry(dry bool, domains ...string) {
+// setNoSpot sets whether the domains lack spot capacity.
+func (c *fakeCloud) setNoSpot(noSpot bool, domains ...string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, d := range domains {
-		c.dry[d] = dry
+		c.noSpot[d] = noSpot
 	}
 }
 
-// list are the runners that are listed.
-func (c *cloud) list(string) []state.Instance {
+// list returns all runners that have booted, including the draining ones.
+func (c *fakeCloud) list(string) []state.Instance {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	var out []state.Instance
 	for name, r := range c.runners {
-		if !r.serves.After(time.Now()) {
-			out = append(out, state.Instance{ID: state.InstanceID{Name: name}, Service: "llm", FailureDomain: r.place.FailureDomain, Spot: r.place.Kind == Spot, Draining: r.draining})
+		if !r.readyAt.After(time.Now()) {
+			out = append(out, state.Instance{ID: state.InstanceID{Name: name}, Service: "llm", FailureDomain: r.pool.FailureDomain, Spot: r.pool.Kind == Spot, Draining: r.draining})
 		}
 	}
 	return out
 }
 
-// serving is the number of runners that take work.
-func (c *cloud) serving() int {
+// serving returns the number of runners that take work.
+func (c *fakeCloud) serving() int {
 	n := 0
 	for _, i := range c.list("") {
 		if !i.Draining {
@@ -146,35 +152,37 @@
 	return n
 }
 
-// leastServing watches for so long and returns the least number that took work.
-func (c *cloud) leastServing(span time.Duration) int {
+// minServing returns the lowest number of serving runners within the span.
+func (c *fakeCloud) minServing(span time.Duration) int {
 	least := c.serving()
-	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	for deadline := time.Now().Add(span); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		least = min(least, c.serving())
 	}
 	return least
 }
 
-func (c *cloud) places() Numbers {
-	out := Numbers{}
+// countByPool returns the numbers of listed runners.
+func (c *fakeCloud) countByPool() Counts {
+	out := Counts{}
 	for _, i := range c.list("") {
 		kind := OnDemand
 		if i.Spot {
 			kind = Spot
 		}
-		out[Place{i.FailureDomain, kind}]++
+		out[Pool{i.FailureDomain, kind}]++
 	}
 	return out
 }
 
-func (c *cloud) ordersSoFar() int {
+// requestCount returns the number of requests to date.
+func (c *fakeCloud) requestCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.orders
+	return c.requests
 }
 
-// hold runs a manager on a host until the returned function is called.
-func hold(t *testing.T, c *cloud, p *storetest.Platform, host string) (stop func()) {
+// startManager runs a manager on a host until the returned function is called.
+func startManager(t *testing.T, c *fakeCloud, p *storetest.Platform, host string) (stop func()) {
 	t.Helper()
 	lessor, err := lease.New(lease.Options{
 		Store: p.Client(host), Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(1, uint64(len(host)))), Name: "duties",
@@ -185,15 +193,15 @@
 		t.Fatal(err)
 	}
 	m, err := New(Options{
-		Platform: c, Lease: lessor, Needs: Needs{p.Client(host)}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
-		Services: func() []state.ServiceSpec { return []state.ServiceSpec{c.spec} }, Instances: c.list, NeedShare: 1,
+		Platform: c, Lease: lessor, InitialCounts: InitialCounts{p.Client(host)}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
+		Services: func() []state.ServiceSpec { return []state.ServiceSpec{c.spec} }, Instances: c.list, RequiredShare: 1,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	var ended sync.WaitGroup
-	ended.Go(func() {
+	var group sync.WaitGroup
+	group.Go(func() {
 		_ = lessor.Run(ctx, func(ctx context.Context) error {
 			m.Hold(ctx)
 			return nil
@@ -201,167 +209,173 @@
 	})
 	return func() {
 		cancel()
-		ended.Wait()
+		group.Wait()
 	}
 }
 
-// inCloud plays a test on 57 on-demand runners and one holder.
-func inCloud(t *testing.T, play func(is *is.I, c *cloud, p *storetest.Platform, stop func())) {
+// runWithCloud runs a test body on a cloud of 57 on-demand runners with one manager.
+func runWithCloud(t *testing.T, body func(is *is.I, c *fakeCloud, p *storetest.Platform, stop func())) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		c, p := newCloud(57), storetest.NewPlatform(time.Second)
+		c, p := newFakeCloud(57), storetest.NewPlatform(time.Second)
 		var once sync.Once
-		end := hold(t, c, p, "h")
-		stop := func() { once.Do(end) }
+		stopManager := startManager(t, c, p, "h")
+		stop := func() { once.Do(stopManager) }
 		defer stop()
-		play(is.New(t), c, p, stop)
+		body(is.New(t), c, p, stop)
 		stop()
-		time.Sleep(10 * time.Second) // what leaves is gone
+		time.Sleep(10 * time.Second) // draining runners end
 	})
 }
 
-// The fleet turns into spot runners without a moment of fewer runners than it had.
-func TestOnDemandRunnersStayUntilOthersServe(t *testing.T) {
-	inCloud(t, func(is *is.I, c *cloud, _ *storetest.Platform, _ func()) {
-		is.True(c.leastServing(30*time.Second) >= 57)
-		n := c.places()
+// Guards against a gap in capacity while on-demand runners are replaced by spot runners: at no
+// time do fewer runners serve than at the start. Further requests after that would be flapping.
+func TestOnDemandRunnersDrainOnlyAfterSpotRunnersServe(t *testing.T) {
+	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
+		is.True(c.minServing(30*time.Second) >= 57)
+		n := c.countByPool()
 		is.True(n.total() < 95)
-		is.Equal(n[Place{"nord", OnDemand}]+n[Place{"sud", OnDemand}]+n[Place{"depot", OnDemand}], 0)
-		before := c.ordersSoFar()
+		is.Equal(n[Pool{"nord", OnDemand}]+n[Pool{"sud", OnDemand}]+n[Pool{"depot", OnDemand}], 0)
+		before := c.requestCount()
 		time.Sleep(time.Minute)
-		is.Equal(c.ordersSoFar(), before) // nothing flaps
+		is.Equal(c.requestCount(), before) // no flapping
 	})
 }
 
-// A domain's spot runners are taken back and none are to be had for a while.
-func TestReclaimedDomainIsReplacedWhenItCanBe(t *testing.T) {
-	inCloud(t, func(is *is.I, c *cloud, _ *storetest.Platform, _ func()) {
+// Guards against lost capacity after the reclaim of a domain's spot runners while no domain has
+// spot capacity. The runners are requested again until the platform has capacity.
+func TestReclaimedSpotRunnersAreRequestedAgain(t *testing.T) {
+	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		time.Sleep(20 * time.Second)
-		before := c.ordersSoFar()
+		before := c.requestCount()
 		c.reclaim("sud")
-		c.setDry(true, "nord", "sud", "depot")
-		is.True(c.leastServing(9*time.Second) >= 57)
-		c.setDry(false, "nord", "sud", "depot")
+		c.setNoSpot(true, "nord", "sud", "depot")
+		is.True(c.minServing(9*time.Second) >= 57)
+		c.setNoSpot(false, "nord", "sud", "depot")
 		time.Sleep(10 * time.Second)
-		is.True(c.places()[Place{"sud", Spot}] >= 28)
-		is.True(c.ordersSoFar()-before < 15) // a dry domain is asked each two seconds
+		is.True(c.countByPool()[Pool{"sud", Spot}] >= 28)
+		is.True(c.requestCount()-before < 15) // a domain without spot capacity gets one request in two seconds
 	})
 }
 
-// None to be had from the start: the runners that there are stay.
-func TestNoSpotRunnersChangeNothing(t *testing.T) {
-	inCloud(t, func(is *is.I, c *cloud, _ *storetest.Platform, _ func()) {
-		c.setDry(true, "nord", "sud", "depot")
-		is.True(c.leastServing(30*time.Second) >= 56)
+// Guards against draining on-demand runners when no spot runners are available to replace them.
+func TestUnavailableSpotKeepsOnDemandRunners(t *testing.T) {
+	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
+		c.setNoSpot(true, "nord", "sud", "depot")
+		is.True(c.minServing(30*time.Second) >= 56)
 	})
 }
 
-// Runners that are ordered and never boot are no reason to send away those that there are.
-func TestBootsThatFailSendNobodyAway(t *testing.T) {
-	inCloud(t, func(is *is.I, c *cloud, _ *storetest.Platform, _ func()) {
+// Guards against draining serving runners because of requested runners that never boot.
+func TestFailedBootsDrainNoRunner(t *testing.T) {
+	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		c.mu.Lock()
-		c.broken = true
+		c.failBoots = true
 		c.mu.Unlock()
-		is.True(c.leastServing(60*time.Second) >= 57)
+		is.True(c.minServing(60*time.Second) >= 57)
 	})
 }
 
-// A holder is lost in the middle; its successor knows what the fleet started with from the
-// store, and does not take twice the number for the need.
-func TestSuccessorKeepsTheNeed(t *testing.T) {
-	inCloud(t, func(is *is.I, c *cloud, p *storetest.Platform, stop func()) {
-		time.Sleep(3 * time.Second) // the first orders are out
+// Guards against a next holder that takes the present number of runners, which is up to twice the
+// initial one during the replacement, for the required number. It reads the initial number from the
+// store instead.
+func TestNextHolderUsesStoredInitialCount(t *testing.T) {
+	runWithCloud(t, func(is *is.I, c *fakeCloud, p *storetest.Platform, stop func()) {
+		time.Sleep(3 * time.Second) // the first requests have been sent
 		stop()
-		next := hold(t, c, p, "another")
-		defer next()
-		is.True(c.leastServing(40*time.Second) >= 57)
-		is.True(c.places().total() < 95)
+		stopNext := startManager(t, c, p, "another")
+		defer stopNext()
+		is.True(c.minServing(40*time.Second) >= 57)
+		is.True(c.countByPool().total() < 95)
 		is.True(c.terms[len(c.terms)-1] > c.terms[0])
 	})
 }
 
-// Guards against a need that grows with each holder, because a restored store lost how many runners
-// there were at the start: the next holder counts what others have ordered.
-func TestNeedThatARestoredStoreLostIsKeptAgain(t *testing.T) {
-	inCloud(t, func(is *is.I, c *cloud, p *storetest.Platform, stop func()) {
+// Guards against a required number that grows with each holder: if a restore of the store loses the
+// initial number, the next holder counts the runners that earlier holders requested.
+func TestInitialCountIsStoredAgainAfterRestore(t *testing.T) {
+	runWithCloud(t, func(is *is.I, c *fakeCloud, p *storetest.Platform, stop func()) {
 		time.Sleep(20 * time.Second)
 		p.RestoreBefore(time.Minute)
 		time.Sleep(10 * time.Second)
 		stop()
-		n, err := Needs{p.Client("test")}.First(context.Background(), c.spec.Name, 999)
+		n, err := InitialCounts{p.Client("test")}.LoadOrStore(context.Background(), c.spec.Name, 999)
 		is.NoErr(err)
 		is.Equal(n, 57)
 	})
 }
 
-// Orders whose answers are lost are given again and do no harm.
-func TestLostAnswersAreOrderedAgain(t *testing.T) {
-	inCloud(t, func(is *is.I, c *cloud, _ *storetest.Platform, _ func()) {
+// Guards against wrong counts after lost replies: the request took effect and is sent again.
+func TestRequestsWithLostRepliesAreRepeated(t *testing.T) {
+	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		c.mu.Lock()
-		c.lost = true
+		c.dropReplies = true
 		c.mu.Unlock()
-		is.True(c.leastServing(20*time.Second) >= 57)
+		is.True(c.minServing(20*time.Second) >= 57)
 		c.mu.Lock()
-		c.lost = false
+		c.dropReplies = false
 		c.mu.Unlock()
 		time.Sleep(20 * time.Second)
-		is.True(c.places().total() < 95)
+		is.True(c.countByPool().total() < 95)
 	})
 }
 
-// Two domains' spot runners are taken back within a second and none are to be had: runners on
-// demand are ordered at the notice of the second, so that they serve two seconds after its
-// runners are gone at the latest (a boot takes four, the notice is of two).
-func TestSecondReclaimIsReplacedAtItsNotice(t *testing.T) {
-	inCloud(t, func(is *is.I, c *cloud, _ *storetest.Platform, _ func()) {
+// Guards against a late replacement when the spot runners of two domains are reclaimed within a
+// second and no domain has spot capacity. On-demand runners are requested at the second notice, so
+// that they serve at most two seconds after the reclaimed runners end: a boot takes four seconds,
+// and the notice is two seconds.
+func TestSecondReclaimIsReplacedOnNotice(t *testing.T) {
+	runWithCloud(t, func(is *is.I, c *fakeCloud, _ *storetest.Platform, _ func()) {
 		time.Sleep(20 * time.Second)
-		c.setDry(true, "nord", "sud", "depot")
+		c.setNoSpot(true, "nord", "sud", "depot")
 		c.reclaim("depot")
 		time.Sleep(time.Second)
 		c.reclaim("sud")
 		time.Sleep(4800 * time.Millisecond)
 		is.True(c.serving() >= 57)
-		before := c.ordersSoFar()
+		before := c.requestCount()
 		time.Sleep(10 * time.Second)
-		is.True(c.ordersSoFar()-before <= 3*6) // each domain is asked once in two seconds
-		c.setDry(false, "nord", "sud", "depot")
+		is.True(c.requestCount()-before <= 3*6) // each domain gets one request in two seconds
+		c.setNoSpot(false, "nord", "sud", "depot")
 		time.Sleep(30 * time.Second)
-		n := c.places()
-		is.Equal(n[Place{"nord", OnDemand}]+n[Place{"sud", OnDemand}]+n[Place{"depot", OnDemand}], 0)
+		n := c.countByPool()
+		is.Equal(n[Pool{"nord", OnDemand}]+n[Pool{"sud", OnDemand}]+n[Pool{"depot", OnDemand}], 0)
 		is.True(n.total() >= 84)
 	})
 }
 
-// Roles wait for engines that are about to leave, and not for those that are still to come.
-func TestResizingEndsOnceNobodyIsAboutToLeave(t *testing.T) {
+// Guards against role changes that wait for runners that are still to boot. Only runners that are
+// about to drain count as a resize.
+func TestResizingEndsOnceNoRunnerIsAboutToDrain(t *testing.T) {
 	is := is.New(t)
 	m := &Manager{}
-	plan := Numbers{{"nord", Spot}: 29, {"sud", Spot}: 29}
-	m.noteResizing("llm", plan, Numbers{{"nord", OnDemand}: 19, {"sud", OnDemand}: 19})
+	plan := Counts{{"nord", Spot}: 29, {"sud", Spot}: 29}
+	m.updateResizing("llm", plan, Counts{{"nord", OnDemand}: 19, {"sud", OnDemand}: 19})
 	is.True(m.Resizing("llm"))
-	m.noteResizing("llm", plan, Numbers{{"nord", OnDemand}: 19, {"nord", Spot}: 19, {"sud", Spot}: 19})
+	m.updateResizing("llm", plan, Counts{{"nord", OnDemand}: 19, {"nord", Spot}: 19, {"sud", Spot}: 19})
 	is.True(m.Resizing("llm"))
-	m.noteResizing("llm", plan, Numbers{{"nord", Spot}: 19, {"sud", Spot}: 19})
+	m.updateResizing("llm", plan, Counts{{"nord", Spot}: 19, {"sud", Spot}: 19})
 	is.True(!m.Resizing("llm"))
 }
 
-// Before the first caller of a deployment comes nobody is served, and on-demand runners needn't
-// wait for those that take their place; once it may have come, they do.
-func TestOnDemandRunnersLeaveAtOnceBeforeTheFirstCaller(t *testing.T) {
+// Before the first traffic of a deployment on-demand runners needn't wait for their replacements
+// to serve. This guards against draining them early if a replacement would serve only after the
+// first traffic, or was not granted.
+func TestOnDemandRunnersDrainAtOnceBeforeTraffic(t *testing.T) {
 	is := is.New(t)
-	spec := threeDomains()
-	plan := Numbers{{"nord", Spot}: 29, {"sud", Spot}: 29, {"depot", Spot}: 29}
-	serving := Numbers{{"nord", OnDemand}: 19, {"sud", OnDemand}: 19, {"depot", OnDemand}: 19}
+	spec := threeDomainSpec()
+	plan := Counts{{"nord", Spot}: 29, {"sud", Spot}: 29, {"depot", Spot}: 29}
+	serving := Counts{{"nord", OnDemand}: 19, {"sud", OnDemand}: 19, {"depot", OnDemand}: 19}
 	start := time.Unix(1000, 0)
-	m := &Manager{o: Options{QuietUntil: start.Add(12 * time.Second)}}
-	leaving := func(ordered Numbers, at time.Duration) int {
-		s := &service{need: 57, ordered: ordered}
-		l := look{spec: state.ServiceSpec{Scale: &spec}, plan: plan, serving: serving, listed: serving, now: start.Add(at)}
-		return m.mayLeave(s, l, Place{"nord", OnDemand}, 19)
+	m := &Manager{o: Options{NoTrafficUntil: start.Add(12 * time.Second)}}
+	drainable := func(requested Counts, at time.Duration) int {
+		s := &serviceState{required: 57, requested: requested}
+		obs := observation{spec: state.ServiceSpec{Scale: &spec}, plan: plan, serving: serving, listed: serving, now: start.Add(at)}
+		return m.countDrainable(s, obs, Pool{"nord", OnDemand}, 19)
 	}
-	is.Equal(leaving(plan, 6*time.Second), 19)
-	is.Equal(leaving(Numbers{{"nord", Spot}: 29}, 6*time.Second), 0) // the others weren't granted
-	is.Equal(leaving(plan, 7*time.Second), 0)                        // they would serve after that
-	m.o.QuietUntil = time.Time{}
-	is.Equal(leaving(plan, 6*time.Second), 0)
+	is.Equal(drainable(plan, 6*time.Second), 19)
+	is.Equal(drainable(Counts{{"nord", Spot}: 29}, 6*time.Second), 0) // the other domains' spot runners weren't granted
+	is.Equal(drainable(plan, 7*time.Second), 0)                       // the spot runners would serve after the first traffic
+	m.o.NoTrafficUntil = time.Time{}
+	is.Equal(drainable(plan, 6*time.Second), 0)
 }
--- a/coordination/scale/plan.go
+++ b/coordination/scale/plan.go
@@ -7,29 +7,29 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Kind is the terms on which a runner is had.
+// Kind is the pricing model of a runner.
 type Kind string
 
-// The kinds of runner.
+// The kinds of runner. Spot runners are cheaper, and the platform may reclaim them at any time.
 const (
 	OnDemand Kind = "on_demand"
 	Spot     Kind = "spot"
 )
 
-// kinds are all of them, in the order in which they are ordered.
+// kinds lists all kinds in the order in which their runners are requested.
 var kinds = []Kind{Spot, OnDemand}
 
-// Place is what a number of runners is ordered for.
-type Place struct {
+// Pool identifies the runners of one kind in one failure domain.
+type Pool struct {
 	FailureDomain string
 	Kind          Kind
 }
 
-// Numbers are runners by place.
-type Numbers map[Place]int
+// Counts holds the number of runners by pool.
+type Counts map[Pool]int
 
-// total is the number of all runners.
-func (n Numbers) total() int {
+// total returns the number of runners in all pools.
+func (n Counts) total() int {
 	out := 0
 	for _, v := range n {
 		out += v
@@ -37,41 +37,43 @@
 	return out
 }
 
-// Wish is what a plan is made for.
-type Wish struct {
+// Requirements is the input of a plan.
+type Requirements struct {
+	// Spec holds the prices and the bounds of the failure domains.
 	Spec state.ScaleSpec
-	// Need is the number of runners that carry the load.
-	Need int
-	// Limited bounds the number of spot runners of a failure domain where no more are to be
-	// had at present, by what there is.
-	Limited map[string]int
+	// Runners is the number of serving runners that carry the load.
+	Runners int
+	// SpotLimits bounds the number of spot runners by failure domain. It has an entry, the number
+	// of present runners, only for failure domains without further spot capacity.
+	SpotLimits map[string]int
 }
 
-// Plan returns the cheapest numbers that carry the load, also once the spot runners of any
-// one failure domain are taken back at once. Spot runners that stand by for that are had only
-// where spot runners are: what a loss takes beyond that, on-demand runners replace when it
-// comes, since it is rarer than they are dear.
+// Plan returns the cheapest counts that carry the load, including after a reclaim of all spot
+// runners of any one failure domain. The reserve for that consists of spot runners only. Further
+// losses are replaced by on-demand runners when they happen: they are rare, and on-demand runners
+// held in reserve for them would cost more.
 //
-// With three failure domains and spot runners at a seventh of the price half as many more than
-// needed cost a quarter of what the needed ones cost on demand.
-func Plan(w Wish) Numbers {
-	domains := byPrice(w.Spec)
-	best := onDemandOnly(w, domains)
-	bestCost := w.cost(best)
-	if w.Spec.SpotPrice <= 0 {
+// With three failure domains and spot runners at a seventh of the on-demand price, a plan with
+// half as many runners again as required costs a quarter of the required number of on-demand
+// runners.
+func Plan(r Requirements) Counts {
+	domains := domainsByPrice(r.Spec)
+	best := planOnDemand(r, domains)
+	bestCost := r.cost(best)
+	if r.Spec.SpotPrice <= 0 {
 		return best
 	}
-	for each := 1; each <= w.Spec.MaxPerDomain; each++ {
-		n := w.withSpot(domains, each)
-		if cost := w.cost(n); cost < bestCost {
+	for perDomain := 1; perDomain <= r.Spec.MaxPerDomain; perDomain++ {
+		n := r.planWithSpot(domains, perDomain)
+		if cost := r.cost(n); cost < bestCost {
 			best, bestCost = n, cost
 		}
 	}
 	return best
 }
 
-// byPrice are the failure domains, the cheapest first.
-func byPrice(s state.ScaleSpec) []string {
+// domainsByPrice returns the failure domains, the cheapest first.
+func domainsByPrice(s state.ScaleSpec) []string {
 	out := make([]string, 0, len(s.DomainPrices))
 	for domain := range s.DomainPrices {
 		out = append(out, domain)
@@ -82,49 +84,50 @@
 	return out
 }
 
-func onDemandOnly(w Wish, domains []string) Numbers {
-	n := Numbers{}
-	w.fill(n, domains, w.Need)
+// planOnDemand returns the plan that uses on-demand runners only.
+func planOnDemand(r Requirements, domains []string) Counts {
+	n := Counts{}
+	r.addOnDemand(n, domains, r.Runners)
 	return n
 }
 
-// withSpot is a plan with that many spot runners in each failure domain that has them: as
-// many as carry the load without one of the domains, or what there is, and on-demand ones for
-// what is missing now.
-func (w Wish) withSpot(domains []string, each int) Numbers {
-	n := Numbers{}
-	spot, largest, bounded := 0, 0, false
+// planWithSpot returns a plan with perDomain spot runners in each failure domain, or fewer where
+// SpotLimits says so, and on-demand runners for the rest of the load. If no limit applies the
+// plan carries the load without the spot runners of any one failure domain.
+func (r Requirements) planWithSpot(domains []string, perDomain int) Counts {
+	n := Counts{}
+	spot, largest, domainLimited := 0, 0, false
 	for _, d := range domains {
-		have := each
-		if limit, limited := w.Limited[d]; limited && limit < have {
-			have, bounded = limit, true
+		count := perDomain
+		if limit, limited := r.SpotLimits[d]; limited && limit < count {
+			count, domainLimited = limit, true
 		}
-		n[Place{d, Spot}] = have
-		spot += have
-		largest = max(largest, have)
+		n[Pool{d, Spot}] = count
+		spot += count
+		largest = max(largest, count)
 	}
 	reserve := largest
-	if bounded || len(domains) == 1 {
-		reserve = 0 // a loss now would be the second
+	if domainLimited || len(domains) == 1 {
+		reserve = 0 // a further loss would be the second, or would leave no domain to carry the load
 	}
-	w.fill(n, domains, w.Need-(spot-reserve))
+	r.addOnDemand(n, domains, r.Runners-(spot-reserve))
 	return n
 }
 
-// fill adds on-demand runners, spread evenly as far as each failure domain's bounds allow, and
-// raises each to its least number.
-func (w Wish) fill(n Numbers, domains []string, missing int) {
+// addOnDemand adds the missing number of on-demand runners, spread evenly over the failure
+// domains as far as MaxPerDomain allows, and raises each failure domain to MinPerDomain.
+func (r Requirements) addOnDemand(n Counts, domains []string, missing int) {
 	for _, d := range domains {
-		if short := w.Spec.MinPerDomain - n[Place{d, Spot}]; short > 0 {
-			n[Place{d, OnDemand}] = short
-			missing -= short
+		if shortfall := r.Spec.MinPerDomain - n[Pool{d, Spot}]; shortfall > 0 {
+			n[Pool{d, OnDemand}] = shortfall
+			missing -= shortfall
 		}
 	}
 	for added := true; missing > 0 && added; {
 		added = false
 		for _, d := range domains {
-			if missing > 0 && n[Place{d, Spot}]+n[Place{d, OnDemand}] < w.Spec.MaxPerDomain {
-				n[Place{d, OnDemand}]++
+			if missing > 0 && n[Pool{d, Spot}]+n[Pool{d, OnDemand}] < r.Spec.MaxPerDomain {
+				n[Pool{d, OnDemand}]++
 				missing--
 				added = true
 			}
@@ -132,19 +135,20 @@
 	}
 }
 
-// cost is the price of the numbers for a second; runners that are missing for the load cost
-// more than any that there are.
-func (w Wish) cost(n Numbers) float64 {
+// cost returns the price of the counts per second. Each runner that is missing for the load adds
+// missingRunnerPrice.
+func (r Requirements) cost(n Counts) float64 {
 	out := 0.0
 	for p, count := range n {
-		price := w.Spec.DomainPrices[p.FailureDomain]
+		price := r.Spec.DomainPrices[p.FailureDomain]
 		if p.Kind == Spot {
-			price *= w.Spec.SpotPrice
+			price *= r.Spec.SpotPrice
 		}
 		out += price * float64(count)
 	}
-	return out + missingPrice*float64(max(0, w.Need-n.total()))
+	return out + missingRunnerPrice*float64(max(0, r.Runners-n.total()))
 }
 
-// missingPrice is above the price of any runner: callers go before prices.
-const missingPrice = 1e3
+// missingRunnerPrice is the price per second of a missing runner. It is above the price of any
+// runner, so that carrying the load takes precedence over the price.
+const missingRunnerPrice = 1e3
