--- a/coordination/fanout/ask.go
+++ b/coordination/fanout/ask.go
@@ -24,7 +24,7 @@
 // ask asks a relay for news. One that follows the store is followed from then on, unless
 // this host relays as well.
 func (n *Node) ask(ctx context.Context, source string, relays bool) {
-	wait := n.o.Wait
+	wait := n.o.FetchWait
 	switch {
 	case !relays && n.starting():
 		wait = min(wait, startWait)
@@ -39,7 +39,7 @@
 	defer cancel()
 	n.interruptible(cancel, !relays)
 	asked := n.o.Clock.Now()
-	news, err := n.o.Peers.Follow(bounded, source, Question{From: n.o.Self.Addr, Since: n.revisions(), Read: n.read[source], Wait: wait})
+	news, err := n.o.Peers.Fetch(bounded, source, Request{From: n.o.Self.Addr, Since: n.revisions(), Cursor: n.read[source], Wait: wait})
 	n.interruptible(nil, false)
 	switch {
 	case err == nil:
@@ -73,7 +73,7 @@
 // settleAtStart asks peers whether the store was restored recently, which a host that has just started
 // and follows the store itself can't know; without a peer it assumes that it wasn't.
 func (n *Node) settleAtStart(ctx context.Context) {
-	var told News
+	var told Response
 	for range startPeeks {
 		addr := n.nextPeer()
 		if addr == "" {
@@ -89,10 +89,10 @@
 }
 
 // settle takes a peer's answer on that.
-func (n *Node) settle(told News) {
+func (n *Node) settle(told Response) {
 	n.settled = true
 	for kind, m := range n.o.Copies {
-		m.Settled(told.Changes[kind].Revision, told.Regained, told.Ever)
+		m.Settled(told.Changes[kind].Revision, told.RecoveredAgo, told.HadOutage)
 	}
 }
 
@@ -115,7 +115,7 @@
 
 // peek asks another host once, without following it. Kinds of which it may have kept newer objects than a
 // restored store has are asked for whole.
-func (n *Node) peek(ctx context.Context, addr string) (news News, answered bool) {
+func (n *Node) peek(ctx context.Context, addr string) (news Response, answered bool) {
 	since := n.revisions()
 	for kind, m := range n.o.Copies {
 		if m.KeepsNewer() {
@@ -125,17 +125,17 @@
 	bounded, cancel := context.WithTimeout(ctx, silenceSlack)
 	defer cancel()
 	asked := n.o.Clock.Now()
-	news, err := n.o.Peers.Follow(bounded, addr, Question{From: n.o.Self.Addr, Since: since, Peek: true})
+	news, err := n.o.Peers.Fetch(bounded, addr, Request{From: n.o.Self.Addr, Since: since, Peek: true})
 	if err != nil {
 		n.o.Log.Debug("peer not reached", "peer", addr, "cause", err.Error())
-		return News{}, false
+		return Response{}, false
 	}
 	n.merge(news, addr, asked)
 	return news, true
 }
 
 // merge takes what changed in the copies of a peer that was asked then.
-func (n *Node) merge(news News, from string, asked time.Time) {
+func (n *Node) merge(news Response, from string, asked time.Time) {
 	for kind, d := range news.Changes {
 		if m := n.o.Copies[kind]; m != nil {
 			m.Merge(d, from, asked)
@@ -144,18 +144,18 @@
 }
 
 // take takes the answer of a relay that was asked then.
-func (n *Node) take(news News, source string, relays bool, asked time.Time) {
-	if !news.Lost && !relays {
+func (n *Node) take(news Response, source string, relays bool, asked time.Time) {
+	if !news.Unavailable && !relays {
 		for _, m := range n.o.Copies {
-			m.Informed(news.Regained, news.Ever)
+			m.Informed(news.RecoveredAgo, news.HadOutage)
 		}
 	}
 	n.merge(news, source, asked)
-	n.read[source] = news.Read
+	n.read[source] = news.Cursor
 	for _, notice := range news.Notices {
 		n.Deliver(notice)
 	}
-	if news.Lost {
+	if news.Unavailable {
 		n.avoid(source, "it doesn't follow the store", true)
 		return
 	}
--- a/coordination/fanout/fanout_test.go
+++ b/coordination/fanout/fanout_test.go
@@ -333,7 +333,7 @@
 		for _, other := range f.hosts {
 			by := 0
 			for _, h := range f.hosts {
-				if h != other && h.self.FailureDomain == other.self.FailureDomain && h.LooksAfter(other.self.Addr) {
+				if h != other && h.self.FailureDomain == other.self.FailureDomain && h.Monitors(other.self.Addr) {
 					is.True(relays[h.self.Addr])
 					by++
 				}
@@ -367,7 +367,7 @@
 		h.avoid("relay", "test", false)
 	}()
 	for range 1000 {
-		h.Notify()
+		h.WakeFollowers()
 		runtime.Gosched()
 	}
 	close(release)
--- a/coordination/fanout/fanouttest/fanouttest.go
+++ b/coordination/fanout/fanouttest/fanouttest.go
@@ -17,18 +17,18 @@
 // noPeers are the peers of a host that is alone; none is ever asked.
 type noPeers struct{}
 
-func (noPeers) Follow(context.Context, string, fanout.Question) (fanout.News, error) {
-	return fanout.News{}, context.Canceled
+func (noPeers) Fetch(context.Context, string, fanout.Request) (fanout.Response, error) {
+	return fanout.Response{}, context.Canceled
 }
 
-func (noPeers) Post(context.Context, string, fanout.Notice) error { return context.Canceled }
+func (noPeers) SendNotice(context.Context, string, fanout.Notice) error { return context.Canceled }
 
 // Alone returns the node of a host without others, which hears what it publishes itself.
 func Alone(t *testing.T) *fanout.Node {
 	t.Helper()
 	n, err := fanout.New(fanout.Options{
-		Self: state.Peer{Addr: "h"}, Run: "h-1", Hosts: func() []state.Peer { return nil }, Copies: map[string]*follow.Mirror{"a": nil},
-		Peers: noPeers{}, Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler), Wait: time.Second,
+		Self: state.Peer{Addr: "h"}, RunID: "h-1", Hosts: func() []state.Peer { return nil }, Copies: map[string]*follow.Mirror{"a": nil},
+		Peers: noPeers{}, Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler), FetchWait: time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/coordination/fanout/fleet_test.go
+++ b/coordination/fanout/fleet_test.go
@@ -112,7 +112,7 @@
 		m, err := follow.New(follow.Options{
 			Newer: newer,
 			Store: faulty{f.store.Client(h.self.Addr), f, h.self.Addr}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
-			Kind: kind, Changed: h.changed, Outage: outage, Notify: func() { h.Notify() }, Settle: testSettle,
+			Kind: kind, Changed: h.changed, Outage: outage, Notify: func() { h.WakeFollowers() }, Settle: testSettle,
 		})
 		if err != nil {
 			f.t.Fatal(err)
@@ -120,8 +120,8 @@
 		h.copies[kind] = m
 	}
 	n, err := New(Options{
-		Self: h.self, Run: h.self.Addr + "-1", Hosts: func() []state.Peer { return h.list }, Copies: h.copies, Peers: network{f, h.self.Addr},
-		Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(7, uint64(i))), Log: slog.New(slog.DiscardHandler), Wait: testWait,
+		Self: h.self, RunID: h.self.Addr + "-1", Hosts: func() []state.Peer { return h.list }, Copies: h.copies, Peers: network{f, h.self.Addr},
+		Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(7, uint64(i))), Log: slog.New(slog.DiscardHandler), FetchWait: testWait,
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -362,22 +362,22 @@
 
 const oneWay = time.Millisecond
 
-// Follow implements Peers.
-func (n network) Follow(ctx context.Context, addr string, q Question) (News, error) {
+// Fetch implements Peers.
+func (n network) Fetch(ctx context.Context, addr string, q Request) (Response, error) {
 	to, err := n.reach(ctx, addr)
 	if err != nil {
-		return News{}, err
+		return Response{}, err
 	}
 	news := to.Serve(ctx, q)
 	if n.f.is(n.f.silent, addr) {
 		<-ctx.Done()
-		return News{}, ctx.Err()
+		return Response{}, ctx.Err()
 	}
 	return news, (clocktest.Bubble{}).Sleep(ctx, oneWay)
 }
 
-// Post implements Peers.
-func (n network) Post(ctx context.Context, addr string, notice Notice) error {
+// SendNotice implements Peers.
+func (n network) SendNotice(ctx context.Context, addr string, notice Notice) error {
 	to, err := n.reach(ctx, addr)
 	if err == nil {
 		to.Deliver(notice)
--- a/coordination/fanout/look.go
+++ b/coordination/fanout/look.go
@@ -7,17 +7,17 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// HeardAt is when a host asked this one; zero if it hasn't recently.
-func (n *Node) HeardAt(addr string) time.Time {
+// LastFetchFrom is when a host asked this one; zero if it hasn't recently.
+func (n *Node) LastFetchFrom(addr string) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.heard[addr]
 }
 
-// LooksAfter reports whether this host looks after another of its domain. The first relays
+// Monitors reports whether this host looks after another of its domain. The first relays
 // by the order that all compute, but for those that this host found silent itself, look
 // after each other, and each after the hosts that would follow it.
-func (n *Node) LooksAfter(addr string) bool {
+func (n *Node) Monitors(addr string) bool {
 	if !n.FollowsStore() || !n.fresh() {
 		return false
 	}
--- a/coordination/fanout/message.go
+++ b/coordination/fanout/message.go
@@ -10,39 +10,39 @@
 // Revisions are those of a host's copies, by kind.
 type Revisions map[string]uint64
 
-// Question is what a host asks a relay.
-type Question struct {
+// Request is what a host asks a relay.
+type Request struct {
 	// From is the host that asks.
 	From string
 	// Since are the revisions that the host has, and Read how far it has read the
 	// relay's notices.
-	Since Revisions
-	Read  Cursor
+	Since  Revisions
+	Cursor Cursor
 	// Wait is how long the relay waits if it has nothing for the host.
 	Wait time.Duration
 	// Peek asks for what the other has at this moment, and not to relay from then on.
 	Peek bool
 }
 
-// News is what a relay answers.
-type News struct {
-	// Lost says that the relay doesn't follow the store at present.
-	Lost bool
-	// Regained is how long ago the store answered the relay again, 0 while it doesn't; Ever is
+// Response is what a relay answers.
+type Response struct {
+	// Unavailable says that the relay doesn't follow the store at present.
+	Unavailable bool
+	// RecoveredAgo is how long ago the store answered the relay again, 0 while it doesn't; Ever is
 	// false if it always has.
-	Regained time.Duration
-	Ever     bool
+	RecoveredAgo time.Duration
+	HadOutage    bool
 	// Changes are by kind.
 	Changes map[string]follow.Delta
 	Notices []Notice
-	// Read is the cursor after Notices.
-	Read Cursor
+	// Cursor is the cursor after Notices.
+	Cursor Cursor
 }
 
 // Peers reaches other hosts.
 type Peers interface {
-	// Follow asks the host at addr for what it has beyond the question.
-	Follow(ctx context.Context, addr string, q Question) (News, error)
-	// Post tells the host at addr a notice.
-	Post(ctx context.Context, addr string, n Notice) error
+	// Fetch asks the host at addr for what it has beyond the question.
+	Fetch(ctx context.Context, addr string, q Request) (Response, error)
+	// SendNotice tells the host at addr a notice.
+	SendNotice(ctx context.Context, addr string, n Notice) error
 }
--- a/coordination/fanout/node.go
+++ b/coordination/fanout/node.go
@@ -29,8 +29,8 @@
 // Options configure a Node. All fields are required.
 type Options struct {
 	Self state.Peer
-	// Run names this run of the host, unlike any other.
-	Run string
+	// RunID names this run of the host, unlike any other.
+	RunID string
 	// Hosts lists all hosts. A list that has been returned is never changed.
 	Hosts func() []state.Peer
 	// Copies are this host's, by kind.
@@ -40,10 +40,10 @@
 	// Rand spreads the times at which hosts come back to a relay; Run alone uses it.
 	Rand *rand.Rand
 	Log  *slog.Logger
-	// Wait is how long a question waits at a relay. A relay that is silent for that long
+	// FetchWait is how long a question waits at a relay. A relay that is silent for that long
 	// and a moment more is passed over: a quarter of the time in which changes must be
 	// in force leaves room for the next one's answer.
-	Wait time.Duration
+	FetchWait time.Duration
 }
 
 // Node keeps one host's copies up to date, and those of the hosts that follow it.
@@ -86,14 +86,14 @@
 
 // New validates the options.
 func New(o Options) (*Node, error) {
-	if o.Self.Addr == "" || o.Run == "" || o.Hosts == nil || len(o.Copies) == 0 || o.Peers == nil || o.Clock == nil || o.Rand == nil || o.Log == nil || o.Wait <= 0 {
+	if o.Self.Addr == "" || o.RunID == "" || o.Hosts == nil || len(o.Copies) == 0 || o.Peers == nil || o.Clock == nil || o.Rand == nil || o.Log == nil || o.FetchWait <= 0 {
 		return nil, errors.New("fanout: a field of Options is missing; set all of them")
 	}
-	return &Node{o: o, board: newBoard(o.Run), topics: map[Topic]func([]byte){}, read: map[string]Cursor{}, avoided: map[string]avoidance{}, heard: map[string]time.Time{}, changed: make(chan struct{})}, nil
+	return &Node{o: o, board: newBoard(o.RunID), topics: map[Topic]func([]byte){}, read: map[string]Cursor{}, avoided: map[string]avoidance{}, heard: map[string]time.Time{}, changed: make(chan struct{})}, nil
 }
 
-// Notify is to be called when a copy or the word of the store has changed.
-func (n *Node) Notify() {
+// WakeFollowers is to be called when a copy or the word of the store has changed.
+func (n *Node) WakeFollowers() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.changed)
@@ -105,7 +105,7 @@
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
-	n.Notify()
+	n.WakeFollowers()
 }
 
 // FollowsStore reports whether this host follows the store itself.
--- a/coordination/fanout/notice.go
+++ b/coordination/fanout/notice.go
@@ -123,7 +123,7 @@
 func (n *Node) post(ctx context.Context, addr string, notice Notice) {
 	ctx, cancel := context.WithTimeout(ctx, postTimeout)
 	defer cancel()
-	if err := n.o.Peers.Post(ctx, addr, notice); err != nil {
+	if err := n.o.Peers.SendNotice(ctx, addr, notice); err != nil {
 		n.o.Log.Debug("notice not told", "peer", addr, "topic", string(notice.Topic), "cause", err.Error())
 	}
 }
@@ -136,7 +136,7 @@
 	if take := n.topics[notice.Topic]; take != nil {
 		take(notice.Body)
 	}
-	n.Notify()
+	n.WakeFollowers()
 }
 
 // tellers are the hosts that pass a notice on to all others: the relays of each failure
--- a/coordination/fanout/serve.go
+++ b/coordination/fanout/serve.go
@@ -9,7 +9,7 @@
 
 // Serve answers a host that follows this one: at once if there is news for it or this
 // host is of no use to it, else after wait or the next change.
-func (n *Node) Serve(ctx context.Context, q Question) News {
+func (n *Node) Serve(ctx context.Context, q Request) Response {
 	if q.Peek {
 		news, _ := n.news(q)
 		return news
@@ -21,7 +21,7 @@
 	for {
 		changed := n.changes()
 		news, any := n.news(q)
-		if news.Lost || any {
+		if news.Unavailable || any {
 			return news
 		}
 		select {
@@ -79,20 +79,20 @@
 
 // news is what a host lacks, and whether there is any. Changes without
 // content bring the host's revisions on: the store's history reaches some seconds back.
-func (n *Node) news(q Question) (out News, any bool) {
-	out = News{Lost: n.isLeaving() || !n.FollowsStore() || !n.fresh(), Changes: map[string]follow.Delta{}}
-	out.Notices, out.Read = n.board.since(q.Read, n.o.Clock.Now())
+func (n *Node) news(q Request) (out Response, any bool) {
+	out = Response{Unavailable: n.isLeaving() || !n.FollowsStore() || !n.fresh(), Changes: map[string]follow.Delta{}}
+	out.Notices, out.Cursor = n.board.since(q.Cursor, n.o.Clock.Now())
 	any = len(out.Notices) > 0
 	for kind, m := range n.o.Copies {
 		d := m.Since(q.Since[kind])
 		out.Changes[kind] = d
 		any = any || !d.Empty()
-		if ago, ever := m.Regained(); ever && (!out.Ever || ago < out.Regained) {
-			out.Regained, out.Ever = ago, true
+		if ago, ever := m.Regained(); ever && (!out.HadOutage || ago < out.RecoveredAgo) {
+			out.RecoveredAgo, out.HadOutage = ago, true
 		}
 	}
 	if n.lost() {
-		out.Regained, out.Ever = 0, true
+		out.RecoveredAgo, out.HadOutage = 0, true
 	}
 	return out, any
 }
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -247,7 +247,7 @@
 func (h *Host) changedHolds(c follow.Copy) { h.quarantine.Changed(c) }
 
 // notifyFollowers wakes the hosts that wait for news of this one.
-func (h *Host) notifyFollowers() { h.fanout.Notify() }
+func (h *Host) notifyFollowers() { h.fanout.WakeFollowers() }
 
 // tellAdvice tells all hosts what a runner asks of them.
 func (h *Host) tellAdvice(n backpressure.Notice) {
--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -42,7 +42,7 @@
 		return err
 	}
 	h.fanout, err = fanout.New(fanout.Options{
-		Self: h.members.self(), Run: h.id.String(), Hosts: h.members.All, Peers: relay.Peers{Client: h.peers}, Clock: h.clock, Rand: newRand(), Log: h.log, Wait: h.relayWait(),
+		Self: h.members.self(), RunID: h.id.String(), Hosts: h.members.All, Peers: relay.Peers{Client: h.peers}, Clock: h.clock, Rand: newRand(), Log: h.log, FetchWait: h.relayWait(),
 		Copies: map[string]*follow.Mirror{platform.KindConfig: h.configs, platform.KindInstances: h.listed, kindHosts: h.members.copy, quarantine.Kind: h.held},
 	})
 	if err != nil {
@@ -53,7 +53,7 @@
 	pings.Register(h.peerServer, pingers)
 	h.looker, err = liveness.New(liveness.Options{
 		Self: h.members.self(), Hosts: func() []liveness.Listed { return *h.members.entries.Load() },
-		LooksAfter: h.fanout.LooksAfter, HeardAt: h.fanout.HeardAt, Peers: pingers, Remove: h.members.remove, Clock: h.clock, Log: h.log,
+		LooksAfter: h.fanout.Monitors, HeardAt: h.fanout.LastFetchFrom, Peers: pingers, Remove: h.members.remove, Clock: h.clock, Log: h.log,
 	})
 	if err != nil {
 		return err
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -80,7 +80,7 @@
 func Register(s *peer.Server, n *fanout.Node) {
 	s.Handle(peerapi.KindCopies, peer.HandleMsg(func(ctx context.Context, _ state.HostID, q Request) (Packed, error) {
 		wait := min(max(0, time.Duration(q.WaitMS)*time.Millisecond), mostWait)
-		return pack(encode(n.Serve(ctx, fanout.Question{From: q.From, Since: q.Revisions, Read: fanout.Cursor(q.Read), Wait: wait, Peek: q.Peek})))
+		return pack(encode(n.Serve(ctx, fanout.Request{From: q.From, Since: q.Revisions, Cursor: fanout.Cursor(q.Read), Wait: wait, Peek: q.Peek})))
 	}))
 	s.Handle(peerapi.KindNotice, peer.HandleMsg(func(_ context.Context, _ state.HostID, m Notice) (Noted, error) {
 		n.Deliver(m.decode())
@@ -93,22 +93,22 @@
 
 var _ fanout.Peers = Peers{}
 
-// Follow implements fanout.Peers.
-func (p Peers) Follow(ctx context.Context, addr string, q fanout.Question) (fanout.News, error) {
-	m := Request{From: q.From, Revisions: q.Since, WaitMS: q.Wait.Milliseconds(), Read: Cursor(q.Read), Peek: q.Peek}
+// Fetch implements fanout.Peers.
+func (p Peers) Fetch(ctx context.Context, addr string, q fanout.Request) (fanout.Response, error) {
+	m := Request{From: q.From, Revisions: q.Since, WaitMS: q.Wait.Milliseconds(), Read: Cursor(q.Cursor), Peek: q.Peek}
 	a, err := peer.CallMsg[Request, Packed](ctx, p.Client, addr, peerapi.KindCopies, m)
 	if err != nil {
-		return fanout.News{}, err
+		return fanout.Response{}, err
 	}
 	r, err := a.unpack()
 	if err != nil {
-		return fanout.News{}, err
+		return fanout.Response{}, err
 	}
 	return r.decode(), nil
 }
 
-// Post implements fanout.Peers.
-func (p Peers) Post(ctx context.Context, addr string, n fanout.Notice) error {
+// SendNotice implements fanout.Peers.
+func (p Peers) SendNotice(ctx context.Context, addr string, n fanout.Notice) error {
 	_, err := peer.CallMsg[Notice, Noted](ctx, p.Client, addr, peerapi.KindNotice, encodeNotice(n))
 	return err
 }
@@ -121,13 +121,13 @@
 	return fanout.Notice{Origin: m.Origin, Number: m.Number, Topic: fanout.Topic(m.Topic), Body: m.Body}
 }
 
-func encode(n fanout.News) Response {
-	out := Response{Lost: n.Lost, Changes: map[string]Delta{}, Read: Cursor(n.Read)}
+func encode(n fanout.Response) Response {
+	out := Response{Lost: n.Unavailable, Changes: map[string]Delta{}, Read: Cursor(n.Cursor)}
 	for _, notice := range n.Notices {
 		out.Notices = append(out.Notices, encodeNotice(notice))
 	}
-	if n.Ever {
-		ms := n.Regained.Milliseconds()
+	if n.HadOutage {
+		ms := n.RecoveredAgo.Milliseconds()
 		out.RegainedMS = &ms
 	}
 	for kind, d := range n.Changes {
@@ -136,13 +136,13 @@
 	return out
 }
 
-func (r Response) decode() fanout.News {
-	out := fanout.News{Lost: r.Lost, Changes: map[string]follow.Delta{}, Read: fanout.Cursor(r.Read)}
+func (r Response) decode() fanout.Response {
+	out := fanout.Response{Unavailable: r.Lost, Changes: map[string]follow.Delta{}, Cursor: fanout.Cursor(r.Read)}
 	for _, m := range r.Notices {
 		out.Notices = append(out.Notices, m.decode())
 	}
 	if r.RegainedMS != nil {
-		out.Ever, out.Regained = true, max(0, time.Duration(*r.RegainedMS)*time.Millisecond)
+		out.HadOutage, out.RecoveredAgo = true, max(0, time.Duration(*r.RegainedMS)*time.Millisecond)
 	}
 	for kind, d := range r.Changes {
 		out.Changes[kind] = d.decode(kind)
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -39,14 +39,14 @@
 	var n *fanout.Node
 	m, err := follow.New(follow.Options{
 		Store: p.Client("answers"), Clock: wallclock.Clock{}, Log: slog.New(slog.DiscardHandler), Kind: "a",
-		Changed: func(follow.Copy) {}, Outage: &follow.Outage{}, Notify: func() { n.Notify() },
+		Changed: func(follow.Copy) {}, Outage: &follow.Outage{}, Notify: func() { n.WakeFollowers() },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	n, err = fanout.New(fanout.Options{
-		Self: state.Peer{Addr: "answers"}, Run: "answers-1", Hosts: func() []state.Peer { return nil }, Copies: map[string]*follow.Mirror{"a": m},
-		Peers: Peers{}, Clock: wallclock.Clock{}, Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler), Wait: time.Second,
+		Self: state.Peer{Addr: "answers"}, RunID: "answers-1", Hosts: func() []state.Peer { return nil }, Copies: map[string]*follow.Mirror{"a": m},
+		Peers: Peers{}, Clock: wallclock.Clock{}, Rand: rand.New(rand.NewPCG(1, 1)), Log: slog.New(slog.DiscardHandler), FetchWait: time.Second,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -90,15 +90,15 @@
 	is.NoErr(err)
 	addr := serve(t, newNode(t, p))
 	peers := Peers{Client: newClient(t)}
-	news, err := peers.Follow(t.Context(), addr, fanout.Question{Wait: time.Minute})
+	news, err := peers.Fetch(t.Context(), addr, fanout.Request{Wait: time.Minute})
 	is.NoErr(err)
-	is.True(!news.Lost && !news.Ever)
+	is.True(!news.Unavailable && !news.HadOutage)
 	whole := news.Changes["a"]
 	is.True(whole.Whole)
 	is.Equal(whole.Objects, []store.Object{{Kind: "a", Name: "x", Version: first, Value: []byte(`{"v":1}`)}})
-	told := make(chan fanout.News, 1)
+	told := make(chan fanout.Response, 1)
 	go func() {
-		news, err := peers.Follow(context.Background(), addr, fanout.Question{Since: fanout.Revisions{"a": whole.Revision}, Read: news.Read, Wait: time.Minute})
+		news, err := peers.Fetch(context.Background(), addr, fanout.Request{Since: fanout.Revisions{"a": whole.Revision}, Cursor: news.Cursor, Wait: time.Minute})
 		if err != nil {
 			t.Error(err)
 		}
@@ -110,8 +110,8 @@
 	is.Equal(len(news.Changes["a"].Deleted), 1)
 	is.Equal(news.Changes["a"].Deleted[0].Name, "x")
 	notice := fanout.Notice{Origin: "h-1", Number: 3, Topic: "t", Body: []byte("body")}
-	is.NoErr(peers.Post(t.Context(), addr, notice))
-	news, err = peers.Follow(t.Context(), addr, fanout.Question{Since: fanout.Revisions{"a": news.Changes["a"].Revision}, Read: news.Read, Wait: time.Minute})
+	is.NoErr(peers.SendNotice(t.Context(), addr, notice))
+	news, err = peers.Fetch(t.Context(), addr, fanout.Request{Since: fanout.Revisions{"a": news.Changes["a"].Revision}, Cursor: news.Cursor, Wait: time.Minute})
 	is.NoErr(err)
 	is.Equal(news.Notices, []fanout.Notice{notice})
 }
@@ -122,7 +122,7 @@
 	is.NoErr(err)
 	addr := ln.Addr().String()
 	is.NoErr(ln.Close())
-	_, err = Peers{Client: newClient(t)}.Follow(t.Context(), addr, fanout.Question{})
+	_, err = Peers{Client: newClient(t)}.Fetch(t.Context(), addr, fanout.Request{})
 	is.True(err != nil)
 }
 
@@ -147,11 +147,11 @@
 			return
 		}
 		news := r.decode()
-		if news.Regained < 0 {
-			t.Errorf("the store is regained in %s", -news.Regained)
+		if news.RecoveredAgo < 0 {
+			t.Errorf("the store is regained in %s", -news.RecoveredAgo)
 		}
 		again := encode(news).decode()
-		if len(again.Changes) != len(news.Changes) || again.Lost != news.Lost || again.Ever != news.Ever {
+		if len(again.Changes) != len(news.Changes) || again.Unavailable != news.Unavailable || again.HadOutage != news.HadOutage {
 			t.Errorf("%v came back as %v", news, again)
 		}
 	})
