--- a/coordination/admit/capacity.go
+++ b/coordination/admit/capacity.go
@@ -177,9 +177,9 @@
 func (f *FleetCapacity) compute(runners []*snapshot.Runner) Capacity {
 	var s fleetTotals
 	for _, r := range runners {
-		own := r.Track.Load()
+		own := r.InFlight.Load()
 		s.own = s.own.Plus(own)
-		s.peers = s.peers.Plus(r.Peers)
+		s.peers = s.peers.Plus(r.PeerWork)
 		if r.TakesWork() {
 			f.addRunner(&s, r)
 		}
@@ -199,14 +199,14 @@
 		s.prefillers++
 		s.prefillPerSecond += prefill
 		s.prefillTokens += prefill * f.prefillBacklog(r.Target.Role).Seconds()
-		wait := float64(max(0, r.Track.Load().Plus(r.Peers).PrefillTokens)) / prefill
+		wait := float64(max(0, r.InFlight.Load().Plus(r.PeerWork).PrefillTokens)) / prefill
 		if s.prefillers == 1 || wait < s.firstTokenWait {
 			s.firstTokenWait = wait
 		}
 	}
 	if r.Target.Role != state.RolePrefill {
 		s.decoders++
-		s.addTokenInterval(currentStep, r.Track.Load().Plus(r.Peers).Requests < int64(f.options.Batch))
+		s.addTokenInterval(currentStep, r.InFlight.Load().Plus(r.PeerWork).Requests < int64(f.options.Batch))
 		s.decodePerSecond += float64(f.options.Batch) / step
 	}
 }
@@ -233,7 +233,7 @@
 func (f *FleetCapacity) speeds(r *snapshot.Runner) (prefill, fullStep, currentStep float64) {
 	if f.options.Speeds != nil {
 		rate, step := f.options.Speeds.SpeedsAt(r.Name, f.options.Batch)
-		interval := f.options.Speeds.TokenInterval(r.Name, int(r.Track.Load().Plus(r.Peers).Requests)+1)
+		interval := f.options.Speeds.TokenInterval(r.Name, int(r.InFlight.Load().Plus(r.PeerWork).Requests)+1)
 		return rate, step.Seconds(), interval.Seconds()
 	}
 	prefill = r.Load.PrefillTokensPerSecond
--- a/coordination/admit/capacity_test.go
+++ b/coordination/admit/capacity_test.go
@@ -70,7 +70,7 @@
 func TestFreeCapacityIsSharedAmongHosts(t *testing.T) {
 	is := is.New(t)
 	k := keeperWithRoles(state.RoleMixed, state.RoleMixed)
-	k.View().Runner("e0").Track.Add(snapshot.Work{Requests: 4, PrefillTokens: 600})
+	k.View().Runner("e0").InFlight.Add(snapshot.Work{Requests: 4, PrefillTokens: 600})
 	k.SetPeerWork(time.Unix(2, 0), map[string]snapshot.Work{"e1": {Requests: 8, PrefillTokens: 5000}})
 	capacity := newFleetCapacity(t, k, 2).Capacity("llm")
 	is.Equal(capacity.Requests, int64(10))
--- a/coordination/dispatch/generate_test.go
+++ b/coordination/dispatch/generate_test.go
@@ -280,11 +280,11 @@
 		defer leave()
 		go func() { _, _, _ = w.ask(ctx, promptOf("p", 3), 50) }()
 		synctest.Wait()
-		is.Equal(w.keeper.View().Runner("e1").Track.Load().PrefillTokens, int64(50))
+		is.Equal(w.keeper.View().Runner("e1").InFlight.Load().PrefillTokens, int64(50))
 		time.Sleep(2 * tokenInterval)
 		synctest.Wait()
-		is.Equal(w.keeper.View().Runner("e1").Track.Load().PrefillTokens, int64(0))
-		is.Equal(w.keeper.View().Runner("e1").Track.Load().Requests, int64(1))
+		is.Equal(w.keeper.View().Runner("e1").InFlight.Load().PrefillTokens, int64(0))
+		is.Equal(w.keeper.View().Runner("e1").InFlight.Load().Requests, int64(1))
 	})
 }
 
--- a/coordination/dispatch/harness_test.go
+++ b/coordination/dispatch/harness_test.go
@@ -103,7 +103,7 @@
 // leftovers names what a finished request must not leave behind.
 func (w *world) leftovers() error {
 	for _, r := range w.keeper.View().Runners {
-		if left := r.Track.Load(); left != (snapshot.Work{}) {
+		if left := r.InFlight.Load(); left != (snapshot.Work{}) {
 			return fmt.Errorf("%s still counts %+v in flight", r.Name, left)
 		}
 	}
--- a/coordination/dispatch/pump.go
+++ b/coordination/dispatch/pump.go
@@ -86,7 +86,7 @@
 		return
 	}
 	p.g.grant.FirstToken()
-	p.e.ticket.Prefilled()
+	p.e.ticket.PrefillDone()
 	p.e.attempt.FirstToken(now.Sub(p.e.started))
 }
 
--- a/coordination/member/acks.go
+++ b/coordination/member/acks.go
@@ -10,7 +10,7 @@
 
 // acks returns this host's statements about drains, those it sponsors included;
 // m.mu is held.
-func (m *Manager) acks(drains []snapshot.Drained) []Ack {
+func (m *Manager) acks(drains []snapshot.DrainStatus) []Ack {
 	out := make([]Ack, 0, len(drains))
 	for _, d := range drains {
 		a := Ack{Engine: d.Engine, Fence: d.Fence, InFlight: d.InFlight}
--- a/coordination/member/manager.go
+++ b/coordination/member/manager.go
@@ -174,7 +174,7 @@
 	var out []UpstreamWork
 	for i := range v.Runners {
 		r := &v.Runners[i]
-		if w := r.Track.Load(); w != (snapshot.Work{}) {
+		if w := r.InFlight.Load(); w != (snapshot.Work{}) {
 			out = append(out, UpstreamWork{Name: r.Name, Requests: w.Requests, PrefillTokens: w.PrefillTokens, DecodeTokens: w.DecodeTokens})
 		}
 	}
--- a/coordination/member/measure_test.go
+++ b/coordination/member/measure_test.go
@@ -66,7 +66,7 @@
 		v := h.Keeper.View()
 		for j := range busy {
 			r := &v.Runners[(i*busy+j)%len(v.Runners)]
-			r.Track.Add(snapshot.Work{Requests: 1, PrefillTokens: 900, DecodeTokens: 150})
+			r.InFlight.Add(snapshot.Work{Requests: 1, PrefillTokens: 900, DecodeTokens: 150})
 		}
 	}
 }
--- a/coordination/order/world_test.go
+++ b/coordination/order/world_test.go
@@ -173,8 +173,8 @@
 func (h *host) enter(r *snapshot.Runner) interface{ Done() } {
 	one := snapshot.Work{Requests: 1}
 	if h.world.weak.enterUnchecked {
-		r.Track.Add(one)
-		return uncheckedTicket{r.Track}
+		r.InFlight.Add(one)
+		return uncheckedTicket{r.InFlight}
 	}
 	if t := h.keeper.Enter(r, one); t != nil {
 		return t
@@ -182,7 +182,7 @@
 	return nil
 }
 
-type uncheckedTicket struct{ track *snapshot.Track }
+type uncheckedTicket struct{ track *snapshot.InFlightCounter }
 
 func (t uncheckedTicket) Done() { t.track.Add(snapshot.Work{Requests: -1}) }
 
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -147,7 +147,7 @@
 		case r.at.IsZero():
 			fresh = append(fresh, n.Upstream)
 		case age < p.o.MinInterval:
-		case r.failures > 0 || n.Unhealthy || n.Track.Load().Requests > 0:
+		case r.failures > 0 || n.Unhealthy || n.InFlight.Load().Requests > 0:
 			waiting = append(waiting, due{n.Upstream, eagerness * age})
 		default:
 			waiting = append(waiting, due{n.Upstream, age})
--- a/coordination/rebalance/manager.go
+++ b/coordination/rebalance/manager.go
@@ -151,7 +151,7 @@
 func (m *Manager) engine(r *snapshot.Runner) Engine {
 	e := Engine{
 		Name: r.Name, FailureDomain: r.FailureDomain, Role: r.Target.Role, TakesWork: r.TakesWork(),
-		InFlight: r.Track.Load().Requests + r.Peers.Requests, Speeds: m.o.Speeds(r.Name),
+		InFlight: r.InFlight.Load().Requests + r.PeerWork.Requests, Speeds: m.o.Speeds(r.Name),
 	}
 	if !e.Role.Valid() {
 		e.Role = state.RoleMixed
--- a/coordination/replay/call.go
+++ b/coordination/replay/call.go
@@ -221,7 +221,7 @@
 	k := c.host.fleet.result.class(c.class.Name)
 	if a.first.IsZero() {
 		a.first = now
-		a.ticket.Prefilled()
+		a.ticket.PrefillDone()
 		c.learnFirst(a, now)
 	}
 	if c.given == 0 {
--- a/coordination/replay/chooser.go
+++ b/coordination/replay/chooser.go
@@ -48,7 +48,7 @@
 		if h.fleet.setup.Chooser == ChooseRoundRobin {
 			return n
 		}
-		if best == nil || n.Track.Load().Requests < best.Track.Load().Requests {
+		if best == nil || n.InFlight.Load().Requests < best.InFlight.Load().Requests {
 			best = n
 		}
 	}
--- a/coordination/replay/fleet.go
+++ b/coordination/replay/fleet.go
@@ -226,7 +226,7 @@
 	out := map[string]snapshot.Work{}
 	v := h.keeper.View()
 	for i := range v.Runners {
-		out[v.Runners[i].Name] = v.Runners[i].Track.Load()
+		out[v.Runners[i].Name] = v.Runners[i].InFlight.Load()
 	}
 	return out
 }
--- a/coordination/route/estimate.go
+++ b/coordination/route/estimate.go
@@ -32,9 +32,9 @@
 	r := c.Runner
 	c.speeds = c.stats.speeds()
 	c.intervalBias = c.stats.intervalBiasAt(now)
-	counted := r.Track.Load()
-	c.InFlight = float64(max(0, counted.Requests+r.Peers.Requests))
-	c.BacklogTokens = float64(max(0, counted.PrefillTokens+r.Peers.PrefillTokens))
+	counted := r.InFlight.Load()
+	c.InFlight = float64(max(0, counted.Requests+r.PeerWork.Requests))
+	c.BacklogTokens = float64(max(0, counted.PrefillTokens+r.PeerWork.PrefillTokens))
 	if r.Kind == state.KindService || r.Load.TakenAt.IsZero() {
 		return
 	}
--- a/coordination/route/feedback.go
+++ b/coordination/route/feedback.go
@@ -50,7 +50,7 @@
 	if st == nil || viewed == nil || tokens < minIntervalTokens || took <= 0 {
 		return
 	}
-	inFlight := viewed.Track.Load().Plus(viewed.Peers).Requests
+	inFlight := viewed.InFlight.Load().Plus(viewed.PeerWork).Requests
 	st.recordInterval(r.clock.Now(), took.Seconds()/float64(tokens-1), float64(max(1, inFlight)))
 }
 
--- a/coordination/route/router_test.go
+++ b/coordination/route/router_test.go
@@ -62,7 +62,7 @@
 	is := is.New(t)
 	k := engines(4)
 	for i, tokens := range []int64{9000, 5000, 100, 7000} {
-		k.View().Runners[i].Track.Add(snapshot.Work{Requests: 1, PrefillTokens: tokens})
+		k.View().Runners[i].InFlight.Add(snapshot.Work{Requests: 1, PrefillTokens: tokens})
 	}
 	c, err := newRouter(t).Pick(k.View(), &Query{Service: "llm", Model: "m", PromptTokens: 1000, ExpectedOutput: 10})
 	is.NoErr(err)
@@ -149,7 +149,7 @@
 	is := is.New(t)
 	k := engines(200)
 	loaded := k.View().Runner("engine-0007")
-	loaded.Track.Add(snapshot.Work{Requests: 20, PrefillTokens: 1 << 20})
+	loaded.InFlight.Add(snapshot.Work{Requests: 20, PrefillTokens: 1 << 20})
 	r := newRouter(t)
 	picked := map[string]int{}
 	for range 2000 {
@@ -224,13 +224,13 @@
 	reportRoles(k, state.RoleMixed, state.RolePrefill, state.RoleDecode)
 	r := newRouter(t)
 	q := &Query{Service: "llm", Model: "m", PromptTokens: 4000, ExpectedOutput: 100}
-	k.View().Runner("engine-0001").Track.Add(snapshot.Work{Requests: 9, PrefillTokens: 90000})
+	k.View().Runner("engine-0001").InFlight.Add(snapshot.Work{Requests: 9, PrefillTokens: 90000})
 	path, err := r.PickPath(k.View(), q)
 	is.NoErr(err)
 	is.True(!path.Split)
 	is.Equal(path.Prefill.Runner.Name, "engine-0000")
 
-	k.View().Runner("engine-0000").Track.Add(snapshot.Work{Requests: 30, PrefillTokens: 900000})
+	k.View().Runner("engine-0000").InFlight.Add(snapshot.Work{Requests: 30, PrefillTokens: 900000})
 	path, err = r.PickPath(k.View(), q)
 	is.NoErr(err)
 	is.True(path.Split)
@@ -271,9 +271,9 @@
 		is.NoErr(err)
 		return c.Runner.Name
 	}
-	k.View().Runner("s0").Track.Add(snapshot.Work{Requests: 1})
+	k.View().Runner("s0").InFlight.Add(snapshot.Work{Requests: 1})
 	is.Equal(pick(), "s2") // as idle as s1, and in the query's domain
-	k.View().Runner("s2").Track.Add(snapshot.Work{Requests: 3})
+	k.View().Runner("s2").InFlight.Add(snapshot.Work{Requests: 3})
 	is.Equal(pick(), "s1") // idle, although in another domain
 	k.SetPeerWork(epoch, map[string]snapshot.Work{"s1": {Requests: 9}})
 	is.Equal(pick(), "s0") // requests in flight from peers count too
--- a/coordination/route/runnerstats.go
+++ b/coordination/route/runnerstats.go
@@ -130,7 +130,7 @@
 		st.role = r.Load.Shown.Role
 		st.reset()
 	}
-	st.updateSpeeds(&r.Load, float64(r.Track.Load().Plus(r.Peers).Requests))
+	st.updateSpeeds(&r.Load, float64(r.InFlight.Load().Plus(r.PeerWork).Requests))
 }
 
 // reset discards speeds and biases, which belong to another role or incarnation.
--- a/coordination/route/runnerstats_test.go
+++ b/coordination/route/runnerstats_test.go
@@ -89,7 +89,7 @@
 		return c.BacklogTokens
 	}
 	r := *runner
-	r.Peers = snapshot.Work{PrefillTokens: 600}
+	r.PeerWork = snapshot.Work{PrefillTokens: 600}
 	r.Load.PrefillBacklogTokens = 3000
 	is.Equal(estimate(r, 0), 3000.0)                                // only a fresh report counts
 	is.Equal(estimate(r, reportHalfLife), (2500+600)/2.0)           // 500 tokens were computed since; both have the same weight
--- a/coordination/snapshot/keeper.go
+++ b/coordination/snapshot/keeper.go
@@ -23,7 +23,7 @@
 	// tracks outlive their rows: a runner that drops out of the list and comes
 	// back must find the requests still in flight there, or its drain would be
 	// acknowledged too early.
-	tracks map[string]*Track
+	tracks map[string]*InFlightCounter
 }
 
 // row is the keeper's own record of one runner.
@@ -41,7 +41,7 @@
 		rows:    map[string]*row{},
 		orders:  map[string]state.Order{},
 		leaving: map[string]string{},
-		tracks:  map[string]*Track{},
+		tracks:  map[string]*InFlightCounter{},
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -116,7 +116,7 @@
 	if !ok {
 		k.rows[u.Name] = &row{upstream: u}
 		if k.tracks[u.Name] == nil {
-			k.tracks[u.Name] = &Track{}
+			k.tracks[u.Name] = &InFlightCounter{}
 		}
 		return
 	}
@@ -238,7 +238,7 @@
 func (k *Keeper) runner(r *row) Runner {
 	out := Runner{
 		Upstream: r.upstream, Unhealthy: r.unhealthy, Load: r.load,
-		Peers: r.peers, PeersAt: r.peersAt, Track: k.tracks[r.upstream.Name],
+		PeerWork: r.peers, PeerWorkAt: r.peersAt, InFlight: k.tracks[r.upstream.Name],
 		Order: k.orders[r.upstream.Name],
 	}
 	_, out.Leaving = k.leaving[r.upstream.Name]
@@ -251,23 +251,23 @@
 
 // Ticket is one request counted in at one upstream.
 type Ticket struct {
-	track *Track
+	track *InFlightCounter
 	// prefill and decode are the tokens still counted in.
 	prefill, decode atomic.Int64
 	requests        int64
 	done            atomic.Bool
 }
 
-func newTicket(track *Track, w Work) *Ticket {
+func newTicket(track *InFlightCounter, w Work) *Ticket {
 	t := &Ticket{track: track, requests: w.Requests}
 	t.prefill.Store(w.PrefillTokens)
 	t.decode.Store(w.DecodeTokens)
 	return t
 }
 
-// Prefilled counts the prompt out once its first token is there; the request
+// PrefillDone counts the prompt out once its first token is there; the request
 // and its output stay counted in.
-func (t *Ticket) Prefilled() {
+func (t *Ticket) PrefillDone() {
 	t.track.Add(Work{PrefillTokens: -t.prefill.Swap(0)})
 }
 
@@ -288,17 +288,17 @@
 // acknowledged zero true: a request is either counted before the
 // acknowledgement is made or sees the drain.
 func (k *Keeper) Enter(r *Runner, w Work) *Ticket {
-	r.Track.Add(w)
+	r.InFlight.Add(w)
 	now := k.View().Runner(r.Name)
 	if now == nil || now.Incarnation != r.Incarnation || !now.TakesWork() {
-		r.Track.Add(w.Negate())
+		r.InFlight.Add(w.Negate())
 		return nil
 	}
-	return newTicket(r.Track, w)
+	return newTicket(r.InFlight, w)
 }
 
-// Drained is a host's statement about one engine that takes no new work.
-type Drained struct {
+// DrainStatus is a host's statement about one engine that takes no new work.
+type DrainStatus struct {
 	Engine   string
 	Fence    uint64
 	InFlight int64
@@ -308,16 +308,16 @@
 // requests in flight, whether or not the engine is listed at the moment. An
 // order is published in a view before it can be read here, so a count of zero
 // stays zero for that fence.
-func (k *Keeper) Draining() []Drained {
+func (k *Keeper) Draining() []DrainStatus {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var out []Drained
+	var out []DrainStatus
 	for _, name := range slices.Sorted(maps.Keys(k.orders)) {
 		order := k.orders[name]
 		if order.TakesWork() {
 			continue
 		}
-		d := Drained{Engine: name, Fence: order.Fence}
+		d := DrainStatus{Engine: name, Fence: order.Fence}
 		if track := k.tracks[name]; track != nil {
 			d.InFlight = track.Load().Requests
 		}
--- a/coordination/snapshot/keeper_test.go
+++ b/coordination/snapshot/keeper_test.go
@@ -23,11 +23,11 @@
 
 	k.SetOrder(state.Order{Engine: "e1", Fence: 1, State: state.OrderDraining})
 	is.True(k.Enter(chosen, Work{Requests: 1}) == nil)
-	is.Equal(k.Draining(), []Drained{{Engine: "e1", Fence: 1, InFlight: 1}})
+	is.Equal(k.Draining(), []DrainStatus{{Engine: "e1", Fence: 1, InFlight: 1}})
 
 	before.Done()
 	before.Done()
-	is.Equal(k.Draining(), []Drained{{Engine: "e1", Fence: 1, InFlight: 0}})
+	is.Equal(k.Draining(), []DrainStatus{{Engine: "e1", Fence: 1, InFlight: 0}})
 }
 
 func TestRequestsInFlightOutliveAGapInTheList(t *testing.T) {
--- a/coordination/snapshot/snapshot.go
+++ b/coordination/snapshot/snapshot.go
@@ -17,16 +17,16 @@
 	DecodeTokens  int64 `msgpack:"d"`
 }
 
-// Track counts the work that this host has in flight at one upstream. It is
+// InFlightCounter counts the work that this host has in flight at one upstream. It is
 // shared by all views and outlives them.
-type Track struct {
+type InFlightCounter struct {
 	requests      atomic.Int64
 	prefillTokens atomic.Int64
 	decodeTokens  atomic.Int64
 }
 
 // Load returns the present counts.
-func (t *Track) Load() Work {
+func (t *InFlightCounter) Load() Work {
 	return Work{
 		Requests:      t.requests.Load(),
 		PrefillTokens: t.prefillTokens.Load(),
@@ -35,7 +35,7 @@
 }
 
 // Add changes the counts by w; negative amounts take away.
-func (t *Track) Add(w Work) {
+func (t *InFlightCounter) Add(w Work) {
 	t.requests.Add(w.Requests)
 	t.prefillTokens.Add(w.PrefillTokens)
 	t.decodeTokens.Add(w.DecodeTokens)
@@ -56,7 +56,7 @@
 }
 
 // Runner is one upstream as a View shows it. It is never changed once published;
-// only the counts behind Track move.
+// only the counts behind InFlight move.
 type Runner struct {
 	state.Upstream
 	// Target is the role, model and adapters the engine has, as far as known.
@@ -69,12 +69,12 @@
 	Unhealthy bool
 	// Load is the last report; its TakenAt is zero when there is none.
 	Load state.LoadReport
-	// Peers is what the other hosts say they have in flight here.
-	Peers Work
-	// PeersAt is when Peers was last told.
-	PeersAt time.Time
-	// Track counts this host's own work here.
-	Track *Track
+	// PeerWork is what the other hosts say they have in flight here.
+	PeerWork Work
+	// PeerWorkAt is when Peers was last told.
+	PeerWorkAt time.Time
+	// InFlight counts this host's own work here.
+	InFlight *InFlightCounter
 }
 
 // TakesWork reports whether the runner may be given new work.
--- a/daemon/operators.go
+++ b/daemon/operators.go
@@ -108,7 +108,7 @@
 	return operatorapi.Upstream{
 		Upstream: r.Upstream, Target: r.Target, Order: r.Order.State, Fence: r.Order.Fence, Drained: r.Order.Drained,
 		Leaving: r.Leaving, Unhealthy: r.Unhealthy, Breaker: breaker, RestMillis: rest,
-		InFlight: r.Track.Load().Requests, PeersInFlight: r.Peers.Requests,
+		InFlight: r.InFlight.Load().Requests, PeersInFlight: r.PeerWork.Requests,
 		PrefillBacklogTokens: r.Load.PrefillBacklogTokens, DecodeRunning: r.Load.DecodeRunning, ReportAgeMillis: age,
 	}
 }
