--- a/coordination/route/feedback.go
+++ b/coordination/route/feedback.go
@@ -21,7 +21,7 @@
 
 // RecordSent records that a request was sent to the chosen runner, whose cache will
 // hold the prompt's prefixes. It must be called after the request has been added to
-// the runner's Track.
+// the runner's InFlight.
 func (r *Router) RecordSent(q *Query, c *Choice) {
 	st := r.currentStats(c.Runner.Name)
 	if st == nil {
--- a/coordination/snapshot/keeper.go
+++ b/coordination/snapshot/keeper.go
@@ -17,31 +17,31 @@
 
 	mu      sync.Mutex
 	config  *state.Config
-	rows    map[string]*row
+	records map[string]*runnerRecord
 	orders  map[string]state.Order
 	leaving map[string]string // name -> incarnation that leaves, "" for any
-	// tracks outlive their rows: a runner that drops out of the list and comes
+	// counters outlive their rows: a runner that drops out of the list and comes
 	// back must find the requests still in flight there, or its drain would be
 	// acknowledged too early.
-	tracks map[string]*InFlightCounter
+	counters map[string]*InFlightCounter
 }
 
-// row is the keeper's own record of one runner.
-type row struct {
-	upstream  state.Upstream
-	unhealthy bool
-	load      state.LoadReport
-	peers     Work
-	peersAt   time.Time
+// runnerRecord is the keeper's own record of one runner.
+type runnerRecord struct {
+	upstream   state.Upstream
+	unhealthy  bool
+	load       state.LoadReport
+	peerWork   Work
+	peerWorkAt time.Time
 }
 
 // NewKeeper returns a keeper with an empty view.
 func NewKeeper() *Keeper {
 	k := &Keeper{
-		rows:    map[string]*row{},
-		orders:  map[string]state.Order{},
-		leaving: map[string]string{},
-		tracks:  map[string]*InFlightCounter{},
+		records:  map[string]*runnerRecord{},
+		orders:   map[string]state.Order{},
+		leaving:  map[string]string{},
+		counters: map[string]*InFlightCounter{},
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -71,13 +71,13 @@
 func (k *Keeper) SetListed(list []state.Listed) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	seen := map[string]bool{}
+	listed := map[string]bool{}
 	for _, l := range list {
 		u, ok := UpstreamOf(l)
 		if !ok {
 			continue
 		}
-		seen[l.Name] = true
+		listed[l.Name] = true
 		k.setUpstream(u)
 		if l.State == state.ListedLeaving {
 			k.leaving[l.Name] = l.Incarnation
@@ -85,9 +85,9 @@
 			delete(k.leaving, l.Name)
 		}
 	}
-	for name := range k.rows {
-		if !seen[name] {
-			delete(k.rows, name)
+	for name := range k.records {
+		if !listed[name] {
+			delete(k.records, name)
 			delete(k.leaving, name)
 		}
 	}
@@ -112,11 +112,11 @@
 }
 
 func (k *Keeper) setUpstream(u state.Upstream) {
-	r, ok := k.rows[u.Name]
+	r, ok := k.records[u.Name]
 	if !ok {
-		k.rows[u.Name] = &row{upstream: u}
-		if k.tracks[u.Name] == nil {
-			k.tracks[u.Name] = &InFlightCounter{}
+		k.records[u.Name] = &runnerRecord{upstream: u}
+		if k.counters[u.Name] == nil {
+			k.counters[u.Name] = &InFlightCounter{}
 		}
 		return
 	}
@@ -133,7 +133,7 @@
 func (k *Keeper) MarkLeaving(name, incarnation string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	r := k.rows[name]
+	r := k.records[name]
 	if r == nil {
 		return
 	}
@@ -182,7 +182,7 @@
 	defer k.mu.Unlock()
 	changed := false
 	for _, l := range reports {
-		r := k.rows[l.Engine]
+		r := k.records[l.Engine]
 		if r != nil && l.TakenAt.After(r.load.TakenAt) {
 			r.load = l
 			changed = true
@@ -197,7 +197,7 @@
 func (k *Keeper) SetHealth(name string, healthy bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	r := k.rows[name]
+	r := k.records[name]
 	if r == nil || r.unhealthy == !healthy {
 		return
 	}
@@ -210,10 +210,10 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	changed := false
-	for name, r := range k.rows {
-		changed = changed || r.peers != work[name]
-		r.peers = work[name]
-		r.peersAt = at
+	for name, r := range k.records {
+		changed = changed || r.peerWork != work[name]
+		r.peerWork = work[name]
+		r.peerWorkAt = at
 	}
 	if changed {
 		k.publish()
@@ -223,22 +223,22 @@
 // publish builds and publishes the next view; k.mu is held.
 func (k *Keeper) publish() {
 	previous := k.current.Load()
-	v := &View{Config: k.config, Runners: make([]Runner, 0, len(k.rows))}
+	v := &View{Config: k.config, Runners: make([]Runner, 0, len(k.records))}
 	if previous != nil {
 		v.Seq = previous.Seq + 1
 	}
-	for _, name := range slices.Sorted(maps.Keys(k.rows)) {
-		v.Runners = append(v.Runners, k.runner(k.rows[name]))
+	for _, name := range slices.Sorted(maps.Keys(k.records)) {
+		v.Runners = append(v.Runners, k.buildRunner(k.records[name]))
 	}
 	v.index()
 	v.indexConfig(previous)
 	k.current.Store(v)
 }
 
-func (k *Keeper) runner(r *row) Runner {
+func (k *Keeper) buildRunner(r *runnerRecord) Runner {
 	out := Runner{
 		Upstream: r.upstream, Unhealthy: r.unhealthy, Load: r.load,
-		PeerWork: r.peers, PeerWorkAt: r.peersAt, InFlight: k.tracks[r.upstream.Name],
+		PeerWork: r.peerWork, PeerWorkAt: r.peerWorkAt, InFlight: k.counters[r.upstream.Name],
 		Order: k.orders[r.upstream.Name],
 	}
 	_, out.Leaving = k.leaving[r.upstream.Name]
@@ -251,15 +251,15 @@
 
 // Ticket is one request counted in at one upstream.
 type Ticket struct {
-	track *InFlightCounter
+	counter *InFlightCounter
 	// prefill and decode are the tokens still counted in.
 	prefill, decode atomic.Int64
 	requests        int64
 	done            atomic.Bool
 }
 
-func newTicket(track *InFlightCounter, w Work) *Ticket {
-	t := &Ticket{track: track, requests: w.Requests}
+func newTicket(counter *InFlightCounter, w Work) *Ticket {
+	t := &Ticket{counter: counter, requests: w.Requests}
 	t.prefill.Store(w.PrefillTokens)
 	t.decode.Store(w.DecodeTokens)
 	return t
@@ -268,13 +268,13 @@
 // PrefillDone counts the prompt out once its first token is there; the request
 // and its output stay counted in.
 func (t *Ticket) PrefillDone() {
-	t.track.Add(Work{PrefillTokens: -t.prefill.Swap(0)})
+	t.counter.Add(Work{PrefillTokens: -t.prefill.Swap(0)})
 }
 
 // Done counts the request out; calling it again has no effect.
 func (t *Ticket) Done() {
 	if t.done.CompareAndSwap(false, true) {
-		t.track.Add(Work{
+		t.counter.Add(Work{
 			Requests:      -t.requests,
 			PrefillTokens: -t.prefill.Swap(0),
 			DecodeTokens:  -t.decode.Swap(0),
@@ -289,8 +289,8 @@
 // acknowledgement is made or sees the drain.
 func (k *Keeper) Enter(r *Runner, w Work) *Ticket {
 	r.InFlight.Add(w)
-	now := k.View().Runner(r.Name)
-	if now == nil || now.Incarnation != r.Incarnation || !now.TakesWork() {
+	current := k.View().Runner(r.Name)
+	if current == nil || current.Incarnation != r.Incarnation || !current.TakesWork() {
 		r.InFlight.Add(w.Negate())
 		return nil
 	}
@@ -318,8 +318,8 @@
 			continue
 		}
 		d := DrainStatus{Engine: name, Fence: order.Fence}
-		if track := k.tracks[name]; track != nil {
-			d.InFlight = track.Load().Requests
+		if counter := k.counters[name]; counter != nil {
+			d.InFlight = counter.Load().Requests
 		}
 		out = append(out, d)
 	}
