--- a/coordination/fanout/fanout_test.go
+++ b/coordination/fanout/fanout_test.go
@@ -38,7 +38,7 @@
 func TestCallsAtTheStoreDoNotGrowWithTheFleet(t *testing.T) {
 	inFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		relays := len(f.relays())
-		is.Equal(relays, testDomains*perDomain)
+		is.Equal(relays, testDomains*relaysPerDomain)
 		f.spent()
 		for i := range 10 {
 			f.write(kindConfig, "main", fmt.Sprint(i+2))
@@ -132,8 +132,8 @@
 		f.spent()
 		f.cutWatches()
 		time.Sleep(5 * time.Second)
-		is.Equal(len(f.relays()), testDomains*perDomain)
-		is.True(f.spent() <= 4*len(kinds)*testDomains*perDomain)
+		is.Equal(len(f.relays()), testDomains*relaysPerDomain)
+		is.True(f.spent() <= 4*len(kinds)*testDomains*relaysPerDomain)
 		f.write(kindConfig, "main", "2")
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(f.behind(kindConfig, "main", "2"), nil)
@@ -161,7 +161,7 @@
 			is.True(h.copies[kindThings].UnavailableWithin(10 * time.Second)) // all know that entries may be missing
 		}
 		time.Sleep(10 * time.Second)
-		is.True(len(f.relays()) <= 4*testDomains*perDomain) // the others follow peers again
+		is.True(len(f.relays()) <= 4*testDomains*relaysPerDomain) // the others follow peers again
 	})
 }
 
@@ -219,8 +219,8 @@
 		defer f.end()
 		time.Sleep(500 * time.Millisecond)
 		is.Equal(f.behind(kindThings, "r0", "ready"), nil)
-		is.Equal(len(f.relays()), testDomains*perDomain)
-		is.True(f.spent() <= 3*2*testDomains*perDomain)
+		is.Equal(len(f.relays()), testDomains*relaysPerDomain)
+		is.True(f.spent() <= 3*2*testDomains*relaysPerDomain)
 	})
 }
 
@@ -304,7 +304,7 @@
 // A relay keeps notices for some seconds, and forgets them.
 func TestOldNoticesAreForgotten(t *testing.T) {
 	is := is.New(t)
-	b := newBoard("relay-1")
+	b := newNoticeLog("relay-1")
 	now := time.Now()
 	for i := range 3 {
 		is.True(b.add(Notice{Origin: "h", Number: uint64(i)}, now))
@@ -314,10 +314,10 @@
 	is.Equal(len(all), 3)
 	none, read := b.since(read, now)
 	is.Equal(len(none), 0)
-	is.True(b.add(Notice{Origin: "h", Number: 9}, now.Add(2*noticesFor)))
-	one, _ := b.since(read, now.Add(2*noticesFor))
+	is.True(b.add(Notice{Origin: "h", Number: 9}, now.Add(2*noticeRetention)))
+	one, _ := b.since(read, now.Add(2*noticeRetention))
 	is.Equal(len(one), 1)
-	other, _ := b.since(Cursor{Relay: "relay-2", Next: 99}, now.Add(2*noticesFor))
+	other, _ := b.since(Cursor{Relay: "relay-2", Next: 99}, now.Add(2*noticeRetention))
 	is.Equal(len(other), 1)
 	is.Equal(len(b.seen), 1)
 }
@@ -364,7 +364,7 @@
 	avoided := make(chan struct{})
 	go func() {
 		defer close(avoided)
-		h.avoid("relay", "test", false)
+		h.backOff("relay", "test", false)
 	}()
 	for range 1000 {
 		h.WakeFollowers()
--- a/coordination/fanout/look.go
+++ b/coordination/fanout/look.go
@@ -11,7 +11,7 @@
 func (n *Node) LastFetchFrom(addr string) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.heard[addr]
+	return n.lastFetchFrom[addr]
 }
 
 // Monitors reports whether this host looks after another of its domain. The first relays
@@ -21,19 +21,19 @@
 	if !n.FollowsStore() || !n.fresh() {
 		return false
 	}
-	var lookers []string
+	var monitors []string
 	n.mu.Lock()
 	for _, h := range state.StrongestFirst(byDomain(n.o.Hosts())[n.o.Self.FailureDomain]) {
-		if n.avoided[h.Addr].failures < deadFailures && len(lookers) < perDomain {
-			lookers = append(lookers, h.Addr)
+		if n.backoffs[h.Addr].failures < failuresToReplace && len(monitors) < relaysPerDomain {
+			monitors = append(monitors, h.Addr)
 		}
 	}
 	n.mu.Unlock()
-	if !slices.Contains(lookers, n.o.Self.Addr) {
+	if !slices.Contains(monitors, n.o.Self.Addr) {
 		return false
 	}
-	return slices.Contains(lookers, addr) || inOrderOf(addr, lookers)[0] == n.o.Self.Addr
+	return slices.Contains(monitors, addr) || rendezvousOrder(addr, monitors)[0] == n.o.Self.Addr
 }
 
-// deadFailures is how often in a row a relay was of no use before others stand in for it.
-const deadFailures = 3
+// failuresToReplace is how often in a row a relay was of no use before others stand in for it.
+const failuresToReplace = 3
--- a/coordination/fanout/message.go
+++ b/coordination/fanout/message.go
@@ -42,7 +42,7 @@
 // Peers reaches other hosts.
 type Peers interface {
 	// Fetch asks the host at addr for what it has beyond the question.
-	Fetch(ctx context.Context, addr string, q Request) (Response, error)
+	Fetch(ctx context.Context, addr string, req Request) (Response, error)
 	// SendNotice tells the host at addr a notice.
 	SendNotice(ctx context.Context, addr string, n Notice) error
 }
--- a/coordination/fanout/node.go
+++ b/coordination/fanout/node.go
@@ -13,17 +13,17 @@
 )
 
 const (
-	// startPatience is how long a host that has no copy yet waits for relays that start
+	// startupRelayWait is how long a host that has no copy yet waits for relays that start
 	// with it, and startRetry the pause before one is asked again: when all hosts return
 	// at once, each asking the store would be some thousand calls. A relay needs some
 	// tens of milliseconds once its process runs.
-	startPatience = 1500 * time.Millisecond
-	startRetry    = 100 * time.Millisecond
-	// relayFor is how long a host goes on following the store after it was asked last:
+	startupRelayWait     = 1500 * time.Millisecond
+	startupRetryInterval = 100 * time.Millisecond
+	// relayLinger is how long a host goes on following the store after it was asked last:
 	// some questions of each follower may be lost.
-	relayFor = 10 * time.Second
-	// checkEvery is how often a host that has nobody to follow looks again.
-	checkEvery = 500 * time.Millisecond
+	relayLinger = 10 * time.Second
+	// recheckInterval is how often a host that has nobody to follow looks again.
+	recheckInterval = 500 * time.Millisecond
 )
 
 // Options configure a Node. All fields are required.
@@ -48,40 +48,40 @@
 
 // Node keeps one host's copies up to date, and those of the hosts that follow it.
 type Node struct {
-	o      Options
-	board  *board
-	topics map[Topic]func([]byte)
-	// read is how far the notices of each relay were read; Run alone uses it.
-	read map[string]Cursor
-
-	mu      sync.Mutex
-	avoided map[string]avoidance
-	askedAt time.Time
-	// heard is when hosts asked this one, by their addresses.
-	heard   map[string]time.Time
-	leaving bool
+	o        Options
+	notices  *noticeLog
+	handlers map[Topic]func([]byte)
+	// cursors is how far the notices of each relay were cursors; Run alone uses it.
+	cursors map[string]Cursor
+
+	mu          sync.Mutex
+	backoffs    map[string]relayBackoff
+	lastFetchAt time.Time
+	// lastFetchFrom is when hosts asked this one, by their addresses.
+	lastFetchFrom map[string]time.Time
+	leaving       bool
 	// changed is closed when a copy or the word of the store changes.
 	changed chan struct{}
-	// interrupt ends the question that waits at a relay.
-	interrupt context.CancelFunc
+	// cancelFetch ends the question that waits at a relay.
+	cancelFetch context.CancelFunc
 	// source is the relay that is followed; "" for the store.
 	source string
-	// reachAt is when the store may be asked next while the relays have lost it.
-	reachAt time.Time
-	// turn is the index of the peer that was peeked at last, and settled is set once a peer has told
+	// nextStoreProbe is when the store may be asked next while the relays have lost it.
+	nextStoreProbe time.Time
+	// peekIndex is the index of the peer that was peeked at last, and settled is set once a peer has told
 	// whether the store was restored recently, or none could; Run alone uses them.
-	turn    int
-	settled bool
-	// revision is the latest of the copies when they were last looked at for a restoration; Run
+	peekIndex      int
+	restoreChecked bool
+	// checkedRevision is the latest of the copies when they were last looked at for a restoration; Run
 	// alone uses it.
-	revision uint64
-	// begunAt is when Run began; Run alone uses it.
-	begunAt time.Time
-	// planned is the plan for the list of hosts of plannedOf; Run alone uses them.
-	planned   plan
-	plannedOf []state.Peer
-	// stop ends the runs of the copies at the store; nil while a relay is followed.
-	stop func()
+	checkedRevision uint64
+	// startedAt is when Run began; Run alone uses it.
+	startedAt time.Time
+	// cachedPlan is the plan for the list of hosts of plannedOf; Run alone uses them.
+	cachedPlan      plan
+	cachedPlanHosts []state.Peer
+	// stopFollowing ends the runs of the copies at the store; nil while a relay is followed.
+	stopFollowing func()
 }
 
 // New validates the options.
@@ -89,7 +89,7 @@
 	if o.Self.Addr == "" || o.RunID == "" || o.Hosts == nil || len(o.Copies) == 0 || o.Peers == nil || o.Clock == nil || o.Rand == nil || o.Log == nil || o.FetchWait <= 0 {
 		return nil, errors.New("fanout: a field of Options is missing; set all of them")
 	}
-	return &Node{o: o, board: newBoard(o.RunID), topics: map[Topic]func([]byte){}, read: map[string]Cursor{}, avoided: map[string]avoidance{}, heard: map[string]time.Time{}, changed: make(chan struct{})}, nil
+	return &Node{o: o, notices: newNoticeLog(o.RunID), handlers: map[Topic]func([]byte){}, cursors: map[string]Cursor{}, backoffs: map[string]relayBackoff{}, lastFetchFrom: map[string]time.Time{}, changed: make(chan struct{})}, nil
 }
 
 // WakeFollowers is to be called when a copy or the word of the store has changed.
@@ -112,13 +112,13 @@
 func (n *Node) FollowsStore() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.stop != nil
+	return n.stopFollowing != nil
 }
 
 // Run keeps the copies up to date until ctx ends.
 func (n *Node) Run(ctx context.Context) {
-	defer n.followStoreNoMore()
-	n.begunAt = n.o.Clock.Now()
+	defer n.stopFollowingStore()
+	n.startedAt = n.o.Clock.Now()
 	for _, m := range n.o.Copies {
 		m.Doubt()
 	}
@@ -129,66 +129,66 @@
 
 // step asks one relay, or waits if there is none to ask.
 func (n *Node) step(ctx context.Context) {
-	p, now := n.plan(), n.o.Clock.Now()
-	asked := n.askedLately(now)
-	relays := p.relays || asked
-	source := n.usable(p.sources, now)
+	p, now := n.currentPlan(), n.o.Clock.Now()
+	hasFollowers := n.hasFollowers(now)
+	isRelay := p.isRelay || hasFollowers
+	source := n.firstUsable(p.sources, now)
 	switch {
-	case !relays && len(p.sources) > 0 && n.waitsToStart(now):
-		n.askOrSleep(ctx, source, startRetry)
+	case !isRelay && len(p.sources) > 0 && n.waitsForRelays(now):
+		n.fetchOrSleep(ctx, source, startupRetryInterval)
 		return
-	case !relays && source == "" && n.lostToAll(p.sources) && !n.starting() && !n.FollowsStore():
-		n.awaitStore(ctx, now)
+	case !isRelay && source == "" && n.allUnavailable(p.sources) && !n.lacksCopy() && !n.FollowsStore():
+		n.probeStore(ctx, now)
 		return
-	case relays || source == "" || n.starting():
+	case isRelay || source == "" || n.lacksCopy():
 		n.followStore(ctx)
-		if !n.settled {
-			n.settleAtStart(ctx)
+		if !n.restoreChecked {
+			n.checkRestoreAtStart(ctx)
 		}
-		n.askAfterRestoration(ctx)
+		n.peekAfterRestore(ctx)
 	}
 	// A relay that is asked follows another one beside the store: what one of them misses
 	// in a cut that it hasn't noticed, it hears from the other.
 	switch {
-	case source != "" && (!relays || asked || n.lost()):
-		n.ask(ctx, source, relays)
-	case n.lost():
-		n.peekAtNext(ctx) // it may still reach the store
-		_ = n.o.Clock.Sleep(ctx, checkEvery)
+	case source != "" && (!isRelay || hasFollowers || n.storeUnavailable()):
+		n.fetch(ctx, source, isRelay)
+	case n.storeUnavailable():
+		n.peekNext(ctx) // it may still reach the store
+		_ = n.o.Clock.Sleep(ctx, recheckInterval)
 	default:
-		_ = n.o.Clock.Sleep(ctx, checkEvery)
+		_ = n.o.Clock.Sleep(ctx, recheckInterval)
 	}
 }
 
-// askOrSleep asks a relay, or waits if there is none to ask.
-func (n *Node) askOrSleep(ctx context.Context, source string, pause time.Duration) {
+// fetchOrSleep asks a relay, or waits if there is none to ask.
+func (n *Node) fetchOrSleep(ctx context.Context, source string, pause time.Duration) {
 	if source == "" {
 		_ = n.o.Clock.Sleep(ctx, pause)
 		return
 	}
-	n.ask(ctx, source, false)
+	n.fetch(ctx, source, false)
 }
 
-// plan is what this host does by the present list of hosts.
-func (n *Node) plan() plan {
+// currentPlan is what this host does by the present list of hosts.
+func (n *Node) currentPlan() plan {
 	hosts := n.o.Hosts()
-	if n.planned.made && state.SameList(n.plannedOf, hosts) {
-		return n.planned
+	if n.cachedPlan.computed && state.SameList(n.cachedPlanHosts, hosts) {
+		return n.cachedPlan
 	}
-	n.planned, n.plannedOf = planOf(n.o.Self, hosts), hosts
-	n.planned.made = true
-	n.forgetGone(hosts)
-	return n.planned
+	n.cachedPlan, n.cachedPlanHosts = computePlan(n.o.Self, hosts), hosts
+	n.cachedPlan.computed = true
+	n.dropUnlisted(hosts)
+	return n.cachedPlan
 }
 
-// waitsToStart reports whether this host has no copy yet and its relays may have none.
-func (n *Node) waitsToStart(now time.Time) bool {
-	return now.Sub(n.begunAt) < startPatience && n.starting()
+// waitsForRelays reports whether this host has no copy yet and its relays may have none.
+func (n *Node) waitsForRelays(now time.Time) bool {
+	return now.Sub(n.startedAt) < startupRelayWait && n.lacksCopy()
 }
 
-// starting reports whether this host lacks a copy: a relay that is starting too needs a
+// lacksCopy reports whether this host lacks a copy: a relay that is lacksCopy too needs a
 // moment to have one.
-func (n *Node) starting() bool {
+func (n *Node) lacksCopy() bool {
 	for _, m := range n.o.Copies {
 		if m.Revision() == 0 {
 			return true
@@ -205,8 +205,8 @@
 	return out
 }
 
-// lost reports whether the store doesn't answer this host for some kind.
-func (n *Node) lost() bool {
+// storeUnavailable reports whether the store doesn't answer this host for some kind.
+func (n *Node) storeUnavailable() bool {
 	for _, m := range n.o.Copies {
 		if m.Lost() {
 			return true
@@ -225,8 +225,8 @@
 	return true
 }
 
-func (n *Node) askedLately(now time.Time) bool {
+func (n *Node) hasFollowers(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.askedAt.IsZero() && now.Sub(n.askedAt) < relayFor
+	return !n.lastFetchAt.IsZero() && now.Sub(n.lastFetchAt) < relayLinger
 }
--- a/coordination/fanout/notice.go
+++ b/coordination/fanout/notice.go
@@ -30,13 +30,13 @@
 }
 
 const (
-	// noticesFor is how long a relay keeps notices for hosts that come to it from another.
-	noticesFor = 2 * time.Second
-	// mostNotices bounds what a relay keeps: two hundred engines that fail at once, told
+	// noticeRetention is how long a relay keeps notices for hosts that come to it from another.
+	noticeRetention = 2 * time.Second
+	// maxNotices bounds what a relay keeps: two hundred engines that fail at once, told
 	// twice a second.
-	mostNotices = 1024
-	// postTimeout bounds the telling of one relay; nobody waits for it.
-	postTimeout = 300 * time.Millisecond
+	maxNotices = 1024
+	// sendTimeout bounds the telling of one relay; nobody waits for it.
+	sendTimeout = 300 * time.Millisecond
 )
 
 type noticeID struct {
@@ -44,34 +44,34 @@
 	number uint64
 }
 
-// board is the notices that a host has had recently, in their order here.
-type board struct {
+// noticeLog is the notices that a host has had recently, in their order here.
+type noticeLog struct {
 	mu sync.Mutex
-	// run names this run of the host.
-	run     string
-	posted  uint64
-	first   uint64
-	notices []pinned
-	seen    map[noticeID]bool
+	// runID names this runID of the host.
+	runID      string
+	lastNumber uint64
+	firstIndex uint64
+	notices    []loggedNotice
+	seen       map[noticeID]bool
 }
 
-type pinned struct {
+type loggedNotice struct {
 	Notice
-	at time.Time
+	addedAt time.Time
 }
 
-func newBoard(run string) *board { return &board{run: run, seen: map[noticeID]bool{}} }
+func newNoticeLog(run string) *noticeLog { return &noticeLog{runID: run, seen: map[noticeID]bool{}} }
 
-// make numbers a notice of this host.
-func (b *board) make(topic Topic, body []byte) Notice {
+// newNotice numbers a notice of this host.
+func (b *noticeLog) newNotice(topic Topic, body []byte) Notice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.posted++
-	return Notice{Origin: b.run, Number: b.posted, Topic: topic, Body: body}
+	b.lastNumber++
+	return Notice{Origin: b.runID, Number: b.lastNumber, Topic: topic, Body: body}
 }
 
 // add reports whether the notice is new.
-func (b *board) add(n Notice, now time.Time) bool {
+func (b *noticeLog) add(n Notice, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	id := noticeID{n.Origin, n.Number}
@@ -79,28 +79,28 @@
 		return false
 	}
 	b.seen[id] = true
-	b.notices = append(b.notices, pinned{n, now})
-	for len(b.notices) > mostNotices || now.Sub(b.notices[0].at) > noticesFor {
+	b.notices = append(b.notices, loggedNotice{n, now})
+	for len(b.notices) > maxNotices || now.Sub(b.notices[0].addedAt) > noticeRetention {
 		old := b.notices[0]
 		delete(b.seen, noticeID{old.Origin, old.Number})
 		b.notices = b.notices[1:]
-		b.first++
+		b.firstIndex++
 	}
 	return true
 }
 
 // since returns what was added after a cursor, and the cursor after that.
-func (b *board) since(c Cursor, now time.Time) ([]Notice, Cursor) {
+func (b *noticeLog) since(c Cursor, now time.Time) ([]Notice, Cursor) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	next := Cursor{b.run, b.first + uint64(len(b.notices))}
+	next := Cursor{b.runID, b.firstIndex + uint64(len(b.notices))}
 	from := 0
-	if c.Relay == b.run && c.Next > b.first {
-		from = int(min(c.Next, next.Next) - b.first)
+	if c.Relay == b.runID && c.Next > b.firstIndex {
+		from = int(min(c.Next, next.Next) - b.firstIndex)
 	}
 	var out []Notice
 	for _, p := range b.notices[from:] {
-		if now.Sub(p.at) <= noticesFor {
+		if now.Sub(p.addedAt) <= noticeRetention {
 			out = append(out, p.Notice)
 		}
 	}
@@ -109,19 +109,19 @@
 
 // Subscribe has a function called for each notice of a topic, this host's own too. It is
 // to be called before Run, and the function mustn't block.
-func (n *Node) Subscribe(topic Topic, take func(body []byte)) { n.topics[topic] = take }
+func (n *Node) Subscribe(topic Topic, handle func(body []byte)) { n.handlers[topic] = handle }
 
 // Publish tells all hosts; it doesn't wait until they know.
 func (n *Node) Publish(ctx context.Context, topic Topic, body []byte) {
-	notice := n.board.make(topic, body)
+	notice := n.notices.newNotice(topic, body)
 	n.Deliver(notice)
-	for _, addr := range n.tellers() {
-		go n.post(ctx, addr, notice)
+	for _, addr := range n.noticeTargets() {
+		go n.sendNotice(ctx, addr, notice)
 	}
 }
 
-func (n *Node) post(ctx context.Context, addr string, notice Notice) {
-	ctx, cancel := context.WithTimeout(ctx, postTimeout)
+func (n *Node) sendNotice(ctx context.Context, addr string, notice Notice) {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if err := n.o.Peers.SendNotice(ctx, addr, notice); err != nil {
 		n.o.Log.Debug("notice not told", "peer", addr, "topic", string(notice.Topic), "cause", err.Error())
@@ -130,18 +130,18 @@
 
 // Deliver takes a notice and keeps it for the hosts that follow this one.
 func (n *Node) Deliver(notice Notice) {
-	if !n.board.add(notice, n.o.Clock.Now()) {
+	if !n.notices.add(notice, n.o.Clock.Now()) {
 		return
 	}
-	if take := n.topics[notice.Topic]; take != nil {
-		take(notice.Body)
+	if handle := n.handlers[notice.Topic]; handle != nil {
+		handle(notice.Body)
 	}
 	n.WakeFollowers()
 }
 
-// tellers are the hosts that pass a notice on to all others: the relays of each failure
+// noticeTargets are the hosts that pass a notice on to all others: the relays of each failure
 // domain, and every host of a domain without.
-func (n *Node) tellers() []string {
+func (n *Node) noticeTargets() []string {
 	var out []string
 	for _, members := range byDomain(n.o.Hosts()) {
 		relays := relaysOf(members)
--- a/coordination/fanout/restore_test.go
+++ b/coordination/fanout/restore_test.go
@@ -109,7 +109,7 @@
 				time.Sleep(time.Second)
 				f.write(kindConfig, "main", "2")
 				f.write(kindThings, "r0", "draining")
-				f.inLine(t, "2", "draining", hosts*(checkEvery+silenceSlack))
+				f.inLine(t, "2", "draining", hosts*(recheckInterval+responseSlack))
 			})
 		})
 	}
--- a/coordination/fanout/source.go
+++ b/coordination/fanout/source.go
@@ -8,28 +8,28 @@
 )
 
 const (
-	// reachEvery is the shortest pause between two questions to the store of a host whose relays
+	// storeProbeMinInterval is the shortest pause between two questions to the store of a host whose relays
 	// all say that they lost it: those ask it every second, and tell of its return. All such
 	// hosts together ask reachPerSecond times a second, reachMost apart each at most.
-	reachEvery     = 2 * time.Second
-	reachMost      = 8 * time.Second
-	reachPerSecond = 20
-	reachTimeout   = 500 * time.Millisecond
+	storeProbeMinInterval = 2 * time.Second
+	storeProbeMaxInterval = 8 * time.Second
+	storeProbesPerSecond  = 20
+	storeProbeTimeout     = 500 * time.Millisecond
 )
 
 // followStore begins to follow the store, unless this host does already.
 func (n *Node) followStore(ctx context.Context) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.stop != nil {
+	if n.stopFollowing != nil {
 		return
 	}
-	following, cancel := context.WithCancel(ctx)
+	storeCtx, cancel := context.WithCancel(ctx)
 	var runs conc.WaitGroup
 	for _, m := range n.o.Copies {
-		runs.Go(func() { m.Run(following) })
+		runs.Go(func() { m.Run(storeCtx) })
 	}
-	n.stop = func() {
+	n.stopFollowing = func() {
 		cancel()
 		runs.Wait()
 	}
@@ -37,9 +37,9 @@
 	n.source = ""
 }
 
-// followPeer goes on with a relay alone.
-func (n *Node) followPeer(source string) {
-	n.followStoreNoMore()
+// followRelay goes on with a relay alone.
+func (n *Node) followRelay(source string) {
+	n.stopFollowingStore()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.source != source {
@@ -48,30 +48,30 @@
 	}
 }
 
-// followStoreNoMore ends the runs of the copies at the store.
-func (n *Node) followStoreNoMore() {
+// stopFollowingStore ends the runs of the copies at the store.
+func (n *Node) stopFollowingStore() {
 	n.mu.Lock()
-	stop := n.stop
-	n.stop = nil
+	stop := n.stopFollowing
+	n.stopFollowing = nil
 	n.mu.Unlock()
 	if stop != nil {
 		stop()
 	}
 }
 
-// awaitStore asks the store now and then while all relays have lost it, and follows it if
+// probeStore asks the store now and then while all relays have lost it, and follows it if
 // it answers: they may be refused by it, or cut off, and this host not.
-func (n *Node) awaitStore(ctx context.Context, now time.Time) {
+func (n *Node) probeStore(ctx context.Context, now time.Time) {
 	for _, m := range n.o.Copies {
 		m.Uninformed()
 	}
-	if now.Before(n.reachAt) {
-		_ = n.o.Clock.Sleep(ctx, checkEvery)
+	if now.Before(n.nextStoreProbe) {
+		_ = n.o.Clock.Sleep(ctx, recheckInterval)
 		return
 	}
-	every := min(max(reachEvery, time.Duration(len(n.plannedOf))*time.Second/reachPerSecond), reachMost)
-	n.reachAt = now.Add(every*3/4 + time.Duration(n.o.Rand.Int64N(int64(every/2))))
-	bounded, cancel := context.WithTimeout(ctx, reachTimeout)
+	interval := min(max(storeProbeMinInterval, time.Duration(len(n.cachedPlanHosts))*time.Second/storeProbesPerSecond), storeProbeMaxInterval)
+	n.nextStoreProbe = now.Add(interval*3/4 + time.Duration(n.o.Rand.Int64N(int64(interval/2))))
+	bounded, cancel := context.WithTimeout(ctx, storeProbeTimeout)
 	defer cancel()
 	for _, m := range n.o.Copies {
 		if m.Reached(bounded) {
@@ -81,8 +81,8 @@
 	}
 }
 
-// follows reports whether this host follows that relay.
-func (n *Node) follows(source string) bool {
+// followsRelay reports whether this host followsRelay that relay.
+func (n *Node) followsRelay(source string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.source == source
