--- a/coordination/fanout/fanout_test.go
+++ b/coordination/fanout/fanout_test.go
@@ -19,43 +19,43 @@
 // fleetSize is the size that the brief gives as where this is going.
 const fleetSize = 320
 
-// inFleet plays a test on a fleet that has settled.
-func inFleet(t *testing.T, n int, play func(is *is.I, f *fleet)) {
+// withFleet plays a test on a fleet that has settled.
+func withFleet(t *testing.T, n int, run func(is *is.I, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, n)
 		f.start()
 		defer f.end()
 		time.Sleep(10 * time.Second)
-		if late := f.behind(kindThings, "r0", "ready"); len(late) > 0 {
-			t.Fatalf("not started: %s", some(late))
+		if stale := f.staleHosts(kindThings, "r0", "ready"); len(stale) > 0 {
+			t.Fatalf("not started: %s", summarize(stale))
 		}
-		play(is.New(t), f)
+		run(is.New(t), f)
 	})
 }
 
 // One change costs a call of each relay, not of each host, and is known everywhere at once.
 func TestCallsAtTheStoreDoNotGrowWithTheFleet(t *testing.T) {
-	inFleet(t, fleetSize, func(is *is.I, f *fleet) {
+	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		relays := len(f.relays())
 		is.Equal(relays, testDomains*relaysPerDomain)
-		f.spent()
+		f.takeCallCount()
 		for i := range 10 {
 			f.write(kindConfig, "main", fmt.Sprint(i+2))
 			time.Sleep(100 * time.Millisecond)
-			is.Equal(f.behind(kindConfig, "main", fmt.Sprint(i+2)), nil)
+			is.Equal(f.staleHosts(kindConfig, "main", fmt.Sprint(i+2)), nil)
 		}
 		f.remove(kindThings, "r7")
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(f.behind(kindThings, "r7", ""), nil)
+		is.Equal(f.staleHosts(kindThings, "r7", ""), nil)
 		time.Sleep(20 * time.Second)
-		is.True(f.spent() <= relays*(11+2*2)) // the changes, and two ends of each waiting watch
+		is.True(f.takeCallCount() <= relays*(11+2*2)) // the changes, and two ends of each waiting watch
 	})
 }
 
 // Domains with a handful of hosts need no relays: all of their hosts follow the store.
 func TestSmallFleetFollowsTheStore(t *testing.T) {
-	inFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
+	withFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
 		is.Equal(len(f.relays()), 2*testDomains)
 	})
 }
@@ -63,42 +63,42 @@
 // Whatever happens to relays, every host that reaches the store has a change within the
 // bound, counted from the change; those that don't have it from a peer.
 func TestChangesAreKnownInTimeThoughRelaysFail(t *testing.T) {
-	for name, trouble := range map[string]func(f *fleet){
+	for name, inject := range map[string]func(f *fleet){
 		"one relay of each domain is killed": func(f *fleet) {
 			for i, h := range f.relays() {
 				if i%2 == 0 {
-					f.set(f.silent, h.self.Addr, true)
+					f.set(f.unresponsive, h.self.Addr, true)
 				}
 			}
 		},
 		"all relays of a domain are lost at once": func(f *fleet) {
 			for _, h := range f.relays() {
 				if h.self.FailureDomain == "d1" {
-					f.set(f.silent, h.self.Addr, true)
+					f.set(f.unresponsive, h.self.Addr, true)
 				}
 			}
 		},
 		"all relays are lost at once": func(f *fleet) {
 			for _, h := range f.relays() {
-				f.set(f.silent, h.self.Addr, true)
+				f.set(f.unresponsive, h.self.Addr, true)
 			}
 		},
-		"a relay is cut off from the store": func(f *fleet) { f.set(f.cut, f.relays()[0].self.Addr, true) },
+		"a relay is cut off from the store": func(f *fleet) { f.set(f.partitioned, f.relays()[0].self.Addr, true) },
 		"a domain's relays are cut off from the store": func(f *fleet) {
 			for _, h := range f.relays() {
 				if h.self.FailureDomain == "d2" {
-					f.set(f.cut, h.self.Addr, true)
+					f.set(f.partitioned, h.self.Addr, true)
 				}
 			}
 		},
 		"the store turns a third away": func(f *fleet) {
 			for i, h := range f.hosts {
-				f.set(f.refuse, h.self.Addr, i%3 == 0)
+				f.set(f.refused, h.self.Addr, i%3 == 0)
 			}
 		},
 		"the store turns all relays away": func(f *fleet) {
 			for _, h := range f.relays() {
-				f.set(f.refuse, h.self.Addr, true)
+				f.set(f.refused, h.self.Addr, true)
 			}
 		},
 		"the store forgets its history": func(f *fleet) { f.store.Forget() },
@@ -109,17 +109,17 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, fleetSize, func(is *is.I, f *fleet) {
-				trouble(f)
+			withFleet(t, fleetSize, func(is *is.I, f *fleet) {
+				inject(f)
 				f.write(kindConfig, "main", "2")
 				f.remove(kindThings, "r3")
-				time.Sleep(testBound - time.Second)
-				is.Equal(f.behind(kindConfig, "main", "2"), nil)
-				is.Equal(f.behind(kindThings, "r3", ""), nil)
+				time.Sleep(propagationBound - time.Second)
+				is.Equal(f.staleHosts(kindConfig, "main", "2"), nil)
+				is.Equal(f.staleHosts(kindThings, "r3", ""), nil)
 				time.Sleep(20 * time.Second)
 				f.write(kindConfig, "main", "3")
-				time.Sleep(testBound - time.Second)
-				is.Equal(f.behind(kindConfig, "main", "3"), nil)
+				time.Sleep(propagationBound - time.Second)
+				is.Equal(f.staleHosts(kindConfig, "main", "3"), nil)
 			})
 		})
 	}
@@ -128,35 +128,35 @@
 // The store drops its history and cuts all waiting watches: the relays ask again at once,
 // and the others stay with them.
 func TestCutWatchesAreNoLossOfTheStore(t *testing.T) {
-	inFleet(t, fleetSize, func(is *is.I, f *fleet) {
-		f.spent()
-		f.cutWatches()
+	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
+		f.takeCallCount()
+		f.dropWatches()
 		time.Sleep(5 * time.Second)
 		is.Equal(len(f.relays()), testDomains*relaysPerDomain)
-		is.True(f.spent() <= 4*len(kinds)*testDomains*relaysPerDomain)
+		is.True(f.takeCallCount() <= 4*len(kinds)*testDomains*relaysPerDomain)
 		f.write(kindConfig, "main", "2")
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(f.behind(kindConfig, "main", "2"), nil)
+		is.Equal(f.staleHosts(kindConfig, "main", "2"), nil)
 	})
 }
 
 // While the store is down nobody storms it, and all know what changed soon after its end.
 func TestOutageOfTheStoreEndsForAllAtOnce(t *testing.T) {
-	inFleet(t, fleetSize, func(is *is.I, f *fleet) {
+	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		f.mu.Lock()
 		f.down = true
 		f.mu.Unlock()
 		f.write(kindConfig, "main", "2")
 		time.Sleep(5 * time.Second)
-		f.spent()
+		f.takeCallCount()
 		const outage = 10
 		time.Sleep(outage * time.Second)
-		is.True(f.spent() <= outage*fleetSize) // less than a call a second of each host
+		is.True(f.takeCallCount() <= outage*fleetSize) // less than a call a second of each host
 		f.mu.Lock()
 		f.down = false
 		f.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		is.Equal(f.behind(kindConfig, "main", "2"), nil)
+		is.Equal(f.staleHosts(kindConfig, "main", "2"), nil)
 		for _, h := range f.hosts {
 			is.True(h.copies[kindThings].UnavailableWithin(10 * time.Second)) // all know that entries may be missing
 		}
@@ -171,30 +171,30 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 60)
-		weak := func(n int) *host { return f.hosts[30+n] }
+		weakHost := func(n int) *host { return f.hosts[30+n] }
 		// Each knows only a few others, so that the weak ones relay by their lists.
 		for n := range 10 {
 			var list []state.Peer
 			for other := range 30 {
 				if other != n {
-					list = append(list, weak(other).self)
+					list = append(list, weakHost(other).self)
 				}
 			}
-			weak(n).list = list
+			weakHost(n).list = list
 		}
 		f.start()
 		defer f.end()
 		time.Sleep(10 * time.Second)
 		f.write(kindConfig, "main", "2")
 		time.Sleep(time.Second)
-		is.Equal(f.behind(kindConfig, "main", "2"), nil)
+		is.Equal(f.staleHosts(kindConfig, "main", "2"), nil)
 	})
 }
 
 // Three quarters more hosts at once, and a relay that only they know.
 func TestHostsAreAdded(t *testing.T) {
-	inFleet(t, 160, func(is *is.I, f *fleet) {
-		f.spent()
+	withFleet(t, 160, func(is *is.I, f *fleet) {
+		f.takeCallCount()
 		for i := range 120 {
 			f.hosts = append(f.hosts, f.newHost(160+i))
 		}
@@ -203,9 +203,9 @@
 			h.list = all
 			h.start()
 		}
-		time.Sleep(testWait)
-		is.Equal(f.behind(kindThings, "r0", "ready"), nil)
-		is.True(f.spent() < 100) // they ask relays, not the store
+		time.Sleep(testFetchWait)
+		is.Equal(f.staleHosts(kindThings, "r0", "ready"), nil)
+		is.True(f.takeCallCount() < 100) // they ask relays, not the store
 	})
 }
 
@@ -218,16 +218,16 @@
 		f.start()
 		defer f.end()
 		time.Sleep(500 * time.Millisecond)
-		is.Equal(f.behind(kindThings, "r0", "ready"), nil)
+		is.Equal(f.staleHosts(kindThings, "r0", "ready"), nil)
 		is.Equal(len(f.relays()), testDomains*relaysPerDomain)
-		is.True(f.spent() <= 3*2*testDomains*relaysPerDomain)
+		is.True(f.takeCallCount() <= 3*2*testDomains*relaysPerDomain)
 	})
 }
 
 // The relays return a moment after the others, which wait for them instead of asking the
 // store; relays that don't return are not waited for long.
 func TestHostsThatReturnBeforeTheirRelaysWaitForThem(t *testing.T) {
-	for name, late := range map[string]time.Duration{"a moment later": 400 * time.Millisecond, "not at all": time.Hour} {
+	for name, delay := range map[string]time.Duration{"a moment later": 400 * time.Millisecond, "not at all": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -244,20 +244,20 @@
 						defer h.end()
 						continue
 					}
-					f.set(f.silent, h.self.Addr, true)
+					f.set(f.unresponsive, h.self.Addr, true)
 				}
-				time.Sleep(late % time.Minute)
+				time.Sleep(delay % time.Minute)
 				for _, h := range f.hosts {
-					if relays[h.self.Addr] && late < time.Minute {
-						f.set(f.silent, h.self.Addr, false)
+					if relays[h.self.Addr] && delay < time.Minute {
+						f.set(f.unresponsive, h.self.Addr, false)
 						h.start()
 						defer h.end()
 					}
 				}
 				time.Sleep(2 * time.Second)
-				is.Equal(f.behind(kindThings, "r0", "ready"), nil)
-				if late < time.Minute {
-					is.True(f.spent() <= 3*len(kinds)*len(relays))
+				is.Equal(f.staleHosts(kindThings, "r0", "ready"), nil)
+				if delay < time.Minute {
+					is.True(f.takeCallCount() <= 3*len(kinds)*len(relays))
 				}
 			})
 		})
@@ -268,9 +268,9 @@
 // it is and though some relays are lost.
 func TestNoticesReachAllHostsOnce(t *testing.T) {
 	for _, lost := range []int{0, 1, 3} {
-		inFleet(t, fleetSize, func(is *is.I, f *fleet) {
+		withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 			for _, h := range f.relays()[:lost] {
-				f.set(f.silent, h.self.Addr, true)
+				f.set(f.unresponsive, h.self.Addr, true)
 			}
 			time.Sleep(5 * time.Second) // their followers have gone to others
 			for i, h := range []*host{f.hosts[319], f.hosts[200], f.hosts[104]} {
@@ -278,9 +278,9 @@
 			}
 			time.Sleep(300 * time.Millisecond)
 			for _, h := range f.hosts {
-				if !f.is(f.silent, h.self.Addr) {
+				if !f.is(f.unresponsive, h.self.Addr) {
 					f.mu.Lock()
-					is.Equal(len(h.heard), 3)
+					is.Equal(len(h.received), 3)
 					f.mu.Unlock()
 				}
 			}
@@ -290,12 +290,12 @@
 
 // Small domains have no relays: the host itself tells each.
 func TestNoticesInASmallFleet(t *testing.T) {
-	inFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
+	withFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
 		f.hosts[3].Publish(context.Background(), "test", []byte("x"))
 		time.Sleep(100 * time.Millisecond)
 		for _, h := range f.hosts {
 			f.mu.Lock()
-			is.Equal(h.heard, []string{"x"})
+			is.Equal(h.received, []string{"x"})
 			f.mu.Unlock()
 		}
 	})
@@ -325,20 +325,20 @@
 // Each host is looked after by one relay of its domain, and each relay by the other one;
 // hosts that are no relays look after nobody.
 func TestEachHostIsLookedAfterByOneRelay(t *testing.T) {
-	inFleet(t, fleetSize, func(is *is.I, f *fleet) {
+	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		relays := map[string]bool{}
 		for _, h := range f.relays() {
 			relays[h.self.Addr] = true
 		}
 		for _, other := range f.hosts {
-			by := 0
+			count := 0
 			for _, h := range f.hosts {
 				if h != other && h.self.FailureDomain == other.self.FailureDomain && h.Monitors(other.self.Addr) {
 					is.True(relays[h.self.Addr])
-					by++
+					count++
 				}
 			}
-			is.Equal(by, 1)
+			is.Equal(count, 1)
 		}
 	})
 }
@@ -361,9 +361,9 @@
 	h.copies["slow"] = m
 	go m.Adopt(follow.Copy{Revision: 1}, "peer")
 	<-entered
-	avoided := make(chan struct{})
+	backedOff := make(chan struct{})
 	go func() {
-		defer close(avoided)
+		defer close(backedOff)
 		h.backOff("relay", "test", false)
 	}()
 	for range 1000 {
@@ -371,5 +371,5 @@
 		runtime.Gosched()
 	}
 	close(release)
-	<-avoided
+	<-backedOff
 }
--- a/coordination/fanout/fanouttest/fanouttest.go
+++ b/coordination/fanout/fanouttest/fanouttest.go
@@ -23,8 +23,8 @@
 
 func (noPeers) SendNotice(context.Context, string, fanout.Notice) error { return context.Canceled }
 
-// Alone returns the node of a host without others, which hears what it publishes itself.
-func Alone(t *testing.T) *fanout.Node {
+// NewNode returns the node of a host without others, which hears what it publishes itself.
+func NewNode(t *testing.T) *fanout.Node {
 	t.Helper()
 	n, err := fanout.New(fanout.Options{
 		Self: state.Peer{Addr: "h"}, RunID: "h-1", Hosts: func() []state.Peer { return nil }, Copies: map[string]*follow.Mirror{"a": nil},
--- a/coordination/fanout/fleet_test.go
+++ b/coordination/fanout/fleet_test.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	kindConfig  = "config"
-	kindThings  = "things"
-	testWait    = time.Second // a quarter of a bound of 4 s
-	testBound   = 4 * time.Second
-	testDomains = 5
+	kindConfig       = "config"
+	kindThings       = "things"
+	testFetchWait    = time.Second // a quarter of a bound of 4 s
+	propagationBound = 4 * time.Second
+	testDomains      = 5
 	// testSettle is how long after a restoration what the store lost may not be written again.
 	testSettle = 2 * time.Second
 )
@@ -38,40 +38,40 @@
 	store *storetest.Platform
 	hosts []*host
 
-	mu     sync.Mutex
-	silent map[string]bool // answer nobody and ask nobody
-	cut    map[string]bool // don't reach the store, which they learn by silence
-	refuse map[string]bool // are turned away by the store
-	down   bool
-	calls  map[string]int
-	cost   int
-	// watches are ended, with an error, when cutting is closed.
-	cutting chan struct{}
+	mu           sync.Mutex
+	unresponsive map[string]bool // answer nobody and ask nobody
+	partitioned  map[string]bool // don't reach the store, which they learn by silence
+	refused      map[string]bool // are turned away by the store
+	down         bool
+	calls        map[string]int
+	callCount    int
+	// watches are ended, with an error, when watchesDropped is closed.
+	watchesDropped chan struct{}
 }
 
 type host struct {
 	*Node
-	f      *fleet
-	self   state.Peer
-	list   []state.Peer
-	copies map[string]*follow.Mirror
-	heard  []string // notices, by their bodies
+	f        *fleet
+	self     state.Peer
+	list     []state.Peer
+	copies   map[string]*follow.Mirror
+	received []string // notices, by their bodies
 	// inForce is the highest version of the configuration that the host has had.
 	inForce atomic.Int64
 	stop    context.CancelFunc
 	ended   chan struct{}
 }
 
-// noticed is how long a cut from the store goes unnoticed by a waiting watch.
-const noticed = 3 * time.Second
+// partitionDetection is how long a cut from the store goes unnoticed by a waiting watch.
+const partitionDetection = 3 * time.Second
 
-func newFleet(t *testing.T, n int) *fleet { return newFleetWatching(t, n, 20*time.Second) }
+func newFleet(t *testing.T, n int) *fleet { return newFleetWithWatchWait(t, n, 20*time.Second) }
 
-// newFleetWatching makes a fleet whose watches wait at the store for at most wait.
-func newFleetWatching(t *testing.T, n int, wait time.Duration) *fleet {
+// newFleetWithWatchWait makes a fleet whose watches wait at the store for at most wait.
+func newFleetWithWatchWait(t *testing.T, n int, wait time.Duration) *fleet {
 	f := &fleet{
 		t: t, store: storetest.NewPlatform(wait),
-		silent: map[string]bool{}, cut: map[string]bool{}, refuse: map[string]bool{}, calls: map[string]int{}, cutting: make(chan struct{}),
+		unresponsive: map[string]bool{}, partitioned: map[string]bool{}, refused: map[string]bool{}, calls: map[string]int{}, watchesDropped: make(chan struct{}),
 	}
 	f.store.SetScript(f.script)
 	for i := range n {
@@ -111,8 +111,8 @@
 		}
 		m, err := follow.New(follow.Options{
 			Newer: newer,
-			Store: faulty{f.store.Client(h.self.Addr), f, h.self.Addr}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
-			Kind: kind, Changed: h.changed, Outage: outage, Notify: func() { h.WakeFollowers() }, Settle: testSettle,
+			Store: faultyStore{f.store.Client(h.self.Addr), f, h.self.Addr}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
+			Kind: kind, Changed: h.applyConfig, Outage: outage, Notify: func() { h.WakeFollowers() }, Settle: testSettle,
 		})
 		if err != nil {
 			f.t.Fatal(err)
@@ -121,7 +121,7 @@
 	}
 	n, err := New(Options{
 		Self: h.self, RunID: h.self.Addr + "-1", Hosts: func() []state.Peer { return h.list }, Copies: h.copies, Peers: network{f, h.self.Addr},
-		Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(7, uint64(i))), Log: slog.New(slog.DiscardHandler), FetchWait: testWait,
+		Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(7, uint64(i))), Log: slog.New(slog.DiscardHandler), FetchWait: testFetchWait,
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -130,13 +130,13 @@
 	n.Subscribe("test", func(body []byte) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		h.heard = append(h.heard, string(body))
+		h.received = append(h.received, string(body))
 	})
 	return h
 }
 
-// changed puts a higher version of the configuration in force, as a host does.
-func (h *host) changed(c follow.Copy) {
+// applyConfig puts a higher version of the configuration in force, as a host does.
+func (h *host) applyConfig(c follow.Copy) {
 	for _, o := range c.Objects {
 		if version := versionOf(o); version > h.inForce.Load() {
 			h.inForce.Store(version)
@@ -223,28 +223,28 @@
 	if c.Caller == operator {
 		return storetest.None
 	}
-	f.cost++
+	f.callCount++
 	f.calls[c.Caller]++
-	if f.down || f.refuse[c.Caller] {
+	if f.down || f.refused[c.Caller] {
 		return storetest.Refuse
 	}
 	return storetest.None
 }
 
-// spent returns the hosts' calls at the store since it was asked last.
-func (f *fleet) spent() int {
+// takeCallCount returns the hosts' calls at the store since it was asked last.
+func (f *fleet) takeCallCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := f.cost
-	f.cost = 0
+	out := f.callCount
+	f.callCount = 0
 	return out
 }
 
-// behind returns the hosts whose copy of an object isn't value ("" for none).
-func (f *fleet) behind(kind, name, value string) []string {
+// staleHosts returns the hosts whose copy of an object isn't value ("" for none).
+func (f *fleet) staleHosts(kind, name, value string) []string {
 	var out []string
 	for _, h := range f.hosts {
-		if f.is(f.silent, h.self.Addr) {
+		if f.is(f.unresponsive, h.self.Addr) {
 			continue
 		}
 		found := ""
@@ -271,33 +271,33 @@
 	return out
 }
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// faulty is the store as a host reaches it: over a cut a call hears nothing until the cut
+// faultyStore is the store as a host reaches it: over a cut a call hears nothing until the cut
 // is noticed.
-type faulty struct {
+type faultyStore struct {
 	*storetest.Client
 	f    *fleet
 	addr string
 }
 
-func (s faulty) List(ctx context.Context, kind string) ([]store.Object, uint64, error) {
+func (s faultyStore) List(ctx context.Context, kind string) ([]store.Object, uint64, error) {
 	if err := s.reach(ctx); err != nil {
 		return nil, 0, err
 	}
 	return s.Client.List(ctx, kind)
 }
 
-func (s faulty) Watch(ctx context.Context, kind string, after uint64) (store.Batch, error) {
+func (s faultyStore) Watch(ctx context.Context, kind string, after uint64) (store.Batch, error) {
 	if err := s.reach(ctx); err != nil {
 		return store.Batch{}, err
 	}
 	bounded, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer s.f.onCut(cancel)()
+	defer s.f.onWatchesDropped(cancel)()
 	b, err := s.Client.Watch(bounded, kind, after)
 	if err != nil && ctx.Err() == nil {
-		return b, &store.UnavailableError{Cause: errSilent}
+		return b, &store.UnavailableError{Cause: errNoAnswer}
 	}
 	if err == nil {
 		err = s.reach(ctx) // the answer is lost in the cut as well
@@ -306,7 +306,7 @@
 }
 
 // Poll implements follow.Poller.
-func (s faulty) Poll(ctx context.Context, kind string, after uint64) (store.Batch, error) {
+func (s faultyStore) Poll(ctx context.Context, kind string, after uint64) (store.Batch, error) {
 	if err := s.reach(ctx); err != nil {
 		return store.Batch{}, err
 	}
@@ -319,39 +319,39 @@
 	return b, err
 }
 
-// onCut calls cut when all watches are cut; the returned function ends that.
-func (f *fleet) onCut(cut func()) (done func()) {
+// onWatchesDropped calls cut when all watches are cut; the returned function ends that.
+func (f *fleet) onWatchesDropped(drop func()) (done func()) {
 	f.mu.Lock()
-	cutting := f.cutting
+	dropped := f.watchesDropped
 	f.mu.Unlock()
 	over := make(chan struct{})
 	go func() {
 		select {
-		case <-cutting:
-			cut()
+		case <-dropped:
+			drop()
 		case <-over:
 		}
 	}()
 	return func() { close(over) }
 }
 
-// cutWatches drops the store's history and cuts all waiting watches.
-func (f *fleet) cutWatches() {
+// dropWatches drops the store's history and cuts all waiting watches.
+func (f *fleet) dropWatches() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.cutting)
-	f.cutting = make(chan struct{})
+	close(f.watchesDropped)
+	f.watchesDropped = make(chan struct{})
 	f.store.Forget()
 }
 
-func (s faulty) reach(ctx context.Context) error {
-	if !s.f.is(s.f.cut, s.addr) && !s.f.is(s.f.silent, s.addr) {
+func (s faultyStore) reach(ctx context.Context) error {
+	if !s.f.is(s.f.partitioned, s.addr) && !s.f.is(s.f.unresponsive, s.addr) {
 		return nil
 	}
-	if err := (clocktest.Bubble{}).Sleep(ctx, noticed); err != nil {
+	if err := (clocktest.Bubble{}).Sleep(ctx, partitionDetection); err != nil {
 		return err
 	}
-	return &store.UnavailableError{Cause: errSilent}
+	return &store.UnavailableError{Cause: errNoAnswer}
 }
 
 // network carries the hosts' calls.
@@ -360,20 +360,20 @@
 	from string
 }
 
-const oneWay = time.Millisecond
+const networkDelay = time.Millisecond
 
 // Fetch implements Peers.
-func (n network) Fetch(ctx context.Context, addr string, q Request) (Response, error) {
+func (n network) Fetch(ctx context.Context, addr string, req Request) (Response, error) {
 	to, err := n.reach(ctx, addr)
 	if err != nil {
 		return Response{}, err
 	}
-	news := to.Serve(ctx, q)
-	if n.f.is(n.f.silent, addr) {
+	resp := to.Serve(ctx, req)
+	if n.f.is(n.f.unresponsive, addr) {
 		<-ctx.Done()
 		return Response{}, ctx.Err()
 	}
-	return news, (clocktest.Bubble{}).Sleep(ctx, oneWay)
+	return resp, (clocktest.Bubble{}).Sleep(ctx, networkDelay)
 }
 
 // SendNotice implements Peers.
@@ -387,10 +387,10 @@
 
 // reach brings a call to a host.
 func (n network) reach(ctx context.Context, addr string) (*host, error) {
-	if err := (clocktest.Bubble{}).Sleep(ctx, oneWay); err != nil {
+	if err := (clocktest.Bubble{}).Sleep(ctx, networkDelay); err != nil {
 		return nil, err
 	}
-	if n.f.is(n.f.silent, addr) || n.f.is(n.f.silent, n.from) {
+	if n.f.is(n.f.unresponsive, addr) || n.f.is(n.f.unresponsive, n.from) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -404,7 +404,7 @@
 	return nil, errors.New("connection refused")
 }
 
-// some describes hosts, for messages.
-func some(hosts []string) string {
+// summarize describes hosts, for messages.
+func summarize(hosts []string) string {
 	return fmt.Sprintf("%d hosts: %s", len(hosts), strings.Join(hosts[:min(5, len(hosts))], " "))
 }
--- a/coordination/fanout/proof_test.go
+++ b/coordination/fanout/proof_test.go
@@ -14,17 +14,17 @@
 )
 
 const (
-	// revokeWithin is the bound that proofs are for, as the users' sheets have it, and
+	// revocationBound is the bound that proofs are for, as the users' sheets have it, and
 	// proofWait how long a watch waits where it holds.
-	revokeWithin = 5 * time.Second
-	proofWait    = revokeWithin / 5
+	revocationBound = 5 * time.Second
+	proofWait       = revocationBound / 5
 )
 
-// acked are the times at which versions of the configuration were acknowledged, from 1 on.
-type acked []time.Time
+// ackTimes are the times at which versions of the configuration were acknowledged, from 1 on.
+type ackTimes []time.Time
 
-// proofHolds reports whether a host's copy has all that its proof says.
-func (a acked) proofHolds(h *host) error {
+// checkProof reports whether a host's copy has all that its proof says.
+func (a ackTimes) checkProof(h *host) error {
 	proven := h.copies[kindConfig].Proven()
 	have := int(h.inForce.Load())
 	if have < len(a) && a[have].Before(proven) {
@@ -33,11 +33,11 @@
 	return nil
 }
 
-// ages are those of the proofs of hosts that aren't silent, the youngest first.
-func (f *fleet) ages() []time.Duration {
+// proofAges are those of the proofs of hosts that aren't silent, the youngest first.
+func (f *fleet) proofAges() []time.Duration {
 	var out []time.Duration
 	for _, h := range f.hosts {
-		if !f.is(f.silent, h.self.Addr) && !f.is(f.cut, h.self.Addr) {
+		if !f.is(f.unresponsive, h.self.Addr) && !f.is(f.partitioned, h.self.Addr) {
 			out = append(out, time.Since(h.copies[kindConfig].Proven()))
 		}
 	}
@@ -52,21 +52,21 @@
 	for _, size := range []int{83, 300} {
 		for seed := range uint64(6) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleetWatching(t, size, proofWait)
+				f := newFleetWithWatchWait(t, size, proofWait)
 				f.start()
 				defer f.end()
 				time.Sleep(10 * time.Second)
 				rng := rand.New(rand.NewPCG(seed, 3))
-				versions := acked{time.Now()}
+				versions := ackTimes{time.Now()}
 				for range 60 {
-					f.disturb(rng)
+					f.toggleFault(rng)
 					if rng.IntN(2) == 0 {
 						f.write(kindConfig, "main", strconv.Itoa(len(versions)+1))
 						versions = append(versions, time.Now())
 					}
 					time.Sleep(time.Duration(rng.IntN(700)) * time.Millisecond)
 					for _, h := range f.hosts {
-						if err := versions.proofHolds(h); err != nil {
+						if err := versions.checkProof(h); err != nil {
 							t.Fatalf("%d hosts, seed %d: %v", size, seed, err)
 						}
 					}
@@ -83,31 +83,31 @@
 	for _, size := range []int{7, 83} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleetWatching(t, size, proofWait)
+				f := newFleetWithWatchWait(t, size, proofWait)
 				f.start()
 				defer f.end()
 				time.Sleep(10 * time.Second)
 				rng := rand.New(rand.NewPCG(seed, 3))
-				versions := acked{time.Now()}
+				versions := ackTimes{time.Now()}
 				check := func(span time.Duration) {
 					for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 						for _, h := range f.hosts {
-							if err := versions.proofHolds(h); err != nil {
+							if err := versions.checkProof(h); err != nil {
 								t.Fatalf("%d hosts, seed %d: %v", size, seed, err)
 							}
 						}
 					}
 				}
 				for range 6 {
-					cut := f.hosts[rng.IntN(size)].self.Addr
-					f.set(f.cut, cut, true)
+					partitioned := f.hosts[rng.IntN(size)].self.Addr
+					f.set(f.partitioned, partitioned, true)
 					check(time.Duration(1000+rng.IntN(4000)) * time.Millisecond)
 					f.write(kindConfig, "main", strconv.Itoa(len(versions)+1))
 					versions = append(versions, time.Now())
 					check(time.Duration(rng.IntN(1000)) * time.Millisecond)
 					f.setDown(true)
-					f.cutWatches()
-					f.set(f.cut, cut, false)
+					f.dropWatches()
+					f.set(f.partitioned, partitioned, false)
 					check(time.Duration(rng.IntN(2000)) * time.Millisecond)
 					f.store.RestoreBefore(time.Duration(2000+rng.IntN(2000)) * time.Millisecond)
 					f.setDown(false)
@@ -132,26 +132,26 @@
 	h.start()
 }
 
-// disturb begins or ends one trouble, mostly at a relay.
-func (f *fleet) disturb(rng *rand.Rand) {
-	victim := f.hosts[rng.IntN(len(f.hosts))]
+// toggleFault begins or ends one trouble, mostly at a relay.
+func (f *fleet) toggleFault(rng *rand.Rand) {
+	target := f.hosts[rng.IntN(len(f.hosts))]
 	if relays := f.relays(); len(relays) > 0 && rng.IntN(3) > 0 {
-		victim = relays[rng.IntN(len(relays))]
+		target = relays[rng.IntN(len(relays))]
 	}
-	addr := victim.self.Addr
+	addr := target.self.Addr
 	switch rng.IntN(6) {
 	case 0:
-		f.set(f.cut, addr, !f.is(f.cut, addr))
+		f.set(f.partitioned, addr, !f.is(f.partitioned, addr))
 	case 1:
-		f.set(f.refuse, addr, !f.is(f.refuse, addr))
+		f.set(f.refused, addr, !f.is(f.refused, addr))
 	case 2:
-		f.set(f.silent, addr, !f.is(f.silent, addr))
+		f.set(f.unresponsive, addr, !f.is(f.unresponsive, addr))
 	case 3:
 		f.mu.Lock()
 		f.down = !f.down
 		f.mu.Unlock()
 	case 4:
-		f.cutWatches()
+		f.dropWatches()
 	}
 }
 
@@ -162,39 +162,39 @@
 	for _, size := range []int{83, 300} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			f := newFleetWatching(t, size, proofWait)
+			f := newFleetWithWatchWait(t, size, proofWait)
 			f.start()
 			defer f.end()
 			time.Sleep(10 * time.Second)
 			worst := time.Duration(0)
-			watch := func(span time.Duration) {
+			observe := func(span time.Duration) {
 				for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-					ages := f.ages()
+					ages := f.proofAges()
 					worst = max(worst, ages[len(ages)-1])
 				}
 			}
-			watch(10 * time.Second)
-			t.Logf("%d hosts: median %s, worst %s", size, f.ages()[size/2], worst)
-			is.True(worst < revokeWithin*3/4) // the store isn't asked out of turn
+			observe(10 * time.Second)
+			t.Logf("%d hosts: median %s, worst %s", size, f.proofAges()[size/2], worst)
+			is.True(worst < revocationBound*3/4) // the store isn't asked out of turn
 			for _, h := range f.relays() {
 				if h.self.FailureDomain == "d0" {
-					f.set(f.silent, h.self.Addr, true)
+					f.set(f.unresponsive, h.self.Addr, true)
 				}
 			}
 			for i, h := range f.hosts {
-				f.set(f.refuse, h.self.Addr, i%3 == 0)
+				f.set(f.refused, h.self.Addr, i%3 == 0)
 			}
 			worst = 0
-			watch(15 * time.Second)
+			observe(15 * time.Second)
 			t.Logf("%d hosts, relays lost: worst %s", size, worst)
-			is.True(worst < revokeWithin)
+			is.True(worst < revocationBound)
 		})
 	}
 }
 
 // Guards against a host that follows a peer and can't prove a key by asking the store itself.
 func TestHostThatFollowsAPeerMayAskTheStore(t *testing.T) {
-	inFleet(t, 83, func(is *is.I, f *fleet) {
+	withFleet(t, 83, func(is *is.I, f *fleet) {
 		for _, h := range f.hosts {
 			asked := time.Now()
 			is.NoErr(h.copies[kindConfig].Prove(context.Background()))
--- a/coordination/fanout/restore_test.go
+++ b/coordination/fanout/restore_test.go
@@ -9,10 +9,10 @@
 	"github.com/matryer/is"
 )
 
-// drill has the store go away and come back as it was so long before.
-func (f *fleet) drill(away, back time.Duration) {
+// restoreAfterOutage has the store go away and come back as it was so long before.
+func (f *fleet) restoreAfterOutage(away, back time.Duration) {
 	f.setDown(true)
-	f.cutWatches()
+	f.dropWatches()
 	time.Sleep(away)
 	f.store.RestoreBefore(away + back)
 	f.setDown(false)
@@ -24,18 +24,18 @@
 	f.down = down
 }
 
-// inLine waits until every host that isn't silent has these values of r0 and of the configuration,
+// awaitInSync waits until every host that isn't silent has these values of r0 and of the configuration,
 // and returns how long it took.
-func (f *fleet) inLine(t *testing.T, config, thing string, limit time.Duration) time.Duration {
+func (f *fleet) awaitInSync(t *testing.T, config, thing string, limit time.Duration) time.Duration {
 	t.Helper()
 	began := time.Now()
 	for {
-		late := append(f.behind(kindConfig, "main", config), f.behind(kindThings, "r0", thing)...)
-		if len(late) == 0 {
+		stale := append(f.staleHosts(kindConfig, "main", config), f.staleHosts(kindThings, "r0", thing)...)
+		if len(stale) == 0 {
 			return time.Since(began)
 		}
 		if time.Since(began) > limit {
-			t.Fatalf("%s after the write %s don't have configuration %s and r0 %s", limit, some(late), config, thing)
+			t.Fatalf("%s after the write %s don't have configuration %s and r0 %s", limit, summarize(stale), config, thing)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
@@ -66,23 +66,23 @@
 					time.Sleep(2 * time.Second)
 					switch round {
 					case 1:
-						f.set(f.silent, f.relays()[0].self.Addr, true)
+						f.set(f.unresponsive, f.relays()[0].self.Addr, true)
 					case 2:
-						f.set(f.refuse, f.relays()[0].self.Addr, true)
-						f.set(f.refuse, f.hosts[n-1].self.Addr, true)
+						f.set(f.refused, f.relays()[0].self.Addr, true)
+						f.set(f.refused, f.hosts[n-1].self.Addr, true)
 					}
-					f.drill(2*time.Second, 3*time.Second)
-					f.spent()
+					f.restoreAfterOutage(2*time.Second, 3*time.Second)
+					f.takeCallCount()
 					const pause = 500 * time.Millisecond
 					time.Sleep(pause)
 					config, thing := fmt.Sprint("again ", round), fmt.Sprint("ready ", round)
 					f.write(kindConfig, "main", config)
 					f.write(kindThings, "r0", thing)
-					took := f.inLine(t, config, thing, limit)
-					calls := f.spent()
+					took := f.awaitInSync(t, config, thing, limit)
+					calls := f.takeCallCount()
 					t.Logf("round %d: in line %s after the writes, %d calls", round, took, calls)
 					is.True(calls <= mostCallsPerSecond*int(1+(took+pause)/time.Second))
-					is.Equal(len(f.behind(kindThings, "lost0", "")), 0) // nobody keeps what the store doesn't have
+					is.Equal(len(f.staleHosts(kindThings, "lost0", "")), 0) // nobody keeps what the store doesn't have
 					time.Sleep(5 * time.Second)
 				}
 			})
@@ -102,14 +102,14 @@
 				defer f.end()
 				time.Sleep(10 * time.Second)
 				for i, h := range f.hosts[:hosts-1] {
-					f.set(f.silent, h.self.Addr, i != useful)
+					f.set(f.unresponsive, h.self.Addr, i != useful)
 				}
-				f.set(f.refuse, f.hosts[hosts-1].self.Addr, true)
-				f.cutWatches()
+				f.set(f.refused, f.hosts[hosts-1].self.Addr, true)
+				f.dropWatches()
 				time.Sleep(time.Second)
 				f.write(kindConfig, "main", "2")
 				f.write(kindThings, "r0", "draining")
-				f.inLine(t, "2", "draining", hosts*(recheckInterval+responseSlack))
+				f.awaitInSync(t, "2", "draining", hosts*(recheckInterval+responseSlack))
 			})
 		})
 	}
@@ -126,16 +126,16 @@
 					f.start()
 					defer f.end()
 					time.Sleep(10 * time.Second)
-					cut := f.hosts[late]
-					f.set(f.cut, cut.self.Addr, true)
-					f.set(f.silent, cut.self.Addr, true)
+					partitioned := f.hosts[late]
+					f.set(f.partitioned, partitioned.self.Addr, true)
+					f.set(f.unresponsive, partitioned.self.Addr, true)
 					time.Sleep(5 * time.Second)
 					f.write(kindConfig, "main", "2")
 					time.Sleep(2 * time.Second)
 					f.setDown(true)
-					f.cutWatches()
-					f.set(f.cut, cut.self.Addr, false)
-					f.set(f.silent, cut.self.Addr, false)
+					f.dropWatches()
+					f.set(f.partitioned, partitioned.self.Addr, false)
+					f.set(f.unresponsive, partitioned.self.Addr, false)
 					time.Sleep(time.Second)
 					f.store.RestoreBefore(4 * time.Second)
 					f.setDown(false)
@@ -151,7 +151,7 @@
 					}
 					f.write(kindConfig, "main", "3")
 					f.write(kindThings, "r0", "draining")
-					f.inLine(t, "3", "draining", testBound)
+					f.awaitInSync(t, "3", "draining", propagationBound)
 				})
 			})
 		}
--- a/transport/advices/advices_test.go
+++ b/transport/advices/advices_test.go
@@ -16,7 +16,7 @@
 // A notice reaches its own host too, with the run that it names; what can't be one is dropped.
 func TestAdviceIsTold(t *testing.T) {
 	is := is.New(t)
-	n := fanouttest.Alone(t)
+	n := fanouttest.NewNode(t)
 	want := backpressure.Notice{Instance: state.InstanceID{Name: "i", Born: 1_790_000_000_123}, Service: "s", What: backpressure.KindLimit, Limit: 8.4}
 	heard := 0
 	Subscribe(n, func(got backpressure.Notice) {
--- a/transport/quarantines/quarantines_test.go
+++ b/transport/quarantines/quarantines_test.go
@@ -17,7 +17,7 @@
 
 func TestNoticeArrivesAsItWasTold(t *testing.T) {
 	is := is.New(t)
-	n := fanouttest.Alone(t)
+	n := fanouttest.NewNode(t)
 	at := time.UnixMilli(1_790_000_000_123)
 	d1, d2 := quarantine.DigestOf(quarantine.Content{URI: "1"}), quarantine.DigestOf(quarantine.Content{URI: "2"})
 	ages := []time.Duration{80 * time.Millisecond, 3 * time.Second}
--- a/transport/roles/roles_test.go
+++ b/transport/roles/roles_test.go
@@ -15,7 +15,7 @@
 // An announcement reaches its own host too, with the runs that it names.
 func TestChangeIsAnnounced(t *testing.T) {
 	is := is.New(t)
-	n := fanouttest.Alone(t)
+	n := fanouttest.NewNode(t)
 	engines := []state.InstanceID{{Name: "e1"}, {Name: "e2", Born: 1_790_000_000_123}}
 	heard := 0
 	Subscribe(n, func(got []state.InstanceID, role state.Role, within time.Duration) {
