--- a/coordination/snapshot/keeper.go
+++ b/coordination/snapshot/keeper.go
@@ -10,8 +10,9 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Keeper is the single writer of views. Its setters publish a new view when
-// they change something; readers call View and never wait.
+// Keeper owns the state that views are built from and is their single writer.
+// Its setters publish a new view when something changed; View never blocks. It
+// is safe for concurrent use.
 type Keeper struct {
 	current atomic.Pointer[View]
 
@@ -19,14 +20,14 @@
 	config  *state.Config
 	records map[string]*runnerRecord
 	orders  map[string]state.Order
-	leaving map[string]string // name -> incarnation that leaves, "" for any
-	// counters outlive their rows: a runner that drops out of the list and comes
-	// back must find the requests still in flight there, or its drain would be
-	// acknowledged too early.
+	leaving map[string]string // upstream name -> incarnation that is leaving, "" for any
+	// counters has an entry for each upstream name ever listed. Entries are kept
+	// when an upstream is no longer listed: if it is listed again, its requests
+	// still in flight must count, or its drain would be acknowledged too early.
 	counters map[string]*InFlightCounter
 }
 
-// runnerRecord is the keeper's own record of one runner.
+// runnerRecord is the keeper's mutable state of one listed runner.
 type runnerRecord struct {
 	upstream   state.Upstream
 	unhealthy  bool
@@ -49,11 +50,11 @@
 	return k
 }
 
-// View returns the present view. It never blocks.
+// View returns the current view. It never blocks.
 func (k *Keeper) View() *View { return k.current.Load() }
 
 // SetConfig puts a validated configuration in force if its version is higher
-// than the present one, and reports whether it did.
+// than that of the current one, and reports whether it did.
 func (k *Keeper) SetConfig(c *state.Config) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -65,9 +66,10 @@
 	return true
 }
 
-// SetListed takes over the platform's list. Upstreams that are no longer listed
-// leave; the counts of those that stay go on. A runner that returns with another
-// incarnation is a new one: what was known of the old is dropped.
+// SetListed replaces the list of upstreams by the platform's list. Upstreams
+// that are no longer listed are removed; the in-flight counters of all are
+// kept. A runner that is listed with another incarnation is a new process: its
+// load report and health are reset.
 func (k *Keeper) SetListed(list []state.Listed) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -94,7 +96,8 @@
 	k.publish()
 }
 
-// UpstreamOf returns the upstream of a listed row; false for a host's.
+// UpstreamOf converts an entry of the platform's list to an upstream. It returns
+// false if the entry is neither an engine nor a service, such as a host.
 func UpstreamOf(l state.Listed) (state.Upstream, bool) {
 	u := state.Upstream{
 		Name: l.Name, Service: l.Service, Addr: l.Addr, FailureDomain: l.FailureDomain,
@@ -127,9 +130,9 @@
 	r.upstream = u
 }
 
-// MarkLeaving notes that an upstream leaves, whoever said so first. It holds
-// until the platform lists another incarnation of it. A statement about another
-// incarnation than the listed one has no effect.
+// MarkLeaving marks an upstream as leaving until the platform lists another
+// incarnation of it. An empty incarnation stands for any. The call has no effect
+// if the upstream isn't listed or is listed with another incarnation.
 func (k *Keeper) MarkLeaving(name, incarnation string) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -138,7 +141,7 @@
 		return
 	}
 	if inc := r.upstream.Incarnation; incarnation != "" && inc != "" && incarnation != inc {
-		return // it is known to be replaced by another run
+		return // that incarnation has been replaced already
 	}
 	if was, ok := k.leaving[name]; ok && was == incarnation {
 		return
@@ -147,14 +150,16 @@
 	k.publish()
 }
 
-// Leaving returns the names and incarnations known to leave.
+// Leaving returns the upstreams marked as leaving: the incarnation, "" for any,
+// by upstream name.
 func (k *Keeper) Leaving() map[string]string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return maps.Clone(k.leaving)
 }
 
-// SetOrder takes over an order object if its fence isn't older than the known one.
+// SetOrder stores an order object if its fence is higher than that of the known
+// order of the engine.
 func (k *Keeper) SetOrder(o state.Order) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -165,18 +170,20 @@
 	k.publish()
 }
 
-// Orders returns all order objects known, those of unlisted engines included.
+// Orders returns all known order objects in no particular order, including those
+// of engines that aren't listed.
 func (k *Keeper) Orders() []state.Order {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Collect(maps.Values(k.orders))
 }
 
-// SetLoad takes over one load report if it is newer than the known one.
+// SetLoad stores a load report if it is newer than the known one of the engine.
 func (k *Keeper) SetLoad(l state.LoadReport) { k.SetLoads([]state.LoadReport{l}) }
 
-// SetLoads takes over those of the load reports that are newer than the known
-// ones, in one new view.
+// SetLoads stores those load reports that are newer than the known ones of their
+// engines, and publishes them in one view. Reports of engines that aren't listed
+// are ignored.
 func (k *Keeper) SetLoads(reports []state.LoadReport) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -193,7 +200,7 @@
 	}
 }
 
-// SetHealth notes the outcome of an upstream's health checks.
+// SetHealth sets whether an upstream's health checks pass.
 func (k *Keeper) SetHealth(name string, healthy bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -205,7 +212,8 @@
 	k.publish()
 }
 
-// SetPeerWork replaces what the other hosts have in flight, by upstream name.
+// SetPeerWork replaces the work that the other hosts have in flight, by upstream
+// name; at is the time of the figures.
 func (k *Keeper) SetPeerWork(at time.Time, work map[string]Work) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -220,7 +228,7 @@
 	}
 }
 
-// publish builds and publishes the next view; k.mu is held.
+// publish builds and publishes the next view. The caller holds k.mu.
 func (k *Keeper) publish() {
 	previous := k.current.Load()
 	v := &View{Config: k.config, Runners: make([]Runner, 0, len(k.records))}
@@ -249,10 +257,11 @@
 	return out
 }
 
-// Ticket is one request counted in at one upstream.
+// Ticket is the share of one request in the in-flight counts of one upstream. It
+// is safe for concurrent use.
 type Ticket struct {
 	counter *InFlightCounter
-	// prefill and decode are the tokens still counted in.
+	// prefill and decode are the tokens that are still counted.
 	prefill, decode atomic.Int64
 	requests        int64
 	done            atomic.Bool
@@ -265,13 +274,15 @@
 	return t
 }
 
-// PrefillDone counts the prompt out once its first token is there; the request
-// and its output stay counted in.
+// PrefillDone removes the prompt's tokens from the counts once the first output
+// token has arrived; the request and its output tokens remain counted. Calling
+// it again has no effect.
 func (t *Ticket) PrefillDone() {
 	t.counter.Add(Work{PrefillTokens: -t.prefill.Swap(0)})
 }
 
-// Done counts the request out; calling it again has no effect.
+// Done removes everything that is still counted for the request. Calling it
+// again has no effect.
 func (t *Ticket) Done() {
 	if t.done.CompareAndSwap(false, true) {
 		t.counter.Add(Work{
@@ -282,11 +293,11 @@
 	}
 }
 
-// Enter counts w in at the runner and only then reads the view again. If the
-// runner takes no new work by now it is counted out and Enter returns nil: the
-// caller must route anew. The order of the two steps is what makes an
-// acknowledged zero true: a request is either counted before the
-// acknowledgement is made or sees the drain.
+// Enter adds w to the runner's in-flight counts and only then reads the current
+// view. If the runner accepts no new work any more, Enter takes w off again and
+// returns nil, and the caller must choose another runner. The order of the two
+// steps is what makes an acknowledged drain reliable: a request is either
+// counted before Draining reads a count of zero, or it sees the drain.
 func (k *Keeper) Enter(r *Runner, w Work) *Ticket {
 	r.InFlight.Add(w)
 	current := k.View().Runner(r.Name)
@@ -297,17 +308,19 @@
 	return newTicket(r.InFlight, w)
 }
 
-// DrainStatus is a host's statement about one engine that takes no new work.
+// DrainStatus is a host's number of requests in flight at one engine whose order
+// forbids new work; Fence is that of the order. The drain is complete on this
+// host once InFlight is zero.
 type DrainStatus struct {
 	Engine   string
 	Fence    uint64
 	InFlight int64
 }
 
-// Draining lists the engines whose order forbids new work, with this host's
-// requests in flight, whether or not the engine is listed at the moment. An
-// order is published in a view before it can be read here, so a count of zero
-// stays zero for that fence.
+// Draining returns the status of the engines whose order forbids new work,
+// sorted by name, including engines that aren't listed. An order is published
+// in a view before Draining can see it, so a count of zero stays zero for that
+// fence.
 func (k *Keeper) Draining() []DrainStatus {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/coordination/snapshot/keeper_test.go
+++ b/coordination/snapshot/keeper_test.go
@@ -9,11 +9,14 @@
 	"github.com/thymerack/thymerack/state"
 )
 
+// engine returns an engine's entry in the platform's list.
 func engine(name, incarnation string, s state.ListedState) state.Listed {
 	return state.Listed{Name: name, Kind: state.ListedEngine, State: s, Incarnation: incarnation, Service: "llm"}
 }
 
-func TestEnterSeesADrainThatCameAfterTheChoice(t *testing.T) {
+// Guards against a request that is sent to an engine whose drain was ordered between
+// the choice of the runner and Enter, and against a Ticket that is counted out twice.
+func TestEnterRejectsARunnerDrainedAfterTheChoice(t *testing.T) {
 	is := is.New(t)
 	k := NewKeeper()
 	k.SetListed([]state.Listed{engine("e1", "1", state.ListedLive)})
@@ -30,7 +33,9 @@
 	is.Equal(k.Draining(), []DrainStatus{{Engine: "e1", Fence: 1, InFlight: 0}})
 }
 
-func TestRequestsInFlightOutliveAGapInTheList(t *testing.T) {
+// Guards against a drain that is acknowledged while requests are in flight, because
+// the engine was missing from the platform's list for a while and its counts were lost.
+func TestInFlightCountsSurviveAGapInTheList(t *testing.T) {
 	is := is.New(t)
 	k := NewKeeper()
 	list := []state.Listed{engine("e1", "1", state.ListedLive)}
@@ -39,12 +44,14 @@
 	is.True(ticket != nil)
 	k.SetListed(nil)
 	k.SetOrder(state.Order{Engine: "e1", Fence: 1, State: state.OrderDraining})
-	is.Equal(k.Draining()[0].InFlight, int64(1)) // while it isn't listed
+	is.Equal(k.Draining()[0].InFlight, int64(1)) // while the engine isn't listed
 	k.SetListed(list)
-	is.Equal(k.Draining()[0].InFlight, int64(1)) // and once it is again
+	is.Equal(k.Draining()[0].InFlight, int64(1)) // after it is listed again
 }
 
-func TestOlderKnowledgeIsDropped(t *testing.T) {
+// Orders of a lower fence, configurations of the same or a lower version and older
+// load reports don't replace newer ones: updates may arrive out of order.
+func TestStaleUpdatesAreIgnored(t *testing.T) {
 	is := is.New(t)
 	k := NewKeeper()
 	k.SetListed([]state.Listed{engine("e1", "1", state.ListedLive)})
@@ -62,11 +69,13 @@
 	is.Equal(k.View().Runner("e1").Load.DecodeRunning, int64(2))
 }
 
+// A peer's report that an upstream is leaving isn't undone by a platform list that
+// still shows the same incarnation as live.
 func TestLeavingHoldsUntilAnotherIncarnation(t *testing.T) {
 	is := is.New(t)
 	k := NewKeeper()
 	k.SetListed([]state.Listed{engine("e1", "1", state.ListedLive)})
-	k.MarkLeaving("e1", "1") // a peer knows before the platform's list says so here
+	k.MarkLeaving("e1", "1") // reported by a peer before the platform's list shows it here
 	k.SetListed([]state.Listed{engine("e1", "1", state.ListedLive)})
 	is.True(!k.View().Runner("e1").TakesWork())
 	k.SetListed([]state.Listed{engine("e1", "2", state.ListedLive)})
--- a/coordination/snapshot/snapshot.go
+++ b/coordination/snapshot/snapshot.go
@@ -1,6 +1,7 @@
-// Package snapshot keeps what a host knows of its upstreams and configuration
-// as one immutable View, replaced whole by a single writer, and counts the
-// host's own work in flight at each upstream.
+// Package snapshot holds a host's state of its upstreams and configuration as
+// one immutable View. A Keeper, the single writer, replaces the View as a
+// whole; readers load it without locking. The package also counts the host's
+// own work in flight at each upstream.
 package snapshot
 
 import (
@@ -10,22 +11,25 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Work is an amount of model work.
+// Work is an amount of model work: a number of requests, and their tokens to
+// prefill (prompt) and to decode (output).
 type Work struct {
 	Requests      int64 `msgpack:"r"`
 	PrefillTokens int64 `msgpack:"p"`
 	DecodeTokens  int64 `msgpack:"d"`
 }
 
-// InFlightCounter counts the work that this host has in flight at one upstream. It is
-// shared by all views and outlives them.
+// InFlightCounter counts the work that this host has in flight at one upstream.
+// All views share one counter per upstream name. It is safe for concurrent use;
+// the three counts are updated separately, so that a reader may see part of an
+// update.
 type InFlightCounter struct {
 	requests      atomic.Int64
 	prefillTokens atomic.Int64
 	decodeTokens  atomic.Int64
 }
 
-// Load returns the present counts.
+// Load returns the current counts.
 func (t *InFlightCounter) Load() Work {
 	return Work{
 		Requests:      t.requests.Load(),
@@ -34,19 +38,19 @@
 	}
 }
 
-// Add changes the counts by w; negative amounts take away.
+// Add adds w to the counts; negative amounts are subtracted.
 func (t *InFlightCounter) Add(w Work) {
 	t.requests.Add(w.Requests)
 	t.prefillTokens.Add(w.PrefillTokens)
 	t.decodeTokens.Add(w.DecodeTokens)
 }
 
-// Negate returns the opposite amount.
+// Negate returns w with all amounts negated.
 func (w Work) Negate() Work {
 	return Work{Requests: -w.Requests, PrefillTokens: -w.PrefillTokens, DecodeTokens: -w.DecodeTokens}
 }
 
-// Plus returns the sum of both amounts.
+// Plus returns the sum of w and o.
 func (w Work) Plus(o Work) Work {
 	return Work{
 		Requests:      w.Requests + o.Requests,
@@ -55,40 +59,46 @@
 	}
 }
 
-// Runner is one upstream as a View shows it. It is never changed once published;
-// only the counts behind InFlight move.
+// Runner is the state of one upstream in a View. It is immutable once published;
+// only the counts behind InFlight change.
 type Runner struct {
 	state.Upstream
-	// Target is the role, model and adapters the engine has, as far as known.
+	// Target is the role, model and adapters of the engine: those of a settled
+	// order, otherwise those of its last load report; zero if unknown.
 	Target state.Target
-	// Order is the engine's order object as last seen; zero when there is none.
+	// Order is the latest known order object of the engine; zero if there is none.
 	Order state.Order
-	// Leaving is true once the platform or a peer said that it leaves.
+	// Leaving is true once the platform or a peer has reported that the upstream
+	// is shutting down.
 	Leaving bool
-	// Unhealthy is true while its health checks fail.
+	// Unhealthy is true while the upstream's health checks fail.
 	Unhealthy bool
-	// Load is the last report; its TakenAt is zero when there is none.
+	// Load is the latest load report; its TakenAt is zero if there is none.
 	Load state.LoadReport
-	// PeerWork is what the other hosts say they have in flight here.
+	// PeerWork is the sum of the work that the other hosts report in flight at
+	// this upstream.
 	PeerWork Work
-	// PeerWorkAt is when Peers was last told.
+	// PeerWorkAt is the time of PeerWork. An update that leaves all amounts as they
+	// are publishes no view, so PeerWorkAt may be older than the last update.
 	PeerWorkAt time.Time
-	// InFlight counts this host's own work here.
+	// InFlight counts this host's own work in flight at this upstream.
 	InFlight *InFlightCounter
 }
 
-// TakesWork reports whether the runner may be given new work.
+// TakesWork reports whether the runner accepts new work: it isn't leaving, its
+// health checks pass and its order permits work.
 func (r *Runner) TakesWork() bool {
 	return !r.Leaving && !r.Unhealthy && r.Order.TakesWork()
 }
 
-// View is what a host knows at one moment. It is immutable.
+// View is a host's state of its upstreams and configuration at one moment. It is
+// immutable.
 type View struct {
-	// Seq grows by one with every view.
+	// Seq is one higher than in the previous view; the first view has 0.
 	Seq uint64
-	// Config is the shared configuration in force; nil before the first.
+	// Config is the shared configuration in force; nil before the first one arrives.
 	Config *state.Config
-	// Runners are sorted by name.
+	// Runners lists all upstreams, sorted by name.
 	Runners []Runner
 
 	byName    map[string]int
@@ -99,7 +109,7 @@
 	customers *state.CustomerIndex
 }
 
-// Runner returns the runner of that name, or nil.
+// Runner returns the runner of that name, or nil if none is listed.
 func (v *View) Runner(name string) *Runner {
 	i, ok := v.byName[name]
 	if !ok {
@@ -111,19 +121,19 @@
 // RunnersOf returns the runners of a service, sorted by name.
 func (v *View) RunnersOf(service string) []*Runner { return v.byService[service] }
 
-// Service returns the service of that name, or nil.
+// Service returns the configured service of that name, or nil.
 func (v *View) Service(name string) *state.Service { return v.services[name] }
 
-// ServiceOfModel returns the service that serves a model, or nil.
+// ServiceOfModel returns the configured service that serves a model, or nil.
 func (v *View) ServiceOfModel(model string) *state.Service { return v.byModel[model] }
 
-// Class returns the class of that name, or nil.
+// Class returns the configured class of that name, or nil.
 func (v *View) Class(name string) *state.Class { return v.classes[name] }
 
-// CustomerOfKey returns the customer whose key has that digest, or nil.
+// CustomerOfKey returns the customer with a key of that digest, or nil.
 func (v *View) CustomerOfKey(d state.KeyDigest) *state.Customer { return v.customers.ByDigest(d) }
 
-// index builds the look-up maps of a new view.
+// index builds the lookup maps over v.Runners.
 func (v *View) index() {
 	v.byName = make(map[string]int, len(v.Runners))
 	v.byService = make(map[string][]*Runner)
@@ -134,8 +144,8 @@
 	}
 }
 
-// indexConfig builds the look-up maps of a configuration, or takes them over
-// from the previous view when the configuration is the same.
+// indexConfig builds the lookup maps over v.Config, or reuses those of the
+// previous view if the configuration hasn't changed.
 func (v *View) indexConfig(previous *View) {
 	if previous != nil && previous.Config == v.Config {
 		v.services = previous.services
