--- a/coordination/fanout/ask.go
+++ b/coordination/fanout/ask.go
@@ -8,28 +8,30 @@
 )
 
 const (
-	// responseSlack is how much longer than asked for a relay's answer may take: a host
-	// with a fifth of a core stands still for a tenth of a second at times.
+	// responseSlack is how much longer than the requested wait a relay's response may take: a
+	// host with a fifth of a core stalls for a tenth of a second at times.
 	responseSlack = 250 * time.Millisecond
-	// startupFetchWait is how long a question waits at a relay that may be starting too.
+	// startupFetchWait limits the wait of fetches while this host lacks a copy: the relay may be
+	// starting too.
 	startupFetchWait = 250 * time.Millisecond
-	// startupResponseSlack is how much longer its answer may take: a first copy of the list of 3,000
-	// instances has some 100 KB, and the relay's link sends it to thirty hosts at once.
+	// startupResponseSlack replaces responseSlack while this host lacks a copy: a first copy of
+	// the list of 3,000 instances has some 100 KB, and the relay's link sends it to thirty hosts
+	// at once.
 	startupResponseSlack = 400 * time.Millisecond
-	// maxPeeks is how many peers a host asks at most when it starts or learns of a restoration:
-	// some may be starting too, or gone.
+	// maxPeeks is the number of peers that a host peeks at most when it starts or learns of a
+	// restoration of the store: some peers may be starting too, or gone.
 	maxPeeks = 3
 )
 
-// fetch asks a relay for news. One that follows the store is followed from then on, unless
-// this host relays as well.
+// fetch fetches from a relay. If the relay follows the store, this host follows that relay from
+// then on, unless this host relays as well.
 func (n *Node) fetch(ctx context.Context, source string, isRelay bool) {
 	wait := n.o.FetchWait
 	switch {
 	case !isRelay && n.lacksCopy():
 		wait = min(wait, startupFetchWait)
 	case n.storeUnavailable() || (!isRelay && !n.followsRelay(source)):
-		wait = 0 // first see whether it is of use
+		wait = 0 // check first whether the relay is usable
 	}
 	slack := responseSlack
 	if n.lacksCopy() {
@@ -44,12 +46,14 @@
 	switch {
 	case err == nil:
 		n.apply(resp, source, isRelay, sentAt)
+	// A fetch that recordFetch canceled says nothing about the relay.
 	case ctx.Err() == nil && !(n.hasFollowers(n.o.Clock.Now()) && !isRelay):
 		n.backOff(source, err.Error(), false)
 	}
 }
 
-// nextPeer is the other hosts in turn, from one that is chosen at random; "" if there are none.
+// nextPeer returns the addresses of the other hosts in turn, starting with a random one; "" if
+// there are none.
 func (n *Node) nextPeer() string {
 	if n.peekIndex == 0 {
 		n.peekIndex = n.o.Rand.IntN(max(1, len(n.cachedPlanHosts)))
@@ -63,15 +67,16 @@
 	return ""
 }
 
-// peekNext asks the next peer in turn, which may be of no use: silent, or without the store as well.
+// peekNext peeks at the next peer in turn. A failure is ignored: that peer may not respond, or may
+// have lost the store as well.
 func (n *Node) peekNext(ctx context.Context) {
 	if addr := n.nextPeer(); addr != "" {
 		n.peek(ctx, addr)
 	}
 }
 
-// checkRestoreAtStart asks peers whether the store was restored recently, which a host that has just started
-// and follows the store itself can't know; without a peer it assumes that it wasn't.
+// checkRestoreAtStart asks peers whether the store was restored recently, which a host that has just
+// started and follows the store itself can't know. If no peer responds it assumes no restoration.
 func (n *Node) checkRestoreAtStart(ctx context.Context) {
 	var resp Response
 	for range maxPeeks {
@@ -88,7 +93,8 @@
 	n.applyRestoreInfo(resp)
 }
 
-// applyRestoreInfo takes a peer's answer on that.
+// applyRestoreInfo passes on to the copies what a peer reported about the store's last recovery; the
+// zero Response stands for no report.
 func (n *Node) applyRestoreInfo(resp Response) {
 	n.restoreChecked = true
 	for kind, m := range n.o.Copies {
@@ -96,8 +102,8 @@
 	}
 }
 
-// peekAfterRestore asks some peers what they kept, once after each restoration of the store: this host
-// may never have had what the store lost.
+// peekAfterRestore peeks at some peers once after each restoration of the store: they may have kept
+// newer objects that the store lost and that this host never had.
 func (n *Node) peekAfterRestore(ctx context.Context) {
 	revision := uint64(0)
 	for _, m := range n.o.Copies {
@@ -113,8 +119,8 @@
 	}
 }
 
-// peek asks another host once, without following it. Kinds of which it may have kept newer objects than a
-// restored store has are asked for whole.
+// peek fetches from another host once, without following it; ok is false if the host didn't respond.
+// Kinds whose copies may hold newer objects than a restored store are fetched whole.
 func (n *Node) peek(ctx context.Context, addr string) (resp Response, ok bool) {
 	since := n.revisions()
 	for kind, m := range n.o.Copies {
@@ -127,14 +133,14 @@
 	sentAt := n.o.Clock.Now()
 	resp, err := n.o.Peers.Fetch(bounded, addr, Request{From: n.o.Self.Addr, Since: since, Peek: true})
 	if err != nil {
-		n.o.Log.Debug("peer not reached", "peer", addr, "cause", err.Error())
+		n.o.Log.Debug("peek failed", "peer", addr, "cause", err.Error())
 		return Response{}, false
 	}
 	n.merge(resp, addr, sentAt)
 	return resp, true
 }
 
-// merge takes what changed in the copies of a peer that was asked then.
+// merge takes the changes of a peer's response into the copies; sentAt is when the request was sent.
 func (n *Node) merge(resp Response, from string, sentAt time.Time) {
 	for kind, d := range resp.Changes {
 		if m := n.o.Copies[kind]; m != nil {
@@ -143,7 +149,8 @@
 	}
 }
 
-// apply takes the answer of a relay that was asked then.
+// apply processes a relay's response: its changes, its notices and whether it can be followed; sentAt
+// is when the request was sent.
 func (n *Node) apply(resp Response, source string, isRelay bool, sentAt time.Time) {
 	if !resp.Unavailable && !isRelay {
 		for _, m := range n.o.Copies {
@@ -168,8 +175,8 @@
 	}
 }
 
-// setCancelFetch notes how to end the question that waits; only one of a host that
-// doesn't relay is ended when it is asked to.
+// setCancelFetch sets how to cancel the pending fetch, or clears it. Only the fetch of a host that
+// doesn't relay is cancelable: it ends when the host has to begin to relay.
 func (n *Node) setCancelFetch(cancel context.CancelFunc, cancelable bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/coordination/fanout/avoid.go
+++ b/coordination/fanout/avoid.go
@@ -8,25 +8,28 @@
 )
 
 const (
-	// backoffInitial is how long a relay that is of no use is passed over, a quarter more or
-	// less; each further time in a row doubles it up to avoidMost. All sources can be
-	// tried in the meantime, each for silenceSlack.
+	// backoffInitial is how long a relay that failed isn't used, varied by up to a quarter. It
+	// doubles with each further failure in a row, up to backoffMax. All other sources can be
+	// tried within that time, each for responseSlack.
 	backoffInitial = 2 * time.Second
 	backoffMax     = 4 * time.Second
-	// backoffUnavailable is the same for a relay that answers and has lost the store, which it asks every
-	// second or so: a change must be in force some seconds after the store's return.
+	// backoffUnavailable replaces both for a relay that responds but has lost the store. Such a
+	// relay calls the store about every second, and a change must be in force some seconds after
+	// the store's return.
 	backoffUnavailable = time.Second
 )
 
-// relayBackoff passes over a relay that was of no use.
+// relayBackoff is the backoff of a relay that failed.
 type relayBackoff struct {
-	until    time.Time
+	// until is when the relay may be tried again.
+	until time.Time
+	// failures is the number of failures in a row.
 	failures int
-	// unavailable is set if the relay answered that it doesn't follow the store.
+	// unavailable is set if the relay's last response was that it doesn't follow the store.
 	unavailable bool
 }
 
-// firstUsable is the first source that isn't passed over, or "".
+// firstUsable returns the first source that isn't backed off from, or "".
 func (n *Node) firstUsable(sources []string, now time.Time) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -38,9 +41,10 @@
 	return ""
 }
 
-// backOff passes over a relay that was of no use, for longer each time.
+// backOff records a failure of a relay; unavailable says that the relay responded but doesn't follow
+// the store. The first failure in a row is logged.
 func (n *Node) backOff(source, cause string, unavailable bool) {
-	lacksCopy := n.lacksCopy() // takes the copies' locks, under which they notify this node
+	lacksCopy := n.lacksCopy() // before n.mu is locked: takes the copies' locks, which they hold while they call WakeFollowers
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	a := n.backoffs[source]
@@ -54,18 +58,18 @@
 	pause = pause*3/4 + time.Duration(n.o.Rand.Int64N(int64(pause/2)))
 	n.backoffs[source] = relayBackoff{n.o.Clock.Now().Add(pause), a.failures + 1, unavailable}
 	if a.failures == 0 {
-		n.o.Log.Info("relay not followed", "peer", source, "avoided", pause, "cause", cause)
+		n.o.Log.Info("relay not usable, backing off", "peer", source, "avoided", pause, "cause", cause)
 	}
 }
 
-// resetBackoff forgets the failures of a relay that is of use.
+// resetBackoff clears the failures of a relay that proved usable.
 func (n *Node) resetBackoff(source string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.backoffs, source)
 }
 
-// allUnavailable reports whether all relays answered that they don't follow the store.
+// allUnavailable reports whether all sources, at least one, responded that they don't follow the store.
 func (n *Node) allUnavailable(sources []string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -77,7 +81,7 @@
 	return len(sources) > 0
 }
 
-// dropUnlisted drops what is known of relays that are no longer listed.
+// dropUnlisted removes the backoffs and cursors of hosts that are no longer listed.
 func (n *Node) dropUnlisted(hosts []state.Peer) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/coordination/fanout/doc.go
+++ b/coordination/fanout/doc.go
@@ -1,9 +1,12 @@
-// Package fanout lets a few hosts of each failure domain follow the platform's store and
-// the others follow them, so that the calls at the store don't grow with the fleet.
+// Package fanout distributes copies of the platform's store within the fleet: a few relays of
+// each failure domain follow the store, and the other hosts, the followers, fetch changes from
+// the relays. The number of calls to the store therefore doesn't grow with the fleet. The package
+// also carries notices, short-lived messages from one host to all others.
 //
-// Every host computes the same relays from the list of hosts, without asking. A host that
-// is asked to relay follows the store itself from then on, whatever it has computed: two
-// hosts with different lists agree by that, and no two wait for each other. A host passes
-// over a relay that is silent, leaves or has lost the store, and follows the store itself
-// when it knows no other; what it has never goes back to a lower revision.
+// Every host computes the same relays from the list of hosts, without coordination. A host
+// that receives a fetch follows the store from then on, even if it isn't a relay by its own
+// list: hosts with different lists still get their changes, and no two hosts wait for each
+// other. A follower backs off from a relay that doesn't respond, is leaving or has lost the
+// store, and follows the store itself if no other relay is usable. The revision of a copy never
+// decreases.
 package fanout
--- a/coordination/fanout/fanout_test.go
+++ b/coordination/fanout/fanout_test.go
@@ -16,10 +16,10 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// fleetSize is the size that the brief gives as where this is going.
+// fleetSize is the largest planned number of hosts.
 const fleetSize = 320
 
-// withFleet plays a test on a fleet that has settled.
+// withFleet runs a test on a fleet of n hosts that has had 10 s to start.
 func withFleet(t *testing.T, n int, run func(is *is.I, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -28,14 +28,14 @@
 		defer f.end()
 		time.Sleep(10 * time.Second)
 		if stale := f.staleHosts(kindThings, "r0", "ready"); len(stale) > 0 {
-			t.Fatalf("not started: %s", summarize(stale))
+			t.Fatalf("no first copy after 10 s: %s", summarize(stale))
 		}
 		run(is.New(t), f)
 	})
 }
 
-// One change costs a call of each relay, not of each host, and is known everywhere at once.
-func TestCallsAtTheStoreDoNotGrowWithTheFleet(t *testing.T) {
+// A change costs one call per relay, not one per host, and reaches all hosts within 100 ms.
+func TestStoreCallsDoNotGrowWithFleetSize(t *testing.T) {
 	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		relays := len(f.relays())
 		is.Equal(relays, testDomains*relaysPerDomain)
@@ -49,59 +49,59 @@
 		time.Sleep(100 * time.Millisecond)
 		is.Equal(f.staleHosts(kindThings, "r7", ""), nil)
 		time.Sleep(20 * time.Second)
-		is.True(f.takeCallCount() <= relays*(11+2*2)) // the changes, and two ends of each waiting watch
+		is.True(f.takeCallCount() <= relays*(11+2*2)) // a call per change, and two renewals of each waiting watch
 	})
 }
 
-// Domains with a handful of hosts need no relays: all of their hosts follow the store.
+// Failure domains with a handful of hosts need no relays: all hosts follow the store.
 func TestSmallFleetFollowsTheStore(t *testing.T) {
 	withFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
 		is.Equal(len(f.relays()), 2*testDomains)
 	})
 }
 
-// Whatever happens to relays, every host that reaches the store has a change within the
-// bound, counted from the change; those that don't have it from a peer.
-func TestChangesAreKnownInTimeThoughRelaysFail(t *testing.T) {
+// Guards against changes that take longer than their bound, counted from the change, because relays
+// or the store fail: hosts that don't reach the store get changes from peers in time, too.
+func TestChangesPropagateInTimeWhenRelaysFail(t *testing.T) {
 	for name, inject := range map[string]func(f *fleet){
-		"one relay of each domain is killed": func(f *fleet) {
+		"one relay of each domain fails": func(f *fleet) {
 			for i, h := range f.relays() {
 				if i%2 == 0 {
 					f.set(f.unresponsive, h.self.Addr, true)
 				}
 			}
 		},
-		"all relays of a domain are lost at once": func(f *fleet) {
+		"all relays of a domain fail at once": func(f *fleet) {
 			for _, h := range f.relays() {
 				if h.self.FailureDomain == "d1" {
 					f.set(f.unresponsive, h.self.Addr, true)
 				}
 			}
 		},
-		"all relays are lost at once": func(f *fleet) {
+		"all relays fail at once": func(f *fleet) {
 			for _, h := range f.relays() {
 				f.set(f.unresponsive, h.self.Addr, true)
 			}
 		},
-		"a relay is cut off from the store": func(f *fleet) { f.set(f.partitioned, f.relays()[0].self.Addr, true) },
-		"a domain's relays are cut off from the store": func(f *fleet) {
+		"a relay is partitioned from the store": func(f *fleet) { f.set(f.partitioned, f.relays()[0].self.Addr, true) },
+		"a domain's relays are partitioned from the store": func(f *fleet) {
 			for _, h := range f.relays() {
 				if h.self.FailureDomain == "d2" {
 					f.set(f.partitioned, h.self.Addr, true)
 				}
 			}
 		},
-		"the store turns a third away": func(f *fleet) {
+		"the store refuses a third of the hosts": func(f *fleet) {
 			for i, h := range f.hosts {
 				f.set(f.refused, h.self.Addr, i%3 == 0)
 			}
 		},
-		"the store turns all relays away": func(f *fleet) {
+		"the store refuses all relays": func(f *fleet) {
 			for _, h := range f.relays() {
 				f.set(f.refused, h.self.Addr, true)
 			}
 		},
-		"the store forgets its history": func(f *fleet) { f.store.Forget() },
+		"the store drops its history": func(f *fleet) { f.store.Forget() },
 		"relays leave": func(f *fleet) {
 			for _, h := range f.relays() {
 				h.Leave()
@@ -125,9 +125,9 @@
 	}
 }
 
-// The store drops its history and cuts all waiting watches: the relays ask again at once,
-// and the others stay with them.
-func TestCutWatchesAreNoLossOfTheStore(t *testing.T) {
+// The store drops its history and ends all waiting watches. Guards against relays that take this for
+// an outage: they must call the store again at once, and their followers stay with them.
+func TestDroppedWatchesAreNotAnOutage(t *testing.T) {
 	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		f.takeCallCount()
 		f.dropWatches()
@@ -140,8 +140,9 @@
 	})
 }
 
-// While the store is down nobody storms it, and all know what changed soon after its end.
-func TestOutageOfTheStoreEndsForAllAtOnce(t *testing.T) {
+// During an outage the hosts together send less than one call per host and second to the store, and
+// all hosts have the changes soon after its end.
+func TestFleetRecoversFromAStoreOutage(t *testing.T) {
 	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		f.mu.Lock()
 		f.down = true
@@ -158,21 +159,22 @@
 		time.Sleep(2 * time.Second)
 		is.Equal(f.staleHosts(kindConfig, "main", "2"), nil)
 		for _, h := range f.hosts {
-			is.True(h.copies[kindThings].UnavailableWithin(10 * time.Second)) // all know that entries may be missing
+			is.True(h.copies[kindThings].UnavailableWithin(10 * time.Second)) // every host knows of the outage, after which entries may be missing
 		}
 		time.Sleep(10 * time.Second)
 		is.True(len(f.relays()) <= 4*testDomains*relaysPerDomain) // the others follow peers again
 	})
 }
 
-// A host that believes in other relays than the rest is served all the same, and two that
-// would follow each other both follow the store.
-func TestHostsThatDisagreeWhoRelays(t *testing.T) {
+// Hosts whose lists name other relays than those of the rest are served all the same, and two hosts
+// that would follow each other both follow the store.
+func TestHostsThatDisagreeOnRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 60)
 		weakHost := func(n int) *host { return f.hosts[30+n] }
-		// Each knows only a few others, so that the weak ones relay by their lists.
+		// Each of these hosts lists only other weak hosts, so that weak hosts are relays by
+		// its list.
 		for n := range 10 {
 			var list []state.Peer
 			for other := range 30 {
@@ -191,8 +193,9 @@
 	})
 }
 
-// Three quarters more hosts at once, and a relay that only they know.
-func TestHostsAreAdded(t *testing.T) {
+// Three quarters more hosts start at once. Their lists are complete, and those of the others don't
+// have them yet, so that a relay may be known to the new hosts only.
+func TestAddedHostsFetchFromRelays(t *testing.T) {
 	withFleet(t, 160, func(is *is.I, f *fleet) {
 		f.takeCallCount()
 		for i := range 120 {
@@ -205,13 +208,13 @@
 		}
 		time.Sleep(testFetchWait)
 		is.Equal(f.staleHosts(kindThings, "r0", "ready"), nil)
-		is.True(f.takeCallCount() < 100) // they ask relays, not the store
+		is.True(f.takeCallCount() < 100) // the new hosts fetch from relays, not from the store
 	})
 }
 
-// All hosts start again at once: each has its copies within two seconds, and the store is
-// asked by the relays alone.
-func TestAllHostsReturnAtOnce(t *testing.T) {
+// All hosts start at the same moment: they have their copies within half a second, and only the relays
+// call the store.
+func TestAllHostsRestartAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, fleetSize)
@@ -224,10 +227,10 @@
 	})
 }
 
-// The relays return a moment after the others, which wait for them instead of asking the
-// store; relays that don't return are not waited for long.
-func TestHostsThatReturnBeforeTheirRelaysWaitForThem(t *testing.T) {
-	for name, delay := range map[string]time.Duration{"a moment later": 400 * time.Millisecond, "not at all": time.Hour} {
+// The relays start a moment after the other hosts, which must wait for them rather than call the
+// store. If the relays don't start at all, the others wait for a limited time only.
+func TestHostsStartedBeforeTheirRelaysWaitForThem(t *testing.T) {
+	for name, delay := range map[string]time.Duration{"relays start a moment later": 400 * time.Millisecond, "relays don't start": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -264,15 +267,15 @@
 	}
 }
 
-// What one host tells all, each hears once and within a third of a second, whichever host
-// it is and though some relays are lost.
+// Every host gets a notice exactly once and within 300 ms, whichever host publishes it and even if some
+// relays have failed.
 func TestNoticesReachAllHostsOnce(t *testing.T) {
 	for _, lost := range []int{0, 1, 3} {
 		withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 			for _, h := range f.relays()[:lost] {
 				f.set(f.unresponsive, h.self.Addr, true)
 			}
-			time.Sleep(5 * time.Second) // their followers have gone to others
+			time.Sleep(5 * time.Second) // the followers of the failed relays have moved to others
 			for i, h := range []*host{f.hosts[319], f.hosts[200], f.hosts[104]} {
 				h.Publish(context.Background(), "test", fmt.Append(nil, i))
 			}
@@ -288,7 +291,7 @@
 	}
 }
 
-// Small domains have no relays: the host itself tells each.
+// Small domains have no relays: the publishing host sends the notice to each host itself.
 func TestNoticesInASmallFleet(t *testing.T) {
 	withFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
 		f.hosts[3].Publish(context.Background(), "test", []byte("x"))
@@ -301,8 +304,9 @@
 	})
 }
 
-// A relay keeps notices for some seconds, and forgets them.
-func TestOldNoticesAreForgotten(t *testing.T) {
+// A relay keeps notices for noticeRetention and drops them, with their identities, afterwards. A cursor
+// of another relay yields all notices.
+func TestOldNoticesAreDropped(t *testing.T) {
 	is := is.New(t)
 	b := newNoticeLog("relay-1")
 	now := time.Now()
@@ -322,9 +326,9 @@
 	is.Equal(len(b.seen), 1)
 }
 
-// Each host is looked after by one relay of its domain, and each relay by the other one;
-// hosts that are no relays look after nobody.
-func TestEachHostIsLookedAfterByOneRelay(t *testing.T) {
+// Every host is monitored by exactly one relay of its domain, relays by the other relay. Hosts that
+// aren't relays monitor none.
+func TestEachHostIsMonitoredByOneRelay(t *testing.T) {
 	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		relays := map[string]bool{}
 		for _, h := range f.relays() {
@@ -343,10 +347,10 @@
 	})
 }
 
-// A copy notifies its host under its own lock: a host that passes over a relay at that
-// moment must not hold its lock while it asks the copy for something. With the locks taken
-// the other way round this test doesn't end.
-func TestPassingOverARelayHoldsUpNoNews(t *testing.T) {
+// Guards against a deadlock: a copy notifies its host while it holds its own lock, so a host that backs
+// off from a relay at that moment must not read the copy with its own lock held. With that order of
+// locks this test doesn't end.
+func TestBackoffDoesNotDeadlockWithANotifyingCopy(t *testing.T) {
 	f := newFleet(t, 1)
 	h := f.hosts[0]
 	entered, release := make(chan struct{}), make(chan struct{})
--- a/coordination/fanout/fanouttest/fanouttest.go
+++ b/coordination/fanout/fanouttest/fanouttest.go
@@ -1,4 +1,4 @@
-// Package fanouttest helps to test what hosts tell each other by notices.
+// Package fanouttest provides a fanout.Node for tests of packages that publish notices.
 package fanouttest
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// noPeers are the peers of a host that is alone; none is ever asked.
+// noPeers implements fanout.Peers for a host without peers: every call fails.
 type noPeers struct{}
 
 func (noPeers) Fetch(context.Context, string, fanout.Request) (fanout.Response, error) {
@@ -23,7 +23,8 @@
 
 func (noPeers) SendNotice(context.Context, string, fanout.Notice) error { return context.Canceled }
 
-// NewNode returns the node of a host without others, which hears what it publishes itself.
+// NewNode returns a node without peers. It receives only the notices that it publishes itself and
+// those that the test delivers.
 func NewNode(t *testing.T) *fanout.Node {
 	t.Helper()
 	n, err := fanout.New(fanout.Options{
--- a/coordination/fanout/fleet_test.go
+++ b/coordination/fanout/fleet_test.go
@@ -21,53 +21,67 @@
 )
 
 const (
-	kindConfig       = "config"
-	kindThings       = "things"
-	testFetchWait    = time.Second // a quarter of a bound of 4 s
+	// kindConfig has one object, "main", whose value is a version number; kindThings has r0 to r19.
+	kindConfig = "config"
+	kindThings = "things"
+	// testFetchWait is the FetchWait of all hosts, a quarter of propagationBound.
+	testFetchWait = time.Second
+	// propagationBound is the time within which a change must be in force.
 	propagationBound = 4 * time.Second
 	testDomains      = 5
-	// testSettle is how long after a restoration what the store lost may not be written again.
+	// testSettle is the Settle option of all copies: for how long a restored store may lack what
+	// it lost, until that is written again.
 	testSettle = 2 * time.Second
 )
 
 var kinds = []string{kindConfig, kindThings}
 
-// fleet is hosts over one store, each in touch with the others until it is taken away.
+// fleet is a number of hosts with one store and a network, with faults that tests set.
 type fleet struct {
 	t     *testing.T
 	store *storetest.Platform
 	hosts []*host
 
-	mu           sync.Mutex
-	unresponsive map[string]bool // answer nobody and ask nobody
-	partitioned  map[string]bool // don't reach the store, which they learn by silence
-	refused      map[string]bool // are turned away by the store
-	down         bool
-	calls        map[string]int
-	callCount    int
-	// watches are ended, with an error, when watchesDropped is closed.
+	mu sync.Mutex
+	// The faults are by host address. Unresponsive hosts neither answer calls nor make any;
+	// partitioned ones don't reach the store and notice it only by a timeout; refused ones get an
+	// error from the store.
+	unresponsive map[string]bool
+	partitioned  map[string]bool
+	refused      map[string]bool
+	// down makes the store refuse all hosts.
+	down bool
+	// calls counts the calls to the store by host.
+	calls map[string]int
+	// callCount is the number of calls to the store since takeCallCount was called last.
+	callCount int
+	// watchesDropped ends all waiting watches with an error when it is closed.
 	watchesDropped chan struct{}
 }
 
+// host is a Node with its copies.
 type host struct {
 	*Node
-	f        *fleet
-	self     state.Peer
-	list     []state.Peer
-	copies   map[string]*follow.Mirror
-	received []string // notices, by their bodies
+	f    *fleet
+	self state.Peer
+	// list is the host's list of all hosts.
+	list   []state.Peer
+	copies map[string]*follow.Mirror
+	// received are the bodies of the notices that the host got.
+	received []string
 	// inForce is the highest version of the configuration that the host has had.
 	inForce atomic.Int64
 	stop    context.CancelFunc
 	ended   chan struct{}
 }
 
-// partitionDetection is how long a cut from the store goes unnoticed by a waiting watch.
+// partitionDetection is how long a call of a partitioned host takes to fail.
 const partitionDetection = 3 * time.Second
 
+// newFleet returns a fleet of n hosts whose watches wait at the store for at most 20 s.
 func newFleet(t *testing.T, n int) *fleet { return newFleetWithWatchWait(t, n, 20*time.Second) }
 
-// newFleetWithWatchWait makes a fleet whose watches wait at the store for at most wait.
+// newFleetWithWatchWait returns a fleet of n hosts whose watches wait at the store for at most wait.
 func newFleetWithWatchWait(t *testing.T, n int, wait time.Duration) *fleet {
 	f := &fleet{
 		t: t, store: storetest.NewPlatform(wait),
@@ -95,7 +109,7 @@
 	return out
 }
 
-// newHost makes a host; one in twenty is strong.
+// newHost returns the host number i, which isn't started; one in twenty is strong (class 5).
 func (f *fleet) newHost(i int) *host {
 	class := 1
 	if i/testDomains%20 == 0 {
@@ -135,7 +149,7 @@
 	return h
 }
 
-// applyConfig puts a higher version of the configuration in force, as a host does.
+// applyConfig puts the configuration of a copy in force if its version is higher.
 func (h *host) applyConfig(c follow.Copy) {
 	for _, o := range c.Objects {
 		if version := versionOf(o); version > h.inForce.Load() {
@@ -144,7 +158,7 @@
 	}
 }
 
-// versionOf is the version of a configuration, 0 for any other object.
+// versionOf returns the version of the configuration object, 0 for any other object.
 func versionOf(o store.Object) int64 {
 	version, err := strconv.ParseInt(string(o.Value), 10, 64)
 	if o.Name != "main" || err != nil {
@@ -191,9 +205,10 @@
 	return state[addr]
 }
 
+// operator is the caller whose calls to the store aren't counted and never fail.
 const operator = "operator"
 
-// write changes an object.
+// write creates or replaces an object as the operator.
 func (f *fleet) write(kind, name, value string) {
 	c := f.store.Client(operator)
 	var version uint64
@@ -205,6 +220,7 @@
 	}
 }
 
+// remove deletes an object as the operator.
 func (f *fleet) remove(kind, name string) {
 	c := f.store.Client(operator)
 	o, err := c.Get(context.Background(), kind, name)
@@ -216,7 +232,7 @@
 	}
 }
 
-// script counts the hosts' calls, and refuses those of hosts that are turned away.
+// script counts the hosts' calls to the store, and refuses those of hosts that are set to be refused.
 func (f *fleet) script(c storetest.Call) storetest.Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -231,7 +247,7 @@
 	return storetest.None
 }
 
-// takeCallCount returns the hosts' calls at the store since it was asked last.
+// takeCallCount returns the number of the hosts' calls to the store since the last takeCallCount.
 func (f *fleet) takeCallCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -240,7 +256,8 @@
 	return out
 }
 
-// staleHosts returns the hosts whose copy of an object isn't value ("" for none).
+// staleHosts returns the responsive hosts whose copy of an object doesn't have the value, "" meaning
+// that the object is absent.
 func (f *fleet) staleHosts(kind, name, value string) []string {
 	var out []string
 	for _, h := range f.hosts {
@@ -273,8 +290,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// faultyStore is the store as a host reaches it: over a cut a call hears nothing until the cut
-// is noticed.
+// faultyStore is the store as one host reaches it, with the faults of the fleet.
 type faultyStore struct {
 	*storetest.Client
 	f    *fleet
@@ -300,7 +316,7 @@
 		return b, &store.UnavailableError{Cause: errNoAnswer}
 	}
 	if err == nil {
-		err = s.reach(ctx) // the answer is lost in the cut as well
+		err = s.reach(ctx) // a partition that began meanwhile drops the answer, too
 	}
 	return b, err
 }
@@ -319,7 +335,7 @@
 	return b, err
 }
 
-// onWatchesDropped calls cut when all watches are cut; the returned function ends that.
+// onWatchesDropped calls drop when all watches are dropped, until the returned function is called.
 func (f *fleet) onWatchesDropped(drop func()) (done func()) {
 	f.mu.Lock()
 	dropped := f.watchesDropped
@@ -335,7 +351,7 @@
 	return func() { close(over) }
 }
 
-// dropWatches drops the store's history and cuts all waiting watches.
+// dropWatches drops the store's history and ends all waiting watches.
 func (f *fleet) dropWatches() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -344,6 +360,7 @@
 	f.store.Forget()
 }
 
+// reach fails after partitionDetection if the host is partitioned from the store or unresponsive.
 func (s faultyStore) reach(ctx context.Context) error {
 	if !s.f.is(s.f.partitioned, s.addr) && !s.f.is(s.f.unresponsive, s.addr) {
 		return nil
@@ -354,12 +371,13 @@
 	return &store.UnavailableError{Cause: errNoAnswer}
 }
 
-// network carries the hosts' calls.
+// network implements Peers for the host at address from.
 type network struct {
 	f    *fleet
 	from string
 }
 
+// networkDelay is the delay of a message in one direction.
 const networkDelay = time.Millisecond
 
 // Fetch implements Peers.
@@ -385,7 +403,8 @@
 	return err
 }
 
-// reach brings a call to a host.
+// reach returns the host at addr after networkDelay. It waits until ctx ends if either host is
+// unresponsive.
 func (n network) reach(ctx context.Context, addr string) (*host, error) {
 	if err := (clocktest.Bubble{}).Sleep(ctx, networkDelay); err != nil {
 		return nil, err
@@ -404,7 +423,7 @@
 	return nil, errors.New("connection refused")
 }
 
-// summarize describes hosts, for messages.
+// summarize describes hosts for failure messages.
 func summarize(hosts []string) string {
 	return fmt.Sprintf("%d hosts: %s", len(hosts), strings.Join(hosts[:min(5, len(hosts))], " "))
 }
--- a/coordination/fanout/look.go
+++ b/coordination/fanout/look.go
@@ -7,16 +7,18 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// LastFetchFrom is when a host asked this one; zero if it hasn't recently.
+// LastFetchFrom returns when the host at addr last fetched from this one, peeks excluded; zero if it
+// hasn't recently.
 func (n *Node) LastFetchFrom(addr string) time.Time {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.lastFetchFrom[addr]
 }
 
-// Monitors reports whether this host looks after another of its domain. The first relays
-// by the order that all compute, but for those that this host found silent itself, look
-// after each other, and each after the hosts that would follow it.
+// Monitors reports whether this host checks the liveness of another host of its failure domain. The
+// monitors of a domain are its first relaysPerDomain hosts in the order in which relays are chosen,
+// without those that this host found to fail. They monitor each other, and each monitors the hosts
+// that would follow it. A host that doesn't follow the store, or isn't answered by it, monitors none.
 func (n *Node) Monitors(addr string) bool {
 	if !n.FollowsStore() || !n.fresh() {
 		return false
@@ -35,5 +37,5 @@
 	return slices.Contains(monitors, addr) || rendezvousOrder(addr, monitors)[0] == n.o.Self.Addr
 }
 
-// failuresToReplace is how often in a row a relay was of no use before others stand in for it.
+// failuresToReplace is the number of failures in a row after which a relay is replaced as a monitor.
 const failuresToReplace = 3
--- a/coordination/fanout/message.go
+++ b/coordination/fanout/message.go
@@ -7,42 +7,46 @@
 	"github.com/thymerack/thymerack/coordination/follow"
 )
 
-// Revisions are those of a host's copies, by kind.
+// Revisions are the store revisions of a host's copies, by kind.
 type Revisions map[string]uint64
 
-// Request is what a host asks a relay.
+// Request is a fetch: it asks a relay for the changes and notices that a host lacks.
 type Request struct {
-	// From is the host that asks.
+	// From is the address of the host that fetches.
 	From string
-	// Since are the revisions that the host has, and Read how far it has read the
-	// relay's notices.
+	// Since are the revisions that the host has, and Cursor is its position in the relay's
+	// notices.
 	Since  Revisions
 	Cursor Cursor
-	// Wait is how long the relay waits if it has nothing for the host.
+	// Wait is how long the relay holds the request while it has nothing new for the host.
 	Wait time.Duration
-	// Peek asks for what the other has at this moment, and not to relay from then on.
+	// Peek asks for the current changes only: the response comes at once, and the other host
+	// doesn't start to follow the store for this one.
 	Peek bool
 }
 
-// Response is what a relay answers.
+// Response is a relay's answer to a Request.
 type Response struct {
-	// Unavailable says that the relay doesn't follow the store at present.
+	// Unavailable reports that the host can't relay at present: it is leaving, doesn't follow
+	// the store or gets no answer from it. Changes and Notices are valid all the same.
 	Unavailable bool
-	// RecoveredAgo is how long ago the store answered the relay again, 0 while it doesn't; Ever is
-	// false if it always has.
+	// RecoveredAgo is how long ago the store became available to the relay again after its
+	// last outage or restoration, 0 during an outage. HadOutage is false if the relay has seen
+	// no outage; RecoveredAgo has no meaning then.
 	RecoveredAgo time.Duration
 	HadOutage    bool
-	// Changes are by kind.
+	// Changes are the changes after the request's revisions, by kind.
 	Changes map[string]follow.Delta
 	Notices []Notice
-	// Cursor is the cursor after Notices.
+	// Cursor is the position after Notices, for the next request.
 	Cursor Cursor
 }
 
-// Peers reaches other hosts.
+// Peers calls other hosts. An error means that a call failed; a host that responds that it can't
+// relay returns a Response and no error.
 type Peers interface {
-	// Fetch asks the host at addr for what it has beyond the question.
+	// Fetch requests changes and notices from the host at addr.
 	Fetch(ctx context.Context, addr string, req Request) (Response, error)
-	// SendNotice tells the host at addr a notice.
+	// SendNotice delivers a notice to the host at addr.
 	SendNotice(ctx context.Context, addr string, n Notice) error
 }
--- a/coordination/fanout/node.go
+++ b/coordination/fanout/node.go
@@ -13,78 +13,91 @@
 )
 
 const (
-	// startupRelayWait is how long a host that has no copy yet waits for relays that start
-	// with it, and startRetry the pause before one is asked again: when all hosts return
-	// at once, each asking the store would be some thousand calls. A relay needs some
-	// tens of milliseconds once its process runs.
+	// startupRelayWait is how long a host that lacks a copy waits for relays that are starting
+	// too before it follows the store, and startupRetryInterval the pause before it tries a
+	// relay again: when all hosts restart at once, the store would get some thousand calls
+	// otherwise. A relay has its copies some tens of milliseconds after its process started.
 	startupRelayWait     = 1500 * time.Millisecond
 	startupRetryInterval = 100 * time.Millisecond
-	// relayLinger is how long a host goes on following the store after it was asked last:
-	// some questions of each follower may be lost.
+	// relayLinger is how long a host goes on following the store after the last fetch that it
+	// received: some fetches of each follower may be lost.
 	relayLinger = 10 * time.Second
-	// recheckInterval is how often a host that has nobody to follow looks again.
+	// recheckInterval is how often a host that has no relay to fetch from reconsiders its plan.
 	recheckInterval = 500 * time.Millisecond
 )
 
 // Options configure a Node. All fields are required.
 type Options struct {
+	// Self is this host.
 	Self state.Peer
-	// RunID names this run of the host, unlike any other.
+	// RunID identifies this run of the host; no other run of any host has the same.
 	RunID string
-	// Hosts lists all hosts. A list that has been returned is never changed.
+	// Hosts lists all hosts. The caller must not modify a list after returning it.
 	Hosts func() []state.Peer
-	// Copies are this host's, by kind.
+	// Copies are this host's copies of the store's objects, by kind.
 	Copies map[string]*follow.Mirror
 	Peers  Peers
 	Clock  state.Clock
-	// Rand spreads the times at which hosts come back to a relay; Run alone uses it.
+	// Rand spreads the times at which hosts retry a relay or the store. It is used by the
+	// goroutine of Run only.
 	Rand *rand.Rand
 	Log  *slog.Logger
-	// FetchWait is how long a question waits at a relay. A relay that is silent for that long
-	// and a moment more is passed over: a quarter of the time in which changes must be
-	// in force leaves room for the next one's answer.
+	// FetchWait is how long a fetch waits at a relay for changes. A host backs off from a relay
+	// that doesn't respond within FetchWait and responseSlack. A quarter of the time in which
+	// changes must be in force leaves time for the response of the next relay.
 	FetchWait time.Duration
 }
 
-// Node keeps one host's copies up to date, and those of the hosts that follow it.
+// Node keeps the copies of one host up to date, and serves them to its followers.
 type Node struct {
-	o        Options
-	notices  *noticeLog
+	o       Options
+	notices *noticeLog
+	// handlers are the functions set by Subscribe.
 	handlers map[Topic]func([]byte)
-	// cursors is how far the notices of each relay were cursors; Run alone uses it.
+	// cursors are the positions up to which the notices of each relay were read, by the relay's
+	// address. Used by Run only.
 	cursors map[string]Cursor
 
-	mu          sync.Mutex
-	backoffs    map[string]relayBackoff
+	mu sync.Mutex
+	// backoffs are the relays that failed, by address.
+	backoffs map[string]relayBackoff
+	// lastFetchAt is when the last fetch of any host came in; zero if none has.
 	lastFetchAt time.Time
-	// lastFetchFrom is when hosts asked this one, by their addresses.
+	// lastFetchFrom is when the last fetch of each host came in, by the host's address.
 	lastFetchFrom map[string]time.Time
-	leaving       bool
-	// changed is closed when a copy or the word of the store changes.
+	// leaving is set once this host no longer relays because it shuts down.
+	leaving bool
+	// changed is closed, and replaced, when a copy, the store's availability or the notices
+	// change.
 	changed chan struct{}
-	// cancelFetch ends the question that waits at a relay.
+	// cancelFetch cancels the pending fetch, so that a follower that receives a fetch itself
+	// follows the store at once; nil if no fetch is pending or this host relays already.
 	cancelFetch context.CancelFunc
-	// source is the relay that is followed; "" for the store.
+	// source is the address of the relay that is followed; "" if it is the store.
 	source string
-	// nextStoreProbe is when the store may be asked next while the relays have lost it.
+	// nextStoreProbe is when the store may be probed next while all relays have lost it. Used by
+	// Run only.
 	nextStoreProbe time.Time
-	// peekIndex is the index of the peer that was peeked at last, and settled is set once a peer has told
-	// whether the store was restored recently, or none could; Run alone uses them.
+	// peekIndex, modulo the number of hosts, is the index in cachedPlanHosts of the peer that was
+	// peeked at last.
+	// restoreChecked is set once a peer has reported whether the store was restored recently, or
+	// no peer could. Used by Run only.
 	peekIndex      int
 	restoreChecked bool
-	// checkedRevision is the latest of the copies when they were last looked at for a restoration; Run
-	// alone uses it.
+	// checkedRevision is the highest revision of the copies at the last check for a restoration
+	// of the store. Used by Run only.
 	checkedRevision uint64
-	// startedAt is when Run began; Run alone uses it.
+	// startedAt is when Run began. Used by Run only.
 	startedAt time.Time
-	// cachedPlan is the plan for the list of hosts of plannedOf; Run alone uses them.
+	// cachedPlan is the plan for the list of hosts cachedPlanHosts. Used by Run only.
 	cachedPlan      plan
 	cachedPlanHosts []state.Peer
-	// stopFollowing ends the runs of the copies at the store; nil while a relay is followed.
+	// stopFollowing ends the runs of the copies that follow the store; nil while a relay is
+	// followed.
 	stopFollowing func()
 }
 
-// New validates the options.
+// New returns a node. It fails if a field of the options is missing.
 func New(o Options) (*Node, error) {
 	if o.Self.Addr == "" || o.RunID == "" || o.Hosts == nil || len(o.Copies) == 0 || o.Peers == nil || o.Clock == nil || o.Rand == nil || o.Log == nil || o.FetchWait <= 0 {
 		return nil, errors.New("fanout: a field of Options is missing; set all of them")
@@ -92,7 +105,8 @@
 	return &Node{o: o, notices: newNoticeLog(o.RunID), handlers: map[Topic]func([]byte){}, cursors: map[string]Cursor{}, backoffs: map[string]relayBackoff{}, lastFetchFrom: map[string]time.Time{}, changed: make(chan struct{})}, nil
 }
 
-// WakeFollowers is to be called when a copy or the word of the store has changed.
+// WakeFollowers answers pending fetches that have something to return. It must be called when
+// a copy or the store's availability has changed.
 func (n *Node) WakeFollowers() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -100,7 +114,7 @@
 	n.changed = make(chan struct{})
 }
 
-// Leave sends those who follow this host to others.
+// Leave makes this host unavailable as a relay, so that its followers move to others.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.leaving = true
@@ -115,7 +129,7 @@
 	return n.stopFollowing != nil
 }
 
-// Run keeps the copies up to date until ctx ends.
+// Run keeps the copies up to date until ctx ends. It must be called once.
 func (n *Node) Run(ctx context.Context) {
 	defer n.stopFollowingStore()
 	n.startedAt = n.o.Clock.Now()
@@ -127,7 +141,8 @@
 	}
 }
 
-// step asks one relay, or waits if there is none to ask.
+// step follows the store or a relay as the plan and the state of the relays require, then makes
+// one fetch, or sleeps if there is no relay to fetch from.
 func (n *Node) step(ctx context.Context) {
 	p, now := n.currentPlan(), n.o.Clock.Now()
 	hasFollowers := n.hasFollowers(now)
@@ -147,20 +162,21 @@
 		}
 		n.peekAfterRestore(ctx)
 	}
-	// A relay that is asked follows another one beside the store: what one of them misses
-	// in a cut that it hasn't noticed, it hears from the other.
+	// A relay with followers fetches from another relay in addition to following the store:
+	// if its connection to the store is cut and neither side has noticed, it still gets the
+	// changes through the other relay.
 	switch {
 	case source != "" && (!isRelay || hasFollowers || n.storeUnavailable()):
 		n.fetch(ctx, source, isRelay)
 	case n.storeUnavailable():
-		n.peekNext(ctx) // it may still reach the store
+		n.peekNext(ctx) // another host may still reach the store
 		_ = n.o.Clock.Sleep(ctx, recheckInterval)
 	default:
 		_ = n.o.Clock.Sleep(ctx, recheckInterval)
 	}
 }
 
-// fetchOrSleep asks a relay, or waits if there is none to ask.
+// fetchOrSleep fetches from a relay, or sleeps if source is empty.
 func (n *Node) fetchOrSleep(ctx context.Context, source string, pause time.Duration) {
 	if source == "" {
 		_ = n.o.Clock.Sleep(ctx, pause)
@@ -169,7 +185,7 @@
 	n.fetch(ctx, source, false)
 }
 
-// currentPlan is what this host does by the present list of hosts.
+// currentPlan returns this host's plan for the current list of hosts.
 func (n *Node) currentPlan() plan {
 	hosts := n.o.Hosts()
 	if n.cachedPlan.computed && state.SameList(n.cachedPlanHosts, hosts) {
@@ -181,13 +197,13 @@
 	return n.cachedPlan
 }
 
-// waitsForRelays reports whether this host has no copy yet and its relays may have none.
+// waitsForRelays reports whether this host, which has started recently and lacks a copy, should
+// wait for relays that may lack it too.
 func (n *Node) waitsForRelays(now time.Time) bool {
 	return now.Sub(n.startedAt) < startupRelayWait && n.lacksCopy()
 }
 
-// lacksCopy reports whether this host lacks a copy: a relay that is lacksCopy too needs a
-// moment to have one.
+// lacksCopy reports whether this host lacks a copy of some kind.
 func (n *Node) lacksCopy() bool {
 	for _, m := range n.o.Copies {
 		if m.Revision() == 0 {
@@ -197,6 +213,7 @@
 	return false
 }
 
+// revisions returns the revisions of this host's copies.
 func (n *Node) revisions() Revisions {
 	out := make(Revisions, len(n.o.Copies))
 	for kind, m := range n.o.Copies {
@@ -215,7 +232,7 @@
 	return false
 }
 
-// fresh reports whether the store answers this host for all kinds.
+// fresh reports whether this host follows the store and is answered by it for all kinds.
 func (n *Node) fresh() bool {
 	for _, m := range n.o.Copies {
 		if !m.Fresh() {
@@ -225,6 +242,7 @@
 	return true
 }
 
+// hasFollowers reports whether this host has received a fetch within relayLinger.
 func (n *Node) hasFollowers(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/coordination/fanout/notice.go
+++ b/coordination/fanout/notice.go
@@ -9,52 +9,61 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Topic tells what a notice is about.
+// Topic is the subject of a notice. Each topic has at most one handler on each host.
 type Topic string
 
-// Notice is a message from one host to all others, for what is of use for some seconds
-// only. One that isn't delivered is missed: nothing that must hold may rest on it.
+// Notice is a message from one host to all others about something that matters for some seconds
+// only. Delivery isn't guaranteed, so nothing that must hold may depend on a notice.
 type Notice struct {
-	// Origin and Number tell notices apart: Origin is a run of a host.
+	// Origin and Number identify a notice: Origin is the run of the host that published it, and
+	// Number counts the notices of that run from 1 on.
 	Origin string
 	Number uint64
 	Topic  Topic
 	Body   []byte
 }
 
-// Cursor is how far a host has read the notices of a relay.
+// Cursor is a position in the notices of a relay.
 type Cursor struct {
-	// Relay is the run of the relay; a cursor says nothing of another.
+	// Relay is the run of the relay; the cursor is not valid for any other run.
 	Relay string
-	Next  uint64
+	// Next is the index of the first notice that hasn't been read.
+	Next uint64
 }
 
 const (
-	// noticeRetention is how long a relay keeps notices for hosts that come to it from another.
+	// noticeRetention is how long a relay keeps notices for hosts that move to it from another.
 	noticeRetention = 2 * time.Second
-	// maxNotices bounds what a relay keeps: two hundred engines that fail at once, told
-	// twice a second.
+	// maxNotices bounds the notices that a relay keeps: 200 engines that fail at once, each
+	// reported twice a second.
 	maxNotices = 1024
-	// sendTimeout bounds the telling of one relay; nobody waits for it.
+	// sendTimeout bounds the sending of a notice to one host; nothing waits for it.
 	sendTimeout = 300 * time.Millisecond
 )
 
+// noticeID identifies a notice.
 type noticeID struct {
 	origin string
 	number uint64
 }
 
-// noticeLog is the notices that a host has had recently, in their order here.
+// noticeLog holds the recent notices that a host published or received, in the order in which it
+// got them. It is safe for concurrent use.
 type noticeLog struct {
 	mu sync.Mutex
-	// runID names this runID of the host.
-	runID      string
+	// runID identifies this run of the host.
+	runID string
+	// lastNumber is the number of the last notice that this run published.
 	lastNumber uint64
+	// firstIndex is the index of notices[0], counted from the start of this run; cursors refer to
+	// these indexes.
 	firstIndex uint64
 	notices    []loggedNotice
-	seen       map[noticeID]bool
+	// seen holds the identities of notices, to recognize duplicates.
+	seen map[noticeID]bool
 }
 
+// loggedNotice is a notice with the time at which this host got it.
 type loggedNotice struct {
 	Notice
 	addedAt time.Time
@@ -62,7 +71,7 @@
 
 func newNoticeLog(run string) *noticeLog { return &noticeLog{runID: run, seen: map[noticeID]bool{}} }
 
-// newNotice numbers a notice of this host.
+// newNotice returns a notice of this host with the next number. It doesn't add it to the log.
 func (b *noticeLog) newNotice(topic Topic, body []byte) Notice {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -70,7 +79,8 @@
 	return Notice{Origin: b.runID, Number: b.lastNumber, Topic: topic, Body: body}
 }
 
-// add reports whether the notice is new.
+// add adds a notice, unless the log has it already, and drops those that are too old or too many. It
+// reports whether the notice is new.
 func (b *noticeLog) add(n Notice, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -89,7 +99,8 @@
 	return true
 }
 
-// since returns what was added after a cursor, and the cursor after that.
+// since returns the notices from a cursor on that aren't older than noticeRetention, and the cursor
+// after them. A cursor of another run, or one that is too old, yields all notices.
 func (b *noticeLog) since(c Cursor, now time.Time) ([]Notice, Cursor) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -107,11 +118,11 @@
 	return out, next
 }
 
-// Subscribe has a function called for each notice of a topic, this host's own too. It is
-// to be called before Run, and the function mustn't block.
+// Subscribe sets the handler of a topic. It is called once for each notice, including this host's
+// own, and must not block. Subscribe must be called before Run.
 func (n *Node) Subscribe(topic Topic, handle func(body []byte)) { n.handlers[topic] = handle }
 
-// Publish tells all hosts; it doesn't wait until they know.
+// Publish sends a notice to all hosts. It doesn't wait for the delivery.
 func (n *Node) Publish(ctx context.Context, topic Topic, body []byte) {
 	notice := n.notices.newNotice(topic, body)
 	n.Deliver(notice)
@@ -120,15 +131,17 @@
 	}
 }
 
+// sendNotice sends a notice to one host; a failure is only logged.
 func (n *Node) sendNotice(ctx context.Context, addr string, notice Notice) {
 	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
 	if err := n.o.Peers.SendNotice(ctx, addr, notice); err != nil {
-		n.o.Log.Debug("notice not told", "peer", addr, "topic", string(notice.Topic), "cause", err.Error())
+		n.o.Log.Debug("notice not delivered", "peer", addr, "topic", string(notice.Topic), "cause", err.Error())
 	}
 }
 
-// Deliver takes a notice and keeps it for the hosts that follow this one.
+// Deliver passes a notice to its handler and keeps it for the followers of this host. Duplicates are
+// ignored.
 func (n *Node) Deliver(notice Notice) {
 	if !n.notices.add(notice, n.o.Clock.Now()) {
 		return
@@ -139,8 +152,8 @@
 	n.WakeFollowers()
 }
 
-// noticeTargets are the hosts that pass a notice on to all others: the relays of each failure
-// domain, and every host of a domain without.
+// noticeTargets returns the hosts to which a notice is sent so that all get it: the relays of each
+// failure domain, which pass it on, and all hosts of a domain without relays.
 func (n *Node) noticeTargets() []string {
 	var out []string
 	for _, members := range byDomain(n.o.Hosts()) {
@@ -153,6 +166,7 @@
 	return slices.DeleteFunc(out, func(addr string) bool { return addr == n.o.Self.Addr })
 }
 
+// addresses returns the addresses of hosts.
 func addresses(hosts []state.Peer) []string {
 	out := make([]string, 0, len(hosts))
 	for _, h := range hosts {
--- a/coordination/fanout/proof_test.go
+++ b/coordination/fanout/proof_test.go
@@ -14,26 +14,29 @@
 )
 
 const (
-	// revocationBound is the bound that proofs are for, as the users' sheets have it, and
-	// proofWait how long a watch waits where it holds.
+	// revocationBound is the time within which a revoked key must be refused, as the service
+	// agreement sets it, and proofWait how long a watch waits at the store in such a fleet.
 	revocationBound = 5 * time.Second
 	proofWait       = revocationBound / 5
 )
 
-// ackTimes are the times at which versions of the configuration were acknowledged, from 1 on.
+// ackTimes are the times at which the versions of the configuration were acknowledged, from
+// version 1 on.
 type ackTimes []time.Time
 
-// checkProof reports whether a host's copy has all that its proof says.
+// checkProof returns an error if a host's proof is of a time at which a higher version than the
+// host's had been acknowledged.
 func (a ackTimes) checkProof(h *host) error {
 	proven := h.copies[kindConfig].Proven()
 	have := int(h.inForce.Load())
 	if have < len(a) && a[have].Before(proven) {
-		return fmt.Errorf("%s has version %d by a proof as of %s after version %d", h.self.Addr, have, proven.Sub(a[have]), have+1)
+		return fmt.Errorf("%s has version %d and a proof of %s after version %d was acknowledged", h.self.Addr, have, proven.Sub(a[have]), have+1)
 	}
 	return nil
 }
 
-// proofAges are those of the proofs of hosts that aren't silent, the youngest first.
+// proofAges returns the ages of the proofs of the hosts that are responsive and not partitioned, in
+// ascending order.
 func (f *fleet) proofAges() []time.Duration {
 	var out []time.Duration
 	for _, h := range f.hosts {
@@ -45,10 +48,10 @@
 	return out
 }
 
-// A proof is never younger than what the host's copy lacks, whatever fails: hosts that are
-// cut off from the store, turned away by it or silent, relays that are lost, an outage of the
-// store, a store that drops its history, configurations in quick succession.
-func TestProofsSayNothingThatCopiesLack(t *testing.T) {
+// Guards against a proof that is newer than the host's copy, whatever fails: hosts that are partitioned
+// from the store, refused by it or unresponsive, relays that fail, an outage of the store, a store that
+// drops its history, configurations in quick succession.
+func TestProofsCoverNothingThatCopiesLack(t *testing.T) {
 	for _, size := range []int{83, 300} {
 		for seed := range uint64(6) {
 			synctest.Test(t, func(t *testing.T) {
@@ -76,10 +79,10 @@
 	}
 }
 
-// Guards against a key that was revoked and is served again, because a restored store has lost the
-// revocation and proves the configuration before it: at hosts that were cut off when it came, or
-// that start while the store is behind.
-func TestProofsHoldThoughTheStoreIsRestored(t *testing.T) {
+// Guards against a revoked key that is accepted again, because a restored store has lost the
+// revocation and proves the configuration before it: on hosts that were partitioned from the store when
+// the revocation came, or that start while the store lacks it.
+func TestProofsHoldAcrossStoreRestorations(t *testing.T) {
 	for _, size := range []int{7, 83} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
@@ -113,7 +116,7 @@
 					f.setDown(false)
 					f.replace(rng.IntN(size))
 					check(time.Duration(rng.IntN(int(testSettle))))
-					f.write(kindConfig, "main", strconv.Itoa(len(versions))) // again
+					f.write(kindConfig, "main", strconv.Itoa(len(versions))) // the lost version again
 					check(2 * time.Second)
 				}
 			})
@@ -121,7 +124,7 @@
 	}
 }
 
-// replace ends a host and starts one that knows nothing in its place.
+// replace ends a host and starts one without any state in its place.
 func (f *fleet) replace(i int) {
 	f.hosts[i].end()
 	h := f.newHost(i)
@@ -132,7 +135,7 @@
 	h.start()
 }
 
-// toggleFault begins or ends one trouble, mostly at a relay.
+// toggleFault starts or ends one fault, in two of three cases at a relay.
 func (f *fleet) toggleFault(rng *rand.Rand) {
 	target := f.hosts[rng.IntN(len(f.hosts))]
 	if relays := f.relays(); len(relays) > 0 && rng.IntN(3) > 0 {
@@ -155,10 +158,10 @@
 	}
 }
 
-// Hosts in touch with the store or with one that is have a proof young enough to serve keys,
-// also when all relays of a failure domain are lost at once while the store turns a third of
-// the hosts away. The bound is that of the service agreement.
-func TestProofsStayYoungThoughRelaysAreLost(t *testing.T) {
+// Hosts that reach the store, or a host that does, have a proof recent enough to accept keys, even if
+// all relays of a failure domain fail at once while the store refuses a third of the hosts. The bound
+// is that of the service agreement.
+func TestProofsStayFreshWhenRelaysFail(t *testing.T) {
 	for _, size := range []int{83, 300} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
@@ -174,8 +177,8 @@
 				}
 			}
 			observe(10 * time.Second)
-			t.Logf("%d hosts: median %s, worst %s", size, f.proofAges()[size/2], worst)
-			is.True(worst < revocationBound*3/4) // the store isn't asked out of turn
+			t.Logf("%d hosts: median proof age %s, highest %s", size, f.proofAges()[size/2], worst)
+			is.True(worst < revocationBound*3/4) // no host needs an additional call to the store for a proof
 			for _, h := range f.relays() {
 				if h.self.FailureDomain == "d0" {
 					f.set(f.unresponsive, h.self.Addr, true)
@@ -186,14 +189,14 @@
 			}
 			worst = 0
 			observe(15 * time.Second)
-			t.Logf("%d hosts, relays lost: worst %s", size, worst)
+			t.Logf("%d hosts, relays failed: highest proof age %s", size, worst)
 			is.True(worst < revocationBound)
 		})
 	}
 }
 
-// Guards against a host that follows a peer and can't prove a key by asking the store itself.
-func TestHostThatFollowsAPeerMayAskTheStore(t *testing.T) {
+// Guards against a follower of a relay that can't prove a key by calling the store itself.
+func TestFollowerCanProveByCallingTheStore(t *testing.T) {
 	withFleet(t, 83, func(is *is.I, f *fleet) {
 		for _, h := range f.hosts {
 			asked := time.Now()
--- a/coordination/fanout/relays.go
+++ b/coordination/fanout/relays.go
@@ -11,28 +11,33 @@
 )
 
 const (
-	// relaysPerDomain relays of a failure domain are enough for one to be lost at any time.
+	// relaysPerDomain is the number of relays of a failure domain: of two, one may fail at any
+	// time.
 	relaysPerDomain = 2
-	// minFollowers is the number of a domain's other hosts for which relays are worth
-	// their detour: fewer follow the store for about the same calls.
+	// minFollowers is the smallest number of other hosts of a domain for which relays are worth
+	// the additional hop: fewer hosts cause about as many calls when they follow the store
+	// themselves.
 	minFollowers = 3
-	// maxRemoteRelays of other domains are asked when those of the own one are lost.
+	// maxRemoteRelays is the number of relays of other domains that a host uses when those of
+	// its own domain fail.
 	maxRemoteRelays = 2
 )
 
-// plan is what a host does by the list of hosts alone.
+// plan is what a host does according to the list of hosts alone.
 type plan struct {
-	// isRelay says that the host is one of its domain's isRelay, or needs none.
+	// isRelay is set if the host is a relay of its domain, or its domain is too small for
+	// relays: the host follows the store.
 	isRelay bool
-	// sources are the relays that it asks, in that order: its domain's first, but for a
-	// relay, which asks others so that it isn't lost with its whole domain.
+	// sources are the addresses of the relays to fetch from, in order of preference. A follower
+	// prefers the relays of its own domain. A relay prefers those of others, so that it isn't
+	// cut off together with its whole domain.
 	sources []string
-	// computed is set once the plan was computed.
+	// computed is set once the plan has been computed; false in the zero plan.
 	computed bool
 }
 
-// computePlan computes the plan of the host self. Its domain's relays are the strongest
-// hosts; each follower asks them in an order of its own, so that they share the load.
+// computePlan returns the plan of the host self. The relays of a domain are its strongest hosts.
+// Each host has an order of preference of its own, so that the relays share the load.
 func computePlan(self state.Peer, hosts []state.Peer) plan {
 	others := slices.DeleteFunc(slices.Clone(hosts), func(h state.Peer) bool { return h.Addr == self.Addr })
 	domains := byDomain(append(others, self))
@@ -54,6 +59,7 @@
 	return p
 }
 
+// byDomain groups hosts by failure domain.
 func byDomain(hosts []state.Peer) map[string][]state.Peer {
 	out := map[string][]state.Peer{}
 	for _, h := range hosts {
@@ -62,7 +68,8 @@
 	return out
 }
 
-// relaysOf are the relays of one domain; none if it is too small.
+// relaysOf returns the addresses of the relays among the hosts of one failure domain; none if the
+// domain is too small.
 func relaysOf(members []state.Peer) []string {
 	if len(members) < relaysPerDomain+minFollowers {
 		return nil
@@ -70,7 +77,7 @@
 	return addresses(state.StrongestFirst(members)[:relaysPerDomain])
 }
 
-// rendezvousOrder orders relays by rendezvous hashing with the host that asks them.
+// rendezvousOrder orders relays by rendezvous hashing with the address self of the host that fetches.
 func rendezvousOrder(self string, relays []string) []string {
 	out := slices.Clone(relays)
 	slices.SortFunc(out, func(a, b string) int {
--- a/coordination/fanout/restore_test.go
+++ b/coordination/fanout/restore_test.go
@@ -9,7 +9,8 @@
 	"github.com/matryer/is"
 )
 
-// restoreAfterOutage has the store go away and come back as it was so long before.
+// restoreAfterOutage takes the store down for the time away, and then restores it to its state at the
+// time back before the outage.
 func (f *fleet) restoreAfterOutage(away, back time.Duration) {
 	f.setDown(true)
 	f.dropWatches()
@@ -24,8 +25,8 @@
 	f.down = down
 }
 
-// awaitInSync waits until every host that isn't silent has these values of r0 and of the configuration,
-// and returns how long it took.
+// awaitInSync waits until every responsive host has these values of the configuration and of r0, and
+// returns how long it took. It fails the test after limit.
 func (f *fleet) awaitInSync(t *testing.T, config, thing string, limit time.Duration) time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -35,23 +36,24 @@
 			return time.Since(began)
 		}
 		if time.Since(began) > limit {
-			t.Fatalf("%s after the write %s don't have configuration %s and r0 %s", limit, summarize(stale), config, thing)
+			t.Fatalf("%s after the write, %s don't have configuration %s and r0 %s", limit, summarize(stale), config, thing)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 }
 
-// Guards against hosts that are behind for longer than a change may take, or ask the store more often
-// than its rates allow, after the store came back from an older copy; twice in a row, while a relay
-// is silent and some hosts are turned away by the store.
-func TestFleetIsInLineAfterTheStoreWasRestored(t *testing.T) {
+// Guards against hosts that are out of date for longer than a change may take, or that call the store
+// more often than its rate limits allow, after the store was restored from an older copy. It is
+// restored three times, the second time with an unresponsive relay and then also with hosts that the
+// store refuses.
+func TestFleetIsInSyncAfterTheStoreWasRestored(t *testing.T) {
 	for _, n := range []int{7, 83, 300} {
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				// mostCallsPerSecond is a fifth of the reads that the store of such a fleet allows.
+				// mostCallsPerSecond is a fifth of the read rate that the store of such a fleet allows.
 				mostCallsPerSecond := map[int]int{7: 400, 83: 1200, 300: 1200}[n]
-				// limit is longer where hosts that are turned away know no relay and ask any other.
+				// limit is longer for a fleet without relays, where refused hosts peek at any other host.
 				limit := map[int]time.Duration{7: 3 * time.Second, 83: 2 * time.Second, 300: 2 * time.Second}[n]
 				f := newFleet(t, n)
 				f.start()
@@ -59,7 +61,7 @@
 				time.Sleep(10 * time.Second)
 				f.write(kindThings, "r0", "draining")
 				for round := range 3 {
-					for i := range 30 { // what the store will have lost, more than it writes again
+					for i := range 30 { // the restored store lacks these objects; most aren't written again
 						f.write(kindThings, fmt.Sprint("lost", i), "ready")
 					}
 					f.write(kindConfig, "main", fmt.Sprint("lost ", round))
@@ -80,9 +82,9 @@
 					f.write(kindThings, "r0", thing)
 					took := f.awaitInSync(t, config, thing, limit)
 					calls := f.takeCallCount()
-					t.Logf("round %d: in line %s after the writes, %d calls", round, took, calls)
+					t.Logf("round %d: in sync %s after the writes, %d calls", round, took, calls)
 					is.True(calls <= mostCallsPerSecond*int(1+(took+pause)/time.Second))
-					is.Equal(len(f.staleHosts(kindThings, "lost0", "")), 0) // nobody keeps what the store doesn't have
+					is.Equal(len(f.staleHosts(kindThings, "lost0", "")), 0) // no host keeps objects that the store lacks
 					time.Sleep(5 * time.Second)
 				}
 			})
@@ -90,9 +92,9 @@
 	}
 }
 
-// Guards against a host that is turned away by the store and misses the only peer that isn't, by
-// asking others again and again.
-func TestHostThatIsTurnedAwayAsksAllPeersInTurn(t *testing.T) {
+// Guards against a host that is refused by the store and misses the only peer with current copies,
+// because it peeks at the same others again and again.
+func TestRefusedHostPeeksAtAllPeersInTurn(t *testing.T) {
 	const hosts = 7
 	for useful := range hosts - 1 {
 		t.Run(fmt.Sprint(useful), func(t *testing.T) {
@@ -115,9 +117,10 @@
 	}
 }
 
-// Guards against a host that routes by an older configuration until the operator has written the newer
-// one again: it was cut off when that came, or starts while the store is behind, and others have it.
-func TestConfigurationThatTheStoreLostIsHadFromPeers(t *testing.T) {
+// Guards against a host that uses an older configuration until the operator has written the newer one
+// again, though other hosts have it: the host was partitioned when the newer one came, or starts while
+// the restored store lacks it.
+func TestConfigurationThatTheStoreLostComesFromPeers(t *testing.T) {
 	for _, n := range []int{7, 83} {
 		for late := range 4 {
 			t.Run(fmt.Sprint(n, " hosts, ", late), func(t *testing.T) {
@@ -146,7 +149,7 @@
 					time.Sleep(soon)
 					for _, h := range f.hosts {
 						if h.inForce.Load() != 2 {
-							t.Errorf("%s has configuration %d in force %s after the store's return", h.self.Addr, h.inForce.Load(), soon+time.Second)
+							t.Errorf("%s has configuration %d in force %s after the store was restored", h.self.Addr, h.inForce.Load(), soon+time.Second)
 						}
 					}
 					f.write(kindConfig, "main", "3")
--- a/coordination/fanout/serve.go
+++ b/coordination/fanout/serve.go
@@ -7,8 +7,9 @@
 	"github.com/thymerack/thymerack/coordination/follow"
 )
 
-// Serve answers a host that follows this one: at once if there is news for it or this
-// host is of no use to it, else after wait or the next change.
+// Serve answers a fetch of another host: at once if there are changes or notices for it or this host
+// can't relay, otherwise after req.Wait or the next change. Unless the request is a peek, this host
+// follows the store from then on.
 func (n *Node) Serve(ctx context.Context, req Request) Response {
 	if req.Peek {
 		resp, _ := n.responseTo(req)
@@ -32,7 +33,8 @@
 	}
 }
 
-// recordFetch makes this host follow the store, if it doesn't yet, and notes who is there.
+// recordFetch makes this host follow the store, if it doesn't already, and records the fetch of the
+// host at address from.
 func (n *Node) recordFetch(from string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -47,15 +49,15 @@
 	}
 }
 
-// freshPollInterval is how often a relay that is asked looks whether the store has answered.
+// freshPollInterval is how often waitUntilFresh checks whether the store has answered.
 const freshPollInterval = 10 * time.Millisecond
 
-// maxTrackedFollowers bounds the hosts that are remembered; more than a failure domain has at
-// the sizes to come.
+// maxTrackedFollowers bounds lastFetchFrom, which is cleared at that size: more hosts than a failure
+// domain has at the planned fleet sizes.
 const maxTrackedFollowers = 1024
 
-// waitUntilFresh waits until the store has answered, if this host has only begun to follow
-// it: a store that is lost is told at once.
+// waitUntilFresh waits until the store has answered, if this host has only just begun to follow it.
+// It returns at once if the store is unavailable, so that the follower is told so without delay.
 func (n *Node) waitUntilFresh(ctx context.Context) {
 	for ctx.Err() == nil && !n.fresh() && !n.storeUnavailable() && !n.isLeaving() {
 		if n.o.Clock.Sleep(ctx, freshPollInterval) != nil {
@@ -64,21 +66,23 @@
 	}
 }
 
+// isLeaving reports whether Leave was called.
 func (n *Node) isLeaving() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.leaving
 }
 
-// changeSignal is closed at the next change.
+// changeSignal returns a channel that is closed at the next change.
 func (n *Node) changeSignal() <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.changed
 }
 
-// responseTo is what a host lacks, and whether there is any. Changes without
-// content bring the host's revisions on: the store's history reaches some seconds back.
+// responseTo returns the changes and notices that the sender of a request lacks, and whether there
+// are any. Deltas without content are sent too, since they advance the host's revisions: the history
+// of the store reaches only some seconds back.
 func (n *Node) responseTo(req Request) (out Response, hasUpdates bool) {
 	out = Response{Unavailable: n.isLeaving() || !n.FollowsStore() || !n.fresh(), Changes: map[string]follow.Delta{}}
 	out.Notices, out.Cursor = n.notices.since(req.Cursor, n.o.Clock.Now())
--- a/coordination/fanout/source.go
+++ b/coordination/fanout/source.go
@@ -8,16 +8,18 @@
 )
 
 const (
-	// storeProbeMinInterval is the shortest pause between two questions to the store of a host whose relays
-	// all say that they lost it: those ask it every second, and tell of its return. All such
-	// hosts together ask reachPerSecond times a second, reachMost apart each at most.
+	// storeProbeMinInterval is the shortest interval between probes of the store by a host whose
+	// relays all report that they have lost it: the relays call the store every second
+	// themselves and report its return. In a large fleet the interval grows, up to
+	// storeProbeMaxInterval, so that all such hosts together send about storeProbesPerSecond
+	// probes a second.
 	storeProbeMinInterval = 2 * time.Second
 	storeProbeMaxInterval = 8 * time.Second
 	storeProbesPerSecond  = 20
 	storeProbeTimeout     = 500 * time.Millisecond
 )
 
-// followStore begins to follow the store, unless this host does already.
+// followStore makes this host follow the store, unless it already does.
 func (n *Node) followStore(ctx context.Context) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -37,18 +39,18 @@
 	n.source = ""
 }
 
-// followRelay goes on with a relay alone.
+// followRelay makes this host follow a relay instead of the store or another relay.
 func (n *Node) followRelay(source string) {
 	n.stopFollowingStore()
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.source != source {
-		n.o.Log.Info("following a peer", "peer", source, "instead_of", n.source)
+		n.o.Log.Info("following a relay", "peer", source, "instead_of", n.source)
 		n.source = source
 	}
 }
 
-// stopFollowingStore ends the runs of the copies at the store.
+// stopFollowingStore ends the runs of the copies that follow the store.
 func (n *Node) stopFollowingStore() {
 	n.mu.Lock()
 	stop := n.stopFollowing
@@ -59,8 +61,9 @@
 	}
 }
 
-// probeStore asks the store now and then while all relays have lost it, and follows it if
-// it answers: they may be refused by it, or cut off, and this host not.
+// probeStore calls the store at intervals while all relays have lost it, and follows the store once it
+// answers: the relays may be refused by it, or cut off from it, while this host isn't. If no probe is
+// due it sleeps for recheckInterval.
 func (n *Node) probeStore(ctx context.Context, now time.Time) {
 	for _, m := range n.o.Copies {
 		m.Uninformed()
@@ -77,11 +80,11 @@
 		if m.Reached(bounded) {
 			n.followStore(ctx)
 		}
-		return // one copy tells as much as all
+		return // the copies share the store, so one probe is enough
 	}
 }
 
-// followsRelay reports whether this host followsRelay that relay.
+// followsRelay reports whether this host follows the relay source.
 func (n *Node) followsRelay(source string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
