--- a/coordination/fanout/fanout_test.go
+++ b/coordination/fanout/fanout_test.go
@@ -270,9 +270,9 @@
 // Every host gets a notice exactly once and within 300 ms, whichever host publishes it and even if some
 // relays have failed.
 func TestNoticesReachAllHostsOnce(t *testing.T) {
-	for _, lost := range []int{0, 1, 3} {
+	for _, failed := range []int{0, 1, 3} {
 		withFleet(t, fleetSize, func(is *is.I, f *fleet) {
-			for _, h := range f.relays()[:lost] {
+			for _, h := range f.relays()[:failed] {
 				f.set(f.unresponsive, h.self.Addr, true)
 			}
 			time.Sleep(5 * time.Second) // the followers of the failed relays have moved to others
@@ -281,7 +281,7 @@
 			}
 			time.Sleep(300 * time.Millisecond)
 			for _, h := range f.hosts {
-				if !f.is(f.unresponsive, h.self.Addr) {
+				if !f.isSet(f.unresponsive, h.self.Addr) {
 					f.mu.Lock()
 					is.Equal(len(h.received), 3)
 					f.mu.Unlock()
--- a/coordination/fanout/fleet_test.go
+++ b/coordination/fanout/fleet_test.go
@@ -193,16 +193,16 @@
 	}
 }
 
-func (f *fleet) set(state map[string]bool, addr string, is bool) {
+func (f *fleet) set(fault map[string]bool, addr string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	state[addr] = is
+	fault[addr] = on
 }
 
-func (f *fleet) is(state map[string]bool, addr string) bool {
+func (f *fleet) isSet(fault map[string]bool, addr string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return state[addr]
+	return fault[addr]
 }
 
 // operator is the caller whose calls to the store aren't counted and never fail.
@@ -261,7 +261,7 @@
 func (f *fleet) staleHosts(kind, name, value string) []string {
 	var out []string
 	for _, h := range f.hosts {
-		if f.is(f.unresponsive, h.self.Addr) {
+		if f.isSet(f.unresponsive, h.self.Addr) {
 			continue
 		}
 		found := ""
@@ -362,7 +362,7 @@
 
 // reach fails after partitionDetection if the host is partitioned from the store or unresponsive.
 func (s faultyStore) reach(ctx context.Context) error {
-	if !s.f.is(s.f.partitioned, s.addr) && !s.f.is(s.f.unresponsive, s.addr) {
+	if !s.f.isSet(s.f.partitioned, s.addr) && !s.f.isSet(s.f.unresponsive, s.addr) {
 		return nil
 	}
 	if err := (clocktest.Bubble{}).Sleep(ctx, partitionDetection); err != nil {
@@ -387,7 +387,7 @@
 		return Response{}, err
 	}
 	resp := to.Serve(ctx, req)
-	if n.f.is(n.f.unresponsive, addr) {
+	if n.f.isSet(n.f.unresponsive, addr) {
 		<-ctx.Done()
 		return Response{}, ctx.Err()
 	}
@@ -409,7 +409,7 @@
 	if err := (clocktest.Bubble{}).Sleep(ctx, networkDelay); err != nil {
 		return nil, err
 	}
-	if n.f.is(n.f.unresponsive, addr) || n.f.is(n.f.unresponsive, n.from) {
+	if n.f.isSet(n.f.unresponsive, addr) || n.f.isSet(n.f.unresponsive, n.from) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
--- a/coordination/fanout/notice.go
+++ b/coordination/fanout/notice.go
@@ -72,45 +72,45 @@
 func newNoticeLog(run string) *noticeLog { return &noticeLog{runID: run, seen: map[noticeID]bool{}} }
 
 // newNotice returns a notice of this host with the next number. It doesn't add it to the log.
-func (b *noticeLog) newNotice(topic Topic, body []byte) Notice {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.lastNumber++
-	return Notice{Origin: b.runID, Number: b.lastNumber, Topic: topic, Body: body}
+func (l *noticeLog) newNotice(topic Topic, body []byte) Notice {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastNumber++
+	return Notice{Origin: l.runID, Number: l.lastNumber, Topic: topic, Body: body}
 }
 
 // add adds a notice, unless the log has it already, and drops those that are too old or too many. It
 // reports whether the notice is new.
-func (b *noticeLog) add(n Notice, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (l *noticeLog) add(n Notice, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	id := noticeID{n.Origin, n.Number}
-	if b.seen[id] {
+	if l.seen[id] {
 		return false
 	}
-	b.seen[id] = true
-	b.notices = append(b.notices, loggedNotice{n, now})
-	for len(b.notices) > maxNotices || now.Sub(b.notices[0].addedAt) > noticeRetention {
-		old := b.notices[0]
-		delete(b.seen, noticeID{old.Origin, old.Number})
-		b.notices = b.notices[1:]
-		b.firstIndex++
+	l.seen[id] = true
+	l.notices = append(l.notices, loggedNotice{n, now})
+	for len(l.notices) > maxNotices || now.Sub(l.notices[0].addedAt) > noticeRetention {
+		old := l.notices[0]
+		delete(l.seen, noticeID{old.Origin, old.Number})
+		l.notices = l.notices[1:]
+		l.firstIndex++
 	}
 	return true
 }
 
 // since returns the notices from a cursor on that aren't older than noticeRetention, and the cursor
 // after them. A cursor of another run, or one that is too old, yields all notices.
-func (b *noticeLog) since(c Cursor, now time.Time) ([]Notice, Cursor) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	next := Cursor{b.runID, b.firstIndex + uint64(len(b.notices))}
+func (l *noticeLog) since(c Cursor, now time.Time) ([]Notice, Cursor) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	next := Cursor{l.runID, l.firstIndex + uint64(len(l.notices))}
 	from := 0
-	if c.Relay == b.runID && c.Next > b.firstIndex {
-		from = int(min(c.Next, next.Next) - b.firstIndex)
+	if c.Relay == l.runID && c.Next > l.firstIndex {
+		from = int(min(c.Next, next.Next) - l.firstIndex)
 	}
 	var out []Notice
-	for _, p := range b.notices[from:] {
+	for _, p := range l.notices[from:] {
 		if now.Sub(p.addedAt) <= noticeRetention {
 			out = append(out, p.Notice)
 		}
--- a/coordination/fanout/proof_test.go
+++ b/coordination/fanout/proof_test.go
@@ -40,7 +40,7 @@
 func (f *fleet) proofAges() []time.Duration {
 	var out []time.Duration
 	for _, h := range f.hosts {
-		if !f.is(f.unresponsive, h.self.Addr) && !f.is(f.partitioned, h.self.Addr) {
+		if !f.isSet(f.unresponsive, h.self.Addr) && !f.isSet(f.partitioned, h.self.Addr) {
 			out = append(out, time.Since(h.copies[kindConfig].Proven()))
 		}
 	}
@@ -144,11 +144,11 @@
 	addr := target.self.Addr
 	switch rng.IntN(6) {
 	case 0:
-		f.set(f.partitioned, addr, !f.is(f.partitioned, addr))
+		f.set(f.partitioned, addr, !f.isSet(f.partitioned, addr))
 	case 1:
-		f.set(f.refused, addr, !f.is(f.refused, addr))
+		f.set(f.refused, addr, !f.isSet(f.refused, addr))
 	case 2:
-		f.set(f.unresponsive, addr, !f.is(f.unresponsive, addr))
+		f.set(f.unresponsive, addr, !f.isSet(f.unresponsive, addr))
 	case 3:
 		f.mu.Lock()
 		f.down = !f.down
--- a/coordination/fanout/relays.go
+++ b/coordination/fanout/relays.go
@@ -77,11 +77,11 @@
 	return addresses(state.StrongestFirst(members)[:relaysPerDomain])
 }
 
-// rendezvousOrder orders relays by rendezvous hashing with the address self of the host that fetches.
-func rendezvousOrder(self string, relays []string) []string {
+// rendezvousOrder orders relays by rendezvous hashing with the address of the host that fetches.
+func rendezvousOrder(fetcher string, relays []string) []string {
 	out := slices.Clone(relays)
 	slices.SortFunc(out, func(a, b string) int {
-		return cmp.Or(cmp.Compare(xxhash.Sum64String(self+b), xxhash.Sum64String(self+a)), strings.Compare(a, b))
+		return cmp.Or(cmp.Compare(xxhash.Sum64String(fetcher+b), xxhash.Sum64String(fetcher+a)), strings.Compare(a, b))
 	})
 	return out
 }
--- a/coordination/fanout/restore_test.go
+++ b/coordination/fanout/restore_test.go
@@ -29,13 +29,13 @@
 // returns how long it took. It fails the test after limit.
 func (f *fleet) awaitInSync(t *testing.T, config, thing string, limit time.Duration) time.Duration {
 	t.Helper()
-	began := time.Now()
+	start := time.Now()
 	for {
 		stale := append(f.staleHosts(kindConfig, "main", config), f.staleHosts(kindThings, "r0", thing)...)
 		if len(stale) == 0 {
-			return time.Since(began)
+			return time.Since(start)
 		}
-		if time.Since(began) > limit {
+		if time.Since(start) > limit {
 			t.Fatalf("%s after the write, %s don't have configuration %s and r0 %s", limit, summarize(stale), config, thing)
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -51,8 +51,8 @@
 		t.Run(fmt.Sprint(n), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				// mostCallsPerSecond is a fifth of the read rate that the store of such a fleet allows.
-				mostCallsPerSecond := map[int]int{7: 400, 83: 1200, 300: 1200}[n]
+				// maxCallsPerSecond is a fifth of the read rate that the store of such a fleet allows.
+				maxCallsPerSecond := map[int]int{7: 400, 83: 1200, 300: 1200}[n]
 				// limit is longer for a fleet without relays, where refused hosts peek at any other host.
 				limit := map[int]time.Duration{7: 3 * time.Second, 83: 2 * time.Second, 300: 2 * time.Second}[n]
 				f := newFleet(t, n)
@@ -83,7 +83,7 @@
 					took := f.awaitInSync(t, config, thing, limit)
 					calls := f.takeCallCount()
 					t.Logf("round %d: in sync %s after the writes, %d calls", round, took, calls)
-					is.True(calls <= mostCallsPerSecond*int(1+(took+pause)/time.Second))
+					is.True(calls <= maxCallsPerSecond*int(1+(took+pause)/time.Second))
 					is.Equal(len(f.staleHosts(kindThings, "lost0", "")), 0) // no host keeps objects that the store lacks
 					time.Sleep(5 * time.Second)
 				}
@@ -96,15 +96,15 @@
 // because it peeks at the same others again and again.
 func TestRefusedHostPeeksAtAllPeersInTurn(t *testing.T) {
 	const hosts = 7
-	for useful := range hosts - 1 {
-		t.Run(fmt.Sprint(useful), func(t *testing.T) {
+	for reachable := range hosts - 1 {
+		t.Run(fmt.Sprint(reachable), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, hosts)
 				f.start()
 				defer f.end()
 				time.Sleep(10 * time.Second)
 				for i, h := range f.hosts[:hosts-1] {
-					f.set(f.unresponsive, h.self.Addr, i != useful)
+					f.set(f.unresponsive, h.self.Addr, i != reachable)
 				}
 				f.set(f.refused, f.hosts[hosts-1].self.Addr, true)
 				f.dropWatches()
@@ -122,14 +122,14 @@
 // the restored store lacks it.
 func TestConfigurationThatTheStoreLostComesFromPeers(t *testing.T) {
 	for _, n := range []int{7, 83} {
-		for late := range 4 {
-			t.Run(fmt.Sprint(n, " hosts, ", late), func(t *testing.T) {
+		for index := range 4 {
+			t.Run(fmt.Sprint(n, " hosts, ", index), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := newFleet(t, n)
 					f.start()
 					defer f.end()
 					time.Sleep(10 * time.Second)
-					partitioned := f.hosts[late]
+					partitioned := f.hosts[index]
 					f.set(f.partitioned, partitioned.self.Addr, true)
 					f.set(f.unresponsive, partitioned.self.Addr, true)
 					time.Sleep(5 * time.Second)
@@ -143,13 +143,13 @@
 					f.store.RestoreBefore(4 * time.Second)
 					f.setDown(false)
 					time.Sleep(time.Second)
-					started := n - 1 - late
+					started := n - 1 - index
 					f.replace(started)
-					const soon = 4 * time.Second
-					time.Sleep(soon)
+					const wait = 4 * time.Second
+					time.Sleep(wait)
 					for _, h := range f.hosts {
 						if h.inForce.Load() != 2 {
-							t.Errorf("%s has configuration %d in force %s after the store was restored", h.self.Addr, h.inForce.Load(), soon+time.Second)
+							t.Errorf("%s has configuration %d in force %s after the store was restored", h.self.Addr, h.inForce.Load(), wait+time.Second)
 						}
 					}
 					f.write(kindConfig, "main", "3")
