--- a/coordination/fanout/serve.go
+++ b/coordination/fanout/serve.go
@@ -21,8 +21,8 @@
 	n.waitUntilFresh(ctx)
 	for {
 		changed := n.changeSignal()
-		resp, hasUpdates := n.responseTo(req)
-		if resp.Unavailable || hasUpdates {
+		resp, any := n.responseTo(req)
+		if resp.Unavailable || any {
 			return resp
 		}
 		select {
@@ -83,14 +83,14 @@
 // responseTo returns the changes and notices that the sender of a request lacks, and whether there
 // are any. Deltas without content are sent too, since they advance the host's revisions: the history
 // of the store reaches only some seconds back.
-func (n *Node) responseTo(req Request) (out Response, hasUpdates bool) {
+func (n *Node) responseTo(req Request) (out Response, any bool) {
 	out = Response{Unavailable: n.isLeaving() || !n.FollowsStore() || !n.fresh(), Changes: map[string]follow.Delta{}}
 	out.Notices, out.Cursor = n.notices.since(req.Cursor, n.o.Clock.Now())
-	hasUpdates = len(out.Notices) > 0
+	any = len(out.Notices) > 0
 	for kind, m := range n.o.Copies {
 		d := m.Since(req.Since[kind])
 		out.Changes[kind] = d
-		hasUpdates = hasUpdates || !d.Empty()
+		any = any || !d.Empty()
 		if ago, ever := m.Regained(); ever && (!out.HadOutage || ago < out.RecoveredAgo) {
 			out.RecoveredAgo, out.HadOutage = ago, true
 		}
@@ -98,5 +98,5 @@
 	if n.storeUnavailable() {
 		out.RecoveredAgo, out.HadOutage = 0, true
 	}
-	return out, hasUpdates
+	return out, any
 }
