--- a/coordination/fanout/serve.go
+++ b/coordination/fanout/serve.go
@@ -57,7 +57,7 @@
 const maxTrackedFollowers = 1024
 
 // waitUntilFresh waits until the store has answered, if this host has only just begun to follow it.
-// It returns at once if the store is unavailable, so that the follower is told so without delay.
+// It returns at once if the store is unavailable, so that the follower can move to another relay.
 func (n *Node) waitUntilFresh(ctx context.Context) {
 	for ctx.Err() == nil && !n.fresh() && !n.storeUnavailable() && !n.isLeaving() {
 		if n.o.Clock.Sleep(ctx, freshPollInterval) != nil {
