--- a/coordination/dispatch/harness_test.go
+++ b/coordination/dispatch/harness_test.go
@@ -105,7 +105,7 @@
 // a grant unreleased or an attempt without end.
 func (w *world) checkReleased() error {
 	for _, r := range w.keeper.View().Runners {
-		if left := r.Track.Load(); left != (snapshot.Work{}) {
+		if left := r.InFlight.Load(); left != (snapshot.Work{}) {
 			return fmt.Errorf("runner %s still counts %+v in flight", r.Name, left)
 		}
 	}
--- a/coordination/dispatch/pump.go
+++ b/coordination/dispatch/pump.go
@@ -88,7 +88,7 @@
 		return
 	}
 	p.g.grant.FirstToken()
-	p.e.ticket.Prefilled()
+	p.e.ticket.PrefillDone()
 	p.e.observer.FirstToken(now.Sub(p.e.started))
 }
 
--- a/coordination/fanout/fanout_test.go
+++ b/coordination/fanout/fanout_test.go
@@ -16,92 +16,92 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// fleetSize is the size that the brief gives as where this is going.
+// fleetSize is the largest planned number of hosts.
 const fleetSize = 320
 
-// inFleet plays a test on a fleet that has settled.
-func inFleet(t *testing.T, n int, play func(is *is.I, f *fleet)) {
+// withFleet runs a test on a fleet of n hosts that has had 10 s to start.
+func withFleet(t *testing.T, n int, run func(is *is.I, f *fleet)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, n)
 		f.start()
 		defer f.end()
 		time.Sleep(10 * time.Second)
-		if late := f.behind(kindThings, "r0", "ready"); len(late) > 0 {
-			t.Fatalf("not started: %s", some(late))
+		if stale := f.staleHosts(kindThings, "r0", "ready"); len(stale) > 0 {
+			t.Fatalf("no first copy after 10 s: %s", summarize(stale))
 		}
-		play(is.New(t), f)
+		run(is.New(t), f)
 	})
 }
 
-// One change costs a call of each relay, not of each host, and is known everywhere at once.
-func TestCallsAtTheStoreDoNotGrowWithTheFleet(t *testing.T) {
-	inFleet(t, fleetSize, func(is *is.I, f *fleet) {
+// A change costs one call per relay, not one per host, and reaches all hosts within 100 ms.
+func TestStoreCallsDoNotGrowWithFleetSize(t *testing.T) {
+	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		relays := len(f.relays())
-		is.Equal(relays, testDomains*perDomain)
-		f.spent()
+		is.Equal(relays, testDomains*relaysPerDomain)
+		f.takeCallCount()
 		for i := range 10 {
 			f.write(kindConfig, "main", fmt.Sprint(i+2))
 			time.Sleep(100 * time.Millisecond)
-			is.Equal(f.behind(kindConfig, "main", fmt.Sprint(i+2)), nil)
+			is.Equal(f.staleHosts(kindConfig, "main", fmt.Sprint(i+2)), nil)
 		}
 		f.remove(kindThings, "r7")
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(f.behind(kindThings, "r7", ""), nil)
+		is.Equal(f.staleHosts(kindThings, "r7", ""), nil)
 		time.Sleep(20 * time.Second)
-		is.True(f.spent() <= relays*(11+2*2)) // the changes, and two ends of each waiting watch
+		is.True(f.takeCallCount() <= relays*(11+2*2)) // a call per change, and two renewals of each waiting watch
 	})
 }
 
-// Domains with a handful of hosts need no relays: all of their hosts follow the store.
+// Failure domains with a handful of hosts need no relays: all hosts follow the store.
 func TestSmallFleetFollowsTheStore(t *testing.T) {
-	inFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
+	withFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
 		is.Equal(len(f.relays()), 2*testDomains)
 	})
 }
 
-// Whatever happens to relays, every host that reaches the store has a change within the
-// bound, counted from the change; those that don't have it from a peer.
-func TestChangesAreKnownInTimeThoughRelaysFail(t *testing.T) {
-	for name, trouble := range map[string]func(f *fleet){
-		"one relay of each domain is killed": func(f *fleet) {
+// Guards against changes that take longer than their bound, counted from the change, because relays
+// or the store fail: hosts that don't reach the store get changes from peers in time, too.
+func TestChangesPropagateInTimeWhenRelaysFail(t *testing.T) {
+	for name, inject := range map[string]func(f *fleet){
+		"one relay of each domain fails": func(f *fleet) {
 			for i, h := range f.relays() {
 				if i%2 == 0 {
-					f.set(f.silent, h.self.Addr, true)
+					f.set(f.unresponsive, h.self.Addr, true)
 				}
 			}
 		},
-		"all relays of a domain are lost at once": func(f *fleet) {
+		"all relays of a domain fail at once": func(f *fleet) {
 			for _, h := range f.relays() {
 				if h.self.FailureDomain == "d1" {
-					f.set(f.silent, h.self.Addr, true)
+					f.set(f.unresponsive, h.self.Addr, true)
 				}
 			}
 		},
-		"all relays are lost at once": func(f *fleet) {
+		"all relays fail at once": func(f *fleet) {
 			for _, h := range f.relays() {
-				f.set(f.silent, h.self.Addr, true)
+				f.set(f.unresponsive, h.self.Addr, true)
 			}
 		},
-		"a relay is cut off from the store": func(f *fleet) { f.set(f.cut, f.relays()[0].self.Addr, true) },
-		"a domain's relays are cut off from the store": func(f *fleet) {
+		"a relay is partitioned from the store": func(f *fleet) { f.set(f.partitioned, f.relays()[0].self.Addr, true) },
+		"a domain's relays are partitioned from the store": func(f *fleet) {
 			for _, h := range f.relays() {
 				if h.self.FailureDomain == "d2" {
-					f.set(f.cut, h.self.Addr, true)
+					f.set(f.partitioned, h.self.Addr, true)
 				}
 			}
 		},
-		"the store turns a third away": func(f *fleet) {
+		"the store refuses a third of the hosts": func(f *fleet) {
 			for i, h := range f.hosts {
-				f.set(f.refuse, h.self.Addr, i%3 == 0)
+				f.set(f.refused, h.self.Addr, i%3 == 0)
 			}
 		},
-		"the store turns all relays away": func(f *fleet) {
+		"the store refuses all relays": func(f *fleet) {
 			for _, h := range f.relays() {
-				f.set(f.refuse, h.self.Addr, true)
+				f.set(f.refused, h.self.Addr, true)
 			}
 		},
-		"the store forgets its history": func(f *fleet) { f.store.DropHistory() },
+		"the store drops its history": func(f *fleet) { f.store.DropHistory() },
 		"relays leave": func(f *fleet) {
 			for _, h := range f.relays() {
 				h.Leave()
@@ -109,92 +109,95 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inFleet(t, fleetSize, func(is *is.I, f *fleet) {
-				trouble(f)
+			withFleet(t, fleetSize, func(is *is.I, f *fleet) {
+				inject(f)
 				f.write(kindConfig, "main", "2")
 				f.remove(kindThings, "r3")
-				time.Sleep(testBound - time.Second)
-				is.Equal(f.behind(kindConfig, "main", "2"), nil)
-				is.Equal(f.behind(kindThings, "r3", ""), nil)
+				time.Sleep(propagationBound - time.Second)
+				is.Equal(f.staleHosts(kindConfig, "main", "2"), nil)
+				is.Equal(f.staleHosts(kindThings, "r3", ""), nil)
 				time.Sleep(20 * time.Second)
 				f.write(kindConfig, "main", "3")
-				time.Sleep(testBound - time.Second)
-				is.Equal(f.behind(kindConfig, "main", "3"), nil)
+				time.Sleep(propagationBound - time.Second)
+				is.Equal(f.staleHosts(kindConfig, "main", "3"), nil)
 			})
 		})
 	}
 }
 
-// The store drops its history and cuts all waiting watches: the relays ask again at once,
-// and the others stay with them.
-func TestCutWatchesAreNoLossOfTheStore(t *testing.T) {
-	inFleet(t, fleetSize, func(is *is.I, f *fleet) {
-		f.spent()
-		f.cutWatches()
+// The store drops its history and ends all waiting watches. Guards against relays that take this for
+// an outage: they must call the store again at once, and their followers stay with them.
+func TestDroppedWatchesAreNotAnOutage(t *testing.T) {
+	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
+		f.takeCallCount()
+		f.dropWatches()
 		time.Sleep(5 * time.Second)
-		is.Equal(len(f.relays()), testDomains*perDomain)
-		is.True(f.spent() <= 4*len(kinds)*testDomains*perDomain)
+		is.Equal(len(f.relays()), testDomains*relaysPerDomain)
+		is.True(f.takeCallCount() <= 4*len(kinds)*testDomains*relaysPerDomain)
 		f.write(kindConfig, "main", "2")
 		time.Sleep(100 * time.Millisecond)
-		is.Equal(f.behind(kindConfig, "main", "2"), nil)
+		is.Equal(f.staleHosts(kindConfig, "main", "2"), nil)
 	})
 }
 
-// While the store is down nobody storms it, and all know what changed soon after its end.
-func TestOutageOfTheStoreEndsForAllAtOnce(t *testing.T) {
-	inFleet(t, fleetSize, func(is *is.I, f *fleet) {
+// During an outage the hosts together send less than one call per host and second to the store, and
+// all hosts have the changes soon after its end.
+func TestFleetRecoversFromAStoreOutage(t *testing.T) {
+	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		f.mu.Lock()
 		f.down = true
 		f.mu.Unlock()
 		f.write(kindConfig, "main", "2")
 		time.Sleep(5 * time.Second)
-		f.spent()
+		f.takeCallCount()
 		const outage = 10
 		time.Sleep(outage * time.Second)
-		is.True(f.spent() <= outage*fleetSize) // less than a call a second of each host
+		is.True(f.takeCallCount() <= outage*fleetSize) // less than a call a second of each host
 		f.mu.Lock()
 		f.down = false
 		f.mu.Unlock()
 		time.Sleep(2 * time.Second)
-		is.Equal(f.behind(kindConfig, "main", "2"), nil)
+		is.Equal(f.staleHosts(kindConfig, "main", "2"), nil)
 		for _, h := range f.hosts {
-			is.True(h.copies[kindThings].UnavailableWithin(10 * time.Second)) // all know that entries may be missing
+			is.True(h.copies[kindThings].UnavailableWithin(10 * time.Second)) // every host knows of the outage, after which entries may be missing
 		}
 		time.Sleep(10 * time.Second)
-		is.True(len(f.relays()) <= 4*testDomains*perDomain) // the others follow peers again
+		is.True(len(f.relays()) <= 4*testDomains*relaysPerDomain) // the others follow peers again
 	})
 }
 
-// A host that believes in other relays than the rest is served all the same, and two that
-// would follow each other both follow the store.
-func TestHostsThatDisagreeWhoRelays(t *testing.T) {
+// Hosts whose lists name other relays than those of the rest are served all the same, and two hosts
+// that would follow each other both follow the store.
+func TestHostsThatDisagreeOnRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, 60)
-		weak := func(n int) *host { return f.hosts[30+n] }
-		// Each knows only a few others, so that the weak ones relay by their lists.
+		weakHost := func(n int) *host { return f.hosts[30+n] }
+		// Each of these hosts lists only other weak hosts, so that weak hosts are relays by
+		// its list.
 		for n := range 10 {
 			var list []state.Peer
 			for other := range 30 {
 				if other != n {
-					list = append(list, weak(other).self)
+					list = append(list, weakHost(other).self)
 				}
 			}
-			weak(n).list = list
+			weakHost(n).list = list
 		}
 		f.start()
 		defer f.end()
 		time.Sleep(10 * time.Second)
 		f.write(kindConfig, "main", "2")
 		time.Sleep(time.Second)
-		is.Equal(f.behind(kindConfig, "main", "2"), nil)
+		is.Equal(f.staleHosts(kindConfig, "main", "2"), nil)
 	})
 }
 
-// Three quarters more hosts at once, and a relay that only they know.
-func TestHostsAreAdded(t *testing.T) {
-	inFleet(t, 160, func(is *is.I, f *fleet) {
-		f.spent()
+// Three quarters more hosts start at once. Their lists are complete, and those of the others don't
+// have them yet, so that a relay may be known to the new hosts only.
+func TestAddedHostsFetchFromRelays(t *testing.T) {
+	withFleet(t, 160, func(is *is.I, f *fleet) {
+		f.takeCallCount()
 		for i := range 120 {
 			f.hosts = append(f.hosts, f.newHost(160+i))
 		}
@@ -203,31 +206,31 @@
 			h.list = all
 			h.start()
 		}
-		time.Sleep(testWait)
-		is.Equal(f.behind(kindThings, "r0", "ready"), nil)
-		is.True(f.spent() < 100) // they ask relays, not the store
+		time.Sleep(testFetchWait)
+		is.Equal(f.staleHosts(kindThings, "r0", "ready"), nil)
+		is.True(f.takeCallCount() < 100) // the new hosts fetch from relays, not from the store
 	})
 }
 
-// All hosts start again at once: each has its copies within two seconds, and the store is
-// asked by the relays alone.
-func TestAllHostsReturnAtOnce(t *testing.T) {
+// All hosts start at the same moment: they have their copies within half a second, and only the relays
+// call the store.
+func TestAllHostsRestartAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFleet(t, fleetSize)
 		f.start()
 		defer f.end()
 		time.Sleep(500 * time.Millisecond)
-		is.Equal(f.behind(kindThings, "r0", "ready"), nil)
-		is.Equal(len(f.relays()), testDomains*perDomain)
-		is.True(f.spent() <= 3*2*testDomains*perDomain)
+		is.Equal(f.staleHosts(kindThings, "r0", "ready"), nil)
+		is.Equal(len(f.relays()), testDomains*relaysPerDomain)
+		is.True(f.takeCallCount() <= 3*2*testDomains*relaysPerDomain)
 	})
 }
 
-// The relays return a moment after the others, which wait for them instead of asking the
-// store; relays that don't return are not waited for long.
-func TestHostsThatReturnBeforeTheirRelaysWaitForThem(t *testing.T) {
-	for name, late := range map[string]time.Duration{"a moment later": 400 * time.Millisecond, "not at all": time.Hour} {
+// The relays start a moment after the other hosts, which must wait for them rather than call the
+// store. If the relays don't start at all, the others wait for a limited time only.
+func TestHostsStartedBeforeTheirRelaysWaitForThem(t *testing.T) {
+	for name, delay := range map[string]time.Duration{"relays start a moment later": 400 * time.Millisecond, "relays don't start": time.Hour} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
@@ -244,43 +247,43 @@
 						defer h.end()
 						continue
 					}
-					f.set(f.silent, h.self.Addr, true)
+					f.set(f.unresponsive, h.self.Addr, true)
 				}
-				time.Sleep(late % time.Minute)
+				time.Sleep(delay % time.Minute)
 				for _, h := range f.hosts {
-					if relays[h.self.Addr] && late < time.Minute {
-						f.set(f.silent, h.self.Addr, false)
+					if relays[h.self.Addr] && delay < time.Minute {
+						f.set(f.unresponsive, h.self.Addr, false)
 						h.start()
 						defer h.end()
 					}
 				}
 				time.Sleep(2 * time.Second)
-				is.Equal(f.behind(kindThings, "r0", "ready"), nil)
-				if late < time.Minute {
-					is.True(f.spent() <= 3*len(kinds)*len(relays))
+				is.Equal(f.staleHosts(kindThings, "r0", "ready"), nil)
+				if delay < time.Minute {
+					is.True(f.takeCallCount() <= 3*len(kinds)*len(relays))
 				}
 			})
 		})
 	}
 }
 
-// What one host tells all, each hears once and within a third of a second, whichever host
-// it is and though some relays are lost.
+// Every host gets a notice exactly once and within 300 ms, whichever host publishes it and even if some
+// relays have failed.
 func TestNoticesReachAllHostsOnce(t *testing.T) {
-	for _, lost := range []int{0, 1, 3} {
-		inFleet(t, fleetSize, func(is *is.I, f *fleet) {
-			for _, h := range f.relays()[:lost] {
-				f.set(f.silent, h.self.Addr, true)
+	for _, failed := range []int{0, 1, 3} {
+		withFleet(t, fleetSize, func(is *is.I, f *fleet) {
+			for _, h := range f.relays()[:failed] {
+				f.set(f.unresponsive, h.self.Addr, true)
 			}
-			time.Sleep(5 * time.Second) // their followers have gone to others
+			time.Sleep(5 * time.Second) // the followers of the failed relays have moved to others
 			for i, h := range []*host{f.hosts[319], f.hosts[200], f.hosts[104]} {
 				h.Publish(context.Background(), "test", fmt.Append(nil, i))
 			}
 			time.Sleep(300 * time.Millisecond)
 			for _, h := range f.hosts {
-				if !f.is(f.silent, h.self.Addr) {
+				if !f.isSet(f.unresponsive, h.self.Addr) {
 					f.mu.Lock()
-					is.Equal(len(h.heard), 3)
+					is.Equal(len(h.received), 3)
 					f.mu.Unlock()
 				}
 			}
@@ -288,23 +291,24 @@
 	}
 }
 
-// Small domains have no relays: the host itself tells each.
+// Small domains have no relays: the publishing host sends the notice to each host itself.
 func TestNoticesInASmallFleet(t *testing.T) {
-	inFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
+	withFleet(t, 2*testDomains, func(is *is.I, f *fleet) {
 		f.hosts[3].Publish(context.Background(), "test", []byte("x"))
 		time.Sleep(100 * time.Millisecond)
 		for _, h := range f.hosts {
 			f.mu.Lock()
-			is.Equal(h.heard, []string{"x"})
+			is.Equal(h.received, []string{"x"})
 			f.mu.Unlock()
 		}
 	})
 }
 
-// A relay keeps notices for some seconds, and forgets them.
-func TestOldNoticesAreForgotten(t *testing.T) {
+// A relay keeps notices for noticeRetention and drops them, with their identities, afterwards. A cursor
+// of another relay yields all notices.
+func TestOldNoticesAreDropped(t *testing.T) {
 	is := is.New(t)
-	b := newBoard("relay-1")
+	b := newNoticeLog("relay-1")
 	now := time.Now()
 	for i := range 3 {
 		is.True(b.add(Notice{Origin: "h", Number: uint64(i)}, now))
@@ -314,39 +318,39 @@
 	is.Equal(len(all), 3)
 	none, read := b.since(read, now)
 	is.Equal(len(none), 0)
-	is.True(b.add(Notice{Origin: "h", Number: 9}, now.Add(2*noticesFor)))
-	one, _ := b.since(read, now.Add(2*noticesFor))
+	is.True(b.add(Notice{Origin: "h", Number: 9}, now.Add(2*noticeRetention)))
+	one, _ := b.since(read, now.Add(2*noticeRetention))
 	is.Equal(len(one), 1)
-	other, _ := b.since(Cursor{Relay: "relay-2", Next: 99}, now.Add(2*noticesFor))
+	other, _ := b.since(Cursor{Relay: "relay-2", Next: 99}, now.Add(2*noticeRetention))
 	is.Equal(len(other), 1)
 	is.Equal(len(b.seen), 1)
 }
 
-// Each host is looked after by one relay of its domain, and each relay by the other one;
-// hosts that are no relays look after nobody.
-func TestEachHostIsLookedAfterByOneRelay(t *testing.T) {
-	inFleet(t, fleetSize, func(is *is.I, f *fleet) {
+// Every host is monitored by exactly one relay of its domain, relays by the other relay. Hosts that
+// aren't relays monitor none.
+func TestEachHostIsMonitoredByOneRelay(t *testing.T) {
+	withFleet(t, fleetSize, func(is *is.I, f *fleet) {
 		relays := map[string]bool{}
 		for _, h := range f.relays() {
 			relays[h.self.Addr] = true
 		}
 		for _, other := range f.hosts {
-			by := 0
+			count := 0
 			for _, h := range f.hosts {
-				if h != other && h.self.FailureDomain == other.self.FailureDomain && h.LooksAfter(other.self.Addr) {
+				if h != other && h.self.FailureDomain == other.self.FailureDomain && h.Monitors(other.self.Addr) {
 					is.True(relays[h.self.Addr])
-					by++
+					count++
 				}
 			}
-			is.Equal(by, 1)
+			is.Equal(count, 1)
 		}
 	})
 }
 
-// A copy notifies its host under its own lock: a host that passes over a relay at that
-// moment must not hold its lock while it asks the copy for something. With the locks taken
-// the other way round this test doesn't end.
-func TestPassingOverARelayHoldsUpNoNews(t *testing.T) {
+// Guards against a deadlock: a copy notifies its host while it holds its own lock, so a host that backs
+// off from a relay at that moment must not read the copy with its own lock held. With that order of
+// locks this test doesn't end.
+func TestBackoffDoesNotDeadlockWithANotifyingCopy(t *testing.T) {
 	f := newFleet(t, 1)
 	h := f.hosts[0]
 	entered, release := make(chan struct{}), make(chan struct{})
@@ -361,15 +365,15 @@
 	h.copies["slow"] = m
 	go m.Adopt(follow.Copy{Revision: 1}, "peer")
 	<-entered
-	avoided := make(chan struct{})
+	backedOff := make(chan struct{})
 	go func() {
-		defer close(avoided)
-		h.avoid("relay", "test", false)
+		defer close(backedOff)
+		h.backOff("relay", "test", false)
 	}()
 	for range 1000 {
-		h.Notify()
+		h.WakeFollowers()
 		runtime.Gosched()
 	}
 	close(release)
-	<-avoided
+	<-backedOff
 }
--- a/coordination/fanout/fleet_test.go
+++ b/coordination/fanout/fleet_test.go
@@ -21,57 +21,71 @@
 )
 
 const (
-	kindConfig  = "config"
-	kindThings  = "things"
-	testWait    = time.Second // a quarter of a bound of 4 s
-	testBound   = 4 * time.Second
-	testDomains = 5
-	// testSettle is how long after a restoration what the store lost may not be written again.
+	// kindConfig has one object, "main", whose value is a version number; kindThings has r0 to r19.
+	kindConfig = "config"
+	kindThings = "things"
+	// testFetchWait is the FetchWait of all hosts, a quarter of propagationBound.
+	testFetchWait = time.Second
+	// propagationBound is the time within which a change must be in force.
+	propagationBound = 4 * time.Second
+	testDomains      = 5
+	// testSettle is the Settle option of all copies: for how long a restored store may lack what
+	// it lost, until that is written again.
 	testSettle = 2 * time.Second
 )
 
 var kinds = []string{kindConfig, kindThings}
 
-// fleet is hosts over one store, each in touch with the others until it is taken away.
+// fleet is a number of hosts with one store and a network, with faults that tests set.
 type fleet struct {
 	t     *testing.T
 	store *storetest.Platform
 	hosts []*host
 
-	mu     sync.Mutex
-	silent map[string]bool // answer nobody and ask nobody
-	cut    map[string]bool // don't reach the store, which they learn by silence
-	refuse map[string]bool // are turned away by the store
-	down   bool
-	calls  map[string]int
-	cost   int
-	// watches are ended, with an error, when cutting is closed.
-	cutting chan struct{}
+	mu sync.Mutex
+	// The faults are by host address. Unresponsive hosts neither answer calls nor make any;
+	// partitioned ones don't reach the store and notice it only by a timeout; refused ones get an
+	// error from the store.
+	unresponsive map[string]bool
+	partitioned  map[string]bool
+	refused      map[string]bool
+	// down makes the store refuse all hosts.
+	down bool
+	// calls counts the calls to the store by host.
+	calls map[string]int
+	// callCount is the number of calls to the store since takeCallCount was called last.
+	callCount int
+	// watchesDropped ends all waiting watches with an error when it is closed.
+	watchesDropped chan struct{}
 }
 
+// host is a Node with its copies.
 type host struct {
 	*Node
-	f      *fleet
-	self   state.Peer
+	f    *fleet
+	self state.Peer
+	// list is the host's list of all hosts.
 	list   []state.Peer
 	copies map[string]*follow.Mirror
-	heard  []string // notices, by their bodies
+	// received are the bodies of the notices that the host got.
+	received []string
 	// inForce is the highest version of the configuration that the host has had.
 	inForce atomic.Int64
 	stop    context.CancelFunc
 	ended   chan struct{}
 }
 
-// noticed is how long a cut from the store goes unnoticed by a waiting watch.
-const noticed = 3 * time.Second
+// partitionDetection is how long a call of a partitioned host takes to fail.
+const partitionDetection = 3 * time.Second
 
-func newFleet(t *testing.T, n int) *fleet { return newFleetWatching(t, n, 20*time.Second) }
+// newFleet returns a fleet of n hosts whose watches wait at the store for at most 20 s.
+func newFleet(t *testing.T, n int) *fleet { return newFleetWithWatchWait(t, n, 20*time.Second) }
 
-// newFleetWatching makes a fleet whose watches wait at the store for at most wait.
-func newFleetWatching(t *testing.T, n int, wait time.Duration) *fleet {
+// newFleetWithWatchWait returns a fleet of n hosts whose watches wait at the store for at most wait.
+func newFleetWithWatchWait(t *testing.T, n int, wait time.Duration) *fleet {
 	f := &fleet{
 		t: t, store: storetest.NewPlatform(wait),
-		silent: map[string]bool{}, cut: map[string]bool{}, refuse: map[string]bool{}, calls: map[string]int{}, cutting: make(chan struct{}),
+		unresponsive: map[string]bool{}, partitioned: map[string]bool{}, refused: map[string]bool{}, calls: map[string]int{}, watchesDropped: make(chan struct{}),
 	}
 	f.store.SetScript(f.script)
 	for i := range n {
@@ -95,7 +109,7 @@
 	return out
 }
 
-// newHost makes a host; one in twenty is strong.
+// newHost returns the host number i, which isn't started; one in twenty is strong (class 5).
 func (f *fleet) newHost(i int) *host {
 	class := 1
 	if i/testDomains%20 == 0 {
@@ -111,8 +125,8 @@
 		}
 		m, err := follow.New(follow.Options{
 			Newer: newer,
-			Store: faulty{f.store.Client(h.self.Addr), f, h.self.Addr}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
-			Kind: kind, OnChange: h.changed, RetryGroup: outage, Notify: func() { h.Notify() }, RecoveryTime: testSettle,
+			Store: faultyStore{f.store.Client(h.self.Addr), f, h.self.Addr}, Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler),
+			Kind: kind, OnChange: h.applyConfig, RetryGroup: outage, Notify: func() { h.WakeFollowers() }, RecoveryTime: testSettle,
 		})
 		if err != nil {
 			f.t.Fatal(err)
@@ -120,8 +134,8 @@
 		h.copies[kind] = m
 	}
 	n, err := New(Options{
-		Self: h.self, Run: h.self.Addr + "-1", Hosts: func() []state.Peer { return h.list }, Copies: h.copies, Peers: network{f, h.self.Addr},
-		Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(7, uint64(i))), Log: slog.New(slog.DiscardHandler), Wait: testWait,
+		Self: h.self, RunID: h.self.Addr + "-1", Hosts: func() []state.Peer { return h.list }, Copies: h.copies, Peers: network{f, h.self.Addr},
+		Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(7, uint64(i))), Log: slog.New(slog.DiscardHandler), FetchWait: testFetchWait,
 	})
 	if err != nil {
 		f.t.Fatal(err)
@@ -130,13 +144,13 @@
 	n.Subscribe("test", func(body []byte) {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		h.heard = append(h.heard, string(body))
+		h.received = append(h.received, string(body))
 	})
 	return h
 }
 
-// changed puts a higher version of the configuration in force, as a host does.
-func (h *host) changed(c follow.Copy) {
+// applyConfig puts the configuration of a copy in force if its version is higher.
+func (h *host) applyConfig(c follow.Copy) {
 	for _, o := range c.Objects {
 		if version := versionOf(o); version > h.inForce.Load() {
 			h.inForce.Store(version)
@@ -144,7 +158,7 @@
 	}
 }
 
-// versionOf is the version of a configuration, 0 for any other object.
+// versionOf returns the version of the configuration object, 0 for any other object.
 func versionOf(o store.Object) int64 {
 	version, err := strconv.ParseInt(string(o.Value), 10, 64)
 	if o.Name != "main" || err != nil {
@@ -179,21 +193,22 @@
 	}
 }
 
-func (f *fleet) set(state map[string]bool, addr string, is bool) {
+func (f *fleet) set(fault map[string]bool, addr string, on bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	state[addr] = is
+	fault[addr] = on
 }
 
-func (f *fleet) is(state map[string]bool, addr string) bool {
+func (f *fleet) isSet(fault map[string]bool, addr string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return state[addr]
+	return fault[addr]
 }
 
+// operator is the caller whose calls to the store aren't counted and never fail.
 const operator = "operator"
 
-// write changes an object.
+// write creates or replaces an object as the operator.
 func (f *fleet) write(kind, name, value string) {
 	c := f.store.Client(operator)
 	var version uint64
@@ -205,6 +220,7 @@
 	}
 }
 
+// remove deletes an object as the operator.
 func (f *fleet) remove(kind, name string) {
 	c := f.store.Client(operator)
 	o, err := c.Get(context.Background(), kind, name)
@@ -216,35 +232,36 @@
 	}
 }
 
-// script counts the hosts' calls, and refuses those of hosts that are turned away.
+// script counts the hosts' calls to the store, and refuses those of hosts that are set to be refused.
 func (f *fleet) script(c storetest.Call) storetest.Fault {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if c.Caller == operator {
 		return storetest.None
 	}
-	f.cost++
+	f.callCount++
 	f.calls[c.Caller]++
-	if f.down || f.refuse[c.Caller] {
+	if f.down || f.refused[c.Caller] {
 		return storetest.Refuse
 	}
 	return storetest.None
 }
 
-// spent returns the hosts' calls at the store since it was asked last.
-func (f *fleet) spent() int {
+// takeCallCount returns the number of the hosts' calls to the store since the last takeCallCount.
+func (f *fleet) takeCallCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	out := f.cost
-	f.cost = 0
+	out := f.callCount
+	f.callCount = 0
 	return out
 }
 
-// behind returns the hosts whose copy of an object isn't value ("" for none).
-func (f *fleet) behind(kind, name, value string) []string {
+// staleHosts returns the responsive hosts whose copy of an object doesn't have the value, "" meaning
+// that the object is absent.
+func (f *fleet) staleHosts(kind, name, value string) []string {
 	var out []string
 	for _, h := range f.hosts {
-		if f.is(f.silent, h.self.Addr) {
+		if f.isSet(f.unresponsive, h.self.Addr) {
 			continue
 		}
 		found := ""
@@ -271,42 +288,41 @@
 	return out
 }
 
-var errSilent = errors.New("no answer")
+var errNoAnswer = errors.New("no answer")
 
-// faulty is the store as a host reaches it: over a cut a call hears nothing until the cut
-// is noticed.
-type faulty struct {
+// faultyStore is the store as one host reaches it, with the faults of the fleet.
+type faultyStore struct {
 	*storetest.Client
 	f    *fleet
 	addr string
 }
 
-func (s faulty) List(ctx context.Context, kind string) ([]store.Object, uint64, error) {
+func (s faultyStore) List(ctx context.Context, kind string) ([]store.Object, uint64, error) {
 	if err := s.reach(ctx); err != nil {
 		return nil, 0, err
 	}
 	return s.Client.List(ctx, kind)
 }
 
-func (s faulty) Watch(ctx context.Context, kind string, after uint64) (store.Batch, error) {
+func (s faultyStore) Watch(ctx context.Context, kind string, after uint64) (store.Batch, error) {
 	if err := s.reach(ctx); err != nil {
 		return store.Batch{}, err
 	}
 	bounded, cancel := context.WithCancel(ctx)
 	defer cancel()
-	defer s.f.onCut(cancel)()
+	defer s.f.onWatchesDropped(cancel)()
 	b, err := s.Client.Watch(bounded, kind, after)
 	if err != nil && ctx.Err() == nil {
-		return b, &store.UnavailableError{Cause: errSilent}
+		return b, &store.UnavailableError{Cause: errNoAnswer}
 	}
 	if err == nil {
-		err = s.reach(ctx) // the answer is lost in the cut as well
+		err = s.reach(ctx) // a partition that began meanwhile drops the answer, too
 	}
 	return b, err
 }
 
 // Poll implements follow.Poller.
-func (s faulty) Poll(ctx context.Context, kind string, after uint64) (store.Batch, error) {
+func (s faultyStore) Poll(ctx context.Context, kind string, after uint64) (store.Batch, error) {
 	if err := s.reach(ctx); err != nil {
 		return store.Batch{}, err
 	}
@@ -319,65 +335,67 @@
 	return b, err
 }
 
-// onCut calls cut when all watches are cut; the returned function ends that.
-func (f *fleet) onCut(cut func()) (done func()) {
+// onWatchesDropped calls drop when all watches are dropped, until the returned function is called.
+func (f *fleet) onWatchesDropped(drop func()) (done func()) {
 	f.mu.Lock()
-	cutting := f.cutting
+	dropped := f.watchesDropped
 	f.mu.Unlock()
 	over := make(chan struct{})
 	go func() {
 		select {
-		case <-cutting:
-			cut()
+		case <-dropped:
+			drop()
 		case <-over:
 		}
 	}()
 	return func() { close(over) }
 }
 
-// cutWatches drops the store's history and cuts all waiting watches.
-func (f *fleet) cutWatches() {
+// dropWatches drops the store's history and ends all waiting watches.
+func (f *fleet) dropWatches() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	close(f.cutting)
-	f.cutting = make(chan struct{})
+	close(f.watchesDropped)
+	f.watchesDropped = make(chan struct{})
 	f.store.DropHistory()
 }
 
-func (s faulty) reach(ctx context.Context) error {
-	if !s.f.is(s.f.cut, s.addr) && !s.f.is(s.f.silent, s.addr) {
+// reach fails after partitionDetection if the host is partitioned from the store or unresponsive.
+func (s faultyStore) reach(ctx context.Context) error {
+	if !s.f.isSet(s.f.partitioned, s.addr) && !s.f.isSet(s.f.unresponsive, s.addr) {
 		return nil
 	}
-	if err := (clocktest.Bubble{}).Sleep(ctx, noticed); err != nil {
+	if err := (clocktest.Bubble{}).Sleep(ctx, partitionDetection); err != nil {
 		return err
 	}
-	return &store.UnavailableError{Cause: errSilent}
+	return &store.UnavailableError{Cause: errNoAnswer}
 }
 
-// network carries the hosts' calls.
+// network implements Peers for the host at address from.
 type network struct {
 	f    *fleet
 	from string
 }
 
-const oneWay = time.Millisecond
+// networkDelay is the delay of a message in one direction.
+const networkDelay = time.Millisecond
 
-// Follow implements Peers.
-func (n network) Follow(ctx context.Context, addr string, q Question) (News, error) {
+// Fetch implements Peers.
+func (n network) Fetch(ctx context.Context, addr string, req Request) (Response, error) {
 	to, err := n.reach(ctx, addr)
 	if err != nil {
-		return News{}, err
+		return Response{}, err
 	}
-	news := to.Serve(ctx, q)
-	if n.f.is(n.f.silent, addr) {
+	resp := to.Serve(ctx, req)
+	if n.f.isSet(n.f.unresponsive, addr) {
 		<-ctx.Done()
-		return News{}, ctx.Err()
+		return Response{}, ctx.Err()
 	}
-	return news, (clocktest.Bubble{}).Sleep(ctx, oneWay)
+	return resp, (clocktest.Bubble{}).Sleep(ctx, networkDelay)
 }
 
-// Post implements Peers.
-func (n network) Post(ctx context.Context, addr string, notice Notice) error {
+// SendNotice implements Peers.
+func (n network) SendNotice(ctx context.Context, addr string, notice Notice) error {
 	to, err := n.reach(ctx, addr)
 	if err == nil {
 		to.Deliver(notice)
@@ -385,12 +403,13 @@
 	return err
 }
 
-// reach brings a call to a host.
+// reach returns the host at addr after networkDelay. It waits until ctx ends if either host is
+// unresponsive.
 func (n network) reach(ctx context.Context, addr string) (*host, error) {
-	if err := (clocktest.Bubble{}).Sleep(ctx, oneWay); err != nil {
+	if err := (clocktest.Bubble{}).Sleep(ctx, networkDelay); err != nil {
 		return nil, err
 	}
-	if n.f.is(n.f.silent, addr) || n.f.is(n.f.silent, n.from) {
+	if n.f.isSet(n.f.unresponsive, addr) || n.f.isSet(n.f.unresponsive, n.from) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -404,7 +423,7 @@
 	return nil, errors.New("connection refused")
 }
 
-// some describes hosts, for messages.
-func some(hosts []string) string {
+// summarize describes hosts for failure messages.
+func summarize(hosts []string) string {
 	return fmt.Sprintf("%d hosts: %s", len(hosts), strings.Join(hosts[:min(5, len(hosts))], " "))
 }
--- a/coordination/fanout/node.go
+++ b/coordination/fanout/node.go
@@ -13,112 +13,126 @@
 )
 
 const (
-	// startPatience is how long a host that has no copy yet waits for relays that start
-	// with it, and startRetry the pause before one is asked again: when all hosts return
-	// at once, each asking the store would be some thousand calls. A relay needs some
-	// tens of milliseconds once its process runs.
-	startPatience = 1500 * time.Millisecond
-	startRetry    = 100 * time.Millisecond
-	// relayFor is how long a host goes on following the store after it was asked last:
-	// some questions of each follower may be lost.
-	relayFor = 10 * time.Second
-	// checkEvery is how often a host that has nobody to follow looks again.
-	checkEvery = 500 * time.Millisecond
+	// startupRelayWait is how long a host that lacks a copy waits for relays that are starting
+	// too before it follows the store, and startupRetryInterval the pause before it tries a
+	// relay again: when all hosts restart at once, the store would get some thousand calls
+	// otherwise. A relay has its copies some tens of milliseconds after its process started.
+	startupRelayWait     = 1500 * time.Millisecond
+	startupRetryInterval = 100 * time.Millisecond
+	// relayLinger is how long a host goes on following the store after the last fetch that it
+	// received: some fetches of each follower may be lost.
+	relayLinger = 10 * time.Second
+	// recheckInterval is how often a host that has no relay to fetch from reconsiders its plan.
+	recheckInterval = 500 * time.Millisecond
 )
 
 // Options configure a Node. All fields are required.
 type Options struct {
+	// Self is this host.
 	Self state.Peer
-	// Run names this run of the host, unlike any other.
-	Run string
-	// Hosts lists all hosts. A list that has been returned is never changed.
+	// RunID identifies this run of the host; no other run of any host has the same.
+	RunID string
+	// Hosts lists all hosts. The caller must not modify a list after returning it.
 	Hosts func() []state.Peer
-	// Copies are this host's, by kind.
+	// Copies are this host's copies of the store's objects, by kind.
 	Copies map[string]*follow.Mirror
 	Peers  Peers
 	Clock  state.Clock
-	// Rand spreads the times at which hosts come back to a relay; Run alone uses it.
+	// Rand spreads the times at which hosts retry a relay or the store. It is used by the
+	// goroutine of Run only.
 	Rand *rand.Rand
 	Log  *slog.Logger
-	// Wait is how long a question waits at a relay. A relay that is silent for that long
-	// and a moment more is passed over: a quarter of the time in which changes must be
-	// in force leaves room for the next one's answer.
-	Wait time.Duration
+	// FetchWait is how long a fetch waits at a relay for changes. A host backs off from a relay
+	// that doesn't respond within FetchWait and responseSlack. A quarter of the time in which
+	// changes must be in force leaves time for the response of the next relay.
+	FetchWait time.Duration
 }
 
-// Node keeps one host's copies up to date, and those of the hosts that follow it.
+// Node keeps the copies of one host up to date, and serves them to its followers.
 type Node struct {
-	o      Options
-	board  *board
-	topics map[Topic]func([]byte)
-	// read is how far the notices of each relay were read; Run alone uses it.
-	read map[string]Cursor
-
-	mu      sync.Mutex
-	avoided map[string]avoidance
-	askedAt time.Time
-	// heard is when hosts asked this one, by their addresses.
-	heard   map[string]time.Time
+	o       Options
+	notices *noticeLog
+	// handlers are the functions set by Subscribe.
+	handlers map[Topic]func([]byte)
+	// cursors are the positions up to which the notices of each relay were read, by the relay's
+	// address. Used by Run only.
+	cursors map[string]Cursor
+
+	mu sync.Mutex
+	// backoffs are the relays that failed, by address.
+	backoffs map[string]relayBackoff
+	// lastFetchAt is when the last fetch of any host came in; zero if none has.
+	lastFetchAt time.Time
+	// lastFetchFrom is when the last fetch of each host came in, by the host's address.
+	lastFetchFrom map[string]time.Time
+	// leaving is set once this host no longer relays because it shuts down.
 	leaving bool
-	// changed is closed when a copy or the word of the store changes.
+	// changed is closed, and replaced, when a copy, the store's availability or the notices
+	// change.
 	changed chan struct{}
-	// interrupt ends the question that waits at a relay.
-	interrupt context.CancelFunc
-	// source is the relay that is followed; "" for the store.
+	// cancelFetch cancels the pending fetch, so that a follower that receives a fetch itself
+	// follows the store at once; nil if no fetch is pending or this host relays already.
+	cancelFetch context.CancelFunc
+	// source is the address of the relay that is followed; "" if it is the store.
 	source string
-	// reachAt is when the store may be asked next while the relays have lost it.
-	reachAt time.Time
-	// turn is the index of the peer that was peeked at last, and settled is set once a peer has told
-	// whether the store was restored recently, or none could; Run alone uses them.
-	turn    int
-	settled bool
-	// revision is the latest of the copies when they were last looked at for a restoration; Run
-	// alone uses it.
-	revision uint64
-	// begunAt is when Run began; Run alone uses it.
-	begunAt time.Time
-	// planned is the plan for the list of hosts of plannedOf; Run alone uses them.
-	planned   plan
-	plannedOf []state.Peer
-	// stop ends the runs of the copies at the store; nil while a relay is followed.
-	stop func()
-}
-
-// New validates the options.
+	// nextStoreProbe is when the store may be probed next while all relays have lost it. Used by
+	// Run only.
+	nextStoreProbe time.Time
+	// peekIndex, modulo the number of hosts, is the index in cachedPlanHosts of the peer that was
+	// peeked at last.
+	// restoreChecked is set once a peer has reported whether the store was restored recently, or
+	// no peer could. Used by Run only.
+	peekIndex      int
+	restoreChecked bool
+	// checkedRevision is the highest revision of the copies at the last check for a restoration
+	// of the store. Used by Run only.
+	checkedRevision uint64
+	// startedAt is when Run began. Used by Run only.
+	startedAt time.Time
+	// cachedPlan is the plan for the list of hosts cachedPlanHosts. Used by Run only.
+	cachedPlan      plan
+	cachedPlanHosts []state.Peer
+	// stopFollowing ends the runs of the copies that follow the store; nil while a relay is
+	// followed.
+	stopFollowing func()
+}
+
+// New returns a node. It fails if a field of the options is missing.
 func New(o Options) (*Node, error) {
-	if o.Self.Addr == "" || o.Run == "" || o.Hosts == nil || len(o.Copies) == 0 || o.Peers == nil || o.Clock == nil || o.Rand == nil || o.Log == nil || o.Wait <= 0 {
+	if o.Self.Addr == "" || o.RunID == "" || o.Hosts == nil || len(o.Copies) == 0 || o.Peers == nil || o.Clock == nil || o.Rand == nil || o.Log == nil || o.FetchWait <= 0 {
 		return nil, errors.New("fanout: a field of Options is missing; set all of them")
 	}
-	return &Node{o: o, board: newBoard(o.Run), topics: map[Topic]func([]byte){}, read: map[string]Cursor{}, avoided: map[string]avoidance{}, heard: map[string]time.Time{}, changed: make(chan struct{})}, nil
+	return &Node{o: o, notices: newNoticeLog(o.RunID), handlers: map[Topic]func([]byte){}, cursors: map[string]Cursor{}, backoffs: map[string]relayBackoff{}, lastFetchFrom: map[string]time.Time{}, changed: make(chan struct{})}, nil
 }
 
-// Notify is to be called when a copy or the word of the store has changed.
-func (n *Node) Notify() {
+// WakeFollowers answers pending fetches that have something to return. It must be called when
+// a copy or the store's availability has changed.
+func (n *Node) WakeFollowers() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.changed)
 	n.changed = make(chan struct{})
 }
 
-// Leave sends those who follow this host to others.
+// Leave makes this host unavailable as a relay, so that its followers move to others.
 func (n *Node) Leave() {
 	n.mu.Lock()
 	n.leaving = true
 	n.mu.Unlock()
-	n.Notify()
+	n.WakeFollowers()
 }
 
 // FollowsStore reports whether this host follows the store itself.
 func (n *Node) FollowsStore() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.stop != nil
+	return n.stopFollowing != nil
 }
 
-// Run keeps the copies up to date until ctx ends.
+// Run keeps the copies up to date until ctx ends. It must be called once.
 func (n *Node) Run(ctx context.Context) {
-	defer n.followStoreNoMore()
-	n.begunAt = n.o.Clock.Now()
+	defer n.stopFollowingStore()
+	n.startedAt = n.o.Clock.Now()
 	for _, m := range n.o.Copies {
 		m.SuspendProofs()
 	}
@@ -127,68 +141,70 @@
 	}
 }
 
-// step asks one relay, or waits if there is none to ask.
+// step follows the store or a relay as the plan and the state of the relays require, then makes
+// one fetch, or sleeps if there is no relay to fetch from.
 func (n *Node) step(ctx context.Context) {
-	p, now := n.plan(), n.o.Clock.Now()
-	asked := n.askedLately(now)
-	relays := p.relays || asked
-	source := n.usable(p.sources, now)
+	p, now := n.currentPlan(), n.o.Clock.Now()
+	hasFollowers := n.hasFollowers(now)
+	isRelay := p.isRelay || hasFollowers
+	source := n.firstUsable(p.sources, now)
 	switch {
-	case !relays && len(p.sources) > 0 && n.waitsToStart(now):
-		n.askOrSleep(ctx, source, startRetry)
+	case !isRelay && len(p.sources) > 0 && n.waitsForRelays(now):
+		n.fetchOrSleep(ctx, source, startupRetryInterval)
 		return
-	case !relays && source == "" && n.lostToAll(p.sources) && !n.starting() && !n.FollowsStore():
-		n.awaitStore(ctx, now)
+	case !isRelay && source == "" && n.allUnavailable(p.sources) && !n.lacksCopy() && !n.FollowsStore():
+		n.probeStore(ctx, now)
 		return
-	case relays || source == "" || n.starting():
+	case isRelay || source == "" || n.lacksCopy():
 		n.followStore(ctx)
-		if !n.settled {
-			n.settleAtStart(ctx)
+		if !n.restoreChecked {
+			n.checkRestoreAtStart(ctx)
 		}
-		n.askAfterRestoration(ctx)
+		n.peekAfterRestore(ctx)
 	}
-	// A relay that is asked follows another one beside the store: what one of them misses
-	// in a cut that it hasn't noticed, it hears from the other.
+	// A relay with followers fetches from another relay in addition to following the store:
+	// if its connection to the store is cut and neither side has noticed, it still gets the
+	// changes through the other relay.
 	switch {
-	case source != "" && (!relays || asked || n.lost()):
-		n.ask(ctx, source, relays)
-	case n.lost():
-		n.peekAtNext(ctx) // it may still reach the store
-		_ = n.o.Clock.Sleep(ctx, checkEvery)
+	case source != "" && (!isRelay || hasFollowers || n.storeUnavailable()):
+		n.fetch(ctx, source, isRelay)
+	case n.storeUnavailable():
+		n.peekNext(ctx) // another host may still reach the store
+		_ = n.o.Clock.Sleep(ctx, recheckInterval)
 	default:
-		_ = n.o.Clock.Sleep(ctx, checkEvery)
+		_ = n.o.Clock.Sleep(ctx, recheckInterval)
 	}
 }
 
-// askOrSleep asks a relay, or waits if there is none to ask.
-func (n *Node) askOrSleep(ctx context.Context, source string, pause time.Duration) {
+// fetchOrSleep fetches from a relay, or sleeps if source is empty.
+func (n *Node) fetchOrSleep(ctx context.Context, source string, pause time.Duration) {
 	if source == "" {
 		_ = n.o.Clock.Sleep(ctx, pause)
 		return
 	}
-	n.ask(ctx, source, false)
+	n.fetch(ctx, source, false)
 }
 
-// plan is what this host does by the present list of hosts.
-func (n *Node) plan() plan {
+// currentPlan returns this host's plan for the current list of hosts.
+func (n *Node) currentPlan() plan {
 	hosts := n.o.Hosts()
-	if n.planned.made && state.SameList(n.plannedOf, hosts) {
-		return n.planned
+	if n.cachedPlan.computed && state.SameList(n.cachedPlanHosts, hosts) {
+		return n.cachedPlan
 	}
-	n.planned, n.plannedOf = planOf(n.o.Self, hosts), hosts
-	n.planned.made = true
-	n.forgetGone(hosts)
-	return n.planned
+	n.cachedPlan, n.cachedPlanHosts = computePlan(n.o.Self, hosts), hosts
+	n.cachedPlan.computed = true
+	n.dropUnlisted(hosts)
+	return n.cachedPlan
 }
 
-// waitsToStart reports whether this host has no copy yet and its relays may have none.
-func (n *Node) waitsToStart(now time.Time) bool {
-	return now.Sub(n.begunAt) < startPatience && n.starting()
+// waitsForRelays reports whether this host, which has started recently and lacks a copy, should
+// wait for relays that may lack it too.
+func (n *Node) waitsForRelays(now time.Time) bool {
+	return now.Sub(n.startedAt) < startupRelayWait && n.lacksCopy()
 }
 
-// starting reports whether this host lacks a copy: a relay that is starting too needs a
-// moment to have one.
-func (n *Node) starting() bool {
+// lacksCopy reports whether this host lacks a copy of some kind.
+func (n *Node) lacksCopy() bool {
 	for _, m := range n.o.Copies {
 		if m.Revision() == 0 {
 			return true
@@ -197,6 +213,7 @@
 	return false
 }
 
+// revisions returns the revisions of this host's copies.
 func (n *Node) revisions() Revisions {
 	out := make(Revisions, len(n.o.Copies))
 	for kind, m := range n.o.Copies {
@@ -205,8 +222,8 @@
 	return out
 }
 
-// lost reports whether the store doesn't answer this host for some kind.
-func (n *Node) lost() bool {
+// storeUnavailable reports whether the store doesn't answer this host for some kind.
+func (n *Node) storeUnavailable() bool {
 	for _, m := range n.o.Copies {
 		if m.Lost() {
 			return true
@@ -215,7 +232,7 @@
 	return false
 }
 
-// fresh reports whether the store answers this host for all kinds.
+// fresh reports whether this host follows the store and is answered by it for all kinds.
 func (n *Node) fresh() bool {
 	for _, m := range n.o.Copies {
 		if !m.Following() {
@@ -225,8 +242,9 @@
 	return true
 }
 
-func (n *Node) askedLately(now time.Time) bool {
+// hasFollowers reports whether this host has received a fetch within relayLinger.
+func (n *Node) hasFollowers(now time.Time) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return !n.askedAt.IsZero() && now.Sub(n.askedAt) < relayFor
+	return !n.lastFetchAt.IsZero() && now.Sub(n.lastFetchAt) < relayLinger
 }
--- a/coordination/fanout/notice.go
+++ b/coordination/fanout/notice.go
@@ -9,139 +9,152 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Topic tells what a notice is about.
+// Topic is the subject of a notice. Each topic has at most one handler on each host.
 type Topic string
 
-// Notice is a message from one host to all others, for what is of use for some seconds
-// only. One that isn't delivered is missed: nothing that must hold may rest on it.
+// Notice is a message from one host to all others about something that matters for some seconds
+// only. Delivery isn't guaranteed, so nothing that must hold may depend on a notice.
 type Notice struct {
-	// Origin and Number tell notices apart: Origin is a run of a host.
+	// Origin and Number identify a notice: Origin is the run of the host that published it, and
+	// Number counts the notices of that run from 1 on.
 	Origin string
 	Number uint64
 	Topic  Topic
 	Body   []byte
 }
 
-// Cursor is how far a host has read the notices of a relay.
+// Cursor is a position in the notices of a relay.
 type Cursor struct {
-	// Relay is the run of the relay; a cursor says nothing of another.
+	// Relay is the run of the relay; the cursor is not valid for any other run.
 	Relay string
-	Next  uint64
+	// Next is the index of the first notice that hasn't been read.
+	Next uint64
 }
 
 const (
-	// noticesFor is how long a relay keeps notices for hosts that come to it from another.
-	noticesFor = 2 * time.Second
-	// mostNotices bounds what a relay keeps: two hundred engines that fail at once, told
-	// twice a second.
-	mostNotices = 1024
-	// postTimeout bounds the telling of one relay; nobody waits for it.
-	postTimeout = 300 * time.Millisecond
+	// noticeRetention is how long a relay keeps notices for hosts that move to it from another.
+	noticeRetention = 2 * time.Second
+	// maxNotices bounds the notices that a relay keeps: 200 engines that fail at once, each
+	// reported twice a second.
+	maxNotices = 1024
+	// sendTimeout bounds the sending of a notice to one host; nothing waits for it.
+	sendTimeout = 300 * time.Millisecond
 )
 
+// noticeID identifies a notice.
 type noticeID struct {
 	origin string
 	number uint64
 }
 
-// board is the notices that a host has had recently, in their order here.
-type board struct {
+// noticeLog holds the recent notices that a host published or received, in the order in which it
+// got them. It is safe for concurrent use.
+type noticeLog struct {
 	mu sync.Mutex
-	// run names this run of the host.
-	run     string
-	posted  uint64
-	first   uint64
-	notices []pinned
-	seen    map[noticeID]bool
+	// runID identifies this run of the host.
+	runID string
+	// lastNumber is the number of the last notice that this run published.
+	lastNumber uint64
+	// firstIndex is the index of notices[0], counted from the start of this run; cursors refer to
+	// these indexes.
+	firstIndex uint64
+	notices    []loggedNotice
+	// seen holds the identities of notices, to recognize duplicates.
+	seen map[noticeID]bool
 }
 
-type pinned struct {
+// loggedNotice is a notice with the time at which this host got it.
+type loggedNotice struct {
 	Notice
-	at time.Time
+	addedAt time.Time
 }
 
-func newBoard(run string) *board { return &board{run: run, seen: map[noticeID]bool{}} }
+func newNoticeLog(run string) *noticeLog { return &noticeLog{runID: run, seen: map[noticeID]bool{}} }
 
-// make numbers a notice of this host.
-func (b *board) make(topic Topic, body []byte) Notice {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.posted++
-	return Notice{Origin: b.run, Number: b.posted, Topic: topic, Body: body}
+// newNotice returns a notice of this host with the next number. It doesn't add it to the log.
+func (l *noticeLog) newNotice(topic Topic, body []byte) Notice {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.lastNumber++
+	return Notice{Origin: l.runID, Number: l.lastNumber, Topic: topic, Body: body}
 }
 
-// add reports whether the notice is new.
-func (b *board) add(n Notice, now time.Time) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// add adds a notice, unless the log has it already, and drops those that are too old or too many. It
+// reports whether the notice is new.
+func (l *noticeLog) add(n Notice, now time.Time) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	id := noticeID{n.Origin, n.Number}
-	if b.seen[id] {
+	if l.seen[id] {
 		return false
 	}
-	b.seen[id] = true
-	b.notices = append(b.notices, pinned{n, now})
-	for len(b.notices) > mostNotices || now.Sub(b.notices[0].at) > noticesFor {
-		old := b.notices[0]
-		delete(b.seen, noticeID{old.Origin, old.Number})
-		b.notices = b.notices[1:]
-		b.first++
+	l.seen[id] = true
+	l.notices = append(l.notices, loggedNotice{n, now})
+	for len(l.notices) > maxNotices || now.Sub(l.notices[0].addedAt) > noticeRetention {
+		old := l.notices[0]
+		delete(l.seen, noticeID{old.Origin, old.Number})
+		l.notices = l.notices[1:]
+		l.firstIndex++
 	}
 	return true
 }
 
-// since returns what was added after a cursor, and the cursor after that.
-func (b *board) since(c Cursor, now time.Time) ([]Notice, Cursor) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	next := Cursor{b.run, b.first + uint64(len(b.notices))}
+// since returns the notices from a cursor on that aren't older than noticeRetention, and the cursor
+// after them. A cursor of another run, or one that is too old, yields all notices.
+func (l *noticeLog) since(c Cursor, now time.Time) ([]Notice, Cursor) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	next := Cursor{l.runID, l.firstIndex + uint64(len(l.notices))}
 	from := 0
-	if c.Relay == b.run && c.Next > b.first {
-		from = int(min(c.Next, next.Next) - b.first)
+	if c.Relay == l.runID && c.Next > l.firstIndex {
+		from = int(min(c.Next, next.Next) - l.firstIndex)
 	}
 	var out []Notice
-	for _, p := range b.notices[from:] {
-		if now.Sub(p.at) <= noticesFor {
+	for _, p := range l.notices[from:] {
+		if now.Sub(p.addedAt) <= noticeRetention {
 			out = append(out, p.Notice)
 		}
 	}
 	return out, next
 }
 
-// Subscribe has a function called for each notice of a topic, this host's own too. It is
-// to be called before Run, and the function mustn't block.
-func (n *Node) Subscribe(topic Topic, take func(body []byte)) { n.topics[topic] = take }
+// Subscribe sets the handler of a topic. It is called once for each notice, including this host's
+// own, and must not block. Subscribe must be called before Run.
+func (n *Node) Subscribe(topic Topic, handle func(body []byte)) { n.handlers[topic] = handle }
 
-// Publish tells all hosts; it doesn't wait until they know.
+// Publish sends a notice to all hosts. It doesn't wait for the delivery.
 func (n *Node) Publish(ctx context.Context, topic Topic, body []byte) {
-	notice := n.board.make(topic, body)
+	notice := n.notices.newNotice(topic, body)
 	n.Deliver(notice)
-	for _, addr := range n.tellers() {
-		go n.post(ctx, addr, notice)
+	for _, addr := range n.noticeTargets() {
+		go n.sendNotice(ctx, addr, notice)
 	}
 }
 
-func (n *Node) post(ctx context.Context, addr string, notice Notice) {
-	ctx, cancel := context.WithTimeout(ctx, postTimeout)
+// sendNotice sends a notice to one host; a failure is only logged.
+func (n *Node) sendNotice(ctx context.Context, addr string, notice Notice) {
+	ctx, cancel := context.WithTimeout(ctx, sendTimeout)
 	defer cancel()
-	if err := n.o.Peers.Post(ctx, addr, notice); err != nil {
-		n.o.Log.Debug("notice not told", "peer", addr, "topic", string(notice.Topic), "cause", err.Error())
+	if err := n.o.Peers.SendNotice(ctx, addr, notice); err != nil {
+		n.o.Log.Debug("notice not delivered", "peer", addr, "topic", string(notice.Topic), "cause", err.Error())
 	}
 }
 
-// Deliver takes a notice and keeps it for the hosts that follow this one.
+// Deliver passes a notice to its handler and keeps it for the followers of this host. Duplicates are
+// ignored.
 func (n *Node) Deliver(notice Notice) {
-	if !n.board.add(notice, n.o.Clock.Now()) {
+	if !n.notices.add(notice, n.o.Clock.Now()) {
 		return
 	}
-	if take := n.topics[notice.Topic]; take != nil {
-		take(notice.Body)
+	if handle := n.handlers[notice.Topic]; handle != nil {
+		handle(notice.Body)
 	}
-	n.Notify()
+	n.WakeFollowers()
 }
 
-// tellers are the hosts that pass a notice on to all others: the relays of each failure
-// domain, and every host of a domain without.
-func (n *Node) tellers() []string {
+// noticeTargets returns the hosts to which a notice is sent so that all get it: the relays of each
+// failure domain, which pass it on, and all hosts of a domain without relays.
+func (n *Node) noticeTargets() []string {
 	var out []string
 	for _, members := range byDomain(n.o.Hosts()) {
 		relays := relaysOf(members)
@@ -153,6 +166,7 @@
 	return slices.DeleteFunc(out, func(addr string) bool { return addr == n.o.Self.Addr })
 }
 
+// addresses returns the addresses of hosts.
 func addresses(hosts []state.Peer) []string {
 	out := make([]string, 0, len(hosts))
 	for _, h := range hosts {
--- a/coordination/fanout/proof_test.go
+++ b/coordination/fanout/proof_test.go
@@ -14,30 +14,33 @@
 )
 
 const (
-	// revokeWithin is the bound that proofs are for, as the users' sheets have it, and
-	// proofWait how long a watch waits where it holds.
-	revokeWithin = 5 * time.Second
-	proofWait    = revokeWithin / 5
+	// revocationBound is the time within which a revoked key must be refused, as the service
+	// agreement sets it, and proofWait how long a watch waits at the store in such a fleet.
+	revocationBound = 5 * time.Second
+	proofWait       = revocationBound / 5
 )
 
-// acked are the times at which versions of the configuration were acknowledged, from 1 on.
-type acked []time.Time
+// ackTimes are the times at which the versions of the configuration were acknowledged, from
+// version 1 on.
+type ackTimes []time.Time
 
-// proofHolds reports whether a host's copy has all that its proof says.
-func (a acked) proofHolds(h *host) error {
+// checkProof returns an error if a host's proof is of a time at which a higher version than the
+// host's had been acknowledged.
+func (a ackTimes) checkProof(h *host) error {
 	proven := h.copies[kindConfig].ProvenAt()
 	have := int(h.inForce.Load())
 	if have < len(a) && a[have].Before(proven) {
-		return fmt.Errorf("%s has version %d by a proof as of %s after version %d", h.self.Addr, have, proven.Sub(a[have]), have+1)
+		return fmt.Errorf("%s has version %d and a proof of %s after version %d was acknowledged", h.self.Addr, have, proven.Sub(a[have]), have+1)
 	}
 	return nil
 }
 
-// ages are those of the proofs of hosts that aren't silent, the youngest first.
-func (f *fleet) ages() []time.Duration {
+// proofAges returns the ages of the proofs of the hosts that are responsive and not partitioned, in
+// ascending order.
+func (f *fleet) proofAges() []time.Duration {
 	var out []time.Duration
 	for _, h := range f.hosts {
-		if !f.is(f.silent, h.self.Addr) && !f.is(f.cut, h.self.Addr) {
+		if !f.isSet(f.unresponsive, h.self.Addr) && !f.isSet(f.partitioned, h.self.Addr) {
 			out = append(out, time.Since(h.copies[kindConfig].ProvenAt()))
 		}
 	}
@@ -45,28 +48,28 @@
 	return out
 }
 
-// A proof is never younger than what the host's copy lacks, whatever fails: hosts that are
-// cut off from the store, turned away by it or silent, relays that are lost, an outage of the
-// store, a store that drops its history, configurations in quick succession.
-func TestProofsSayNothingThatCopiesLack(t *testing.T) {
+// Guards against a proof that is newer than the host's copy, whatever fails: hosts that are partitioned
+// from the store, refused by it or unresponsive, relays that fail, an outage of the store, a store that
+// drops its history, configurations in quick succession.
+func TestProofsCoverNothingThatCopiesLack(t *testing.T) {
 	for _, size := range []int{83, 300} {
 		for seed := range uint64(6) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleetWatching(t, size, proofWait)
+				f := newFleetWithWatchWait(t, size, proofWait)
 				f.start()
 				defer f.end()
 				time.Sleep(10 * time.Second)
 				rng := rand.New(rand.NewPCG(seed, 3))
-				versions := acked{time.Now()}
+				versions := ackTimes{time.Now()}
 				for range 60 {
-					f.disturb(rng)
+					f.toggleFault(rng)
 					if rng.IntN(2) == 0 {
 						f.write(kindConfig, "main", strconv.Itoa(len(versions)+1))
 						versions = append(versions, time.Now())
 					}
 					time.Sleep(time.Duration(rng.IntN(700)) * time.Millisecond)
 					for _, h := range f.hosts {
-						if err := versions.proofHolds(h); err != nil {
+						if err := versions.checkProof(h); err != nil {
 							t.Fatalf("%d hosts, seed %d: %v", size, seed, err)
 						}
 					}
@@ -76,44 +79,44 @@
 	}
 }
 
-// Guards against a key that was revoked and is served again, because a restored store has lost the
-// revocation and proves the configuration before it: at hosts that were cut off when it came, or
-// that start while the store is behind.
-func TestProofsHoldThoughTheStoreIsRestored(t *testing.T) {
+// Guards against a revoked key that is accepted again, because a restored store has lost the
+// revocation and proves the configuration before it: on hosts that were partitioned from the store when
+// the revocation came, or that start while the store lacks it.
+func TestProofsHoldAcrossStoreRestorations(t *testing.T) {
 	for _, size := range []int{7, 83} {
 		for seed := range uint64(20) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFleetWatching(t, size, proofWait)
+				f := newFleetWithWatchWait(t, size, proofWait)
 				f.start()
 				defer f.end()
 				time.Sleep(10 * time.Second)
 				rng := rand.New(rand.NewPCG(seed, 3))
-				versions := acked{time.Now()}
+				versions := ackTimes{time.Now()}
 				check := func(span time.Duration) {
 					for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
 						for _, h := range f.hosts {
-							if err := versions.proofHolds(h); err != nil {
+							if err := versions.checkProof(h); err != nil {
 								t.Fatalf("%d hosts, seed %d: %v", size, seed, err)
 							}
 						}
 					}
 				}
 				for range 6 {
-					cut := f.hosts[rng.IntN(size)].self.Addr
-					f.set(f.cut, cut, true)
+					partitioned := f.hosts[rng.IntN(size)].self.Addr
+					f.set(f.partitioned, partitioned, true)
 					check(time.Duration(1000+rng.IntN(4000)) * time.Millisecond)
 					f.write(kindConfig, "main", strconv.Itoa(len(versions)+1))
 					versions = append(versions, time.Now())
 					check(time.Duration(rng.IntN(1000)) * time.Millisecond)
 					f.setDown(true)
-					f.cutWatches()
-					f.set(f.cut, cut, false)
+					f.dropWatches()
+					f.set(f.partitioned, partitioned, false)
 					check(time.Duration(rng.IntN(2000)) * time.Millisecond)
 					f.store.RestoreBefore(time.Duration(2000+rng.IntN(2000)) * time.Millisecond)
 					f.setDown(false)
 					f.replace(rng.IntN(size))
 					check(time.Duration(rng.IntN(int(testSettle))))
-					f.write(kindConfig, "main", strconv.Itoa(len(versions))) // again
+					f.write(kindConfig, "main", strconv.Itoa(len(versions))) // the lost version again
 					check(2 * time.Second)
 				}
 			})
@@ -121,7 +124,7 @@
 	}
 }
 
-// replace ends a host and starts one that knows nothing in its place.
+// replace ends a host and starts one without any state in its place.
 func (f *fleet) replace(i int) {
 	f.hosts[i].end()
 	h := f.newHost(i)
@@ -132,69 +135,69 @@
 	h.start()
 }
 
-// disturb begins or ends one trouble, mostly at a relay.
-func (f *fleet) disturb(rng *rand.Rand) {
-	victim := f.hosts[rng.IntN(len(f.hosts))]
+// toggleFault starts or ends one fault, in two of three cases at a relay.
+func (f *fleet) toggleFault(rng *rand.Rand) {
+	target := f.hosts[rng.IntN(len(f.hosts))]
 	if relays := f.relays(); len(relays) > 0 && rng.IntN(3) > 0 {
-		victim = relays[rng.IntN(len(relays))]
+		target = relays[rng.IntN(len(relays))]
 	}
-	addr := victim.self.Addr
+	addr := target.self.Addr
 	switch rng.IntN(6) {
 	case 0:
-		f.set(f.cut, addr, !f.is(f.cut, addr))
+		f.set(f.partitioned, addr, !f.isSet(f.partitioned, addr))
 	case 1:
-		f.set(f.refuse, addr, !f.is(f.refuse, addr))
+		f.set(f.refused, addr, !f.isSet(f.refused, addr))
 	case 2:
-		f.set(f.silent, addr, !f.is(f.silent, addr))
+		f.set(f.unresponsive, addr, !f.isSet(f.unresponsive, addr))
 	case 3:
 		f.mu.Lock()
 		f.down = !f.down
 		f.mu.Unlock()
 	case 4:
-		f.cutWatches()
+		f.dropWatches()
 	}
 }
 
-// Hosts in touch with the store or with one that is have a proof young enough to serve keys,
-// also when all relays of a failure domain are lost at once while the store turns a third of
-// the hosts away. The bound is that of the service agreement.
-func TestProofsStayYoungThoughRelaysAreLost(t *testing.T) {
+// Hosts that reach the store, or a host that does, have a proof recent enough to accept keys, even if
+// all relays of a failure domain fail at once while the store refuses a third of the hosts. The bound
+// is that of the service agreement.
+func TestProofsStayFreshWhenRelaysFail(t *testing.T) {
 	for _, size := range []int{83, 300} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			f := newFleetWatching(t, size, proofWait)
+			f := newFleetWithWatchWait(t, size, proofWait)
 			f.start()
 			defer f.end()
 			time.Sleep(10 * time.Second)
 			worst := time.Duration(0)
-			watch := func(span time.Duration) {
+			observe := func(span time.Duration) {
 				for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
-					ages := f.ages()
+					ages := f.proofAges()
 					worst = max(worst, ages[len(ages)-1])
 				}
 			}
-			watch(10 * time.Second)
-			t.Logf("%d hosts: median %s, worst %s", size, f.ages()[size/2], worst)
-			is.True(worst < revokeWithin*3/4) // the store isn't asked out of turn
+			observe(10 * time.Second)
+			t.Logf("%d hosts: median proof age %s, highest %s", size, f.proofAges()[size/2], worst)
+			is.True(worst < revocationBound*3/4) // no host needs an additional call to the store for a proof
 			for _, h := range f.relays() {
 				if h.self.FailureDomain == "d0" {
-					f.set(f.silent, h.self.Addr, true)
+					f.set(f.unresponsive, h.self.Addr, true)
 				}
 			}
 			for i, h := range f.hosts {
-				f.set(f.refuse, h.self.Addr, i%3 == 0)
+				f.set(f.refused, h.self.Addr, i%3 == 0)
 			}
 			worst = 0
-			watch(15 * time.Second)
-			t.Logf("%d hosts, relays lost: worst %s", size, worst)
-			is.True(worst < revokeWithin)
+			observe(15 * time.Second)
+			t.Logf("%d hosts, relays failed: highest proof age %s", size, worst)
+			is.True(worst < revocationBound)
 		})
 	}
 }
 
-// Guards against a host that follows a peer and can't prove a key by asking the store itself.
-func TestHostThatFollowsAPeerMayAskTheStore(t *testing.T) {
-	inFleet(t, 83, func(is *is.I, f *fleet) {
+// Guards against a follower of a relay that can't prove a key by calling the store itself.
+func TestFollowerCanProveByCallingTheStore(t *testing.T) {
+	withFleet(t, 83, func(is *is.I, f *fleet) {
 		for _, h := range f.hosts {
 			asked := time.Now()
 			is.NoErr(h.copies[kindConfig].Prove(context.Background()))
--- a/coordination/probe/probe.go
+++ b/coordination/probe/probe.go
@@ -151,7 +151,7 @@
 		case rec.probedAt.IsZero():
 			unprobed = append(unprobed, runner.Upstream)
 		case age < p.o.MinInterval:
-		case rec.failures > 0 || runner.Unhealthy || runner.Track.Load().Requests > 0:
+		case rec.failures > 0 || runner.Unhealthy || runner.InFlight.Load().Requests > 0:
 			candidates = append(candidates, candidate{runner.Upstream, busyWeight * age})
 		default:
 			candidates = append(candidates, candidate{runner.Upstream, age})
--- a/coordination/route/feedback.go
+++ b/coordination/route/feedback.go
@@ -21,7 +21,7 @@
 
 // RecordSent records that a request was sent to the chosen runner, whose cache will
 // hold the prompt's prefixes. It must be called after the request has been added to
-// the runner's Track.
+// the runner's InFlight.
 func (r *Router) RecordSent(q *Query, c *Choice) {
 	st := r.currentStats(c.Runner.Name)
 	if st == nil {
@@ -50,7 +50,7 @@
 	if st == nil || viewed == nil || tokens < minIntervalTokens || took <= 0 {
 		return
 	}
-	inFlight := viewed.Track.Load().Plus(viewed.Peers).Requests
+	inFlight := viewed.InFlight.Load().Plus(viewed.PeerWork).Requests
 	st.recordInterval(r.clock.Now(), took.Seconds()/float64(tokens-1), float64(max(1, inFlight)))
 }
 
