--- a/coordination/rebalance/decide_test.go
+++ b/coordination/rebalance/decide_test.go
@@ -76,7 +76,7 @@
 		{"nothing to gain above capacity on both sides", Inputs{Engines: fleet(4, 4, 0), Demand: steady(64000, 10240)}, "", "", "no change"},
 		{"mixed engines take up the shift", Inputs{Engines: fleet(2, 2, 4), Demand: steady(5000, 5500)}, "", "", "no change"},
 		{"a burst alone", Inputs{Engines: fleet(4, 4, 0), Demand: Demand{Short: outputs.Short, Long: rates(20000, 500)}}, "", "", "no change"},
-		{"a change under way", Inputs{Engines: fleet(4, 4, 0), Demand: outputs, Changing: "e01"}, "", "", "one at a time"},
+		{"a change under way", Inputs{Engines: fleet(4, 4, 0), Demand: outputs, ChangingEngine: "e01"}, "", "", "one at a time"},
 		{"no demand", Inputs{Engines: fleet(4, 4, 0)}, "", "", "no request"},
 		{"the floor of both failure domains", Inputs{Engines: fleet(4, 4, 0), Demand: outputs, Service: state.Service{MinPerRole: 2}}, "", "", "no change"},
 		{"changes are dear", Inputs{Engines: fleet(4, 4, 0), Demand: outputs, Service: state.Service{RoleChangeWeight: 50}}, "", "", "no change"},
@@ -86,7 +86,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			is := is.New(t)
 			tt.in.Now = start
-			p := Decide(tt.in, Options{})
+			p := Decide(tt.in, Tuning{})
 			is.True(strings.Contains(p.Why, tt.why))
 			if tt.to == "" {
 				is.Equal(p.Change, nil)
@@ -95,41 +95,41 @@
 			is.True(p.Change != nil)
 			is.Equal(p.Change.From, tt.from)
 			is.Equal(p.Change.To, tt.to)
-			is.True(p.Change.Gain > p.Change.Lost)
+			is.True(p.Change.Gain > p.Change.Loss)
 		})
 	}
 }
 
-func TestDecideTakesTheEngineThatDrainsSoonest(t *testing.T) {
+func TestDecidePicksLeastLoadedEngine(t *testing.T) {
 	is := is.New(t)
 	engines := fleet(4, 4, 0)
 	engines[2].InFlight = 0
 	engines[0].InFlight = 9
 	in := Inputs{Now: start, Engines: engines, Demand: steady(5000, 7000)}
-	is.Equal(Decide(in, Options{}).Change.Engine, "e02")
-	engines[2].Since = start.Add(-time.Second) // it changed a moment ago
-	is.Equal(Decide(in, Options{}).Change.Engine, "e01")
+	is.Equal(Decide(in, Tuning{}).Change.Engine, "e02")
+	engines[2].RoleSince = start.Add(-time.Second) // it changed a moment ago
+	is.Equal(Decide(in, Tuning{}).Change.Engine, "e01")
 }
 
-func TestDecideRelievesMixedEnginesOfPrompts(t *testing.T) {
+func TestDecideMovesPrefillOffMixedEngines(t *testing.T) {
 	is := is.New(t)
 	tight := steady(30000, 4000)
 	for _, r := range []*Rates{&tight.Short, &tight.Long} {
 		r.Budgets = Budgets{}
 		r.Budgets[5] = 10 // 30 ms to 40 ms between tokens
 	}
-	p := Decide(Inputs{Now: start, Engines: fleet(0, 0, 8), Demand: tight}, Options{})
+	p := Decide(Inputs{Now: start, Engines: fleet(0, 0, 8), Demand: tight}, Tuning{})
 	is.True(p.Change != nil)
 	is.Equal(p.Change.From, state.RoleMixed)
 }
 
 // Under constant demand the fleet comes to rest: no engine is sent to and fro.
-func TestDecideComesToRest(t *testing.T) {
+func TestDecideConvergesUnderConstantDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, low, high int) int { return rapid.IntRange(low, high).Draw(t, name) }
 		engines := fleet(draw("prefill", 0, 6), draw("decode", 0, 6), draw("mixed", 1, 6))
 		d := steady(float64(draw("prompt tokens", 0, 100000)), float64(draw("output tokens", 0, 12000)))
-		budget := draw("budget", 0, len(budgetSteps)-1)
+		budget := draw("budget", 0, len(budgetBounds)-1)
 		for _, r := range []*Rates{&d.Short, &d.Long} {
 			r.Budgets = Budgets{}
 			r.Budgets[budget] = 10
@@ -137,7 +137,7 @@
 		in := Inputs{Now: start, Engines: engines, Demand: d, Service: state.Service{GoodputWeight: 1, RoleChangeWeight: 0.1}}
 		left := map[string]bool{}
 		for changes := 0; ; changes++ {
-			p := Decide(in, Options{})
+			p := Decide(in, Tuning{})
 			if p.Change == nil {
 				return
 			}
@@ -160,7 +160,7 @@
 }
 
 // The least utilization is that of the best way to divide the mixed engines.
-func TestUtilizationAgreesWithTrial(t *testing.T) {
+func TestUtilizationMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) float64 { return float64(rapid.IntRange(0, 50).Draw(t, name)) }
 		c := Capacity{Prefill: draw("p"), Decode: draw("d"), MixedPrefill: 1 + draw("mp"), MixedDecode: 1 + draw("md")}
@@ -185,7 +185,7 @@
 	})
 }
 
-func TestBudgetsWithin(t *testing.T) {
+func TestIntervalBudgetsShareAllowing(t *testing.T) {
 	is := is.New(t)
 	var b Budgets
 	is.Equal(b.within(1), 1.0) // nothing is late if nothing is asked
--- a/coordination/rebalance/manager.go
+++ b/coordination/rebalance/manager.go
@@ -10,11 +10,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Orders begins changes of engines' targets and sees them through.
-type Orders interface {
-	// Change begins a change. It returns once the engine's order object says
+// OrderIssuer begins changes of engines' targets and sees them through.
+type OrderIssuer interface {
+	// StartChange begins a change. It returns once the engine's order object says
 	// so, or the error that kept it from that.
-	Change(ctx context.Context, engine string, t state.Target, reason string) error
+	StartChange(ctx context.Context, engine string, t state.Target, reason string) error
 }
 
 // ManagerOptions configure a Manager. Zero values stand for the defaults.
@@ -27,10 +27,10 @@
 	Leads  func(service string) bool
 	Demand func(service string) Demand
 	Speeds func(engine string) Speeds
-	Orders Orders
+	Orders OrderIssuer
 	Record func(state.Decision)
-	// Waiting is the work queued at the hosts; optional.
-	Waiting func(service string) snapshot.Work
+	// QueuedWork is the work queued at the hosts; optional.
+	QueuedWork func(service string) snapshot.Work
 	// Host is told in the records.
 	Host string
 	// Interval is the time between decisions; default 2 s.
@@ -39,11 +39,11 @@
 	// begun, so that the view shows the first one; default 3 s.
 	Settle time.Duration
 	// Tuning are the constants of the decision.
-	Tuning Options
+	Tuning Tuning
 }
 
-// clearWithin is the time in which queued work is to be done.
-const clearWithin = 30 * time.Second
+// queueClearTime is the time in which queued work is to be done.
+const queueClearTime = 30 * time.Second
 
 // Manager decides regularly for the services that this host leads.
 type Manager struct {
@@ -106,17 +106,17 @@
 	in.Demand = demand
 	p := Decide(in, m.o.Tuning)
 	if p.Change == nil {
-		m.record(v, s.Name, "stay", p.Why, p.Options)
+		m.record(v, s.Name, "stay", p.Why, p.Candidates)
 		return
 	}
 	r := v.Runner(p.Change.Engine)
 	target := state.Target{Role: p.Change.To, Model: r.Target.Model, Adapters: r.Target.Adapters}
 	m.begun[s.Name] = now
-	if err := m.o.Orders.Change(ctx, r.Name, target, p.Why); err != nil {
-		m.record(v, r.Name, "failed", fmt.Sprintf("%s; the change wasn't begun: %v", p.Why, err), p.Options)
+	if err := m.o.Orders.StartChange(ctx, r.Name, target, p.Why); err != nil {
+		m.record(v, r.Name, "failed", fmt.Sprintf("%s; the change wasn't begun: %v", p.Why, err), p.Candidates)
 		return
 	}
-	m.record(v, r.Name, string(p.Change.To), p.Why, p.Options)
+	m.record(v, r.Name, string(p.Change.To), p.Why, p.Candidates)
 }
 
 // observe returns the demand as the engines' reports show it to be.
@@ -133,15 +133,15 @@
 
 func (m *Manager) inputs(v *snapshot.View, s *state.Service, now time.Time) Inputs {
 	in := Inputs{Now: now, Service: *s}
-	if m.o.Waiting != nil {
-		w := m.o.Waiting(s.Name)
-		in.Waiting = m.usage[s.Name].correct(Rates{
+	if m.o.QueuedWork != nil {
+		w := m.o.QueuedWork(s.Name)
+		in.QueuedRates = m.usage[s.Name].correct(Rates{
 			PrefillTokens: float64(w.PrefillTokens), DecodeTokens: float64(w.DecodeTokens),
-		}.Times(1 / clearWithin.Seconds()))
+		}.Times(1 / queueClearTime.Seconds()))
 	}
 	for _, r := range v.RunnersOf(s.Name) {
 		if r.Order.State == state.OrderDraining || r.Order.State == state.OrderIssued || r.Load.Changing {
-			in.Changing = r.Name
+			in.ChangingEngine = r.Name
 		}
 		in.Engines = append(in.Engines, m.engine(r))
 	}
@@ -157,18 +157,18 @@
 		e.Role = state.RoleMixed
 	}
 	if r.Order.State == state.OrderSettled {
-		e.Since = r.Order.ChangedAt
+		e.RoleSince = r.Order.ChangedAt
 	}
 	return e
 }
 
-func (m *Manager) record(v *snapshot.View, subject, chosen, why string, options []Option) {
+func (m *Manager) record(v *snapshot.View, subject, chosen, why string, options []Candidate) {
 	d := state.Decision{
 		At: m.o.Clock.Now(), Host: m.o.Host, Kind: state.DecisionRole, Subject: subject,
 		Chosen: chosen, Why: why, ConfigVersion: v.Config.Version,
 	}
 	for _, o := range options {
-		name := fmt.Sprintf("%s %s to %s: gain %.1f, lost %.1f, net %.1f", o.Engine, o.From, o.To, o.Gain, o.Lost, finite(o.Net))
+		name := fmt.Sprintf("%s %s to %s: gain %.1f, lost %.1f, net %.1f", o.Engine, o.From, o.To, o.Gain, o.Loss, finite(o.Net))
 		d.Candidates = append(d.Candidates, state.Candidate{Name: name, Rejected: o.Rejected})
 	}
 	m.o.Record(d)
--- a/coordination/rebalance/manager_test.go
+++ b/coordination/rebalance/manager_test.go
@@ -18,14 +18,14 @@
 	err   error
 }
 
-func (o *orders) Change(_ context.Context, engine string, t state.Target, _ string) error {
+func (o *orders) StartChange(_ context.Context, engine string, t state.Target, _ string) error {
 	o.asked = append(o.asked, engine+" "+string(t.Role)+" "+t.Model)
 	return o.err
 }
 
-type managed struct {
+type managerTest struct {
 	is      *is.I
-	clock   *movingClock
+	clock   *manualClock
 	keeper  *snapshot.Keeper
 	orders  orders
 	leads   bool
@@ -34,10 +34,10 @@
 	manager *Manager
 }
 
-// newManaged returns a manager of four prefill and four decode engines.
-func newManaged(t *testing.T) *managed {
+// newManagerTest returns a manager of four prefill and four decode engines.
+func newManagerTest(t *testing.T) *managerTest {
 	t.Helper()
-	m := &managed{is: is.New(t), clock: &movingClock{now: start}, keeper: snapshot.NewKeeper(), leads: true}
+	m := &managerTest{is: is.New(t), clock: &manualClock{now: start}, keeper: snapshot.NewKeeper(), leads: true}
 	m.keeper.SetConfig(&state.Config{Version: 7, Services: []state.Service{{Name: "llm", Kind: state.KindEngine, Models: []string{"m"}}}})
 	var list []state.Listed
 	for _, e := range fleet(4, 4, 0) {
@@ -58,14 +58,14 @@
 }
 
 // step moves the clock past the settling time and decides.
-func (m *managed) step() state.Decision {
+func (m *managerTest) step() state.Decision {
 	m.clock.now = m.clock.now.Add(time.Minute)
 	m.manager.Step(context.Background())
 	return m.records[len(m.records)-1]
 }
 
-func TestManagerOrdersAChangeAndRecordsIt(t *testing.T) {
-	m := newManaged(t)
+func TestManagerStartsAndRecordsChange(t *testing.T) {
+	m := newManagerTest(t)
 	m.demand = steady(5000, 7000)
 	d := m.step()
 	m.is.Equal(m.orders.asked, []string{"e00 decode m"})
@@ -76,8 +76,8 @@
 	m.is.Equal(len(d.Candidates), 6) // each pair of roles with its figures
 }
 
-func TestManagerRecordsThatItChangesNothing(t *testing.T) {
-	m := newManaged(t)
+func TestManagerRecordsNoChange(t *testing.T) {
+	m := newManagerTest(t)
 	m.demand = steady(20000, 3000)
 	d := m.step()
 	m.is.Equal(len(m.orders.asked), 0)
@@ -86,8 +86,8 @@
 	m.is.True(d.Why != "")
 }
 
-func TestManagerHasOneChangeInFlight(t *testing.T) {
-	m := newManaged(t)
+func TestManagerStartsOneChangeAtATime(t *testing.T) {
+	m := newManagerTest(t)
 	m.demand = steady(5000, 7000)
 	m.step()
 	m.manager.Step(context.Background()) // before the view can show it
@@ -103,16 +103,16 @@
 	m.is.Equal(len(m.orders.asked), 2)
 }
 
-func TestManagerThatDoesNotLeadDoesNothing(t *testing.T) {
-	m := newManaged(t)
+func TestManagerDoesNothingWithoutLeadership(t *testing.T) {
+	m := newManagerTest(t)
 	m.leads = false
 	m.demand = steady(5000, 7000)
 	m.manager.Step(context.Background())
 	m.is.Equal(len(m.orders.asked)+len(m.records), 0)
 }
 
-func TestManagerRecordsAnOrderThatFailed(t *testing.T) {
-	m := newManaged(t)
+func TestManagerRecordsFailedStartAndRetries(t *testing.T) {
+	m := newManagerTest(t)
 	m.orders.err = errors.New("another planner leads")
 	m.demand = steady(5000, 7000)
 	m.is.Equal(m.step().Chosen, "failed")
--- a/coordination/rebalance/meter.go
+++ b/coordination/rebalance/meter.go
@@ -14,27 +14,27 @@
 	LongWindow  = 60 * time.Second
 
 	slotWidth = time.Second
-	slots     = int(LongWindow/slotWidth) + 1
+	slotCount = int(LongWindow/slotWidth) + 1
 	// maxServices bounds the services that a meter keeps.
 	maxServices = 256
 )
 
 // Budgets counts requests by the time between tokens that their deadlines leave
-// them: entry i those with at least budgetSteps[i] and less than the next.
-type Budgets [len(budgetSteps)]float64
+// them: entry i those with at least budgetBounds[i] and less than the next.
+type Budgets [len(budgetBounds)]float64
 
-// budgetSteps are the bounds in seconds.
-var budgetSteps = [...]float64{0, 0.01, 0.015, 0.02, 0.025, 0.03, 0.04, 0.05, 0.06, 0.08, 0.1, 0.15, 0.2}
+// budgetBounds are the bounds in seconds.
+var budgetBounds = [...]float64{0, 0.01, 0.015, 0.02, 0.025, 0.03, 0.04, 0.05, 0.06, 0.08, 0.1, 0.15, 0.2}
 
 // within is the share of the requests whose budget is at least the interval.
 func (b *Budgets) within(interval float64) float64 {
 	var all, enough float64
 	for i, n := range b {
 		all += n
-		if budgetSteps[i] >= interval {
+		if budgetBounds[i] >= interval {
 			enough += n
-		} else if i+1 < len(b) && budgetSteps[i+1] > interval {
-			enough += n * (budgetSteps[i+1] - interval) / (budgetSteps[i+1] - budgetSteps[i])
+		} else if i+1 < len(b) && budgetBounds[i+1] > interval {
+			enough += n * (budgetBounds[i+1] - interval) / (budgetBounds[i+1] - budgetBounds[i])
 		}
 	}
 	if all <= 0 {
@@ -97,7 +97,7 @@
 
 	mu       sync.Mutex
 	started  time.Time
-	services map[string]*[slots]slot
+	services map[string]*[slotCount]slot
 }
 
 // slot is the work that arrived within one slotWidth.
@@ -109,7 +109,7 @@
 
 // NewMeter returns a meter that has seen nothing.
 func NewMeter(c state.Clock) *Meter {
-	return &Meter{clock: c, started: c.Now(), services: map[string]*[slots]slot{}}
+	return &Meter{clock: c, started: c.Now(), services: map[string]*[slotCount]slot{}}
 }
 
 // firstTokenAllowance is the time that a request is taken to need up to its
@@ -123,7 +123,7 @@
 	defer m.mu.Unlock()
 	if s := m.slot(service); s != nil {
 		s.arrived.count(w)
-		s.arrived.Budgets[budgetOf(w.DecodeTokens, left)] += float64(w.Requests)
+		s.arrived.Budgets[budgetIndex(w.DecodeTokens, left)] += float64(w.Requests)
 	}
 }
 
@@ -136,13 +136,13 @@
 	}
 }
 
-// promptTokensPerOutput is about how many prompt tokens an engine computes in the
+// promptTokensPerOutputToken is about how many prompt tokens an engine computes in the
 // time of one output token; a request with more of them is mostly prefill.
-const promptTokensPerOutput = 6
+const promptTokensPerOutputToken = 6
 
 func (r *Rates) count(w snapshot.Work) {
 	r.Requests += float64(w.Requests)
-	if w.PrefillTokens > promptTokensPerOutput*w.DecodeTokens {
+	if w.PrefillTokens > promptTokensPerOutputToken*w.DecodeTokens {
 		r.Prompts += float64(w.Requests)
 	}
 	r.PrefillTokens += float64(w.PrefillTokens)
@@ -158,25 +158,25 @@
 		if len(m.services) >= maxServices {
 			return nil
 		}
-		ring = &[slots]slot{}
+		ring = &[slotCount]slot{}
 		m.services[service] = ring
 	}
-	s := &ring[number%int64(slots)]
+	s := &ring[number%int64(slotCount)]
 	if s.number != number {
 		*s = slot{number: number}
 	}
 	return s
 }
 
-// budgetOf returns the entry of Budgets for an answer of that many tokens.
-func budgetOf(tokens int64, left time.Duration) int {
-	last := len(budgetSteps) - 1
+// budgetIndex returns the entry of Budgets for an answer of that many tokens.
+func budgetIndex(tokens int64, left time.Duration) int {
+	last := len(budgetBounds) - 1
 	if left <= 0 || tokens <= 1 {
 		return last
 	}
 	interval := max(0, left-firstTokenAllowance).Seconds() / float64(tokens)
 	for i := range last {
-		if interval < budgetSteps[i+1] {
+		if interval < budgetBounds[i+1] {
 			return i
 		}
 	}
@@ -202,7 +202,7 @@
 	}
 }
 
-func (m *Meter) rates(ring *[slots]slot, now time.Time, window time.Duration, of func(*slot) Rates) Rates {
+func (m *Meter) rates(ring *[slotCount]slot, now time.Time, window time.Duration, of func(*slot) Rates) Rates {
 	present := now.UnixNano() / int64(slotWidth)
 	first := present - int64(window/slotWidth)
 	var sum Rates
--- a/coordination/rebalance/meter_test.go
+++ b/coordination/rebalance/meter_test.go
@@ -11,17 +11,17 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// movingClock is set by a test.
-type movingClock struct {
+// manualClock is set by a test.
+type manualClock struct {
 	state.Clock
 	now time.Time
 }
 
-func (c *movingClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
 func TestMeterMeasuresBothWindows(t *testing.T) {
 	is := is.New(t)
-	clock := &movingClock{now: start}
+	clock := &manualClock{now: start}
 	m := NewMeter(clock)
 	for i := range 120 { // a change of the mix after a minute and a half
 		w := snapshot.Work{Requests: 1, PrefillTokens: 1000, DecodeTokens: 10}
@@ -40,9 +40,9 @@
 	is.Equal(m.Demand("llm"), Demand{})
 }
 
-func TestYoungMeterCountsOverItsAge(t *testing.T) {
+func TestNewMeterDividesByItsAge(t *testing.T) {
 	is := is.New(t)
-	clock := &movingClock{now: start}
+	clock := &manualClock{now: start}
 	m := NewMeter(clock)
 	for range 5 {
 		m.Arrived("llm", snapshot.Work{Requests: 3}, 0)
@@ -51,9 +51,9 @@
 	is.Equal(m.Demand("llm").Long.Requests, 3.0)
 }
 
-func TestMeterSortsByTheTimeBetweenTokens(t *testing.T) {
+func TestMeterCountsIntervalBudgets(t *testing.T) {
 	is := is.New(t)
-	clock := &movingClock{now: start}
+	clock := &manualClock{now: start}
 	m := NewMeter(clock)
 	m.Arrived("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 10*time.Second) // 45 ms
 	m.Arrived("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 0)              // no deadline
@@ -63,9 +63,9 @@
 	is.Equal(b.within(0.05), 0.5)
 }
 
-func TestMeterIsBounded(t *testing.T) {
+func TestMeterLimitsServices(t *testing.T) {
 	is := is.New(t)
-	m := NewMeter(&movingClock{now: start})
+	m := NewMeter(&manualClock{now: start})
 	for i := range 10 * maxServices {
 		m.Arrived(fmt.Sprint("s", i), snapshot.Work{Requests: 1}, 0)
 	}
--- a/coordination/rebalance/predict.go
+++ b/coordination/rebalance/predict.go
@@ -77,27 +77,27 @@
 
 // The shape of waiting.
 const (
-	// easyUtilization is up to where queues don't matter.
-	easyUtilization = 0.75
-	// fullInTime is the share in time at a utilization of 1.
-	fullInTime = 0.9
+	// queueFreeUtilization is up to where queues don't matter.
+	queueFreeUtilization = 0.75
+	// onTimeShareAtFull is the share in time at a utilization of 1.
+	onTimeShareAtFull = 0.9
 )
 
 // waiting is the share of answers that a utilization leaves in time: all while
 // queues are short, fewer as they grow, and beyond 1 what can be served.
 func waiting(utilization float64) float64 {
 	switch {
-	case utilization <= easyUtilization:
+	case utilization <= queueFreeUtilization:
 		return 1
 	case utilization <= 1:
-		return 1 - (1-fullInTime)*(utilization-easyUtilization)/(1-easyUtilization)
+		return 1 - (1-onTimeShareAtFull)*(utilization-queueFreeUtilization)/(1-queueFreeUtilization)
 	default:
-		return fullInTime / utilization
+		return onTimeShareAtFull / utilization
 	}
 }
 
-// minBatchShare is the least share of a full batch's step that a step takes.
-const minBatchShare = 0.5
+// minStepShare is the least share of a full batch's step that a step takes.
+const minStepShare = 0.5
 
 // InTime is the predicted share of the demand's answers in time. Requests that
 // are mostly prefill depend on the capacity for it, the others on that for decode
@@ -122,7 +122,7 @@
 	default:
 		onMixed = outputs * c.MixedDecode / (c.Decode + outputs*c.MixedDecode)
 	}
-	batch := max(minBatchShare, min(decode, 1))
+	batch := max(minStepShare, min(decode, 1))
 	inTime := (1 - onMixed) * d.Budgets.within(c.Step*batch)
 	if onMixed > 0 {
 		free := max(1-min(prefill, 1)*prompts, 0.05)
--- a/coordination/rebalance/usage.go
+++ b/coordination/rebalance/usage.go
@@ -10,15 +10,15 @@
 
 // What is learnt from the engines' reports.
 const (
-	// usageMemory is how long reports count.
-	usageMemory = 20 * time.Second
-	// usageMaxAge is the oldest report that counts.
-	usageMaxAge = 5 * time.Second
-	// chunkTokens is how much of a prompt a mixed engine is taken to compute
+	// correctionTimeConstant is how long reports count.
+	correctionTimeConstant = 20 * time.Second
+	// maxReportAge is the oldest report that counts.
+	maxReportAge = 5 * time.Second
+	// prefillChunkTokens is how much of a prompt a mixed engine is taken to compute
 	// between two decode steps.
-	chunkTokens = 512
-	// minTrueShare and maxTrueShare bound the correction of the demand.
-	minTrueShare, maxTrueShare = 0.25, 2
+	prefillChunkTokens = 512
+	// minCorrection and maxCorrection bound the correction of the demand.
+	minCorrection, maxCorrection = 0.25, 2
 )
 
 // usage compares the prompt tokens that were predicted of the started requests
@@ -36,36 +36,36 @@
 func (u *usage) observe(now time.Time, runners []*snapshot.Runner, started Rates) {
 	done := 0.0
 	for _, r := range runners {
-		if now.Sub(r.Load.TakenAt) <= usageMaxAge {
-			done += doneBy(&r.Load)
+		if now.Sub(r.Load.TakenAt) <= maxReportAge {
+			done += prefillRate(&r.Load)
 		}
 	}
 	weight := 1.0
 	if !u.at.IsZero() {
-		weight = 1 - math.Exp(-now.Sub(u.at).Seconds()/usageMemory.Seconds())
+		weight = 1 - math.Exp(-now.Sub(u.at).Seconds()/correctionTimeConstant.Seconds())
 	}
 	u.at = now
 	u.done += weight * (done - u.done)
 	u.started += weight * (started.PrefillTokens - u.started)
 }
 
-// doneBy is how many prompt tokens a second an engine computed at the moment of
+// prefillRate is how many prompt tokens a second an engine computed at the moment of
 // its report.
-func doneBy(l *state.LoadReport) float64 {
+func prefillRate(l *state.LoadReport) float64 {
 	if l.PrefillBacklogTokens <= 0 || l.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	pass := chunkTokens / l.PrefillTokensPerSecond
+	pass := prefillChunkTokens / l.PrefillTokensPerSecond
 	if l.DecodeRunning > 0 {
 		pass += l.DecodeStepMillis / 1000
 	}
-	return chunkTokens / pass
+	return prefillChunkTokens / pass
 }
 
 // correct returns the demand with its prompt tokens as they turn out to be.
 func (u *usage) correct(r Rates) Rates {
 	if u.done > 0 && u.started > 0 {
-		r.PrefillTokens *= min(max(u.done/u.started, minTrueShare), maxTrueShare)
+		r.PrefillTokens *= min(max(u.done/u.started, minCorrection), maxCorrection)
 	}
 	return r
 }
--- a/coordination/replay/planner.go
+++ b/coordination/replay/planner.go
@@ -32,7 +32,7 @@
 	var err error
 	p.manager, err = rebalance.NewManager(rebalance.ManagerOptions{
 		Clock: f.loop, View: lead.keeper.View, Leads: func(string) bool { return true },
-		Demand: p.demand, Waiting: p.waiting, Orders: p, Record: f.setup.record,
+		Demand: p.demand, QueuedWork: p.waiting, Orders: p, Record: f.setup.record,
 		Speeds: func(engine string) rebalance.Speeds {
 			prefill, step := lead.router.SpeedsAt(engine, f.model.MaxBatch)
 			return rebalance.Speeds{Prefill: prefill, Decode: float64(f.model.MaxBatch) / step.Seconds(), Step: step.Seconds()}
@@ -74,8 +74,8 @@
 	return sum
 }
 
-// Change implements rebalance.Orders.
-func (p *planner) Change(_ context.Context, engine string, t state.Target, reason string) error {
+// StartChange implements rebalance.Orders.
+func (p *planner) StartChange(_ context.Context, engine string, t state.Target, reason string) error {
 	l := p.fleet.loop
 	began := l.Now()
 	o := state.Order{Engine: engine, Service: service, State: state.OrderDraining, Desired: t, Previous: p.fleet.engines[engine].target, Reason: reason}
--- a/coordination/replay/setup.go
+++ b/coordination/replay/setup.go
@@ -61,7 +61,7 @@
 	// Service holds the two weights of the rebalancer.
 	Service state.Service
 	// Tuning overrides the rebalancer's defaults.
-	Tuning rebalance.Options
+	Tuning rebalance.Tuning
 	// Admit, Fleet and Route override the defaults of the packages.
 	Admit admit.Options
 	Fleet admit.FleetCapacityOptions
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -66,7 +66,7 @@
 		return nil
 	}
 	m, err := rebalance.NewManager(rebalance.ManagerOptions{
-		Clock: d.clock, View: d.keeper.View, Leads: d.planners.leads, Demand: d.roles.demand, Waiting: d.roles.waiting,
+		Clock: d.clock, View: d.keeper.View, Leads: d.planners.leads, Demand: d.roles.demand, QueuedWork: d.roles.waiting,
 		Speeds: d.roles.speeds, Orders: d.roles, Record: d.book.Record, Host: d.id.Name,
 	})
 	if err != nil {
@@ -169,8 +169,8 @@
 	return "policy " + e.Policy + " keeps " + e.Engine + " as it is; change the policy to let it go"
 }
 
-// Change implements rebalance.Orders.
-func (r *roles) Change(ctx context.Context, engine string, t state.Target, reason string) error {
+// StartChange implements rebalance.Orders.
+func (r *roles) StartChange(ctx context.Context, engine string, t state.Target, reason string) error {
 	u, err := r.d.engineNamed(engine)
 	if err != nil {
 		return err
