--- a/coordination/rebalance/decide.go
+++ b/coordination/rebalance/decide.go
@@ -171,13 +171,13 @@
 	counts := map[state.Role]float64{}
 	for _, e := range engines {
 		s := sums[e.Role]
-		sums[e.Role] = Speeds{s.Prefill + e.Speeds.Prefill, s.Decode + e.Speeds.Decode, s.Step + e.Speeds.Step}
+		sums[e.Role] = Speeds{s.Prefill + e.Speeds.Prefill, s.Decode + e.Speeds.Decode, s.TokenInterval + e.Speeds.TokenInterval}
 		counts[e.Role]++
 	}
 	mean := func(first, second state.Role) Speeds {
 		for _, r := range []state.Role{first, second} {
 			if n := counts[r]; n > 0 {
-				return Speeds{sums[r].Prefill / n, sums[r].Decode / n, sums[r].Step / n}
+				return Speeds{sums[r].Prefill / n, sums[r].Decode / n, sums[r].TokenInterval / n}
 			}
 		}
 		return Speeds{}
@@ -185,7 +185,7 @@
 	prefill := mean(state.RolePrefill, state.RoleMixed)
 	decode := mean(state.RoleDecode, state.RoleMixed)
 	out := map[state.Role]Speeds{state.RolePrefill: prefill, state.RoleDecode: decode}
-	out[state.RoleMixed] = Speeds{prefill.Prefill, decode.Decode, decode.Step}
+	out[state.RoleMixed] = Speeds{prefill.Prefill, decode.Decode, decode.TokenInterval}
 	if counts[state.RoleMixed] > 0 {
 		out[state.RoleMixed] = mean(state.RoleMixed, state.RoleMixed)
 	}
@@ -198,7 +198,7 @@
 		s.Prefill *= f.tuning.MixedEfficiency
 		s.Decode *= f.tuning.MixedEfficiency
 	}
-	c.add(role, s, n)
+	c.addEngines(role, s, n)
 }
 
 func (f *forecast) candidates() []Candidate {
@@ -301,13 +301,13 @@
 // estimate is what each of n changes gives, made one after the other.
 func (f *forecast) estimate(during, after Capacity, d Rates, n int) Candidate {
 	rate := f.in.Demand.Short.Requests
-	onTime := f.capacity.InTime(d)
+	onTime := f.capacity.OnTimeShare(d)
 	downtime := f.tuning.downtime().Seconds()
 	changes := float64(n)
 	gainSeconds := max(0, f.tuning.Horizon.Seconds()-downtime*(changes+1)/2)
 	c := Candidate{
-		Gain: rate * gainSeconds * (after.InTime(d) - onTime) / changes,
-		Loss: rate * downtime * max(0, onTime-during.InTime(d)),
+		Gain: rate * gainSeconds * (after.OnTimeShare(d) - onTime) / changes,
+		Loss: rate * downtime * max(0, onTime-during.OnTimeShare(d)),
 	}
 	// A change is priced at the answers that one engine gives while it is away.
 	cost := rate * downtime / float64(max(1, len(f.in.Engines)))
--- a/coordination/rebalance/decide_test.go
+++ b/coordination/rebalance/decide_test.go
@@ -28,10 +28,10 @@
 
 // speeds are those of an engine that computes 8000 prompt tokens or gives 1280
 // tokens a second.
-var speeds = Speeds{Prefill: 8000, Decode: 1280, Step: 0.025}
+var speeds = Speeds{Prefill: 8000, Decode: 1280, TokenInterval: 0.025}
 
-// fleet returns engines of the roles, spread over two failure domains.
-func fleet(prefill, decode, mixed int) []Engine {
+// newEngines returns engines of the roles, spread over two failure domains.
+func newEngines(prefill, decode, mixed int) []Engine {
 	var out []Engine
 	add := func(n int, role state.Role) {
 		for range n {
@@ -48,39 +48,39 @@
 	return out
 }
 
-// rates are ten requests a second, half of them mostly prefill, with the given
+// demandRates are ten requests a second, half of them mostly prefill, with the given
 // totals and much time between tokens to spare.
-func rates(prefill, decode float64) Rates {
-	r := Rates{Requests: 10, Prompts: 5, PrefillTokens: prefill, DecodeTokens: decode}
+func demandRates(prefill, decode float64) Rates {
+	r := Rates{Requests: 10, PrefillRequests: 5, PrefillTokens: prefill, DecodeTokens: decode}
 	r.Budgets[len(r.Budgets)-1] = 10
 	return r
 }
 
-func steady(prefill, decode float64) Demand {
-	return Demand{Short: rates(prefill, decode), Long: rates(prefill, decode)}
+func constantDemand(prefill, decode float64) Demand {
+	return Demand{Short: demandRates(prefill, decode), Long: demandRates(prefill, decode)}
 }
 
 func TestDecide(t *testing.T) {
-	balanced := steady(20000, 3000)
-	prompts := steady(40000, 1000)
-	outputs := steady(5000, 7000)
+	balanced := constantDemand(20000, 3000)
+	prefillHeavy := constantDemand(40000, 1000)
+	decodeHeavy := constantDemand(5000, 7000)
 	tests := []struct {
 		name     string
 		in       Inputs
 		from, to state.Role // empty for no change
 		why      string
 	}{
-		{"enough of both", Inputs{Engines: fleet(4, 4, 0), Demand: balanced}, "", "", "no change is worth"},
-		{"prompts too many", Inputs{Engines: fleet(4, 4, 0), Demand: prompts}, state.RoleDecode, state.RolePrefill, "more answers"},
-		{"outputs too many", Inputs{Engines: fleet(4, 4, 0), Demand: outputs}, state.RolePrefill, state.RoleDecode, "more answers"},
-		{"nothing to gain above capacity on both sides", Inputs{Engines: fleet(4, 4, 0), Demand: steady(64000, 10240)}, "", "", "no change"},
-		{"mixed engines take up the shift", Inputs{Engines: fleet(2, 2, 4), Demand: steady(5000, 5500)}, "", "", "no change"},
-		{"a burst alone", Inputs{Engines: fleet(4, 4, 0), Demand: Demand{Short: outputs.Short, Long: rates(20000, 500)}}, "", "", "no change"},
-		{"a change under way", Inputs{Engines: fleet(4, 4, 0), Demand: outputs, ChangingEngine: "e01"}, "", "", "one at a time"},
-		{"no demand", Inputs{Engines: fleet(4, 4, 0)}, "", "", "no request"},
-		{"the floor of both failure domains", Inputs{Engines: fleet(4, 4, 0), Demand: outputs, Service: state.Service{MinPerRole: 2}}, "", "", "no change"},
-		{"changes are dear", Inputs{Engines: fleet(4, 4, 0), Demand: outputs, Service: state.Service{RoleChangeWeight: 50}}, "", "", "no change"},
-		{"answers are dearer", Inputs{Engines: fleet(4, 4, 0), Demand: outputs, Service: state.Service{RoleChangeWeight: 50, GoodputWeight: 50}}, state.RolePrefill, state.RoleDecode, "more answers"},
+		{"enough of both", Inputs{Engines: newEngines(4, 4, 0), Demand: balanced}, "", "", "no change is worth"},
+		{"prompts too many", Inputs{Engines: newEngines(4, 4, 0), Demand: prefillHeavy}, state.RoleDecode, state.RolePrefill, "more answers"},
+		{"outputs too many", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy}, state.RolePrefill, state.RoleDecode, "more answers"},
+		{"nothing to gain above capacity on both sides", Inputs{Engines: newEngines(4, 4, 0), Demand: constantDemand(64000, 10240)}, "", "", "no change"},
+		{"mixed engines take up the shift", Inputs{Engines: newEngines(2, 2, 4), Demand: constantDemand(5000, 5500)}, "", "", "no change"},
+		{"a burst alone", Inputs{Engines: newEngines(4, 4, 0), Demand: Demand{Short: decodeHeavy.Short, Long: demandRates(20000, 500)}}, "", "", "no change"},
+		{"a change under way", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, ChangingEngine: "e01"}, "", "", "one at a time"},
+		{"no demand", Inputs{Engines: newEngines(4, 4, 0)}, "", "", "no request"},
+		{"the floor of both failure domains", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, Service: state.Service{MinPerRole: 2}}, "", "", "no change"},
+		{"changes are dear", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, Service: state.Service{RoleChangeWeight: 50}}, "", "", "no change"},
+		{"answers are dearer", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, Service: state.Service{RoleChangeWeight: 50, GoodputWeight: 50}}, state.RolePrefill, state.RoleDecode, "more answers"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -102,10 +102,10 @@
 
 func TestDecidePicksLeastLoadedEngine(t *testing.T) {
 	is := is.New(t)
-	engines := fleet(4, 4, 0)
+	engines := newEngines(4, 4, 0)
 	engines[2].InFlight = 0
 	engines[0].InFlight = 9
-	in := Inputs{Now: start, Engines: engines, Demand: steady(5000, 7000)}
+	in := Inputs{Now: start, Engines: engines, Demand: constantDemand(5000, 7000)}
 	is.Equal(Decide(in, Tuning{}).Change.Engine, "e02")
 	engines[2].RoleSince = start.Add(-time.Second) // it changed a moment ago
 	is.Equal(Decide(in, Tuning{}).Change.Engine, "e01")
@@ -113,12 +113,12 @@
 
 func TestDecideMovesPrefillOffMixedEngines(t *testing.T) {
 	is := is.New(t)
-	tight := steady(30000, 4000)
-	for _, r := range []*Rates{&tight.Short, &tight.Long} {
-		r.Budgets = Budgets{}
+	tightDemand := constantDemand(30000, 4000)
+	for _, r := range []*Rates{&tightDemand.Short, &tightDemand.Long} {
+		r.Budgets = IntervalBudgets{}
 		r.Budgets[5] = 10 // 30 ms to 40 ms between tokens
 	}
-	p := Decide(Inputs{Now: start, Engines: fleet(0, 0, 8), Demand: tight}, Tuning{})
+	p := Decide(Inputs{Now: start, Engines: newEngines(0, 0, 8), Demand: tightDemand}, Tuning{})
 	is.True(p.Change != nil)
 	is.Equal(p.Change.From, state.RoleMixed)
 }
@@ -127,15 +127,15 @@
 func TestDecideConvergesUnderConstantDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, low, high int) int { return rapid.IntRange(low, high).Draw(t, name) }
-		engines := fleet(draw("prefill", 0, 6), draw("decode", 0, 6), draw("mixed", 1, 6))
-		d := steady(float64(draw("prompt tokens", 0, 100000)), float64(draw("output tokens", 0, 12000)))
+		engines := newEngines(draw("prefill", 0, 6), draw("decode", 0, 6), draw("mixed", 1, 6))
+		d := constantDemand(float64(draw("prompt tokens", 0, 100000)), float64(draw("output tokens", 0, 12000)))
 		budget := draw("budget", 0, len(budgetBounds)-1)
 		for _, r := range []*Rates{&d.Short, &d.Long} {
-			r.Budgets = Budgets{}
+			r.Budgets = IntervalBudgets{}
 			r.Budgets[budget] = 10
 		}
 		in := Inputs{Now: start, Engines: engines, Demand: d, Service: state.Service{GoodputWeight: 1, RoleChangeWeight: 0.1}}
-		left := map[string]bool{}
+		previous := map[string]bool{}
 		for changes := 0; ; changes++ {
 			p := Decide(in, Tuning{})
 			if p.Change == nil {
@@ -144,11 +144,11 @@
 			if changes > 2*len(engines) {
 				t.Fatalf("still changing after %d changes: %s", changes, p.Why)
 			}
-			move := p.Change.Engine + " as " + string(p.Change.To)
-			if left[move] {
-				t.Fatalf("%s again", move)
+			change := p.Change.Engine + " as " + string(p.Change.To)
+			if previous[change] {
+				t.Fatalf("%s again", change)
 			}
-			left[p.Change.Engine+" as "+string(p.Change.From)] = true
+			previous[p.Change.Engine+" as "+string(p.Change.From)] = true
 			for i := range engines {
 				if engines[i].Name == p.Change.Engine {
 					engines[i].Role = p.Change.To
@@ -187,11 +187,11 @@
 
 func TestIntervalBudgetsShareAllowing(t *testing.T) {
 	is := is.New(t)
-	var b Budgets
-	is.Equal(b.within(1), 1.0) // nothing is late if nothing is asked
-	b[4], b[6] = 3, 1          // 25 to 30 ms and 40 to 50 ms
-	is.Equal(b.within(0.02), 1.0)
-	is.True(b.within(0.0275) > 0.62 && b.within(0.0275) < 0.63)
-	is.Equal(b.within(0.035), 0.25)
-	is.Equal(b.within(0.06), 0.0)
+	var b IntervalBudgets
+	is.Equal(b.shareAllowing(1), 1.0) // nothing is late if nothing is asked
+	b[4], b[6] = 3, 1                 // 25 to 30 ms and 40 to 50 ms
+	is.Equal(b.shareAllowing(0.02), 1.0)
+	is.True(b.shareAllowing(0.0275) > 0.62 && b.shareAllowing(0.0275) < 0.63)
+	is.Equal(b.shareAllowing(0.035), 0.25)
+	is.Equal(b.shareAllowing(0.06), 0.0)
 }
--- a/coordination/rebalance/manager.go
+++ b/coordination/rebalance/manager.go
@@ -35,9 +35,9 @@
 	Host string
 	// Interval is the time between decisions; default 2 s.
 	Interval time.Duration
-	// Settle is the time after the start of a change in which no other is
+	// SettleTime is the time after the start of a change in which no other is
 	// begun, so that the view shows the first one; default 3 s.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Tuning are the constants of the decision.
 	Tuning Tuning
 }
@@ -49,9 +49,9 @@
 type Manager struct {
 	o       ManagerOptions
 	started time.Time
-	// begun is when each service's last change was begun here.
-	begun map[string]time.Time
-	usage map[string]*usage
+	// lastChange is when each service's last change was lastChange here.
+	lastChange  map[string]time.Time
+	corrections map[string]*prefillCorrection
 }
 
 // NewManager returns a manager, or an error that names the wrong option.
@@ -62,10 +62,10 @@
 	if o.Interval == 0 {
 		o.Interval = 2 * time.Second
 	}
-	if o.Settle == 0 {
-		o.Settle = 3 * time.Second
+	if o.SettleTime == 0 {
+		o.SettleTime = 3 * time.Second
 	}
-	return &Manager{o: o, started: o.Clock.Now(), begun: map[string]time.Time{}, usage: map[string]*usage{}}, nil
+	return &Manager{o: o, started: o.Clock.Now(), lastChange: map[string]time.Time{}, corrections: map[string]*prefillCorrection{}}, nil
 }
 
 // Run decides every Options.Interval until ctx ends.
@@ -95,14 +95,14 @@
 
 func (m *Manager) decide(ctx context.Context, v *snapshot.View, s *state.Service) {
 	now := m.o.Clock.Now()
-	demand := m.observe(v, s, now)
+	demand := m.correctedDemand(v, s, now)
 	if now.Sub(m.started) < ShortWindow {
 		return // too little is known yet
 	}
-	if begun, ok := m.begun[s.Name]; ok && now.Sub(begun) < m.o.Settle {
+	if begun, ok := m.lastChange[s.Name]; ok && now.Sub(begun) < m.o.SettleTime {
 		return
 	}
-	in := m.inputs(v, s, now)
+	in := m.buildInputs(v, s, now)
 	in.Demand = demand
 	p := Decide(in, m.o.Tuning)
 	if p.Change == nil {
@@ -111,7 +111,7 @@
 	}
 	r := v.Runner(p.Change.Engine)
 	target := state.Target{Role: p.Change.To, Model: r.Target.Model, Adapters: r.Target.Adapters}
-	m.begun[s.Name] = now
+	m.lastChange[s.Name] = now
 	if err := m.o.Orders.StartChange(ctx, r.Name, target, p.Why); err != nil {
 		m.record(v, r.Name, "failed", fmt.Sprintf("%s; the change wasn't begun: %v", p.Why, err), p.Candidates)
 		return
@@ -119,23 +119,23 @@
 	m.record(v, r.Name, string(p.Change.To), p.Why, p.Candidates)
 }
 
-// observe returns the demand as the engines' reports show it to be.
-func (m *Manager) observe(v *snapshot.View, s *state.Service, now time.Time) Demand {
-	u := m.usage[s.Name]
+// correctedDemand returns the demand as the engines' reports show it to be.
+func (m *Manager) correctedDemand(v *snapshot.View, s *state.Service, now time.Time) Demand {
+	u := m.corrections[s.Name]
 	if u == nil {
-		u = &usage{}
-		m.usage[s.Name] = u
+		u = &prefillCorrection{}
+		m.corrections[s.Name] = u
 	}
 	d := m.o.Demand(s.Name)
-	u.observe(now, v.RunnersOf(s.Name), d.Started)
-	return Demand{Short: u.correct(d.Short), Long: u.correct(d.Long), Started: d.Started}
+	u.update(now, v.RunnersOf(s.Name), d.Admitted)
+	return Demand{Short: u.correct(d.Short), Long: u.correct(d.Long), Admitted: d.Admitted}
 }
 
-func (m *Manager) inputs(v *snapshot.View, s *state.Service, now time.Time) Inputs {
+func (m *Manager) buildInputs(v *snapshot.View, s *state.Service, now time.Time) Inputs {
 	in := Inputs{Now: now, Service: *s}
 	if m.o.QueuedWork != nil {
 		w := m.o.QueuedWork(s.Name)
-		in.QueuedRates = m.usage[s.Name].correct(Rates{
+		in.QueuedRates = m.corrections[s.Name].correct(Rates{
 			PrefillTokens: float64(w.PrefillTokens), DecodeTokens: float64(w.DecodeTokens),
 		}.Times(1 / queueClearTime.Seconds()))
 	}
@@ -143,12 +143,12 @@
 		if r.Order.State == state.OrderDraining || r.Order.State == state.OrderIssued || r.Load.Changing {
 			in.ChangingEngine = r.Name
 		}
-		in.Engines = append(in.Engines, m.engine(r))
+		in.Engines = append(in.Engines, m.buildEngine(r))
 	}
 	return in
 }
 
-func (m *Manager) engine(r *snapshot.Runner) Engine {
+func (m *Manager) buildEngine(r *snapshot.Runner) Engine {
 	e := Engine{
 		Name: r.Name, FailureDomain: r.FailureDomain, Role: r.Target.Role, TakesWork: r.TakesWork(),
 		InFlight: r.Track.Load().Requests + r.Peers.Requests, Speeds: m.o.Speeds(r.Name),
--- a/coordination/rebalance/manager_test.go
+++ b/coordination/rebalance/manager_test.go
@@ -12,14 +12,14 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// orders notes what it is asked for.
-type orders struct {
-	asked []string
-	err   error
+// fakeIssuer notes what it is asked for.
+type fakeIssuer struct {
+	started []string
+	err     error
 }
 
-func (o *orders) StartChange(_ context.Context, engine string, t state.Target, _ string) error {
-	o.asked = append(o.asked, engine+" "+string(t.Role)+" "+t.Model)
+func (o *fakeIssuer) StartChange(_ context.Context, engine string, t state.Target, _ string) error {
+	o.started = append(o.started, engine+" "+string(t.Role)+" "+t.Model)
 	return o.err
 }
 
@@ -27,7 +27,7 @@
 	is      *is.I
 	clock   *manualClock
 	keeper  *snapshot.Keeper
-	orders  orders
+	orders  fakeIssuer
 	leads   bool
 	records []state.Decision
 	demand  Demand
@@ -40,11 +40,11 @@
 	m := &managerTest{is: is.New(t), clock: &manualClock{now: start}, keeper: snapshot.NewKeeper(), leads: true}
 	m.keeper.SetConfig(&state.Config{Version: 7, Services: []state.Service{{Name: "llm", Kind: state.KindEngine, Models: []string{"m"}}}})
 	var list []state.Listed
-	for _, e := range fleet(4, 4, 0) {
+	for _, e := range newEngines(4, 4, 0) {
 		list = append(list, state.Listed{Name: e.Name, Kind: state.ListedEngine, State: state.ListedLive, FailureDomain: e.FailureDomain, Incarnation: "1", Service: "llm"})
 	}
 	m.keeper.SetListed(list)
-	for _, e := range fleet(4, 4, 0) {
+	for _, e := range newEngines(4, 4, 0) {
 		m.keeper.SetLoad(state.LoadReport{Engine: e.Name, TakenAt: start, Shown: state.Target{Role: e.Role, Model: "m"}})
 	}
 	var err error
@@ -66,9 +66,9 @@
 
 func TestManagerStartsAndRecordsChange(t *testing.T) {
 	m := newManagerTest(t)
-	m.demand = steady(5000, 7000)
+	m.demand = constantDemand(5000, 7000)
 	d := m.step()
-	m.is.Equal(m.orders.asked, []string{"e00 decode m"})
+	m.is.Equal(m.orders.started, []string{"e00 decode m"})
 	m.is.Equal(d.Kind, state.DecisionRole)
 	m.is.Equal(d.Subject, "e00")
 	m.is.Equal(d.Chosen, "decode")
@@ -78,9 +78,9 @@
 
 func TestManagerRecordsNoChange(t *testing.T) {
 	m := newManagerTest(t)
-	m.demand = steady(20000, 3000)
+	m.demand = constantDemand(20000, 3000)
 	d := m.step()
-	m.is.Equal(len(m.orders.asked), 0)
+	m.is.Equal(len(m.orders.started), 0)
 	m.is.Equal(d.Chosen, "stay")
 	m.is.Equal(d.Subject, "llm")
 	m.is.True(d.Why != "")
@@ -88,34 +88,34 @@
 
 func TestManagerStartsOneChangeAtATime(t *testing.T) {
 	m := newManagerTest(t)
-	m.demand = steady(5000, 7000)
+	m.demand = constantDemand(5000, 7000)
 	m.step()
 	m.manager.Step(context.Background()) // before the view can show it
-	m.is.Equal(len(m.orders.asked), 1)
+	m.is.Equal(len(m.orders.started), 1)
 	for fence, s := range []state.OrderState{state.OrderDraining, state.OrderIssued} {
 		m.keeper.SetOrder(state.Order{Engine: "e00", Fence: uint64(fence + 1), State: s})
 		m.step()
-		m.is.Equal(len(m.orders.asked), 1)
+		m.is.Equal(len(m.orders.started), 1)
 	}
 	target := state.Target{Role: state.RoleDecode, Model: "m"}
 	m.keeper.SetOrder(state.Order{Engine: "e00", Fence: 3, State: state.OrderSettled, Desired: target, ChangedAt: m.clock.now})
 	m.step()
-	m.is.Equal(len(m.orders.asked), 2)
+	m.is.Equal(len(m.orders.started), 2)
 }
 
 func TestManagerDoesNothingWithoutLeadership(t *testing.T) {
 	m := newManagerTest(t)
 	m.leads = false
-	m.demand = steady(5000, 7000)
+	m.demand = constantDemand(5000, 7000)
 	m.manager.Step(context.Background())
-	m.is.Equal(len(m.orders.asked)+len(m.records), 0)
+	m.is.Equal(len(m.orders.started)+len(m.records), 0)
 }
 
 func TestManagerRecordsFailedStartAndRetries(t *testing.T) {
 	m := newManagerTest(t)
 	m.orders.err = errors.New("another planner leads")
-	m.demand = steady(5000, 7000)
+	m.demand = constantDemand(5000, 7000)
 	m.is.Equal(m.step().Chosen, "failed")
 	m.step() // and asks again later
-	m.is.Equal(len(m.orders.asked), 2)
+	m.is.Equal(len(m.orders.started), 2)
 }
--- a/coordination/rebalance/meter.go
+++ b/coordination/rebalance/meter.go
@@ -19,28 +19,28 @@
 	maxServices = 256
 )
 
-// Budgets counts requests by the time between tokens that their deadlines leave
+// IntervalBudgets counts requests by the time between tokens that their deadlines leave
 // them: entry i those with at least budgetBounds[i] and less than the next.
-type Budgets [len(budgetBounds)]float64
+type IntervalBudgets [len(budgetBounds)]float64
 
 // budgetBounds are the bounds in seconds.
 var budgetBounds = [...]float64{0, 0.01, 0.015, 0.02, 0.025, 0.03, 0.04, 0.05, 0.06, 0.08, 0.1, 0.15, 0.2}
 
-// within is the share of the requests whose budget is at least the interval.
-func (b *Budgets) within(interval float64) float64 {
-	var all, enough float64
+// shareAllowing is the share of the requests whose budget is at least the interval.
+func (b *IntervalBudgets) shareAllowing(interval float64) float64 {
+	var total, allowing float64
 	for i, n := range b {
-		all += n
+		total += n
 		if budgetBounds[i] >= interval {
-			enough += n
+			allowing += n
 		} else if i+1 < len(b) && budgetBounds[i+1] > interval {
-			enough += n * (budgetBounds[i+1] - interval) / (budgetBounds[i+1] - budgetBounds[i])
+			allowing += n * (budgetBounds[i+1] - interval) / (budgetBounds[i+1] - budgetBounds[i])
 		}
 	}
-	if all <= 0 {
+	if total <= 0 {
 		return 1
 	}
-	return enough / all
+	return allowing / total
 }
 
 // Rates is work arriving per second.
@@ -48,9 +48,9 @@
 	Requests      float64 `msgpack:"r"`
 	PrefillTokens float64 `msgpack:"p"`
 	DecodeTokens  float64 `msgpack:"d"`
-	// Prompts is the part of Requests that is mostly prefill.
-	Prompts float64 `msgpack:"q"`
-	Budgets Budgets `msgpack:"b"`
+	// PrefillRequests is the part of Requests that is mostly prefill.
+	PrefillRequests float64         `msgpack:"q"`
+	Budgets         IntervalBudgets `msgpack:"b"`
 }
 
 // Plus returns the sum of both rates.
@@ -58,7 +58,7 @@
 	r.Requests += o.Requests
 	r.PrefillTokens += o.PrefillTokens
 	r.DecodeTokens += o.DecodeTokens
-	r.Prompts += o.Prompts
+	r.PrefillRequests += o.PrefillRequests
 	for i := range r.Budgets {
 		r.Budgets[i] += o.Budgets[i]
 	}
@@ -70,7 +70,7 @@
 	r.Requests *= f
 	r.PrefillTokens *= f
 	r.DecodeTokens *= f
-	r.Prompts *= f
+	r.PrefillRequests *= f
 	for i := range r.Budgets {
 		r.Budgets[i] *= f
 	}
@@ -81,13 +81,13 @@
 type Demand struct {
 	Short Rates `msgpack:"s"`
 	Long  Rates `msgpack:"l"`
-	// Started is the part that was admitted, over the short window.
-	Started Rates `msgpack:"a"`
+	// Admitted is the part that was admitted, over the short window.
+	Admitted Rates `msgpack:"a"`
 }
 
 // Plus returns the sum of both demands.
 func (d Demand) Plus(o Demand) Demand {
-	return Demand{d.Short.Plus(o.Short), d.Long.Plus(o.Long), d.Started.Plus(o.Started)}
+	return Demand{d.Short.Plus(o.Short), d.Long.Plus(o.Long), d.Admitted.Plus(o.Admitted)}
 }
 
 // Meter measures the demand that arrives at one host. It is safe for concurrent
@@ -95,44 +95,44 @@
 type Meter struct {
 	clock state.Clock
 
-	mu       sync.Mutex
-	started  time.Time
-	services map[string]*[slotCount]slot
+	mu        sync.Mutex
+	createdAt time.Time
+	services  map[string]*[slotCount]slot
 }
 
 // slot is the work that arrived within one slotWidth.
 type slot struct {
-	number  int64
-	arrived Rates // totals, not rates
-	started Rates
+	index    int64
+	arrived  Rates // totals, not rates
+	admitted Rates
 }
 
 // NewMeter returns a meter that has seen nothing.
 func NewMeter(c state.Clock) *Meter {
-	return &Meter{clock: c, started: c.Now(), services: map[string]*[slotCount]slot{}}
+	return &Meter{clock: c, createdAt: c.Now(), services: map[string]*[slotCount]slot{}}
 }
 
 // firstTokenAllowance is the time that a request is taken to need up to its
 // first token.
 const firstTokenAllowance = time.Second
 
-// Arrived counts a request's predicted work, whether it is admitted or not, and
+// RecordArrival counts a request's predicted work, whether it is admitted or not, and
 // the time that it has until its deadline; zero for none.
-func (m *Meter) Arrived(service string, w snapshot.Work, left time.Duration) {
+func (m *Meter) RecordArrival(service string, w snapshot.Work, untilDeadline time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s := m.slot(service); s != nil {
-		s.arrived.count(w)
-		s.arrived.Budgets[budgetIndex(w.DecodeTokens, left)] += float64(w.Requests)
+		s.arrived.addWork(w)
+		s.arrived.Budgets[budgetIndex(w.DecodeTokens, untilDeadline)] += float64(w.Requests)
 	}
 }
 
-// Started counts the same work once the request is admitted.
-func (m *Meter) Started(service string, w snapshot.Work) {
+// RecordAdmission counts the same work once the request is admitted.
+func (m *Meter) RecordAdmission(service string, w snapshot.Work) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if s := m.slot(service); s != nil {
-		s.started.count(w)
+		s.admitted.addWork(w)
 	}
 }
 
@@ -140,10 +140,10 @@
 // time of one output token; a request with more of them is mostly prefill.
 const promptTokensPerOutputToken = 6
 
-func (r *Rates) count(w snapshot.Work) {
+func (r *Rates) addWork(w snapshot.Work) {
 	r.Requests += float64(w.Requests)
 	if w.PrefillTokens > promptTokensPerOutputToken*w.DecodeTokens {
-		r.Prompts += float64(w.Requests)
+		r.PrefillRequests += float64(w.Requests)
 	}
 	r.PrefillTokens += float64(w.PrefillTokens)
 	r.DecodeTokens += float64(w.DecodeTokens)
@@ -152,7 +152,7 @@
 // slot returns the present slot of a service, or nil beyond the bound; m.mu is
 // held.
 func (m *Meter) slot(service string) *slot {
-	number := m.clock.Now().UnixNano() / int64(slotWidth)
+	index := m.clock.Now().UnixNano() / int64(slotWidth)
 	ring := m.services[service]
 	if ring == nil {
 		if len(m.services) >= maxServices {
@@ -161,20 +161,20 @@
 		ring = &[slotCount]slot{}
 		m.services[service] = ring
 	}
-	s := &ring[number%int64(slotCount)]
-	if s.number != number {
-		*s = slot{number: number}
+	s := &ring[index%int64(slotCount)]
+	if s.index != index {
+		*s = slot{index: index}
 	}
 	return s
 }
 
 // budgetIndex returns the entry of Budgets for an answer of that many tokens.
-func budgetIndex(tokens int64, left time.Duration) int {
+func budgetIndex(tokens int64, untilDeadline time.Duration) int {
 	last := len(budgetBounds) - 1
-	if left <= 0 || tokens <= 1 {
+	if untilDeadline <= 0 || tokens <= 1 {
 		return last
 	}
-	interval := max(0, left-firstTokenAllowance).Seconds() / float64(tokens)
+	interval := max(0, untilDeadline-firstTokenAllowance).Seconds() / float64(tokens)
 	for i := range last {
 		if interval < budgetBounds[i+1] {
 			return i
@@ -194,24 +194,24 @@
 		return Demand{}
 	}
 	arrived := func(s *slot) Rates { return s.arrived }
-	started := func(s *slot) Rates { return s.started }
+	admitted := func(s *slot) Rates { return s.admitted }
 	return Demand{
-		Short:   m.rates(ring, now, ShortWindow, arrived),
-		Long:    m.rates(ring, now, LongWindow, arrived),
-		Started: m.rates(ring, now, ShortWindow, started),
+		Short:    m.rates(ring, now, ShortWindow, arrived),
+		Long:     m.rates(ring, now, LongWindow, arrived),
+		Admitted: m.rates(ring, now, ShortWindow, admitted),
 	}
 }
 
-func (m *Meter) rates(ring *[slotCount]slot, now time.Time, window time.Duration, of func(*slot) Rates) Rates {
-	present := now.UnixNano() / int64(slotWidth)
-	first := present - int64(window/slotWidth)
+func (m *Meter) rates(ring *[slotCount]slot, now time.Time, window time.Duration, ratesOf func(*slot) Rates) Rates {
+	current := now.UnixNano() / int64(slotWidth)
+	first := current - int64(window/slotWidth)
 	var sum Rates
 	for i := range ring {
-		if s := &ring[i]; s.number >= first && s.number < present {
-			sum = sum.Plus(of(s))
+		if s := &ring[i]; s.index >= first && s.index < current {
+			sum = sum.Plus(ratesOf(s))
 		}
 	}
 	// A meter younger than the window has seen only a part of it.
-	over := min(window, max(now.Sub(m.started).Truncate(slotWidth), slotWidth))
-	return sum.Times(1 / over.Seconds())
+	measured := min(window, max(now.Sub(m.createdAt).Truncate(slotWidth), slotWidth))
+	return sum.Times(1 / measured.Seconds())
 }
--- a/coordination/rebalance/meter_test.go
+++ b/coordination/rebalance/meter_test.go
@@ -28,7 +28,7 @@
 		if i >= 90 {
 			w = snapshot.Work{Requests: 2, PrefillTokens: 100, DecodeTokens: 400}
 		}
-		m.Arrived("llm", w, 10*time.Second)
+		m.RecordArrival("llm", w, 10*time.Second)
 		clock.now = clock.now.Add(time.Second)
 	}
 	d := m.Demand("llm")
@@ -45,7 +45,7 @@
 	clock := &manualClock{now: start}
 	m := NewMeter(clock)
 	for range 5 {
-		m.Arrived("llm", snapshot.Work{Requests: 3}, 0)
+		m.RecordArrival("llm", snapshot.Work{Requests: 3}, 0)
 		clock.now = clock.now.Add(time.Second)
 	}
 	is.Equal(m.Demand("llm").Long.Requests, 3.0)
@@ -55,19 +55,19 @@
 	is := is.New(t)
 	clock := &manualClock{now: start}
 	m := NewMeter(clock)
-	m.Arrived("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 10*time.Second) // 45 ms
-	m.Arrived("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 0)              // no deadline
+	m.RecordArrival("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 10*time.Second) // 45 ms
+	m.RecordArrival("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 0)              // no deadline
 	clock.now = clock.now.Add(time.Second)
 	b := m.Demand("llm").Short.Budgets
-	is.Equal(b.within(0.04), 1.0)
-	is.Equal(b.within(0.05), 0.5)
+	is.Equal(b.shareAllowing(0.04), 1.0)
+	is.Equal(b.shareAllowing(0.05), 0.5)
 }
 
 func TestMeterLimitsServices(t *testing.T) {
 	is := is.New(t)
 	m := NewMeter(&manualClock{now: start})
 	for i := range 10 * maxServices {
-		m.Arrived(fmt.Sprint("s", i), snapshot.Work{Requests: 1}, 0)
+		m.RecordArrival(fmt.Sprint("s", i), snapshot.Work{Requests: 1}, 0)
 	}
 	is.Equal(len(m.services), maxServices)
 }
--- a/coordination/rebalance/predict.go
+++ b/coordination/rebalance/predict.go
@@ -11,27 +11,27 @@
 type Capacity struct {
 	Prefill, Decode           float64
 	MixedPrefill, MixedDecode float64
-	// Step and MixedStep are the times between tokens in a full batch, in
+	// TokenInterval and MixedTokenInterval are the times between tokens in a full batch, in
 	// seconds, on engines of the decode and of the mixed role.
-	Step, MixedStep float64
+	TokenInterval, MixedTokenInterval float64
 }
 
 // Speeds are what an engine does in one role, in tokens a second; Step is the
 // time between tokens in a full batch, in seconds.
-type Speeds struct{ Prefill, Decode, Step float64 }
+type Speeds struct{ Prefill, Decode, TokenInterval float64 }
 
-// add puts n engines of the role into the capacity; a negative n takes them out.
-func (c *Capacity) add(role state.Role, s Speeds, n float64) {
+// addEngines puts n engines of the role into the capacity; a negative n takes them out.
+func (c *Capacity) addEngines(role state.Role, s Speeds, n float64) {
 	switch role {
 	case state.RolePrefill:
 		c.Prefill += n * s.Prefill
 	case state.RoleDecode:
 		c.Decode += n * s.Decode
-		c.Step = s.Step
+		c.TokenInterval = s.TokenInterval
 	default:
 		c.MixedPrefill += n * s.Prefill
 		c.MixedDecode += n * s.Decode
-		c.MixedStep = s.Step
+		c.MixedTokenInterval = s.TokenInterval
 	}
 }
 
@@ -61,18 +61,18 @@
 	if u <= 0 {
 		return d.PrefillTokens <= 0 && d.DecodeTokens <= 0
 	}
-	return share(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)+share(d.DecodeTokens/u-c.Decode, c.MixedDecode) <= 1
+	return mixedTimeShare(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)+mixedTimeShare(d.DecodeTokens/u-c.Decode, c.MixedDecode) <= 1
 }
 
-// share is the part of the mixed engines' time that a rest of demand takes.
-func share(rest, mixed float64) float64 {
-	if rest <= 0 {
+// mixedTimeShare is the part of the mixed engines' time that a rest of demand takes.
+func mixedTimeShare(remaining, mixedCapacity float64) float64 {
+	if remaining <= 0 {
 		return 0
 	}
-	if mixed <= 0 {
+	if mixedCapacity <= 0 {
 		return math.Inf(1)
 	}
-	return rest / mixed
+	return remaining / mixedCapacity
 }
 
 // The shape of waiting.
@@ -83,9 +83,9 @@
 	onTimeShareAtFull = 0.9
 )
 
-// waiting is the share of answers that a utilization leaves in time: all while
+// onTimeShareAt is the share of answers that a utilization leaves in time: all while
 // queues are short, fewer as they grow, and beyond 1 what can be served.
-func waiting(utilization float64) float64 {
+func onTimeShareAt(utilization float64) float64 {
 	switch {
 	case utilization <= queueFreeUtilization:
 		return 1
@@ -99,11 +99,11 @@
 // minStepShare is the least share of a full batch's step that a step takes.
 const minStepShare = 0.5
 
-// InTime is the predicted share of the demand's answers in time. Requests that
+// OnTimeShare is the predicted share of the demand's answers in time. Requests that
 // are mostly prefill depend on the capacity for it, the others on that for decode
 // and on the time between tokens that their deadlines allow for; on mixed engines
 // the prompts that are computed in between lengthen it.
-func (c Capacity) InTime(d Rates) float64 {
+func (c Capacity) OnTimeShare(d Rates) float64 {
 	u := c.Utilization(d)
 	switch {
 	case u <= 0 || d.Requests <= 0:
@@ -111,40 +111,40 @@
 	case u >= maxUtilization:
 		return 0
 	}
-	prompts, outputs := c.divide(d, u)
-	prefill := ratio(d.PrefillTokens, c.Prefill+prompts*c.MixedPrefill)
-	decode := ratio(d.DecodeTokens, c.Decode+outputs*c.MixedDecode)
-	onMixed := 0.0
+	prefillTime, decodeTime := c.splitMixedTime(d, u)
+	prefillLoad := boundedUtilization(d.PrefillTokens, c.Prefill+prefillTime*c.MixedPrefill)
+	decodeLoad := boundedUtilization(d.DecodeTokens, c.Decode+decodeTime*c.MixedDecode)
+	mixedDecodeShare := 0.0
 	switch {
 	case d.DecodeTokens <= 0:
 	case c.Decode <= 0:
-		onMixed = 1
+		mixedDecodeShare = 1
 	default:
-		onMixed = outputs * c.MixedDecode / (c.Decode + outputs*c.MixedDecode)
+		mixedDecodeShare = decodeTime * c.MixedDecode / (c.Decode + decodeTime*c.MixedDecode)
 	}
-	batch := max(minStepShare, min(decode, 1))
-	inTime := (1 - onMixed) * d.Budgets.within(c.Step*batch)
-	if onMixed > 0 {
-		free := max(1-min(prefill, 1)*prompts, 0.05)
-		inTime += onMixed * d.Budgets.within(c.MixedStep*batch/free)
+	stepShare := max(minStepShare, min(decodeLoad, 1))
+	intervalsMet := (1 - mixedDecodeShare) * d.Budgets.shareAllowing(c.TokenInterval*stepShare)
+	if mixedDecodeShare > 0 {
+		freeTime := max(1-min(prefillLoad, 1)*prefillTime, 0.05)
+		intervalsMet += mixedDecodeShare * d.Budgets.shareAllowing(c.MixedTokenInterval*stepShare/freeTime)
 	}
-	part := min(d.Prompts/d.Requests, 1)
-	return part*waiting(prefill) + (1-part)*waiting(decode)*inTime
+	prefillRequestShare := min(d.PrefillRequests/d.Requests, 1)
+	return prefillRequestShare*onTimeShareAt(prefillLoad) + (1-prefillRequestShare)*onTimeShareAt(decodeLoad)*intervalsMet
 }
 
-// divide returns the parts of the mixed engines' time for prefill and for decode
+// splitMixedTime returns the parts of the mixed engines' time for prefill and for decode
 // that make both equally busy, as far as they can.
-func (c Capacity) divide(d Rates, u float64) (prompts, outputs float64) {
-	prompts = share(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)
-	outputs = share(d.DecodeTokens/u-c.Decode, c.MixedDecode)
-	if sum := prompts + outputs; sum > 0 {
-		return prompts / sum, outputs / sum
+func (c Capacity) splitMixedTime(d Rates, u float64) (prefillTime, decodeTime float64) {
+	prefillTime = mixedTimeShare(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)
+	decodeTime = mixedTimeShare(d.DecodeTokens/u-c.Decode, c.MixedDecode)
+	if sum := prefillTime + decodeTime; sum > 0 {
+		return prefillTime / sum, decodeTime / sum
 	}
 	return 0.5, 0.5
 }
 
-// ratio is a demand by a capacity, bounded.
-func ratio(demand, capacity float64) float64 {
+// boundedUtilization is a demand by a capacity, bounded.
+func boundedUtilization(demand, capacity float64) float64 {
 	if demand <= 0 {
 		return 0
 	}
--- a/coordination/rebalance/usage.go
+++ b/coordination/rebalance/usage.go
@@ -21,23 +21,23 @@
 	minCorrection, maxCorrection = 0.25, 2
 )
 
-// usage compares the prompt tokens that were predicted of the started requests
+// prefillCorrection compares the prompt tokens that were predicted of the started requests
 // with what the engines compute. Prompts turn out cheaper than predicted when more
 // of them is cached than was known; without a correction the rebalancer would give
 // prefill more engines than it needs. Outputs are predicted well enough, and last
 // too long for such a comparison.
-type usage struct {
+type prefillCorrection struct {
 	at time.Time
-	// done and started are fading means in prompt tokens a second.
-	done, started float64
+	// computed and admitted are fading means in prompt tokens a second.
+	computed, admitted float64
 }
 
-// observe takes in the present reports.
-func (u *usage) observe(now time.Time, runners []*snapshot.Runner, started Rates) {
-	done := 0.0
+// update takes in the present reports.
+func (u *prefillCorrection) update(now time.Time, runners []*snapshot.Runner, admitted Rates) {
+	computed := 0.0
 	for _, r := range runners {
 		if now.Sub(r.Load.TakenAt) <= maxReportAge {
-			done += prefillRate(&r.Load)
+			computed += prefillRate(&r.Load)
 		}
 	}
 	weight := 1.0
@@ -45,8 +45,8 @@
 		weight = 1 - math.Exp(-now.Sub(u.at).Seconds()/correctionTimeConstant.Seconds())
 	}
 	u.at = now
-	u.done += weight * (done - u.done)
-	u.started += weight * (started.PrefillTokens - u.started)
+	u.computed += weight * (computed - u.computed)
+	u.admitted += weight * (admitted.PrefillTokens - u.admitted)
 }
 
 // prefillRate is how many prompt tokens a second an engine computed at the moment of
@@ -55,17 +55,17 @@
 	if l.PrefillBacklogTokens <= 0 || l.PrefillTokensPerSecond <= 0 {
 		return 0
 	}
-	pass := prefillChunkTokens / l.PrefillTokensPerSecond
+	chunkSeconds := prefillChunkTokens / l.PrefillTokensPerSecond
 	if l.DecodeRunning > 0 {
-		pass += l.DecodeStepMillis / 1000
+		chunkSeconds += l.DecodeStepMillis / 1000
 	}
-	return prefillChunkTokens / pass
+	return prefillChunkTokens / chunkSeconds
 }
 
 // correct returns the demand with its prompt tokens as they turn out to be.
-func (u *usage) correct(r Rates) Rates {
-	if u.done > 0 && u.started > 0 {
-		r.PrefillTokens *= min(max(u.done/u.started, minCorrection), maxCorrection)
+func (u *prefillCorrection) correct(r Rates) Rates {
+	if u.computed > 0 && u.admitted > 0 {
+		r.PrefillTokens *= min(max(u.computed/u.admitted, minCorrection), maxCorrection)
 	}
 	return r
 }
--- a/coordination/replay/call.go
+++ b/coordination/replay/call.go
@@ -64,7 +64,7 @@
 		PrefillTokens: int64(max(1, c.request.PromptTokens-c.host.router.LongestCachedPrefix(&q))),
 		DecodeTokens:  int64(c.expected),
 	}
-	c.host.meter.Arrived(service, c.work, c.class.Deadline)
+	c.host.meter.RecordArrival(service, c.work, c.class.Deadline)
 	if f.setup.NoAdmission {
 		c.start()
 		return
@@ -94,7 +94,7 @@
 		return
 	}
 	c.grant = g
-	c.host.meter.Started(service, c.work)
+	c.host.meter.RecordAdmission(service, c.work)
 	c.start()
 }
 
--- a/coordination/replay/planner.go
+++ b/coordination/replay/planner.go
@@ -35,7 +35,7 @@
 		Demand: p.demand, QueuedWork: p.waiting, Orders: p, Record: f.setup.record,
 		Speeds: func(engine string) rebalance.Speeds {
 			prefill, step := lead.router.SpeedsAt(engine, f.model.MaxBatch)
-			return rebalance.Speeds{Prefill: prefill, Decode: float64(f.model.MaxBatch) / step.Seconds(), Step: step.Seconds()}
+			return rebalance.Speeds{Prefill: prefill, Decode: float64(f.model.MaxBatch) / step.Seconds(), TokenInterval: step.Seconds()}
 		},
 		Tuning: f.setup.Tuning,
 	})
@@ -74,7 +74,7 @@
 	return sum
 }
 
-// StartChange implements rebalance.Orders.
+// StartChange implements rebalance.OrderIssuer.
 func (p *planner) StartChange(_ context.Context, engine string, t state.Target, reason string) error {
 	l := p.fleet.loop
 	began := l.Now()
--- a/daemon/decisions.go
+++ b/daemon/decisions.go
@@ -55,8 +55,10 @@
 		retries: &retries{Budget: budget, rnd: d.newRand()},
 		admitter: &admitter{
 			admit: a, clock: d.clock,
-			arrived: func(service string, w snapshot.Work, left time.Duration) { d.roles.meter.Arrived(service, w, left) },
-			long:    outputs.LongOutput,
+			arrived: func(service string, w snapshot.Work, left time.Duration) {
+				d.roles.meter.RecordArrival(service, w, left)
+			},
+			long: outputs.LongOutput,
 		},
 	}, nil
 }
--- a/daemon/roles.go
+++ b/daemon/roles.go
@@ -158,7 +158,7 @@
 // speeds is what an engine does in its present role, learnt from its reports.
 func (r *roles) speeds(engine string) rebalance.Speeds {
 	prefill, step := r.d.decide.router.route.SpeedsAt(engine, decodeBatch)
-	return rebalance.Speeds{Prefill: prefill, Decode: decodeBatch / step.Seconds(), Step: step.Seconds()}
+	return rebalance.Speeds{Prefill: prefill, Decode: decodeBatch / step.Seconds(), TokenInterval: step.Seconds()}
 }
 
 // PinnedError says that a policy keeps an engine from the change.
@@ -169,7 +169,7 @@
 	return "policy " + e.Policy + " keeps " + e.Engine + " as it is; change the policy to let it go"
 }
 
-// StartChange implements rebalance.Orders.
+// StartChange implements rebalance.OrderIssuer.
 func (r *roles) StartChange(ctx context.Context, engine string, t state.Target, reason string) error {
 	u, err := r.d.engineNamed(engine)
 	if err != nil {
