--- a/coordination/rebalance/decide.go
+++ b/coordination/rebalance/decide.go
@@ -7,99 +7,108 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Tuning are the constants of the decision. Zero values stand for the defaults.
+// Tuning holds the parameters of a decision. Zero values select the defaults.
 type Tuning struct {
-	// Horizon is over which a change has to pay; default 60 s.
+	// Horizon is the time within which a change has to pay off; default 60 s.
 	Horizon time.Duration
-	// DrainTime and ChangeTime are how long an engine takes to finish its work
-	// and to change; defaults 4 s and 4 s.
+	// DrainTime and ChangeTime are the times that an engine takes to finish its
+	// running requests and to switch its role; defaults 4 s and 4 s.
 	DrainTime, ChangeTime time.Duration
-	// MinTimeInRole is the least time an engine keeps a role; default 20 s.
+	// MinTimeInRole is the shortest time that an engine keeps a role; default 20 s.
 	MinTimeInRole time.Duration
-	// MixedEfficiency is what is left of the time of a mixed engine that does both
-	// kinds of work: they get into each other's way, and its batch is shared;
-	// default 0.85.
+	// MixedEfficiency is the fraction of its nominal speed that a mixed engine
+	// keeps while it runs both prefill and decode: the two interfere with each
+	// other and share one batch; default 0.85.
 	MixedEfficiency float64
-	// MinNetShare is the least net gain as a share of the answers of the horizon, so
-	// that noise changes nothing; default 0.03.
+	// MinNetShare is the net gain that a change must exceed, as a fraction of the
+	// requests that arrive within Horizon, so that noise in the measured demand
+	// triggers no change; default 0.03.
 	MinNetShare float64
 }
 
-func (o Tuning) withDefaults() Tuning {
-	if o.Horizon == 0 {
-		o.Horizon = 60 * time.Second
+func (t Tuning) withDefaults() Tuning {
+	if t.Horizon == 0 {
+		t.Horizon = 60 * time.Second
 	}
-	if o.DrainTime == 0 {
-		o.DrainTime = 4 * time.Second
+	if t.DrainTime == 0 {
+		t.DrainTime = 4 * time.Second
 	}
-	if o.ChangeTime == 0 {
-		o.ChangeTime = 4 * time.Second
+	if t.ChangeTime == 0 {
+		t.ChangeTime = 4 * time.Second
 	}
-	if o.MinTimeInRole == 0 {
-		o.MinTimeInRole = 20 * time.Second
+	if t.MinTimeInRole == 0 {
+		t.MinTimeInRole = 20 * time.Second
 	}
-	if o.MixedEfficiency == 0 {
-		o.MixedEfficiency = 0.85
+	if t.MixedEfficiency == 0 {
+		t.MixedEfficiency = 0.85
 	}
-	if o.MinNetShare == 0 {
-		o.MinNetShare = 0.03
+	if t.MinNetShare == 0 {
+		t.MinNetShare = 0.03
 	}
-	return o
+	return t
 }
 
-// downtime is how long a changing engine does no work of use.
-func (o Tuning) downtime() time.Duration { return o.DrainTime + o.ChangeTime }
+// downtime returns how long a changing engine serves no requests.
+func (t Tuning) downtime() time.Duration { return t.DrainTime + t.ChangeTime }
 
-// Engine is what a decision knows of one engine.
+// Engine describes one engine as input of a decision.
 type Engine struct {
 	Name, FailureDomain string
 	Role                state.Role
-	// TakesWork is false for an engine that can't be counted on.
+	// TakesWork is false for an engine that can't serve requests; it adds no
+	// capacity and isn't changed.
 	TakesWork bool
-	// RoleSince is when it took on its role; zero when that is long ago.
+	// RoleSince is when it took its present role; zero if longer ago than any
+	// MinTimeInRole.
 	RoleSince time.Time
-	// InFlight is the number of requests there.
+	// InFlight is the number of requests at the engine.
 	InFlight int64
-	// Speeds are what it does in its present role.
+	// Speeds are its speeds in its present role.
 	Speeds Speeds
 }
 
-// Inputs are all that a decision depends on.
+// Inputs holds everything that a decision depends on except its Tuning.
 type Inputs struct {
 	Now     time.Time
 	Service state.Service
 	Engines []Engine
 	Demand  Demand
-	// QueuedRates is the rate at which queued work would have to be done beside the
-	// demand to clear the queues.
+	// QueuedRates is the rate at which queued work has to be served, in addition
+	// to Demand, to empty the queues in time.
 	QueuedRates Rates
-	// ChangingEngine names an engine whose change is under way; empty for none.
+	// ChangingEngine names an engine whose change is in progress; empty if none.
 	ChangingEngine string
 }
 
-// Candidate is one change that was weighed. Answers are counted over the horizon.
+// Candidate is one evaluated change of an engine's role. Its figures are numbers
+// of requests over Tuning.Horizon.
 type Candidate struct {
 	Engine   string
 	From, To state.Role
-	// Gain is more answers in time, Loss those missed while it is away, Net the
-	// weighted sum.
+	// Gain is the number of additional requests that meet their deadline. Loss is
+	// the number that miss it while the engine is out of service. Net is the
+	// weighted difference, less the cost of the change.
 	Gain, Loss, Net float64
-	// Rejected says why it isn't chosen; empty for the chosen one.
+	// Rejected is the reason why it isn't chosen; empty for the chosen one.
 	Rejected string
 }
 
-// Proposal is the outcome of a decision.
+// Proposal is the result of a decision.
 type Proposal struct {
-	// Change is nil when nothing is to change.
+	// Change is the chosen candidate; nil if no engine is to change.
 	Change *Candidate
-	// Candidates are the best change of each pair of roles.
+	// Candidates holds the best change of each ordered pair of roles.
 	Candidates []Candidate
-	// Utilization is the present one over the short window.
+	// Utilization is the share of the present capacity that the demand of the
+	// short window and the queued work need; above 1 they can't be served.
 	Utilization float64
-	Why         string
+	// Why explains the result to operators.
+	Why string
 }
 
-// Decide weighs every change of one engine's role.
+// Decide evaluates a change of one engine for each ordered pair of roles and
+// proposes the one with the highest net gain. It proposes none while another
+// change is in progress, since only one engine of a service changes at a time.
 func Decide(in Inputs, tuning Tuning) Proposal {
 	tuning = tuning.withDefaults()
 	f := newForecast(&in, tuning)
@@ -123,6 +132,8 @@
 	return p
 }
 
+// choose proposes the candidate with that index and sets the explanation; a
+// negative index stands for no change.
 func (p *Proposal) choose(best int) {
 	if best < 0 {
 		p.Why = fmt.Sprintf("no change is worth its price at %.0f%% of the capacity", 100*p.Utilization)
@@ -138,18 +149,19 @@
 		100*p.Utilization, p.Change.Engine, p.Change.To, p.Change.Gain, p.Change.Loss)
 }
 
-// forecast holds what the options of one decision share.
+// forecast holds the values that the evaluations of one decision share.
 type forecast struct {
 	in       *Inputs
 	tuning   Tuning
 	capacity Capacity
 	speeds   map[state.Role]Speeds
-	// shortRates is the demand of the shortRates window, meanRates the mean of both: a
-	// change must pay under each, so that a burst alone changes nothing.
+	// shortRates is the demand of the short window, meanRates the mean of both
+	// windows, each with the queued work added. A change must pay off under both,
+	// so that a short burst triggers none.
 	shortRates, meanRates Rates
 }
 
-// allRoles in the order in which options are listed.
+// allRoles lists the roles in the order in which candidates are listed.
 var allRoles = [...]state.Role{state.RolePrefill, state.RoleDecode, state.RoleMixed}
 
 func newForecast(in *Inputs, tuning Tuning) *forecast {
@@ -164,8 +176,8 @@
 	return f
 }
 
-// meanSpeedsByRole are the mean speeds of each role's engines. For a role without
-// engines the speeds of the others at the work of that role stand in.
+// meanSpeedsByRole returns the mean speeds of the engines of each role. A role
+// without engines gets the speeds that engines of other roles have for its work.
 func meanSpeedsByRole(engines []Engine) map[state.Role]Speeds {
 	sums := map[state.Role]Speeds{}
 	counts := map[state.Role]float64{}
@@ -192,7 +204,8 @@
 	return out
 }
 
-// addEngines puts n engines of the role into the capacity.
+// addEngines adds n engines of the role to the capacity, with the speeds of mixed
+// engines reduced by Tuning.MixedEfficiency; a negative n removes engines.
 func (f *forecast) addEngines(c *Capacity, role state.Role, s Speeds, n float64) {
 	if role == state.RoleMixed {
 		s.Prefill *= f.tuning.MixedEfficiency
@@ -201,6 +214,7 @@
 	c.addEngines(role, s, n)
 }
 
+// candidates evaluates the best change of each ordered pair of roles.
 func (f *forecast) candidates() []Candidate {
 	var out []Candidate
 	for _, from := range allRoles {
@@ -219,8 +233,8 @@
 	return out
 }
 
-// engineToMove returns the engine of the role that can change with least harm, or
-// why there is none.
+// engineToMove returns the engine of the role with the fewest requests in flight
+// among those that may change, or the reason why none may.
 func (f *forecast) engineToMove(role state.Role) (*Engine, string) {
 	why := "no engine has that role"
 	var best *Engine
@@ -241,7 +255,8 @@
 	return best, why
 }
 
-// atRoleMinimum reports whether the engine's failure domain would have too few of its role.
+// atRoleMinimum reports whether the engine's failure domain would have fewer
+// engines of its role than the service's MinPerRole if the engine changed.
 func (f *forecast) atRoleMinimum(e *Engine) bool {
 	if e.Role == state.RoleMixed && f.in.Service.MinPerRole == 0 {
 		return false
@@ -256,12 +271,14 @@
 	return n <= f.in.Service.MinPerRole
 }
 
-// maxChangesAhead is how many changes of the same kind are looked ahead: some pay only
-// together, for example the first engines that take the prompts off mixed ones.
+// maxChangesAhead is the largest number of changes between the same two roles that
+// are evaluated together: some pay off only together, for example the first
+// engines that take prefill work away from mixed ones.
 const maxChangesAhead = 6
 
-// evaluate predicts what the change of e is worth, as one of as many changes of its
-// kind as are worth most each.
+// evaluate predicts the net gain of changing e. It considers up to
+// maxChangesAhead changes between the same roles and returns the gain of one
+// change for the number of changes at which that is highest.
 func (f *forecast) evaluate(e *Engine, to state.Role) Candidate {
 	var best Candidate
 	for n := 1; n <= maxChangesAhead && n <= f.movable(e.Role); n++ {
@@ -284,7 +301,8 @@
 	return best
 }
 
-// movable is the number of engines that may leave a role.
+// movable returns the number of engines that may leave a role, at least 1: the
+// minimum in each failure domain is enforced by engineToMove.
 func (f *forecast) movable(role state.Role) int {
 	n := 0
 	for i := range f.in.Engines {
@@ -298,7 +316,10 @@
 	return max(1, n)
 }
 
-// estimate is what each of n changes gives, made one after the other.
+// estimate returns the figures of one change out of n changes that are made one
+// after the other, for the demand d. during is the capacity while one engine is
+// out of service, after the capacity once all n changes are made. The i-th change
+// takes effect i downtimes from now; gainSeconds is the mean of the times left.
 func (f *forecast) estimate(during, after Capacity, d Rates, n int) Candidate {
 	rate := f.in.Demand.Short.Requests
 	onTime := f.capacity.OnTimeShare(d)
@@ -309,13 +330,15 @@
 		Gain: rate * gainSeconds * (after.OnTimeShare(d) - onTime) / changes,
 		Loss: rate * downtime * max(0, onTime-during.OnTimeShare(d)),
 	}
-	// A change is priced at the answers that one engine gives while it is away.
+	// A change costs the requests that one engine would have served during its
+	// downtime.
 	cost := rate * downtime / float64(max(1, len(f.in.Engines)))
 	c.Net = goodputWeight(f.in.Service)*(c.Gain-c.Loss) - f.in.Service.RoleChangeWeight*cost
 	return c
 }
 
-// goodputWeight is the service's weight of answers in time, 1 when not set.
+// goodputWeight returns the service's weight of requests that meet their
+// deadline, 1 if it isn't set.
 func goodputWeight(s state.Service) float64 {
 	if s.GoodputWeight > 0 {
 		return s.GoodputWeight
--- a/coordination/rebalance/decide_test.go
+++ b/coordination/rebalance/decide_test.go
@@ -26,11 +26,12 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// speeds are those of an engine that computes 8000 prompt tokens or gives 1280
-// tokens a second.
+// speeds are those of an engine that computes 8000 prompt tokens or 1280 output
+// tokens per second.
 var speeds = Speeds{Prefill: 8000, Decode: 1280, TokenInterval: 0.025}
 
-// newEngines returns engines of the roles, spread over two failure domains.
+// newEngines returns engines of the roles, spread over two failure domains. The
+// request counts increase with the index.
 func newEngines(prefill, decode, mixed int) []Engine {
 	var out []Engine
 	add := func(n int, role state.Role) {
@@ -48,14 +49,15 @@
 	return out
 }
 
-// demandRates are ten requests a second, half of them mostly prefill, with the given
-// totals and much time between tokens to spare.
+// demandRates returns ten requests per second, half of them mostly prefill, with
+// the given totals of tokens per second and the largest token interval budget.
 func demandRates(prefill, decode float64) Rates {
 	r := Rates{Requests: 10, PrefillRequests: 5, PrefillTokens: prefill, DecodeTokens: decode}
 	r.Budgets[len(r.Budgets)-1] = 10
 	return r
 }
 
+// constantDemand returns a demand that is the same over both windows.
 func constantDemand(prefill, decode float64) Demand {
 	return Demand{Short: demandRates(prefill, decode), Long: demandRates(prefill, decode)}
 }
@@ -70,17 +72,17 @@
 		from, to state.Role // empty for no change
 		why      string
 	}{
-		{"enough of both", Inputs{Engines: newEngines(4, 4, 0), Demand: balanced}, "", "", "no change is worth"},
-		{"prompts too many", Inputs{Engines: newEngines(4, 4, 0), Demand: prefillHeavy}, state.RoleDecode, state.RolePrefill, "more answers"},
-		{"outputs too many", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy}, state.RolePrefill, state.RoleDecode, "more answers"},
-		{"nothing to gain above capacity on both sides", Inputs{Engines: newEngines(4, 4, 0), Demand: constantDemand(64000, 10240)}, "", "", "no change"},
-		{"mixed engines take up the shift", Inputs{Engines: newEngines(2, 2, 4), Demand: constantDemand(5000, 5500)}, "", "", "no change"},
-		{"a burst alone", Inputs{Engines: newEngines(4, 4, 0), Demand: Demand{Short: decodeHeavy.Short, Long: demandRates(20000, 500)}}, "", "", "no change"},
-		{"a change under way", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, ChangingEngine: "e01"}, "", "", "one at a time"},
+		{"capacity covers the demand", Inputs{Engines: newEngines(4, 4, 0), Demand: balanced}, "", "", "no change is worth"},
+		{"too little prefill capacity", Inputs{Engines: newEngines(4, 4, 0), Demand: prefillHeavy}, state.RoleDecode, state.RolePrefill, "more answers"},
+		{"too little decode capacity", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy}, state.RolePrefill, state.RoleDecode, "more answers"},
+		{"prefill and decode both over capacity", Inputs{Engines: newEngines(4, 4, 0), Demand: constantDemand(64000, 10240)}, "", "", "no change"},
+		{"mixed engines absorb the change of demand", Inputs{Engines: newEngines(2, 2, 4), Demand: constantDemand(5000, 5500)}, "", "", "no change"},
+		{"short burst", Inputs{Engines: newEngines(4, 4, 0), Demand: Demand{Short: decodeHeavy.Short, Long: demandRates(20000, 500)}}, "", "", "no change"},
+		{"another change in progress", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, ChangingEngine: "e01"}, "", "", "one at a time"},
 		{"no demand", Inputs{Engines: newEngines(4, 4, 0)}, "", "", "no request"},
-		{"the floor of both failure domains", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, Service: state.Service{MinPerRole: 2}}, "", "", "no change"},
-		{"changes are dear", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, Service: state.Service{RoleChangeWeight: 50}}, "", "", "no change"},
-		{"answers are dearer", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, Service: state.Service{RoleChangeWeight: 50, GoodputWeight: 50}}, state.RolePrefill, state.RoleDecode, "more answers"},
+		{"minimum per role in both failure domains", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, Service: state.Service{MinPerRole: 2}}, "", "", "no change"},
+		{"high weight of changes", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, Service: state.Service{RoleChangeWeight: 50}}, "", "", "no change"},
+		{"high weight of changes and of goodput", Inputs{Engines: newEngines(4, 4, 0), Demand: decodeHeavy, Service: state.Service{RoleChangeWeight: 50, GoodputWeight: 50}}, state.RolePrefill, state.RoleDecode, "more answers"},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -107,7 +109,7 @@
 	engines[0].InFlight = 9
 	in := Inputs{Now: start, Engines: engines, Demand: constantDemand(5000, 7000)}
 	is.Equal(Decide(in, Tuning{}).Change.Engine, "e02")
-	engines[2].RoleSince = start.Add(-time.Second) // it changed a moment ago
+	engines[2].RoleSince = start.Add(-time.Second) // within MinTimeInRole
 	is.Equal(Decide(in, Tuning{}).Change.Engine, "e01")
 }
 
@@ -116,14 +118,16 @@
 	tightDemand := constantDemand(30000, 4000)
 	for _, r := range []*Rates{&tightDemand.Short, &tightDemand.Long} {
 		r.Budgets = IntervalBudgets{}
-		r.Budgets[5] = 10 // 30 ms to 40 ms between tokens
+		r.Budgets[5] = 10 // token intervals of 30 ms to 40 ms
 	}
 	p := Decide(Inputs{Now: start, Engines: newEngines(0, 0, 8), Demand: tightDemand}, Tuning{})
 	is.True(p.Change != nil)
 	is.Equal(p.Change.From, state.RoleMixed)
 }
 
-// Under constant demand the fleet comes to rest: no engine is sent to and fro.
+// Under constant demand the changes come to an end: no engine returns to a role
+// that it left. Oscillation would arise if a change made its reverse look
+// profitable.
 func TestDecideConvergesUnderConstantDemand(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string, low, high int) int { return rapid.IntRange(low, high).Draw(t, name) }
@@ -146,7 +150,7 @@
 			}
 			change := p.Change.Engine + " as " + string(p.Change.To)
 			if previous[change] {
-				t.Fatalf("%s again", change)
+				t.Fatalf("%s: the engine returns to a role that it left", change)
 			}
 			previous[p.Change.Engine+" as "+string(p.Change.From)] = true
 			for i := range engines {
@@ -159,16 +163,17 @@
 	})
 }
 
-// The least utilization is that of the best way to divide the mixed engines.
+// Utilization must equal the smallest one found by trying 2001 divisions of the
+// mixed engines' time.
 func TestUtilizationMatchesExhaustiveSearch(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) float64 { return float64(rapid.IntRange(0, 50).Draw(t, name)) }
 		c := Capacity{Prefill: draw("p"), Decode: draw("d"), MixedPrefill: 1 + draw("mp"), MixedDecode: 1 + draw("md")}
 		d := Rates{PrefillTokens: draw("prompt"), DecodeTokens: draw("output")}
 		best := float64(maxUtilization)
-		const steps = 2000
-		for i := range steps + 1 {
-			x := float64(i) / steps
+		const divisions = 2000
+		for i := range divisions + 1 {
+			x := float64(i) / divisions
 			p, o := c.Prefill+x*c.MixedPrefill, c.Decode+(1-x)*c.MixedDecode
 			u := 0.0
 			if d.PrefillTokens > 0 {
@@ -180,7 +185,7 @@
 			best = min(best, u)
 		}
 		if got := c.Utilization(d); got > best+1e-6 || got < best*0.95-0.01 {
-			t.Fatalf("%+v %+v: %v, by trial %v", c, d, got, best)
+			t.Fatalf("utilization of %+v by %+v: got %v, exhaustive search finds %v", c, d, got, best)
 		}
 	})
 }
@@ -188,7 +193,7 @@
 func TestIntervalBudgetsShareAllowing(t *testing.T) {
 	is := is.New(t)
 	var b IntervalBudgets
-	is.Equal(b.shareAllowing(1), 1.0) // nothing is late if nothing is asked
+	is.Equal(b.shareAllowing(1), 1.0) // no requests
 	b[4], b[6] = 3, 1                 // 25 to 30 ms and 40 to 50 ms
 	is.Equal(b.shareAllowing(0.02), 1.0)
 	is.True(b.shareAllowing(0.0275) > 0.62 && b.shareAllowing(0.0275) < 0.63)
--- a/coordination/rebalance/manager.go
+++ b/coordination/rebalance/manager.go
@@ -10,18 +10,19 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// OrderIssuer begins changes of engines' targets and sees them through.
+// OrderIssuer starts changes of engines' targets and carries them out.
 type OrderIssuer interface {
-	// StartChange begins a change. It returns once the engine's order object says
-	// so, or the error that kept it from that.
+	// StartChange starts the change of an engine to the target t. It returns nil
+	// once the change is stored in the engine's order object, or the error that
+	// prevented this; it doesn't wait for the end of the change.
 	StartChange(ctx context.Context, engine string, t state.Target, reason string) error
 }
 
-// ManagerOptions configure a Manager. Zero values stand for the defaults.
+// ManagerOptions configures a Manager. Zero values select the defaults.
 type ManagerOptions struct {
-	// All of these are required. Leads tells whether this host decides for the
-	// service; Demand is the fleet's; Speeds are what an engine does in its
-	// present role, in tokens a second.
+	// All of these are required. Leads reports whether this host decides for the
+	// service, Demand returns the demand of the service at all hosts, and Speeds
+	// returns the speeds of an engine in its present role.
 	Clock  state.Clock
 	View   func() *snapshot.View
 	Leads  func(service string) bool
@@ -29,32 +30,36 @@
 	Speeds func(engine string) Speeds
 	Orders OrderIssuer
 	Record func(state.Decision)
-	// QueuedWork is the work queued at the hosts; optional.
+	// QueuedWork returns the work of the service that is queued at the hosts;
+	// optional.
 	QueuedWork func(service string) snapshot.Work
-	// Host is told in the records.
+	// Host is the name of this host in the decision records.
 	Host string
 	// Interval is the time between decisions; default 2 s.
 	Interval time.Duration
-	// SettleTime is the time after the start of a change in which no other is
-	// begun, so that the view shows the first one; default 3 s.
+	// SettleTime is the time after the start of a change in which the service
+	// starts no other. Until the view shows the first change, a second one would
+	// start beside it; default 3 s.
 	SettleTime time.Duration
-	// Tuning are the constants of the decision.
+	// Tuning holds the parameters of the decisions.
 	Tuning Tuning
 }
 
-// queueClearTime is the time in which queued work is to be done.
+// queueClearTime is the time within which queued work is planned to be served.
 const queueClearTime = 30 * time.Second
 
-// Manager decides regularly for the services that this host leads.
+// Manager makes decisions at a fixed interval for the services that this host
+// leads. Its methods must not be called concurrently.
 type Manager struct {
-	o       ManagerOptions
+	options ManagerOptions
 	started time.Time
-	// lastChange is when each service's last change was lastChange here.
+	// lastChange is when this manager last started a change, by service.
 	lastChange  map[string]time.Time
 	corrections map[string]*prefillCorrection
 }
 
-// NewManager returns a manager, or an error that names the wrong option.
+// NewManager returns a manager, or an error that names the required options if
+// one of them is missing.
 func NewManager(o ManagerOptions) (*Manager, error) {
 	if o.Clock == nil || o.View == nil || o.Leads == nil || o.Demand == nil || o.Speeds == nil || o.Orders == nil || o.Record == nil {
 		return nil, fmt.Errorf("rebalance: a required option is nil; set Clock, View, Leads, Demand, Speeds, Orders and Record")
@@ -65,46 +70,49 @@
 	if o.SettleTime == 0 {
 		o.SettleTime = 3 * time.Second
 	}
-	return &Manager{o: o, started: o.Clock.Now(), lastChange: map[string]time.Time{}, corrections: map[string]*prefillCorrection{}}, nil
+	return &Manager{options: o, started: o.Clock.Now(), lastChange: map[string]time.Time{}, corrections: map[string]*prefillCorrection{}}, nil
 }
 
-// Run decides every Options.Interval until ctx ends.
+// Run calls Step every ManagerOptions.Interval until ctx ends, and returns the
+// error of the clock's Sleep.
 func (m *Manager) Run(ctx context.Context) error {
 	for {
-		if err := m.o.Clock.Sleep(ctx, m.o.Interval); err != nil {
+		if err := m.options.Clock.Sleep(ctx, m.options.Interval); err != nil {
 			return err
 		}
 		m.Step(ctx)
 	}
 }
 
-// Step decides once for every engine service that this host leads. It is called
-// by Run, or by an embedder's own loop instead.
+// Step makes one decision for every engine service that this host leads. Callers
+// with their own loop call it instead of Run.
 func (m *Manager) Step(ctx context.Context) {
-	v := m.o.View()
+	v := m.options.View()
 	if v.Config == nil {
 		return
 	}
 	for i := range v.Config.Services {
 		s := &v.Config.Services[i]
-		if s.Kind == state.KindEngine && m.o.Leads(s.Name) {
+		if s.Kind == state.KindEngine && m.options.Leads(s.Name) {
 			m.decide(ctx, v, s)
 		}
 	}
 }
 
+// decide makes one decision for the service s, starts the proposed change, if
+// any, and records the outcome.
 func (m *Manager) decide(ctx context.Context, v *snapshot.View, s *state.Service) {
-	now := m.o.Clock.Now()
+	now := m.options.Clock.Now()
 	demand := m.correctedDemand(v, s, now)
 	if now.Sub(m.started) < ShortWindow {
-		return // too little is known yet
+		return // the demand of the short window isn't known yet
 	}
-	if begun, ok := m.lastChange[s.Name]; ok && now.Sub(begun) < m.o.SettleTime {
+	if changed, ok := m.lastChange[s.Name]; ok && now.Sub(changed) < m.options.SettleTime {
 		return
 	}
 	in := m.buildInputs(v, s, now)
 	in.Demand = demand
-	p := Decide(in, m.o.Tuning)
+	p := Decide(in, m.options.Tuning)
 	if p.Change == nil {
 		m.record(v, s.Name, "stay", p.Why, p.Candidates)
 		return
@@ -112,29 +120,31 @@
 	r := v.Runner(p.Change.Engine)
 	target := state.Target{Role: p.Change.To, Model: r.Target.Model, Adapters: r.Target.Adapters}
 	m.lastChange[s.Name] = now
-	if err := m.o.Orders.StartChange(ctx, r.Name, target, p.Why); err != nil {
+	if err := m.options.Orders.StartChange(ctx, r.Name, target, p.Why); err != nil {
 		m.record(v, r.Name, "failed", fmt.Sprintf("%s; the change wasn't begun: %v", p.Why, err), p.Candidates)
 		return
 	}
 	m.record(v, r.Name, string(p.Change.To), p.Why, p.Candidates)
 }
 
-// correctedDemand returns the demand as the engines' reports show it to be.
+// correctedDemand returns the demand of the service, with its prefill work
+// corrected by what the engines report to have computed.
 func (m *Manager) correctedDemand(v *snapshot.View, s *state.Service, now time.Time) Demand {
-	u := m.corrections[s.Name]
-	if u == nil {
-		u = &prefillCorrection{}
-		m.corrections[s.Name] = u
-	}
-	d := m.o.Demand(s.Name)
-	u.update(now, v.RunnersOf(s.Name), d.Admitted)
-	return Demand{Short: u.correct(d.Short), Long: u.correct(d.Long), Admitted: d.Admitted}
+	correction := m.corrections[s.Name]
+	if correction == nil {
+		correction = &prefillCorrection{}
+		m.corrections[s.Name] = correction
+	}
+	d := m.options.Demand(s.Name)
+	correction.update(now, v.RunnersOf(s.Name), d.Admitted)
+	return Demand{Short: correction.correct(d.Short), Long: correction.correct(d.Long), Admitted: d.Admitted}
 }
 
+// buildInputs returns the inputs of a decision except for the demand.
 func (m *Manager) buildInputs(v *snapshot.View, s *state.Service, now time.Time) Inputs {
 	in := Inputs{Now: now, Service: *s}
-	if m.o.QueuedWork != nil {
-		w := m.o.QueuedWork(s.Name)
+	if m.options.QueuedWork != nil {
+		w := m.options.QueuedWork(s.Name)
 		in.QueuedRates = m.corrections[s.Name].correct(Rates{
 			PrefillTokens: float64(w.PrefillTokens), DecodeTokens: float64(w.DecodeTokens),
 		}.Times(1 / queueClearTime.Seconds()))
@@ -148,10 +158,12 @@
 	return in
 }
 
+// buildEngine describes the runner r as input of a decision. An engine without a
+// valid role counts as mixed.
 func (m *Manager) buildEngine(r *snapshot.Runner) Engine {
 	e := Engine{
 		Name: r.Name, FailureDomain: r.FailureDomain, Role: r.Target.Role, TakesWork: r.TakesWork(),
-		InFlight: r.Track.Load().Requests + r.Peers.Requests, Speeds: m.o.Speeds(r.Name),
+		InFlight: r.Track.Load().Requests + r.Peers.Requests, Speeds: m.options.Speeds(r.Name),
 	}
 	if !e.Role.Valid() {
 		e.Role = state.RoleMixed
@@ -162,19 +174,20 @@
 	return e
 }
 
-func (m *Manager) record(v *snapshot.View, subject, chosen, why string, options []Candidate) {
+// record writes a decision record with the figures of all candidates.
+func (m *Manager) record(v *snapshot.View, subject, chosen, why string, candidates []Candidate) {
 	d := state.Decision{
-		At: m.o.Clock.Now(), Host: m.o.Host, Kind: state.DecisionRole, Subject: subject,
+		At: m.options.Clock.Now(), Host: m.options.Host, Kind: state.DecisionRole, Subject: subject,
 		Chosen: chosen, Why: why, ConfigVersion: v.Config.Version,
 	}
-	for _, o := range options {
-		name := fmt.Sprintf("%s %s to %s: gain %.1f, lost %.1f, net %.1f", o.Engine, o.From, o.To, o.Gain, o.Loss, finite(o.Net))
-		d.Candidates = append(d.Candidates, state.Candidate{Name: name, Rejected: o.Rejected})
+	for _, c := range candidates {
+		name := fmt.Sprintf("%s %s to %s: gain %.1f, lost %.1f, net %.1f", c.Engine, c.From, c.To, c.Gain, c.Loss, finite(c.Net))
+		d.Candidates = append(d.Candidates, state.Candidate{Name: name, Rejected: c.Rejected})
 	}
-	m.o.Record(d)
+	m.options.Record(d)
 }
 
-// finite keeps figures that can't be written as JSON out of records.
+// finite returns f, or 0 for NaN and infinities, which JSON can't represent.
 func finite(f float64) float64 {
 	if math.IsNaN(f) || math.IsInf(f, 0) {
 		return 0
--- a/coordination/rebalance/manager_test.go
+++ b/coordination/rebalance/manager_test.go
@@ -12,7 +12,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// fakeIssuer notes what it is asked for.
+// fakeIssuer records the changes it is asked to start and returns err.
 type fakeIssuer struct {
 	started []string
 	err     error
@@ -23,6 +23,8 @@
 	return o.err
 }
 
+// managerTest is a manager with a settable clock, view, demand and leadership; it
+// collects the decision records.
 type managerTest struct {
 	is      *is.I
 	clock   *manualClock
@@ -34,7 +36,7 @@
 	manager *Manager
 }
 
-// newManagerTest returns a manager of four prefill and four decode engines.
+// newManagerTest sets up a manager for four prefill and four decode engines.
 func newManagerTest(t *testing.T) *managerTest {
 	t.Helper()
 	m := &managerTest{is: is.New(t), clock: &manualClock{now: start}, keeper: snapshot.NewKeeper(), leads: true}
@@ -57,7 +59,7 @@
 	return m
 }
 
-// step moves the clock past the settling time and decides.
+// step moves the clock past SettleTime, makes one decision and returns its record.
 func (m *managerTest) step() state.Decision {
 	m.clock.now = m.clock.now.Add(time.Minute)
 	m.manager.Step(context.Background())
@@ -73,7 +75,7 @@
 	m.is.Equal(d.Subject, "e00")
 	m.is.Equal(d.Chosen, "decode")
 	m.is.Equal(d.ConfigVersion, uint64(7))
-	m.is.Equal(len(d.Candidates), 6) // each pair of roles with its figures
+	m.is.Equal(len(d.Candidates), 6) // one per ordered pair of roles
 }
 
 func TestManagerRecordsNoChange(t *testing.T) {
@@ -90,7 +92,7 @@
 	m := newManagerTest(t)
 	m.demand = constantDemand(5000, 7000)
 	m.step()
-	m.manager.Step(context.Background()) // before the view can show it
+	m.manager.Step(context.Background()) // the view doesn't show the change yet
 	m.is.Equal(len(m.orders.started), 1)
 	for fence, s := range []state.OrderState{state.OrderDraining, state.OrderIssued} {
 		m.keeper.SetOrder(state.Order{Engine: "e00", Fence: uint64(fence + 1), State: s})
@@ -116,6 +118,6 @@
 	m.orders.err = errors.New("another planner leads")
 	m.demand = constantDemand(5000, 7000)
 	m.is.Equal(m.step().Chosen, "failed")
-	m.step() // and asks again later
+	m.step() // retries
 	m.is.Equal(len(m.orders.started), 2)
 }
--- a/coordination/rebalance/meter.go
+++ b/coordination/rebalance/meter.go
@@ -13,20 +13,24 @@
 	ShortWindow = 10 * time.Second
 	LongWindow  = 60 * time.Second
 
+	// slotWidth is the resolution of the windows. The ring has one slot more than
+	// LongWindow, for the current slot, which isn't part of the rates.
 	slotWidth = time.Second
 	slotCount = int(LongWindow/slotWidth) + 1
-	// maxServices bounds the services that a meter keeps.
+	// maxServices bounds the memory of a meter; further services aren't counted.
 	maxServices = 256
 )
 
-// IntervalBudgets counts requests by the time between tokens that their deadlines leave
-// them: entry i those with at least budgetBounds[i] and less than the next.
+// IntervalBudgets is a histogram of requests by their token interval budget: the
+// time between two output tokens at which they still meet their deadline. Entry i
+// counts budgets of at least budgetBounds[i] and less than the next bound.
 type IntervalBudgets [len(budgetBounds)]float64
 
-// budgetBounds are the bounds in seconds.
+// budgetBounds are the lower bounds of the entries of IntervalBudgets, in seconds.
 var budgetBounds = [...]float64{0, 0.01, 0.015, 0.02, 0.025, 0.03, 0.04, 0.05, 0.06, 0.08, 0.1, 0.15, 0.2}
 
-// shareAllowing is the share of the requests whose budget is at least the interval.
+// shareAllowing returns the share of the requests whose budget is at least the
+// interval (in seconds), interpolated within an entry; 1 if there are no requests.
 func (b *IntervalBudgets) shareAllowing(interval float64) float64 {
 	var total, allowing float64
 	for i, n := range b {
@@ -43,12 +47,12 @@
 	return allowing / total
 }
 
-// Rates is work arriving per second.
+// Rates is arriving work per second. Budgets has the same unit as Requests.
 type Rates struct {
 	Requests      float64 `msgpack:"r"`
 	PrefillTokens float64 `msgpack:"p"`
 	DecodeTokens  float64 `msgpack:"d"`
-	// PrefillRequests is the part of Requests that is mostly prefill.
+	// PrefillRequests is the part of Requests whose work is mostly prefill.
 	PrefillRequests float64         `msgpack:"q"`
 	Budgets         IntervalBudgets `msgpack:"b"`
 }
@@ -77,11 +81,12 @@
 	return r
 }
 
-// Demand is the work that arrives for a service.
+// Demand is the rate of the work that arrives for a service, over ShortWindow and
+// over LongWindow.
 type Demand struct {
 	Short Rates `msgpack:"s"`
 	Long  Rates `msgpack:"l"`
-	// Admitted is the part that was admitted, over the short window.
+	// Admitted is the part that was admitted, over ShortWindow; without Budgets.
 	Admitted Rates `msgpack:"a"`
 }
 
@@ -100,24 +105,26 @@
 	services  map[string]*[slotCount]slot
 }
 
-// slot is the work that arrived within one slotWidth.
+// slot holds the work that arrived and that was admitted within one slotWidth.
+// index is the number of slot widths since the Unix epoch.
 type slot struct {
 	index    int64
 	arrived  Rates // totals, not rates
 	admitted Rates
 }
 
-// NewMeter returns a meter that has seen nothing.
+// NewMeter returns an empty meter.
 func NewMeter(c state.Clock) *Meter {
 	return &Meter{clock: c, createdAt: c.Now(), services: map[string]*[slotCount]slot{}}
 }
 
-// firstTokenAllowance is the time that a request is taken to need up to its
-// first token.
+// firstTokenAllowance is the assumed time of a request up to its first token. It
+// is subtracted from the time until the deadline when the interval budget is
+// computed.
 const firstTokenAllowance = time.Second
 
-// RecordArrival counts a request's predicted work, whether it is admitted or not, and
-// the time that it has until its deadline; zero for none.
+// RecordArrival counts the predicted work of a request, whether it is admitted or
+// not, and its interval budget. An untilDeadline of zero stands for no deadline.
 func (m *Meter) RecordArrival(service string, w snapshot.Work, untilDeadline time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -127,7 +134,8 @@
 	}
 }
 
-// RecordAdmission counts the same work once the request is admitted.
+// RecordAdmission counts the work passed to RecordArrival again when the request
+// is admitted.
 func (m *Meter) RecordAdmission(service string, w snapshot.Work) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -136,10 +144,12 @@
 	}
 }
 
-// promptTokensPerOutputToken is about how many prompt tokens an engine computes in the
-// time of one output token; a request with more of them is mostly prefill.
+// promptTokensPerOutputToken is about the number of prompt tokens that an engine
+// computes in the time of one output token. The work of a request with a higher
+// ratio is mostly prefill.
 const promptTokensPerOutputToken = 6
 
+// addWork adds the work to r; r holds totals.
 func (r *Rates) addWork(w snapshot.Work) {
 	r.Requests += float64(w.Requests)
 	if w.PrefillTokens > promptTokensPerOutputToken*w.DecodeTokens {
@@ -149,8 +159,8 @@
 	r.DecodeTokens += float64(w.DecodeTokens)
 }
 
-// slot returns the present slot of a service, or nil beyond the bound; m.mu is
-// held.
+// slot returns the current slot of a service, or nil if the service is new and
+// the meter already has maxServices. The caller holds m.mu.
 func (m *Meter) slot(service string) *slot {
 	index := m.clock.Now().UnixNano() / int64(slotWidth)
 	ring := m.services[service]
@@ -168,7 +178,8 @@
 	return s
 }
 
-// budgetIndex returns the entry of Budgets for an answer of that many tokens.
+// budgetIndex returns the entry of IntervalBudgets for a request that outputs that
+// many tokens. Without a deadline, or with a single token, it is the last entry.
 func budgetIndex(tokens int64, untilDeadline time.Duration) int {
 	last := len(budgetBounds) - 1
 	if untilDeadline <= 0 || tokens <= 1 {
@@ -183,8 +194,8 @@
 	return last
 }
 
-// Demand returns the rates over both windows, the present slot left out since
-// it isn't over.
+// Demand returns the rates of a service over both windows. The current slot is
+// left out because it isn't complete.
 func (m *Meter) Demand(service string) Demand {
 	now := m.clock.Now()
 	m.mu.Lock()
@@ -202,16 +213,18 @@
 	}
 }
 
-func (m *Meter) rates(ring *[slotCount]slot, now time.Time, window time.Duration, ratesOf func(*slot) Rates) Rates {
+// rates returns the rates over the window that ends before the current slot;
+// totalsOf selects the totals of a slot. The caller holds m.mu.
+func (m *Meter) rates(ring *[slotCount]slot, now time.Time, window time.Duration, totalsOf func(*slot) Rates) Rates {
 	current := now.UnixNano() / int64(slotWidth)
 	first := current - int64(window/slotWidth)
 	var sum Rates
 	for i := range ring {
 		if s := &ring[i]; s.index >= first && s.index < current {
-			sum = sum.Plus(ratesOf(s))
+			sum = sum.Plus(totalsOf(s))
 		}
 	}
-	// A meter younger than the window has seen only a part of it.
+	// A meter that is younger than the window divides by its own age.
 	measured := min(window, max(now.Sub(m.createdAt).Truncate(slotWidth), slotWidth))
 	return sum.Times(1 / measured.Seconds())
 }
--- a/coordination/rebalance/meter_test.go
+++ b/coordination/rebalance/meter_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// manualClock is set by a test.
+// manualClock returns a time that the test sets.
 type manualClock struct {
 	state.Clock
 	now time.Time
@@ -23,7 +23,7 @@
 	is := is.New(t)
 	clock := &manualClock{now: start}
 	m := NewMeter(clock)
-	for i := range 120 { // a change of the mix after a minute and a half
+	for i := range 120 { // the mix of work changes after 90 s
 		w := snapshot.Work{Requests: 1, PrefillTokens: 1000, DecodeTokens: 10}
 		if i >= 90 {
 			w = snapshot.Work{Requests: 2, PrefillTokens: 100, DecodeTokens: 400}
--- a/coordination/rebalance/predict.go
+++ b/coordination/rebalance/predict.go
@@ -6,21 +6,25 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Capacity is what engines of the three roles do together, in tokens a second.
-// An engine of mixed role does either, in any proportion.
+// Capacity is the total throughput of a service's engines by role, in tokens per
+// second. MixedPrefill and MixedDecode are alternatives: mixed engines divide
+// their time between prefill and decode in any proportion.
 type Capacity struct {
 	Prefill, Decode           float64
 	MixedPrefill, MixedDecode float64
-	// TokenInterval and MixedTokenInterval are the times between tokens in a full batch, in
-	// seconds, on engines of the decode and of the mixed role.
+	// TokenInterval and MixedTokenInterval are the times between two output tokens
+	// of a request in a full batch, in seconds, on engines of the decode and of the
+	// mixed role.
 	TokenInterval, MixedTokenInterval float64
 }
 
-// Speeds are what an engine does in one role, in tokens a second; Step is the
-// time between tokens in a full batch, in seconds.
+// Speeds is the throughput of one engine in one role, in tokens per second.
+// TokenInterval is the time between two output tokens of a request in a full
+// batch, in seconds.
 type Speeds struct{ Prefill, Decode, TokenInterval float64 }
 
-// addEngines puts n engines of the role into the capacity; a negative n takes them out.
+// addEngines adds n engines of the role to the capacity; a negative n removes
+// them.
 func (c *Capacity) addEngines(role state.Role, s Speeds, n float64) {
 	switch role {
 	case state.RolePrefill:
@@ -35,11 +39,13 @@
 	}
 }
 
-// maxUtilization stands for a capacity that can't serve the demand at all.
+// maxUtilization bounds a utilization; it also stands for a capacity that can't
+// serve the demand at all.
 const maxUtilization = 100
 
-// Utilization is the least share of the capacity that serves the demand, with
-// the mixed engines' time divided in the best way; above 1 it can't be served.
+// Utilization returns the smallest share of the capacity that serves the demand,
+// with the time of the mixed engines divided optimally between prefill and
+// decode; above 1 the demand can't be served. It is found by bisection.
 func (c Capacity) Utilization(d Rates) float64 {
 	low, high := 0.0, float64(maxUtilization)
 	if !c.serves(d, high) {
@@ -56,7 +62,7 @@
 	return high
 }
 
-// serves reports whether a share u of the capacity serves the demand.
+// serves reports whether the share u of the capacity serves the demand.
 func (c Capacity) serves(d Rates, u float64) bool {
 	if u <= 0 {
 		return d.PrefillTokens <= 0 && d.DecodeTokens <= 0
@@ -64,7 +70,9 @@
 	return mixedTimeShare(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)+mixedTimeShare(d.DecodeTokens/u-c.Decode, c.MixedDecode) <= 1
 }
 
-// mixedTimeShare is the part of the mixed engines' time that a rest of demand takes.
+// mixedTimeShare returns the share of the mixed engines' time that is needed for
+// the demand that remains beyond the other engines' capacity; infinite if there
+// are no mixed engines.
 func mixedTimeShare(remaining, mixedCapacity float64) float64 {
 	if remaining <= 0 {
 		return 0
@@ -75,16 +83,19 @@
 	return remaining / mixedCapacity
 }
 
-// The shape of waiting.
+// The effect of queueing on deadlines, used by onTimeShareAt.
 const (
-	// queueFreeUtilization is up to where queues don't matter.
+	// queueFreeUtilization is the utilization up to which queues are short enough
+	// for all requests to meet their deadline.
 	queueFreeUtilization = 0.75
-	// onTimeShareAtFull is the share in time at a utilization of 1.
+	// onTimeShareAtFull is the share of requests that meet their deadline at a
+	// utilization of 1.
 	onTimeShareAtFull = 0.9
 )
 
-// onTimeShareAt is the share of answers that a utilization leaves in time: all while
-// queues are short, fewer as they grow, and beyond 1 what can be served.
+// onTimeShareAt returns the share of requests that meet their deadline at a
+// utilization: all while queues are short, linearly fewer as queues grow, and
+// beyond 1 in proportion to the part of the demand that can be served.
 func onTimeShareAt(utilization float64) float64 {
 	switch {
 	case utilization <= queueFreeUtilization:
@@ -96,13 +107,15 @@
 	}
 }
 
-// minStepShare is the least share of a full batch's step that a step takes.
+// minStepShare is the duration of a decode step with an almost empty batch, as a
+// share of that with a full batch.
 const minStepShare = 0.5
 
-// OnTimeShare is the predicted share of the demand's answers in time. Requests that
-// are mostly prefill depend on the capacity for it, the others on that for decode
-// and on the time between tokens that their deadlines allow for; on mixed engines
-// the prompts that are computed in between lengthen it.
+// OnTimeShare predicts the share of the arriving requests that meet their
+// deadline. For requests that are mostly prefill it depends on the utilization of
+// the prefill capacity. For the others it depends on the utilization of the
+// decode capacity and on the token interval that their deadlines allow; on mixed
+// engines the token interval grows with the prefill work done between two steps.
 func (c Capacity) OnTimeShare(d Rates) float64 {
 	u := c.Utilization(d)
 	switch {
@@ -125,6 +138,7 @@
 	stepShare := max(minStepShare, min(decodeLoad, 1))
 	intervalsMet := (1 - mixedDecodeShare) * d.Budgets.shareAllowing(c.TokenInterval*stepShare)
 	if mixedDecodeShare > 0 {
+		// The lower bound of 0.05 keeps the token interval finite.
 		freeTime := max(1-min(prefillLoad, 1)*prefillTime, 0.05)
 		intervalsMet += mixedDecodeShare * d.Budgets.shareAllowing(c.MixedTokenInterval*stepShare/freeTime)
 	}
@@ -132,8 +146,9 @@
 	return prefillRequestShare*onTimeShareAt(prefillLoad) + (1-prefillRequestShare)*onTimeShareAt(decodeLoad)*intervalsMet
 }
 
-// splitMixedTime returns the parts of the mixed engines' time for prefill and for decode
-// that make both equally busy, as far as they can.
+// splitMixedTime returns the shares of the mixed engines' time for prefill and
+// for decode that bring both to the utilization u as far as possible. They sum to
+// 1; half each if the mixed engines aren't needed.
 func (c Capacity) splitMixedTime(d Rates, u float64) (prefillTime, decodeTime float64) {
 	prefillTime = mixedTimeShare(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)
 	decodeTime = mixedTimeShare(d.DecodeTokens/u-c.Decode, c.MixedDecode)
@@ -143,7 +158,7 @@
 	return 0.5, 0.5
 }
 
-// boundedUtilization is a demand by a capacity, bounded.
+// boundedUtilization returns demand / capacity, at most maxUtilization.
 func boundedUtilization(demand, capacity float64) float64 {
 	if demand <= 0 {
 		return 0
--- a/coordination/rebalance/usage.go
+++ b/coordination/rebalance/usage.go
@@ -8,32 +8,35 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// What is learnt from the engines' reports.
+// The parameters of prefillCorrection.
 const (
-	// correctionTimeConstant is how long reports count.
+	// correctionTimeConstant is the time constant of the moving averages.
 	correctionTimeConstant = 20 * time.Second
-	// maxReportAge is the oldest report that counts.
+	// maxReportAge is the age beyond which a load report is ignored.
 	maxReportAge = 5 * time.Second
-	// prefillChunkTokens is how much of a prompt a mixed engine is taken to compute
-	// between two decode steps.
+	// prefillChunkTokens is the number of prompt tokens that a mixed engine is
+	// assumed to compute between two decode steps.
 	prefillChunkTokens = 512
-	// minCorrection and maxCorrection bound the correction of the demand.
+	// minCorrection and maxCorrection bound the factor applied to the demand.
 	minCorrection, maxCorrection = 0.25, 2
 )
 
-// prefillCorrection compares the prompt tokens that were predicted of the started requests
-// with what the engines compute. Prompts turn out cheaper than predicted when more
-// of them is cached than was known; without a correction the rebalancer would give
-// prefill more engines than it needs. Outputs are predicted well enough, and last
-// too long for such a comparison.
+// prefillCorrection compares the prompt tokens predicted for admitted requests
+// with those that the engines compute. Prefill is cheaper than predicted if the
+// engines have longer cached prefixes than this host knows of; without a
+// correction the rebalancer would assign more engines to prefill than needed.
+// Output tokens aren't corrected: their predictions are good enough, and decode
+// takes too long for such a comparison.
 type prefillCorrection struct {
 	at time.Time
-	// computed and admitted are fading means in prompt tokens a second.
+	// computed and admitted are exponential moving averages in prompt tokens per
+	// second, last updated at the time at.
 	computed, admitted float64
 }
 
-// update takes in the present reports.
-func (u *prefillCorrection) update(now time.Time, runners []*snapshot.Runner, admitted Rates) {
+// update adds the current load reports of the runners and the rate of admitted
+// work to the averages.
+func (c *prefillCorrection) update(now time.Time, runners []*snapshot.Runner, admitted Rates) {
 	computed := 0.0
 	for _, r := range runners {
 		if now.Sub(r.Load.TakenAt) <= maxReportAge {
@@ -41,16 +44,16 @@
 		}
 	}
 	weight := 1.0
-	if !u.at.IsZero() {
-		weight = 1 - math.Exp(-now.Sub(u.at).Seconds()/correctionTimeConstant.Seconds())
+	if !c.at.IsZero() {
+		weight = 1 - math.Exp(-now.Sub(c.at).Seconds()/correctionTimeConstant.Seconds())
 	}
-	u.at = now
-	u.computed += weight * (computed - u.computed)
-	u.admitted += weight * (admitted.PrefillTokens - u.admitted)
+	c.at = now
+	c.computed += weight * (computed - c.computed)
+	c.admitted += weight * (admitted.PrefillTokens - c.admitted)
 }
 
-// prefillRate is how many prompt tokens a second an engine computed at the moment of
-// its report.
+// prefillRate returns how many prompt tokens per second an engine computed at the
+// time of its report; 0 if it had no prefill work.
 func prefillRate(l *state.LoadReport) float64 {
 	if l.PrefillBacklogTokens <= 0 || l.PrefillTokensPerSecond <= 0 {
 		return 0
@@ -62,10 +65,11 @@
 	return prefillChunkTokens / chunkSeconds
 }
 
-// correct returns the demand with its prompt tokens as they turn out to be.
-func (u *prefillCorrection) correct(r Rates) Rates {
-	if u.computed > 0 && u.admitted > 0 {
-		r.PrefillTokens *= min(max(u.computed/u.admitted, minCorrection), maxCorrection)
+// correct returns the rates with the prompt tokens scaled by the ratio of computed
+// to admitted ones; unchanged until both are known.
+func (c *prefillCorrection) correct(r Rates) Rates {
+	if c.computed > 0 && c.admitted > 0 {
+		r.PrefillTokens *= min(max(c.computed/c.admitted, minCorrection), maxCorrection)
 	}
 	return r
 }
