--- a/coordination/rebalance/meter_test.go
+++ b/coordination/rebalance/meter_test.go
@@ -11,24 +11,24 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// movingClock is set by a test.
-type movingClock struct {
+// manualClock returns a time that the test sets.
+type manualClock struct {
 	state.Clock
 	now time.Time
 }
 
-func (c *movingClock) Now() time.Time { return c.now }
+func (c *manualClock) Now() time.Time { return c.now }
 
 func TestMeterMeasuresBothWindows(t *testing.T) {
 	is := is.New(t)
-	clock := &movingClock{now: start}
+	clock := &manualClock{now: start}
 	m := NewMeter(clock)
-	for i := range 120 { // a change of the mix after a minute and a half
+	for i := range 120 { // the mix of work changes after 90 s
 		w := snapshot.Work{Requests: 1, PrefillTokens: 1000, DecodeTokens: 10}
 		if i >= 90 {
 			w = snapshot.Work{Requests: 2, PrefillTokens: 100, DecodeTokens: 400}
 		}
-		m.Arrived("llm", w, 10*time.Second)
+		m.RecordArrival("llm", w, 10*time.Second)
 		clock.now = clock.now.Add(time.Second)
 	}
 	d := m.Demand("llm")
@@ -40,34 +40,34 @@
 	is.Equal(m.Demand("llm"), Demand{})
 }
 
-func TestYoungMeterCountsOverItsAge(t *testing.T) {
+func TestNewMeterDividesByItsAge(t *testing.T) {
 	is := is.New(t)
-	clock := &movingClock{now: start}
+	clock := &manualClock{now: start}
 	m := NewMeter(clock)
 	for range 5 {
-		m.Arrived("llm", snapshot.Work{Requests: 3}, 0)
+		m.RecordArrival("llm", snapshot.Work{Requests: 3}, 0)
 		clock.now = clock.now.Add(time.Second)
 	}
 	is.Equal(m.Demand("llm").Long.Requests, 3.0)
 }
 
-func TestMeterSortsByTheTimeBetweenTokens(t *testing.T) {
+func TestMeterCountsIntervalBudgets(t *testing.T) {
 	is := is.New(t)
-	clock := &movingClock{now: start}
+	clock := &manualClock{now: start}
 	m := NewMeter(clock)
-	m.Arrived("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 10*time.Second) // 45 ms
-	m.Arrived("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 0)              // no deadline
+	m.RecordArrival("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 10*time.Second) // 45 ms
+	m.RecordArrival("llm", snapshot.Work{Requests: 1, DecodeTokens: 200}, 0)              // no deadline
 	clock.now = clock.now.Add(time.Second)
 	b := m.Demand("llm").Short.Budgets
-	is.Equal(b.within(0.04), 1.0)
-	is.Equal(b.within(0.05), 0.5)
+	is.Equal(b.shareAllowing(0.04), 1.0)
+	is.Equal(b.shareAllowing(0.05), 0.5)
 }
 
-func TestMeterIsBounded(t *testing.T) {
+func TestMeterLimitsServices(t *testing.T) {
 	is := is.New(t)
-	m := NewMeter(&movingClock{now: start})
+	m := NewMeter(&manualClock{now: start})
 	for i := range 10 * maxServices {
-		m.Arrived(fmt.Sprint("s", i), snapshot.Work{Requests: 1}, 0)
+		m.RecordArrival(fmt.Sprint("s", i), snapshot.Work{Requests: 1}, 0)
 	}
 	is.Equal(len(m.services), maxServices)
 }
--- a/coordination/rebalance/predict.go
+++ b/coordination/rebalance/predict.go
@@ -6,40 +6,46 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Capacity is what engines of the three roles do together, in tokens a second.
-// An engine of mixed role does either, in any proportion.
+// Capacity is the total throughput of a service's engines by role, in tokens per
+// second. MixedPrefill and MixedDecode are alternatives: mixed engines divide
+// their time between prefill and decode in any proportion.
 type Capacity struct {
 	Prefill, Decode           float64
 	MixedPrefill, MixedDecode float64
-	// Step and MixedStep are the times between tokens in a full batch, in
-	// seconds, on engines of the decode and of the mixed role.
-	Step, MixedStep float64
+	// TokenInterval and MixedTokenInterval are the times between two output tokens
+	// of a request in a full batch, in seconds, on engines of the decode and of the
+	// mixed role.
+	TokenInterval, MixedTokenInterval float64
 }
 
-// Speeds are what an engine does in one role, in tokens a second; Step is the
-// time between tokens in a full batch, in seconds.
-type Speeds struct{ Prefill, Decode, Step float64 }
+// Speeds is the throughput of one engine in one role, in tokens per second.
+// TokenInterval is the time between two output tokens of a request in a full
+// batch, in seconds.
+type Speeds struct{ Prefill, Decode, TokenInterval float64 }
 
-// add puts n engines of the role into the capacity; a negative n takes them out.
-func (c *Capacity) add(role state.Role, s Speeds, n float64) {
+// addEngines adds n engines of the role to the capacity; a negative n removes
+// them.
+func (c *Capacity) addEngines(role state.Role, s Speeds, n float64) {
 	switch role {
 	case state.RolePrefill:
 		c.Prefill += n * s.Prefill
 	case state.RoleDecode:
 		c.Decode += n * s.Decode
-		c.Step = s.Step
+		c.TokenInterval = s.TokenInterval
 	default:
 		c.MixedPrefill += n * s.Prefill
 		c.MixedDecode += n * s.Decode
-		c.MixedStep = s.Step
+		c.MixedTokenInterval = s.TokenInterval
 	}
 }
 
-// maxUtilization stands for a capacity that can't serve the demand at all.
+// maxUtilization bounds a utilization; it also stands for a capacity that can't
+// serve the demand at all.
 const maxUtilization = 100
 
-// Utilization is the least share of the capacity that serves the demand, with
-// the mixed engines' time divided in the best way; above 1 it can't be served.
+// Utilization returns the smallest share of the capacity that serves the demand,
+// with the time of the mixed engines divided optimally between prefill and
+// decode; above 1 the demand can't be served. It is found by bisection.
 func (c Capacity) Utilization(d Rates) float64 {
 	low, high := 0.0, float64(maxUtilization)
 	if !c.serves(d, high) {
@@ -56,54 +62,61 @@
 	return high
 }
 
-// serves reports whether a share u of the capacity serves the demand.
+// serves reports whether the share u of the capacity serves the demand.
 func (c Capacity) serves(d Rates, u float64) bool {
 	if u <= 0 {
 		return d.PrefillTokens <= 0 && d.DecodeTokens <= 0
 	}
-	return share(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)+share(d.DecodeTokens/u-c.Decode, c.MixedDecode) <= 1
+	return mixedTimeShare(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)+mixedTimeShare(d.DecodeTokens/u-c.Decode, c.MixedDecode) <= 1
 }
 
-// share is the part of the mixed engines' time that a rest of demand takes.
-func share(rest, mixed float64) float64 {
-	if rest <= 0 {
+// mixedTimeShare returns the share of the mixed engines' time that is needed for
+// the demand that remains beyond the other engines' capacity; infinite if there
+// are no mixed engines.
+func mixedTimeShare(remaining, mixedCapacity float64) float64 {
+	if remaining <= 0 {
 		return 0
 	}
-	if mixed <= 0 {
+	if mixedCapacity <= 0 {
 		return math.Inf(1)
 	}
-	return rest / mixed
+	return remaining / mixedCapacity
 }
 
-// The shape of waiting.
+// The effect of queueing on deadlines, used by onTimeShareAt.
 const (
-	// easyUtilization is up to where queues don't matter.
-	easyUtilization = 0.75
-	// fullInTime is the share in time at a utilization of 1.
-	fullInTime = 0.9
+	// queueFreeUtilization is the utilization up to which queues are short enough
+	// for all requests to meet their deadline.
+	queueFreeUtilization = 0.75
+	// onTimeShareAtFull is the share of requests that meet their deadline at a
+	// utilization of 1.
+	onTimeShareAtFull = 0.9
 )
 
-// waiting is the share of answers that a utilization leaves in time: all while
-// queues are short, fewer as they grow, and beyond 1 what can be served.
-func waiting(utilization float64) float64 {
+// onTimeShareAt returns the share of requests that meet their deadline at a
+// utilization: all while queues are short, linearly fewer as queues grow, and
+// beyond 1 in proportion to the part of the demand that can be served.
+func onTimeShareAt(utilization float64) float64 {
 	switch {
-	case utilization <= easyUtilization:
+	case utilization <= queueFreeUtilization:
 		return 1
 	case utilization <= 1:
-		return 1 - (1-fullInTime)*(utilization-easyUtilization)/(1-easyUtilization)
+		return 1 - (1-onTimeShareAtFull)*(utilization-queueFreeUtilization)/(1-queueFreeUtilization)
 	default:
-		return fullInTime / utilization
+		return onTimeShareAtFull / utilization
 	}
 }
 
-// minBatchShare is the least share of a full batch's step that a step takes.
-const minBatchShare = 0.5
+// minStepShare is the duration of a decode step with an almost empty batch, as a
+// share of that with a full batch.
+const minStepShare = 0.5
 
-// InTime is the predicted share of the demand's answers in time. Requests that
-// are mostly prefill depend on the capacity for it, the others on that for decode
-// and on the time between tokens that their deadlines allow for; on mixed engines
-// the prompts that are computed in between lengthen it.
-func (c Capacity) InTime(d Rates) float64 {
+// OnTimeShare predicts the share of the arriving requests that meet their
+// deadline. For requests that are mostly prefill it depends on the utilization of
+// the prefill capacity. For the others it depends on the utilization of the
+// decode capacity and on the token interval that their deadlines allow; on mixed
+// engines the token interval grows with the prefill work done between two steps.
+func (c Capacity) OnTimeShare(d Rates) float64 {
 	u := c.Utilization(d)
 	switch {
 	case u <= 0 || d.Requests <= 0:
@@ -111,40 +124,42 @@
 	case u >= maxUtilization:
 		return 0
 	}
-	prompts, outputs := c.divide(d, u)
-	prefill := ratio(d.PrefillTokens, c.Prefill+prompts*c.MixedPrefill)
-	decode := ratio(d.DecodeTokens, c.Decode+outputs*c.MixedDecode)
-	onMixed := 0.0
+	prefillTime, decodeTime := c.splitMixedTime(d, u)
+	prefillLoad := boundedUtilization(d.PrefillTokens, c.Prefill+prefillTime*c.MixedPrefill)
+	decodeLoad := boundedUtilization(d.DecodeTokens, c.Decode+decodeTime*c.MixedDecode)
+	mixedDecodeShare := 0.0
 	switch {
 	case d.DecodeTokens <= 0:
 	case c.Decode <= 0:
-		onMixed = 1
+		mixedDecodeShare = 1
 	default:
-		onMixed = outputs * c.MixedDecode / (c.Decode + outputs*c.MixedDecode)
+		mixedDecodeShare = decodeTime * c.MixedDecode / (c.Decode + decodeTime*c.MixedDecode)
 	}
-	batch := max(minBatchShare, min(decode, 1))
-	inTime := (1 - onMixed) * d.Budgets.within(c.Step*batch)
-	if onMixed > 0 {
-		free := max(1-min(prefill, 1)*prompts, 0.05)
-		inTime += onMixed * d.Budgets.within(c.MixedStep*batch/free)
+	stepShare := max(minStepShare, min(decodeLoad, 1))
+	intervalsMet := (1 - mixedDecodeShare) * d.Budgets.shareAllowing(c.TokenInterval*stepShare)
+	if mixedDecodeShare > 0 {
+		// The lower bound of 0.05 keeps the token interval finite.
+		freeTime := max(1-min(prefillLoad, 1)*prefillTime, 0.05)
+		intervalsMet += mixedDecodeShare * d.Budgets.shareAllowing(c.MixedTokenInterval*stepShare/freeTime)
 	}
-	part := min(d.Prompts/d.Requests, 1)
-	return part*waiting(prefill) + (1-part)*waiting(decode)*inTime
+	prefillRequestShare := min(d.PrefillRequests/d.Requests, 1)
+	return prefillRequestShare*onTimeShareAt(prefillLoad) + (1-prefillRequestShare)*onTimeShareAt(decodeLoad)*intervalsMet
 }
 
-// divide returns the parts of the mixed engines' time for prefill and for decode
-// that make both equally busy, as far as they can.
-func (c Capacity) divide(d Rates, u float64) (prompts, outputs float64) {
-	prompts = share(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)
-	outputs = share(d.DecodeTokens/u-c.Decode, c.MixedDecode)
-	if sum := prompts + outputs; sum > 0 {
-		return prompts / sum, outputs / sum
+// splitMixedTime returns the shares of the mixed engines' time for prefill and
+// for decode that bring both to the utilization u as far as possible. They sum to
+// 1; half each if the mixed engines aren't needed.
+func (c Capacity) splitMixedTime(d Rates, u float64) (prefillTime, decodeTime float64) {
+	prefillTime = mixedTimeShare(d.PrefillTokens/u-c.Prefill, c.MixedPrefill)
+	decodeTime = mixedTimeShare(d.DecodeTokens/u-c.Decode, c.MixedDecode)
+	if sum := prefillTime + decodeTime; sum > 0 {
+		return prefillTime / sum, decodeTime / sum
 	}
 	return 0.5, 0.5
 }
 
-// ratio is a demand by a capacity, bounded.
-func ratio(demand, capacity float64) float64 {
+// boundedUtilization returns demand / capacity, at most maxUtilization.
+func boundedUtilization(demand, capacity float64) float64 {
 	if demand <= 0 {
 		return 0
 	}
