--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -56,16 +56,16 @@
 	// TTL is how long a lease that isn't renewed stays with its holder. Three
 	// platform calls are made in each TTL, whatever the load. Default DefaultTTL.
 	TTL time.Duration
-	// Apart is how far apart the calls of two holders must be, above their CallTime; with 0
+	// CallGap is how far apart the calls of two holders must be, above their CallTime; with 0
 	// nothing keeps them apart. It must leave time to renew, so be well below the TTL.
-	Apart time.Duration
-	// CallTime is the longest that a call under the lease takes from Permit on, until it has
+	CallGap time.Duration
+	// MaxCallTime is the longest that a call under the lease takes from Permit on, until it has
 	// arrived or never will.
-	CallTime time.Duration
-	// LookEvery is how often a waiter looks, asked anew at each third of the TTL, so
+	MaxCallTime time.Duration
+	// PollInterval is how often a waiter looks, asked anew at each third of the TTL, so
 	// that few hosts of many look often and others step in for them; nil stands for a
 	// third of the TTL.
-	LookEvery func() time.Duration
+	PollInterval func() time.Duration
 	// MayBeLost reports whether an object of the lease that doesn't exist may have been lost by
 	// the store; nil stands for never.
 	MayBeLost func() bool
@@ -95,7 +95,7 @@
 		return &OptionError{"Holder", "pass this host's id"}
 	case o.TTL < 0:
 		return &OptionError{"TTL", "use a positive duration"}
-	case o.Apart < 0 || o.CallTime < 0 || (o.Apart > 0 && o.Apart+o.TTL/callsPerTTL >= o.TTL):
+	case o.CallGap < 0 || o.MaxCallTime < 0 || (o.CallGap > 0 && o.CallGap+o.TTL/callsPerTTL >= o.TTL):
 		return &OptionError{"Apart", "use at most half of the TTL, or a longer TTL"}
 	}
 	return nil
@@ -112,26 +112,26 @@
 	Machine string `json:"machine,omitempty"`
 	// Epoch is that of the version which the record was written over.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// OwedMS is how long the term still had to keep silence at the write: a holder before it
+	// HoldOffMS is how long the term still had to keep silence at the write: a holder before it
 	// may have called until then.
-	OwedMS int64 `json:"owed_ms,omitempty"`
+	HoldOffMS int64 `json:"owed_ms,omitempty"`
 }
 
-// owed is OwedMS as a duration.
-func (r record) owed() time.Duration { return time.Duration(r.OwedMS) * time.Millisecond }
+// holdOff is OwedMS as a duration.
+func (r record) holdOff() time.Duration { return time.Duration(r.HoldOffMS) * time.Millisecond }
 
-// restored reports whether the record, read at that version, is older than the store's last
+// predatesRestore reports whether the record, read at that version, is older than the store's last
 // restoration, so that later records may be lost.
-func (r record) restored(at uint64) bool { return r.Epoch < store.EpochOf(at) }
+func (r record) predatesRestore(version uint64) bool { return r.Epoch < store.EpochOf(version) }
 
-// Lessor acquires and keeps one lease. It is used by one goroutine at a time, but
+// Lease acquires and keeps one lease. It is used by one goroutine at a time, but
 // for Held, Fence and First, which the work under the lease may ask.
-type Lessor struct {
+type Lease struct {
 	opts Options
-	// seen and seenAt are the last version found and when it was first found.
-	seen   uint64
-	seenAt time.Time
-	writes uint64
+	// seenVersion and seenAt are the last version found and when it was first found.
+	seenVersion uint64
+	seenAt      time.Time
+	writes      uint64
 
 	mu   sync.Mutex // guards term and permittedAt
 	term term
@@ -141,35 +141,35 @@
 
 // term is what is known of the time for which the lease is held.
 type term struct {
-	// held is the version of this host's own last write; 0 when not held.
-	held uint64
+	// version is the version of this host's own last write; 0 when not version.
+	version uint64
 	// fence is the version at which the present term began.
 	fence uint64
-	// first says that nobody held the lease before the present term, and own that a
+	// first says that nobody held the lease before the present term, and reacquired that a
 	// run on this machine did.
-	first, own bool
+	first, reacquired bool
 	// renewedAt is when the last successful write was started.
 	renewedAt time.Time
-	// silentUntil is when the first call of the term may be made.
-	silentUntil time.Time
+	// holdOffUntil is when the first call of the term may be made.
+	holdOffUntil time.Time
 }
 
-// present returns the present term.
-func (l *Lessor) present() term {
+// currentTerm returns the currentTerm term.
+func (l *Lease) currentTerm() term {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.term
 }
 
-// change changes the present term.
-func (l *Lessor) change(f func(t *term)) {
+// updateTerm changes the present term.
+func (l *Lease) updateTerm(f func(t *term)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.term)
 }
 
 // New validates the options and returns a Lessor that holds nothing yet.
-func New(o Options) (*Lessor, error) {
+func New(o Options) (*Lease, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
@@ -179,18 +179,18 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	return &Lessor{opts: o}, nil
+	return &Lease{opts: o}, nil
 }
 
 // Held reports whether this host believes to hold the lease, by its own clock.
-func (l *Lessor) Held() bool {
-	t := l.present()
-	return t.held != store.Absent && l.opts.Clock.Now().Sub(t.renewedAt) < l.opts.TTL
+func (l *Lease) Held() bool {
+	t := l.currentTerm()
+	return t.version != store.Absent && l.opts.Clock.Now().Sub(t.renewedAt) < l.opts.TTL
 }
 
-// Try looks at the lease once and takes it if it is free, released, this host's
+// TryAcquire looks at the lease once and takes it if it is free, released, this host's
 // own, or was seen unchanged for the TTL. It makes at most three platform calls.
-func (l *Lessor) Try(ctx context.Context) (bool, error) {
+func (l *Lease) TryAcquire(ctx context.Context) (bool, error) {
 	now := l.opts.Clock.Now()
 	obj, err := l.opts.Store.Get(ctx, store.KindLease, l.opts.Name)
 	if errors.Is(err, store.ErrNotFound) {
@@ -201,54 +201,54 @@
 	}
 	var r record
 	readable := json.Unmarshal(obj.Value, &r) == nil
-	own := readable && l.own(r)
-	if readable && r.restored(obj.Version) {
-		if !l.lapsed(obj, now) {
+	own := readable && l.writtenHere(r)
+	if readable && r.predatesRestore(obj.Version) {
+		if !l.expired(obj, now) {
 			return false, nil
 		}
-		return l.take(ctx, obj.Version, false, l.opts.CallTime)
+		return l.take(ctx, obj.Version, false, l.opts.MaxCallTime)
 	}
 	switch {
 	case readable && r.Holder == l.opts.Holder:
-		return l.take(ctx, obj.Version, true, max(r.owed(), l.callsEndIn(now)))
+		return l.take(ctx, obj.Version, true, max(r.holdOff(), l.inFlightFor(now)))
 	case own:
-		return l.take(ctx, obj.Version, true, max(r.owed(), l.opts.CallTime))
-	case l.lapsed(obj, now):
-		return l.take(ctx, obj.Version, false, l.opts.CallTime)
+		return l.take(ctx, obj.Version, true, max(r.holdOff(), l.opts.MaxCallTime))
+	case l.expired(obj, now):
+		return l.take(ctx, obj.Version, false, l.opts.MaxCallTime)
 	case readable && r.Holder.Zero():
-		return l.take(ctx, obj.Version, false, max(r.owed(), l.opts.Apart+l.opts.CallTime))
+		return l.take(ctx, obj.Version, false, max(r.holdOff(), l.opts.CallGap+l.opts.MaxCallTime))
 	}
 	return false, nil
 }
 
 // takeAbsent creates the lease's object. A holder whose record the store has lost may act until it
 // hasn't been able to renew for the TTL.
-func (l *Lessor) takeAbsent(ctx context.Context) (bool, error) {
+func (l *Lease) takeAbsent(ctx context.Context) (bool, error) {
 	if !l.mayBeLost() {
 		return l.take(ctx, store.Absent, false, 0)
 	}
-	l.opts.Log.Warn("lease not at the store; it may have been lost", "lease", l.opts.Name, "silence", l.opts.TTL+l.opts.CallTime)
-	return l.take(ctx, store.Absent, false, l.opts.TTL+l.opts.CallTime)
+	l.opts.Log.Warn("lease not at the store; it may have been lost", "lease", l.opts.Name, "silence", l.opts.TTL+l.opts.MaxCallTime)
+	return l.take(ctx, store.Absent, false, l.opts.TTL+l.opts.MaxCallTime)
 }
 
-func (l *Lessor) mayBeLost() bool { return l.opts.MayBeLost != nil && l.opts.MayBeLost() }
+func (l *Lease) mayBeLost() bool { return l.opts.MayBeLost != nil && l.opts.MayBeLost() }
 
-// callsEndIn is how long the last call of this run may still be on its way.
-func (l *Lessor) callsEndIn(now time.Time) time.Duration {
+// inFlightFor is how long the last call of this run may still be on its way.
+func (l *Lease) inFlightFor(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return max(0, l.permittedAt.Add(l.opts.CallTime).Sub(now))
+	return max(0, l.permittedAt.Add(l.opts.MaxCallTime).Sub(now))
 }
 
-// own reports whether this run or an earlier one on this machine wrote the record last.
-func (l *Lessor) own(r record) bool {
+// writtenHere reports whether this run or an earlier one on this machine wrote the record last.
+func (l *Lease) writtenHere(r record) bool {
 	return r.Holder == l.opts.Holder || (l.opts.Machine != "" && r.Machine == l.opts.Machine)
 }
 
-// lapsed reports whether the lease's object has stood unchanged for a TTL.
-func (l *Lessor) lapsed(obj store.Object, now time.Time) bool {
-	if obj.Version != l.seen {
-		l.seen, l.seenAt = obj.Version, now
+// expired reports whether the lease's object has stood unchanged for a TTL.
+func (l *Lease) expired(obj store.Object, now time.Time) bool {
+	if obj.Version != l.seenVersion {
+		l.seenVersion, l.seenAt = obj.Version, now
 		return false
 	}
 	return now.Sub(l.seenAt) >= l.opts.TTL
@@ -256,11 +256,13 @@
 
 // take writes the lease over version and keeps silence for so long. Losing the race to
 // another host is no error.
-func (l *Lessor) take(ctx context.Context, version uint64, own bool, silence time.Duration) (bool, error) {
-	err := l.write(ctx, version, l.opts.Holder, silence)
+func (l *Lease) take(ctx context.Context, version uint64, reacquired bool, holdOff time.Duration) (bool, error) {
+	err := l.write(ctx, version, l.opts.Holder, holdOff)
 	if err == nil {
-		silent, first := l.opts.Clock.Now().Add(silence), version == store.Absent && !l.mayBeLost()
-		l.change(func(t *term) { t.fence, t.first, t.own, t.silentUntil = t.held, first, own, silent })
+		holdOffUntil, first := l.opts.Clock.Now().Add(holdOff), version == store.Absent && !l.mayBeLost()
+		l.updateTerm(func(t *term) {
+			t.fence, t.first, t.reacquired, t.holdOffUntil = t.version, first, reacquired, holdOffUntil
+		})
 	}
 	if store.IsConflict(err) {
 		return false, nil
@@ -268,8 +270,8 @@
 	return err == nil, err
 }
 
-// ErrNoCall says that no call may be made at this moment.
-var ErrNoCall = errors.New("no call may be made under the lease now; try again later, while it is held")
+// ErrNotPermitted says that no call may be made at this moment.
+var ErrNotPermitted = errors.New("no call may be made under the lease now; try again later, while it is held")
 
 // Permit returns the number of the present term if a call may leave at this moment. It is to
 // be asked after the last wait before the bytes of the call leave.
@@ -281,127 +283,127 @@
 // a call of the last one still under way, and the same run while one of its own may be; a lease
 // that was released is taken at once, so that silence is longer by Apart. The number is the
 // version of the object at the write that began the term, which no other write has.
-func (l *Lessor) Permit() (fence uint64, err error) {
+func (l *Lease) Permit() (fence uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	t, now := l.term, l.opts.Clock.Now()
-	if t.held == store.Absent || now.Before(t.silentUntil) || now.Sub(t.renewedAt) >= l.opts.TTL-l.opts.Apart {
-		return 0, ErrNoCall
+	if t.version == store.Absent || now.Before(t.holdOffUntil) || now.Sub(t.renewedAt) >= l.opts.TTL-l.opts.CallGap {
+		return 0, ErrNotPermitted
 	}
 	l.permittedAt = now
 	return t.fence, nil
 }
 
-// Still returns what allows a call to leave while the term of that number goes on.
-func (l *Lessor) Still(fence uint64) (permit func() error) {
+// PermitInTerm returns what allows a call to leave while the term of that number goes on.
+func (l *Lease) PermitInTerm(fence uint64) (permit func() error) {
 	return func() error {
 		present, err := l.Permit()
 		if err == nil && present != fence {
-			err = ErrNoCall
+			err = ErrNotPermitted
 		}
 		return err
 	}
 }
 
-// Silent reports whether the present term's first call may not be made yet.
-func (l *Lessor) Silent() bool { return l.silence() > 0 }
+// HoldingOff reports whether the present term's first call may not be made yet.
+func (l *Lease) HoldingOff() bool { return l.holdOffLeft() > 0 }
 
-// silence is how long it is until then.
-func (l *Lessor) silence() time.Duration {
-	return max(0, l.present().silentUntil.Sub(l.opts.Clock.Now()))
+// holdOffLeft is how long it is until then.
+func (l *Lease) holdOffLeft() time.Duration {
+	return max(0, l.currentTerm().holdOffUntil.Sub(l.opts.Clock.Now()))
 }
 
 // Fence is the version at which the present term began: a number that grows from
 // holder to holder.
-func (l *Lessor) Fence() uint64 { return l.present().fence }
+func (l *Lease) Fence() uint64 { return l.currentTerm().fence }
 
 // Epoch is that of the store at this host's last write of the lease, 0 if it isn't held. What the
 // holder wrote to the store in an earlier epoch may be lost.
-func (l *Lessor) Epoch() uint64 { return store.EpochOf(l.present().held) }
+func (l *Lease) Epoch() uint64 { return store.EpochOf(l.currentTerm().version) }
 
-// First reports whether nobody held the lease before the present term.
-func (l *Lessor) First() bool { return l.present().first }
+// FirstTerm reports whether nobody held the lease before the present term.
+func (l *Lease) FirstTerm() bool { return l.currentTerm().first }
 
-// Own reports whether the last holder before the present term was a run on this machine,
+// Reacquired reports whether the last holder before the present term was a run on this machine,
 // so that no other has held the lease since.
-func (l *Lessor) Own() bool { return l.present().own }
+func (l *Lease) Reacquired() bool { return l.currentTerm().reacquired }
 
 // Renew extends a held lease. It returns ErrLost if the object has changed, and
 // the store's error if the platform gave no answer: the lease is then held until
 // the TTL passes on this host's clock.
-func (l *Lessor) Renew(ctx context.Context) error {
-	held := l.present().held
+func (l *Lease) Renew(ctx context.Context) error {
+	held := l.currentTerm().version
 	if held == store.Absent {
 		return ErrLost
 	}
-	err := l.write(ctx, held, l.opts.Holder, l.silence())
+	err := l.write(ctx, held, l.opts.Holder, l.holdOffLeft())
 	if !store.IsConflict(err) {
 		return err
 	}
-	return l.renewOwn(ctx)
+	return l.renewAfterConflict(ctx)
 }
 
-// renewOwn renews over an earlier write of this host whose answer was lost, or over what a restored
+// renewAfterConflict renews over an earlier write of this host whose answer was lost, or over what a restored
 // store has instead of its last write.
-func (l *Lessor) renewOwn(ctx context.Context) error {
+func (l *Lease) renewAfterConflict(ctx context.Context) error {
 	obj, err := l.opts.Store.Get(ctx, store.KindLease, l.opts.Name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return err
 	}
 	var r record
 	readable := err == nil && json.Unmarshal(obj.Value, &r) == nil
-	own := readable && r.Holder == l.opts.Holder && !r.restored(obj.Version)
-	if own || l.outlasts(obj, r, readable) {
-		err = l.write(ctx, obj.Version, l.opts.Holder, l.silence())
+	own := readable && r.Holder == l.opts.Holder && !r.predatesRestore(obj.Version)
+	if own || l.survivesRestore(obj, r, readable) {
+		err = l.write(ctx, obj.Version, l.opts.Holder, l.holdOffLeft())
 		if !store.IsConflict(err) {
 			return err
 		}
 	}
-	l.drop()
+	l.markNotHeld()
 	return ErrLost
 }
 
-// outlasts reports whether the term goes on though the store has an earlier record, or none: the
+// survivesRestore reports whether the term goes on though the store has an earlier record, or none: the
 // store was restored, and nobody else can have taken the lease while this host's last renewal isn't
 // a TTL old. A term that is still silent doesn't: it may have begun beside one that was lost.
-func (l *Lessor) outlasts(obj store.Object, r record, readable bool) bool {
-	if !l.Held() || l.Silent() {
+func (l *Lease) survivesRestore(obj store.Object, r record, readable bool) bool {
+	if !l.Held() || l.HoldingOff() {
 		return false
 	}
-	outlasts := readable && r.restored(obj.Version) || obj.Version == store.Absent && l.mayBeLost()
-	if outlasts {
+	survives := readable && r.predatesRestore(obj.Version) || obj.Version == store.Absent && l.mayBeLost()
+	if survives {
 		l.opts.Log.Warn("lease written again at a restored store", "lease", l.opts.Name, "version", store.FormatVersion(obj.Version), "record_of", r.Holder.String())
 	}
-	return outlasts
+	return survives
 }
 
 // Release gives a held lease up, so that a waiter needn't wait for the TTL.
 // Releasing a lease that isn't held is no error.
-func (l *Lessor) Release(ctx context.Context) error {
-	held := l.present().held
+func (l *Lease) Release(ctx context.Context) error {
+	held := l.currentTerm().version
 	if held == store.Absent {
 		return nil
 	}
-	err := l.write(ctx, held, state.HostID{}, l.silence())
+	err := l.write(ctx, held, state.HostID{}, l.holdOffLeft())
 	if err == nil || store.IsConflict(err) {
-		l.drop()
+		l.markNotHeld()
 		return nil
 	}
 	return err
 }
 
-// drop forgets that the lease is held.
-func (l *Lessor) drop() { l.change(func(t *term) { t.held = store.Absent }) }
+// markNotHeld forgets that the lease is held.
+func (l *Lease) markNotHeld() { l.updateTerm(func(t *term) { t.version = store.Absent }) }
 
-// owedMS rounds up, so that no silence is forgotten.
-func owedMS(owed time.Duration) int64 { return (owed + time.Millisecond - 1).Milliseconds() }
+// ceilMilliseconds rounds up, so that no silence is forgotten.
+func ceilMilliseconds(d time.Duration) int64 { return (d + time.Millisecond - 1).Milliseconds() }
 
 // write stores a record over version, of a term that still has to keep silence for owed. An answer
 // that was lost is read back and recognised by its nonce.
-func (l *Lessor) write(ctx context.Context, version uint64, holder state.HostID, owed time.Duration) error {
+func (l *Lease) write(ctx context.Context, version uint64, holder state.HostID, holdOff time.Duration) error {
 	started := l.opts.Clock.Now()
 	l.writes++
-	r := record{Holder: holder, Machine: l.opts.Machine, Epoch: store.EpochOf(version), OwedMS: owedMS(owed), Nonce: fmt.Sprintf("%s/%d", l.opts.Holder, l.writes)}
+	r := record{Holder: holder, Machine: l.opts.Machine, Epoch: store.EpochOf(version), HoldOffMS: ceilMilliseconds(holdOff), Nonce: fmt.Sprintf("%s/%d", l.opts.Holder, l.writes)}
 	value, err := json.Marshal(r)
 	if err != nil {
 		return fmt.Errorf("lease %s: %w", l.opts.Name, err)
@@ -413,17 +415,17 @@
 	if err != nil {
 		return err
 	}
-	l.change(func(t *term) { t.held, t.renewedAt = v, started })
+	l.updateTerm(func(t *term) { t.version, t.renewedAt = v, started })
 	return nil
 }
 
-func (l *Lessor) readBack(ctx context.Context, nonce string, version uint64, cause error) (uint64, error) {
+func (l *Lease) readBack(ctx context.Context, nonce string, version uint64, cause error) (uint64, error) {
 	obj, err := l.opts.Store.Get(ctx, store.KindLease, l.opts.Name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
 		return 0, cause
 	}
 	var r record
-	if err == nil && json.Unmarshal(obj.Value, &r) == nil && r.Nonce == nonce && (version == store.Absent || !r.restored(obj.Version)) {
+	if err == nil && json.Unmarshal(obj.Value, &r) == nil && r.Nonce == nonce && (version == store.Absent || !r.predatesRestore(obj.Version)) {
 		return obj.Version, nil
 	}
 	if obj.Version == version {
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -18,38 +18,38 @@
 )
 
 const (
-	dutyTTL   = 6 * time.Second
-	dutyApart = 3300 * time.Millisecond
-	dutyCall  = time.Second
-	// restoredAfter is how far a restored store may be behind, at most.
-	restoredAfter = 5 * time.Second
+	testTTL         = 6 * time.Second
+	testCallGap     = 3300 * time.Millisecond
+	testMaxCallTime = time.Second
+	// maxRollback is how far a restored store may be behind, at most.
+	maxRollback = 5 * time.Second
 )
 
-// dutyCalls are the calls that machines made under the lease, in their order.
-type dutyCalls struct {
+// callLog are the calls that machines made under the lease, in their order.
+type callLog struct {
 	mu    sync.Mutex
-	calls []dutyCallMade
+	calls []loggedCall
 }
 
-type dutyCallMade struct {
+type loggedCall struct {
 	at      time.Time
 	machine string
 	fence   uint64
 }
 
-func (d *dutyCalls) note(machine string, fence uint64) {
+func (d *callLog) record(machine string, fence uint64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.calls = append(d.calls, dutyCallMade{time.Now(), machine, fence})
+	d.calls = append(d.calls, loggedCall{time.Now(), machine, fence})
 }
 
-// judge reports the first two calls that must not follow each other.
-func (d *dutyCalls) judge() string {
+// firstViolation reports the first two calls that must not follow each other.
+func (d *callLog) firstViolation() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	holders := map[uint64]string{}
 	for i, c := range d.calls {
-		if other, had := holders[c.fence]; had && other != c.machine {
+		if other, used := holders[c.fence]; used && other != c.machine {
 			return fmt.Sprintf("%s and %s use the fence %s", other, c.machine, store.FormatVersion(c.fence))
 		}
 		holders[c.fence] = c.machine
@@ -60,7 +60,7 @@
 		switch {
 		case c.fence < before.fence:
 			return fmt.Sprintf("%s calls with %s after %s has with %s", c.machine, store.FormatVersion(c.fence), before.machine, store.FormatVersion(before.fence))
-		case c.machine != before.machine && c.at.Sub(before.at) < dutyApart:
+		case c.machine != before.machine && c.at.Sub(before.at) < testCallGap:
 			return fmt.Sprintf("%s calls %s after %s", c.machine, c.at.Sub(before.at), before.machine)
 		}
 	}
@@ -69,33 +69,33 @@
 
 // machine runs one host after another, each with its Lessor, and makes calls while it may.
 type machine struct {
-	p     *storetest.Platform
-	calls *dutyCalls
-	name  string
-	runs  int
-	rng   *rand.Rand
-	lose  func() bool
-	stop  context.CancelFunc
-	ended chan struct{}
+	p         *storetest.Platform
+	calls     *callLog
+	name      string
+	runs      int
+	rng       *rand.Rand
+	mayBeLost func() bool
+	cancel    context.CancelFunc
+	done      chan struct{}
 }
 
 func (m *machine) start(t *testing.T) {
 	m.runs++
 	l, err := lease.New(lease.Options{
 		Store: m.p.Client(m.name), Clock: skewedClock{}, Rand: m.rng, Name: "duties", Machine: m.name,
-		Holder: state.HostID{Name: m.name, Incarnation: fmt.Sprint(m.runs)}, TTL: dutyTTL, Apart: dutyApart, CallTime: dutyCall, MayBeLost: m.lose,
+		Holder: state.HostID{Name: m.name, Incarnation: fmt.Sprint(m.runs)}, TTL: testTTL, CallGap: testCallGap, MaxCallTime: testMaxCallTime, MayBeLost: m.mayBeLost,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	m.stop, m.ended = cancel, make(chan struct{})
+	m.cancel, m.done = cancel, make(chan struct{})
 	go func() {
-		defer close(m.ended)
+		defer close(m.done)
 		_ = l.Run(ctx, func(ctx context.Context) error {
 			for (skewedClock{}).Sleep(ctx, 100*time.Millisecond) == nil {
 				if fence, err := l.Permit(); err == nil {
-					m.calls.note(m.name, fence)
+					m.calls.record(m.name, fence)
 				}
 			}
 			return nil
@@ -103,42 +103,42 @@
 	}()
 }
 
-func (m *machine) end() {
-	m.stop()
-	<-m.ended
+func (m *machine) stop() {
+	m.cancel()
+	<-m.done
 }
 
 // Guards against two hosts that act under one lease, or with fences that go back, after the store
 // lost who holds it: the record of an earlier holder, of a release, or none is there again.
-func TestOneHolderActsThoughTheStoreIsRestored(t *testing.T) {
-	const plays = 400
-	acted := 0
-	for seed := range uint64(plays) {
+func TestOneHolderCallsAcrossStoreRestores(t *testing.T) {
+	const seeds = 400
+	totalCalls := 0
+	for seed := range uint64(seeds) {
 		synctest.Test(t, func(t *testing.T) {
 			rng := rand.New(rand.NewPCG(seed, 1))
-			p, calls := storetest.NewPlatform(time.Second), &dutyCalls{}
+			p, calls := storetest.NewPlatform(time.Second), &callLog{}
 			var mu sync.Mutex
-			away, cut := false, map[string]bool{}
+			storeDown, partitioned := false, map[string]bool{}
 			p.SetScript(func(c storetest.Call) storetest.Fault {
 				mu.Lock()
 				defer mu.Unlock()
-				if away || cut[c.Caller] {
+				if storeDown || partitioned[c.Caller] {
 					return storetest.Refuse
 				}
 				return storetest.None
 			})
-			set := func(change func()) {
+			locked := func(change func()) {
 				mu.Lock()
 				defer mu.Unlock()
 				change()
 			}
-			lost := p.Revision() > 0
+			mayBeLost := p.Revision() > 0
 			var machines []*machine
 			for i := range 4 {
-				m := &machine{p: p, calls: calls, name: fmt.Sprint("m", i), rng: rand.New(rand.NewPCG(seed, uint64(i)+10)), lose: func() bool {
+				m := &machine{p: p, calls: calls, name: fmt.Sprint("m", i), rng: rand.New(rand.NewPCG(seed, uint64(i)+10)), mayBeLost: func() bool {
 					mu.Lock()
 					defer mu.Unlock()
-					return lost
+					return mayBeLost
 				}}
 				m.start(t)
 				machines = append(machines, m)
@@ -148,33 +148,33 @@
 				time.Sleep(time.Duration(rng.IntN(4000)) * time.Millisecond)
 				switch rng.IntN(4) {
 				case 0:
-					m.end()
+					m.stop()
 					time.Sleep(time.Duration(rng.IntN(2000)) * time.Millisecond)
 					m.start(t)
 				case 1:
-					set(func() { cut[m.name] = !cut[m.name] })
+					locked(func() { partitioned[m.name] = !partitioned[m.name] })
 				default:
-					set(func() { away, lost = true, true })
+					locked(func() { storeDown, mayBeLost = true, true })
 					time.Sleep(time.Duration(rng.IntN(2500)) * time.Millisecond)
-					p.RestoreBefore(time.Duration(rng.Int64N(int64(restoredAfter))))
-					set(func() { away = false })
+					p.RestoreBefore(time.Duration(rng.Int64N(int64(maxRollback))))
+					locked(func() { storeDown = false })
 				}
 			}
-			set(func() { clear(cut) })
-			time.Sleep(5 * dutyTTL)
+			locked(func() { clear(partitioned) })
+			time.Sleep(5 * testTTL)
 			ended := time.Now()
 			for _, m := range machines {
-				m.end()
+				m.stop()
 			}
-			if problem := calls.judge(); problem != "" {
-				t.Errorf("seed %d: %s", seed, problem)
+			if violation := calls.firstViolation(); violation != "" {
+				t.Errorf("seed %d: %s", seed, violation)
 			}
-			if last := calls.calls[len(calls.calls)-1]; ended.Sub(last.at) > dutyTTL {
+			if last := calls.calls[len(calls.calls)-1]; ended.Sub(last.at) > testTTL {
 				t.Errorf("seed %d: nobody has acted for %s", seed, ended.Sub(last.at))
 			}
-			acted += len(calls.calls)
+			totalCalls += len(calls.calls)
 		})
 	}
-	is.New(t).True(acted > 100*plays)
-	t.Logf("%d calls", acted)
+	is.New(t).True(totalCalls > 100*seeds)
+	t.Logf("%d calls", totalCalls)
 }
--- a/coordination/lease/run.go
+++ b/coordination/lease/run.go
@@ -11,12 +11,12 @@
 // Acquire waits until the lease is held or ctx ends. It looks three times in a
 // TTL, or as often as LookEvery says; a platform that gives no answer is asked again
 // at the same pace.
-func (l *Lessor) Acquire(ctx context.Context) error {
-	if err := l.awaitTurn(ctx); err != nil {
+func (l *Lease) Acquire(ctx context.Context) error {
+	if err := l.awaitFirstPoll(ctx); err != nil {
 		return err
 	}
 	for {
-		held, err := l.Try(ctx)
+		held, err := l.TryAcquire(ctx)
 		if held {
 			l.opts.Log.Info("lease acquired", "lease", l.opts.Name, "holder", l.opts.Holder.String())
 			return nil
@@ -24,76 +24,76 @@
 		if err != nil && ctx.Err() == nil {
 			l.opts.Log.Debug("lease not readable", "lease", l.opts.Name, "error", err)
 		}
-		if err := l.untilDue(ctx); err != nil {
+		if err := l.awaitNextPoll(ctx); err != nil {
 			return err
 		}
 	}
 }
 
-// awaitTurn waits before the first look until this host is one of the few that look often, or
+// awaitFirstPoll waits before the first look until this host is one of the few that look often, or
 // its first pause is over: the first looks of all hosts that start together would cost as much
 // as their looks of minutes.
-func (l *Lessor) awaitTurn(ctx context.Context) error {
-	if l.opts.LookEvery == nil {
+func (l *Lease) awaitFirstPoll(ctx context.Context) error {
+	if l.opts.PollInterval == nil {
 		return nil
 	}
-	began := l.opts.Clock.Now()
+	startedAt := l.opts.Clock.Now()
 	for {
-		every := l.opts.LookEvery()
-		if every <= l.opts.TTL || l.opts.Clock.Now().Sub(began) >= every-every/spreadPart {
+		every := l.opts.PollInterval()
+		if every <= l.opts.TTL || l.opts.Clock.Now().Sub(startedAt) >= every-every/jitterDivisor {
 			return nil
 		}
-		if err := l.opts.Clock.Sleep(ctx, turnPoll); err != nil {
+		if err := l.opts.Clock.Sleep(ctx, firstPollCheckInterval); err != nil {
 			return err
 		}
 	}
 }
 
-// turnPoll is how often a host that has just started asks whether it is its turn to look: a
+// firstPollCheckInterval is how often a host that has just started asks whether it is its turn to look: a
 // holder that restarts goes on almost at once.
-const turnPoll = 200 * time.Millisecond
+const firstPollCheckInterval = 200 * time.Millisecond
 
-// untilDue waits until a waiter's next look is due.
-func (l *Lessor) untilDue(ctx context.Context) error {
-	looked := l.opts.Clock.Now()
+// awaitNextPoll waits until a waiter's next look is due.
+func (l *Lease) awaitNextPoll(ctx context.Context) error {
+	polledAt := l.opts.Clock.Now()
 	for {
-		if err := l.opts.Clock.Sleep(ctx, l.pause()); err != nil {
+		if err := l.opts.Clock.Sleep(ctx, l.jitteredInterval()); err != nil {
 			return err
 		}
-		if l.opts.LookEvery == nil {
+		if l.opts.PollInterval == nil {
 			return nil
 		}
-		every := l.opts.LookEvery()
-		if l.opts.Clock.Now().Sub(looked) >= every-every/spreadPart {
+		every := l.opts.PollInterval()
+		if l.opts.Clock.Now().Sub(polledAt) >= every-every/jitterDivisor {
 			return nil
 		}
 	}
 }
 
-// pause is the time between two renewals, or two questions of a waiter whether a look
+// jitteredInterval is the time between two renewals, or two questions of a waiter whether a look
 // is due: a third of the TTL.
-func (l *Lessor) pause() time.Duration { return l.spread(l.opts.TTL / callsPerTTL) }
+func (l *Lease) jitteredInterval() time.Duration { return l.jitter(l.opts.TTL / callsPerTTL) }
 
-// spread takes up to a fifth off, so that hosts that started together drift apart.
-func (l *Lessor) spread(whole time.Duration) time.Duration {
-	return whole - time.Duration(l.opts.Rand.Int64N(int64(whole)/spreadPart+1))
+// jitter takes up to a fifth off, so that hosts that started together drift apart.
+func (l *Lease) jitter(d time.Duration) time.Duration {
+	return d - time.Duration(l.opts.Rand.Int64N(int64(d)/jitterDivisor+1))
 }
 
-// spreadPart is the part of a pause by which hosts drift apart.
-const spreadPart = 5
+// jitterDivisor is the part of a pause by which hosts drift apart.
+const jitterDivisor = 5
 
 // Run acquires the lease and calls work with a context that is cancelled with
 // cause ErrLost once the lease is lost; it then waits for work to return and
 // acquires again. Run returns when work returns by itself, with its error, or
 // when ctx ends, with nil; it releases the lease in both cases.
-func (l *Lessor) Run(ctx context.Context, work func(context.Context) error) error {
+func (l *Lease) Run(ctx context.Context, work func(context.Context) error) error {
 	for {
 		if err := l.Acquire(ctx); err != nil {
 			return nil
 		}
-		over, err := l.hold(ctx, work)
-		if over || ctx.Err() != nil {
-			l.releaseAtEnd(ctx)
+		workEnded, err := l.hold(ctx, work)
+		if workEnded || ctx.Err() != nil {
+			l.releaseOnExit(ctx)
 			return err
 		}
 		l.opts.Log.Warn("lease lost", "lease", l.opts.Name, "holder", l.opts.Holder.String())
@@ -101,20 +101,20 @@
 }
 
 // hold runs work while the lease is renewed. over is true if work ended by itself.
-func (l *Lessor) hold(ctx context.Context, work func(context.Context) error) (over bool, err error) {
-	held, lose := context.WithCancelCause(ctx)
-	defer lose(nil)
-	renewing, stop := context.WithCancel(ctx)
-	defer stop()
+func (l *Lease) hold(ctx context.Context, work func(context.Context) error) (workEnded bool, err error) {
+	workCtx, cancelWork := context.WithCancelCause(ctx)
+	defer cancelWork(nil)
+	renewCtx, stopRenewing := context.WithCancel(ctx)
+	defer stopRenewing()
 	var g conc.WaitGroup
 	var result error
 	g.Go(func() {
-		defer stop()
-		result = work(held)
+		defer stopRenewing()
+		result = work(workCtx)
 	})
-	lost := l.keep(renewing)
+	lost := l.renewUntilLost(renewCtx)
 	if lost {
-		lose(ErrLost)
+		cancelWork(ErrLost)
 	}
 	g.Wait()
 	if lost || ctx.Err() != nil {
@@ -123,13 +123,13 @@
 	return true, result
 }
 
-// keep renews until the lease is lost (true) or ctx ends (false).
-func (l *Lessor) keep(ctx context.Context) bool {
+// renewUntilLost renews until the lease is lost (true) or ctx ends (false).
+func (l *Lease) renewUntilLost(ctx context.Context) bool {
 	for {
-		if err := l.opts.Clock.Sleep(ctx, l.pause()); err != nil {
+		if err := l.opts.Clock.Sleep(ctx, l.jitteredInterval()); err != nil {
 			return false
 		}
-		err := l.renewInTime(ctx)
+		err := l.renewWithinTTL(ctx)
 		if ctx.Err() != nil {
 			return false
 		}
@@ -139,17 +139,17 @@
 	}
 }
 
-// renewInTime bounds the renewal by what is left of the TTL, so that a call that
+// renewWithinTTL bounds the renewal by what is left of the TTL, so that a call that
 // hangs can't keep the belief alive.
-func (l *Lessor) renewInTime(ctx context.Context) error {
-	left := l.opts.TTL - l.opts.Clock.Now().Sub(l.present().renewedAt)
+func (l *Lease) renewWithinTTL(ctx context.Context) error {
+	left := l.opts.TTL - l.opts.Clock.Now().Sub(l.currentTerm().renewedAt)
 	ctx, cancel := context.WithTimeout(ctx, max(left, l.opts.TTL/callsPerTTL))
 	defer cancel()
 	return l.Renew(ctx)
 }
 
-// releaseAtEnd tries once; a platform that doesn't answer leaves the lease to lapse.
-func (l *Lessor) releaseAtEnd(ctx context.Context) {
+// releaseOnExit tries once; a platform that doesn't answer leaves the lease to lapse.
+func (l *Lease) releaseOnExit(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.opts.TTL/callsPerTTL)
 	defer cancel()
 	if err := l.Release(ctx); err != nil {
--- a/coordination/order/actions_test.go
+++ b/coordination/order/actions_test.go
@@ -167,7 +167,7 @@
 		if h.lessor.Held() {
 			_ = h.lessor.Renew(ctx)
 		} else {
-			_, _ = h.lessor.Try(ctx)
+			_, _ = h.lessor.TryAcquire(ctx)
 		}
 	}).runTo("")
 }
--- a/coordination/order/world_test.go
+++ b/coordination/order/world_test.go
@@ -72,7 +72,7 @@
 	desk      *Desk
 	watcher   *Watcher
 	planner   *Planner
-	lessor    *lease.Lessor
+	lessor    *lease.Lease
 	processes []*process
 	requests  map[*request]bool
 	chosen    []*snapshot.Runner
--- a/coordination/scale/approach.go
+++ b/coordination/scale/approach.go
@@ -99,7 +99,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err = m.o.Platform.Order(ctx, term, l.spec.Name, p, desired, m.o.Lease.Still(term))
+	err = m.o.Platform.Order(ctx, term, l.spec.Name, p, desired, m.o.Lease.PermitInTerm(term))
 	m.o.Log.Info("runners ordered", "service", l.spec.Name, "failure_domain", p.FailureDomain, "kind", string(p.Kind), "desired", desired,
 		"before", s.ordered[p], "need", s.need, "term", term, "refused", err != nil, "cause", causeOf(err))
 	switch {
--- a/coordination/scale/manager.go
+++ b/coordination/scale/manager.go
@@ -52,7 +52,7 @@
 // Options configure a Manager. All fields are required.
 type Options struct {
 	Platform Platform
-	Lease    *lease.Lessor
+	Lease    *lease.Lease
 	Needs    Needs
 	Clock    state.Clock
 	Log      *slog.Logger
@@ -170,7 +170,7 @@
 	}
 	now := m.o.Clock.Now()
 	serving, listed := count(m.o.Instances(spec.Name))
-	if !m.known(ctx, spec.Name, s, serving, now) || m.o.Lease.Silent() {
+	if !m.known(ctx, spec.Name, s, serving, now) || m.o.Lease.HoldingOff() {
 		if now.Sub(s.begun) > unknownFor {
 			m.resizing.Delete(spec.Name)
 		}
--- a/coordination/scale/manager_test.go
+++ b/coordination/scale/manager_test.go
@@ -178,7 +178,7 @@
 	t.Helper()
 	lessor, err := lease.New(lease.Options{
 		Store: p.Client(host), Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(1, uint64(len(host)))), Name: "duties",
-		Holder: state.HostID{Name: host, Incarnation: "1"}, Machine: host, TTL: 6 * time.Second, Apart: 3 * time.Second, CallTime: time.Second,
+		Holder: state.HostID{Name: host, Incarnation: "1"}, Machine: host, TTL: 6 * time.Second, CallGap: 3 * time.Second, MaxCallTime: time.Second,
 		MayBeLost: func() bool { return store.EpochOf(p.Revision()) > 0 },
 	})
 	if err != nil {
--- a/coordination/stages/manager.go
+++ b/coordination/stages/manager.go
@@ -75,7 +75,7 @@
 // Options configure a Manager. All fields are required.
 type Options struct {
 	Engines Engines
-	Lease   *lease.Lessor
+	Lease   *lease.Lease
 	Shares  Shares
 	Clock   state.Clock
 	Log     *slog.Logger
@@ -170,10 +170,10 @@
 
 // Hold gives orders for one term of the lease, until ctx ends with it.
 func (m *Manager) Hold(ctx context.Context) {
-	if m.demand == nil || !m.o.Lease.Own() {
+	if m.demand == nil || !m.o.Lease.Reacquired() {
 		m.forgetTerm()
 	}
-	m.followed = !m.o.Lease.First()
+	m.followed = !m.o.Lease.FirstTerm()
 	for {
 		for _, service := range m.o.Services() {
 			m.service(ctx, service)
@@ -207,7 +207,7 @@
 	m.demand[service].noteSize(len(engines), now)
 	inUse := m.demand[service].inUse(len(engines))
 	want = min(want, len(engines)-inUse)
-	if m.o.Lease.Silent() || (!m.stood[service] && m.o.Resizing(service)) {
+	if m.o.Lease.HoldingOff() || (!m.stood[service] && m.o.Resizing(service)) {
 		return
 	}
 	changes := Plan(m.asOrdered(engines), want)
@@ -349,7 +349,7 @@
 		return
 	}
 	o := Order{Role: c.Role, Holder: m.o.Host, Fence: fence, Accepted: report.Accepted}
-	result, err := m.o.Engines.Order(ctx, i, o, m.o.Lease.Still(fence))
+	result, err := m.o.Engines.Order(ctx, i, o, m.o.Lease.PermitInTerm(fence))
 	m.o.Log.Info("engine ordered", "instance", i.ID, "role", string(c.Role), "fence", o.Fence, "accepted", o.Accepted, "result", string(result), "cause", fmt.Sprint(err))
 	if err == nil && result != ResultAccepted {
 		m.pausing[i.ID] = now.Add(retryOrder)
--- a/coordination/stages/stages_test.go
+++ b/coordination/stages/stages_test.go
@@ -276,7 +276,7 @@
 	lessor, err := lease.New(lease.Options{
 		Store: p.Client(host), Clock: clock, Rand: rand.New(rand.NewPCG(uint64(run), uint64(len(host)))),
 		Name: "engine-roles", Holder: state.HostID{Name: host, Incarnation: fmt.Sprint(run)}, TTL: 6 * time.Second, Machine: host,
-		Apart: leaseTime, CallTime: time.Second, MayBeLost: func() bool { return store.EpochOf(p.Revision()) > 0 },
+		CallGap: leaseTime, MaxCallTime: time.Second, MayBeLost: func() bool { return store.EpochOf(p.Revision()) > 0 },
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/coordination/usage/fleet_test.go
+++ b/coordination/usage/fleet_test.go
@@ -163,7 +163,7 @@
 	lessor, err := lease.New(lease.Options{
 		Store: f.store.Client(h.self.Addr), Clock: h.clock, Rand: rand.New(rand.NewPCG(uint64(f.runs), 1)), Name: "duties",
 		Holder: state.HostID{Name: h.self.Addr, Incarnation: run}, Machine: h.self.Addr, TTL: 6 * time.Second,
-		LookEvery: func() time.Duration { return time.Second }, Apart: leaseTime, CallTime: time.Second,
+		PollInterval: func() time.Duration { return time.Second }, CallGap: leaseTime, MaxCallTime: time.Second,
 		MayBeLost: func() bool { return store.EpochOf(f.store.Revision()) > 0 },
 	})
 	if err != nil {
--- a/coordination/usage/reporter.go
+++ b/coordination/usage/reporter.go
@@ -54,7 +54,7 @@
 	// of it.
 	Length    time.Duration
 	MostOff   float64
-	Lease     *lease.Lessor
+	Lease     *lease.Lease
 	Store     store.Store
 	Receiver  Receiver
 	Peers     Peers
@@ -306,7 +306,7 @@
 func (r *Reporter) sendOne(ctx context.Context, term uint64, report *Report) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err := r.o.Receiver.Report(ctx, term, report.Window, report.Counts, r.o.Lease.Still(term))
+	err := r.o.Receiver.Report(ctx, term, report.Window, report.Counts, r.o.Lease.PermitInTerm(term))
 	late := r.o.Time.Now().Sub(report.Window.End(r.o.Length))
 	if err != nil {
 		r.o.Log.Warn("usage not confirmed; sent again", "window", report.Window, "term", term, "after_end", late, "cause", err.Error())
--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -27,8 +27,8 @@
 	h.lessor, err = lease.New(lease.Options{
 		Store: h.store, Clock: h.clock, Rand: newRand(),
 		Name: leaseName, Holder: h.id, Machine: h.s.Host + "@" + h.s.IP,
-		TTL: leaseTTL, LookEvery: h.lookEvery, Log: h.log,
-		Apart: h.s.Bounds.LeaseTime + h.s.Bounds.ThawTime, CallTime: dutyCallTime, MayBeLost: h.leaseMayBeLost,
+		TTL: leaseTTL, PollInterval: h.lookEvery, Log: h.log,
+		CallGap: h.s.Bounds.LeaseTime + h.s.Bounds.ThawTime, MaxCallTime: dutyCallTime, MayBeLost: h.leaseMayBeLost,
 	})
 	return err
 }
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -64,7 +64,7 @@
 	advice  *backpressure.Registry
 	gateway *gateway.Server
 	// lessor holds the lease of the duties that one host at a time has.
-	lessor  *lease.Lessor
+	lessor  *lease.Lease
 	manager *stages.Manager
 	// teller tells other hosts what this one has counted, and reporter reports what all have;
 	// nil where usage isn't reported.
