--- a/coordination/truetime/truetime.go
+++ b/coordination/truetime/truetime.go
@@ -1,12 +1,12 @@
-// Package truetime follows the time of day that most hosts of a fleet agree on, so that
-// what is counted by time, such as reports of usage, is counted alike at all hosts.
+// Package truetime estimates the time of day as the median of the clocks of a fleet's hosts, so that
+// what is counted per time window, such as usage, is assigned to the same window by all hosts.
 //
-// Each host reads a clock of its own that counts from the time of day at its start: later
-// steps of its time of day don't show in it. What remains is a host that started while its
-// time of day was wrong. So hosts show each other their clocks, and each takes the middle of
-// what it was shown: a third of the clocks may be seconds off, and the middle is not. A
-// showing is late by the way of its message and by what holds a small host up, some
-// milliseconds: far less than the windows that are counted in.
+// Each host reads a local clock that counts from the time of day at the start of the host, so later
+// steps of its time of day don't affect it. What remains is a host that started while its time of day
+// was wrong. Therefore hosts exchange readings of their local clocks, and each uses the median: it is
+// right even if a third of the clocks are seconds off. A reading is late by the latency of its message
+// and by scheduling delays of a small host, some milliseconds in total, which is far less than the
+// length of a window.
 package truetime
 
 import (
@@ -18,109 +18,114 @@
 )
 
 const (
-	// showingFor is how long a showing counts: hosts show their clocks each second or so,
-	// and a host that has restarted shows another one.
-	showingFor = 10 * time.Second
-	// mostShowings bounds the hosts whose showings are kept, above the hosts that show
-	// theirs to one collector at the sizes to come.
-	mostShowings = 512
-	// leastShowings is the number of clocks, the own one among them, from which the middle
-	// is trusted: with fewer one wrong clock of two would decide.
-	leastShowings = 3
+	// readingLifetime is how long a reading is used. Hosts exchange readings about once a second, and
+	// a host that has restarted has another local clock.
+	readingLifetime = 10 * time.Second
+	// maxReadings bounds the readings that are kept. It exceeds the number of hosts that send theirs
+	// to one collector in the largest fleet intended; at the limit all readings are dropped.
+	maxReadings = 512
+	// minClocks is the number of clocks, including the local one, from which a median is used: of two
+	// clocks, a single wrong one would decide.
+	minClocks = 3
 )
 
-// showing is a clock as another host read it, when it arrived.
-type showing struct {
-	// ahead is how far it was ahead of the own clock.
-	ahead time.Duration
-	at    time.Time
+// reading is a clock or a median as received from another host.
+type reading struct {
+	// offset is how far it was ahead of the local clock on receipt.
+	offset time.Duration
+	// receivedAt is the time of receipt by the local clock.
+	receivedAt time.Time
 }
 
-// Clock is the time of one host. It is safe for concurrent use.
+// Clock is one host's estimate of the fleet's time. It is safe for concurrent use.
 type Clock struct {
-	own state.Clock
+	local state.Clock
 
 	mu sync.Mutex
-	// shown are the clocks of other hosts, by the names of their runs.
-	shown map[string]showing
-	// told is the middle of the clocks as another host has worked it out, of how many.
-	told   showing
-	toldOf int
+	// readings holds the clocks of other hosts, by the ids of their runs.
+	readings map[string]reading
+	// remoteMedian is the last median accepted from another host; remoteClocks is the number of
+	// clocks it was computed from.
+	remoteMedian reading
+	remoteClocks int
 }
 
-// New returns a clock that knows its own clock alone.
-func New(own state.Clock) *Clock {
-	return &Clock{own: own, shown: map[string]showing{}}
+// New returns a Clock that has the local clock alone until readings are added.
+func New(local state.Clock) *Clock {
+	return &Clock{local: local, readings: map[string]reading{}}
 }
 
-// Own is the host's own clock, to be shown to others.
-func (c *Clock) Own() time.Time { return c.own.Now() }
+// Local returns the time of the local clock, which is what this host sends to others.
+func (c *Clock) Local() time.Time { return c.local.Now() }
 
-// Show notes the own clock of another run of a host, as it has just arrived.
-func (c *Clock) Show(run string, own time.Time) {
-	now := c.own.Now()
+// AddReading adds the reading t of another host's local clock, which must have just arrived. run is the
+// id of that host's run.
+func (c *Clock) AddReading(run string, t time.Time) {
+	now := c.local.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if len(c.shown) >= mostShowings {
-		clear(c.shown)
+	if len(c.readings) >= maxReadings {
+		clear(c.readings)
 	}
-	c.shown[run] = showing{own.Sub(now), now}
+	c.readings[run] = reading{t.Sub(now), now}
 }
 
-// Tell notes the middle that another host has worked out of so many clocks, as it has just
-// arrived. The one of most clocks counts.
-func (c *Clock) Tell(middle time.Time, of int) {
-	now := c.own.Now()
+// AddMedian adds the median that another host has computed from a number of clocks, which must have just
+// arrived. It is ignored if it was computed from fewer clocks than the one in use.
+func (c *Clock) AddMedian(median time.Time, clocks int) {
+	now := c.local.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if of < leastShowings || (of < c.toldOf && now.Sub(c.told.at) < showingFor) {
+	if clocks < minClocks || (clocks < c.remoteClocks && now.Sub(c.remoteMedian.receivedAt) < readingLifetime) {
 		return
 	}
-	c.told, c.toldOf = showing{middle.Sub(now), now}, of
+	c.remoteMedian, c.remoteClocks = reading{median.Sub(now), now}, clocks
 }
 
-// Now is the time that the hosts agree on.
-func (c *Clock) Now() time.Time { return c.At(c.own.Now()) }
+// Now returns the fleet's time.
+func (c *Clock) Now() time.Time { return c.At(c.local.Now()) }
 
-// At is a moment of the host's clock in the time that the hosts agree on.
+// At converts a time of the local clock to the fleet's time.
 func (c *Clock) At(t time.Time) time.Time {
-	return t.Add(c.agreed())
+	return t.Add(c.agreedOffset())
 }
 
-// Middle is the time that this host has worked out itself, and of how many clocks.
-func (c *Clock) Middle() (now time.Time, of int) {
-	now = c.own.Now()
+// Median returns the current median of the clocks that this host has readings of, and their number.
+func (c *Clock) Median() (now time.Time, clocks int) {
+	now = c.local.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ahead, of := c.middle(now)
-	return now.Add(ahead), of
+	offset, clocks := c.median(now)
+	return now.Add(offset), clocks
 }
 
-// agreed is how far the agreed time is ahead of the own clock: the middle of most clocks.
-func (c *Clock) agreed() time.Duration {
-	now := c.own.Now()
+// agreedOffset returns how far the fleet's time is ahead of the local clock, by the local or the remote
+// median, whichever was computed from more clocks; 0 if both were computed from too few.
+func (c *Clock) agreedOffset() time.Duration {
+	now := c.local.Now()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	ahead, of := c.middle(now)
-	if c.toldOf > of && now.Sub(c.told.at) < showingFor {
-		return c.told.ahead
+	offset, clocks := c.median(now)
+	if c.remoteClocks > clocks && now.Sub(c.remoteMedian.receivedAt) < readingLifetime {
+		return c.remoteMedian.offset
 	}
-	if of < leastShowings {
+	if clocks < minClocks {
 		return 0
 	}
-	return ahead
+	return offset
 }
 
-// middle is the median of the clocks that were shown, the own one among them.
-func (c *Clock) middle(now time.Time) (ahead time.Duration, of int) {
-	all := []time.Duration{0}
-	for run, s := range c.shown {
-		if now.Sub(s.at) >= showingFor {
-			delete(c.shown, run)
+// median returns the median offset of all clocks with a recent reading, including the local one, and
+// their number. It drops expired readings; c.mu must be held.
+func (c *Clock) median(now time.Time) (offset time.Duration, clocks int) {
+	offsets := []time.Duration{0}
+	for run, r := range c.readings {
+		if now.Sub(r.receivedAt) >= readingLifetime {
+			delete(c.readings, run)
 			continue
 		}
-		all = append(all, s.ahead)
+		offsets = append(offsets, r.offset)
 	}
-	slices.Sort(all)
-	return all[len(all)/2], len(all)
+	slices.Sort(offsets)
+	return offsets[len(offsets)/2], len(offsets)
 }
--- a/coordination/usage/teller.go
+++ b/coordination/usage/teller.go
@@ -142,14 +142,14 @@
 	for _, c := range t.order() {
 		told := whole
 		told.Tally.Windows = t.news(c.Addr, whole.Tally.Windows)
-		told.Own = t.o.Time.Own()
+		told.Own = t.o.Time.Local()
 		bounded, cancel := context.WithTimeout(ctx, tellTimeout)
 		heard, err := t.o.Peers.Tell(bounded, c.Addr, told)
 		cancel()
 		if err == nil {
 			t.noteKnown(c.Addr, heard.Run, whole.Tally.Windows)
-			t.o.Time.Show(heard.Run, heard.Own)
-			t.o.Time.Tell(heard.Middle, heard.Of)
+			t.o.Time.AddReading(heard.Run, heard.Own)
+			t.o.Time.AddMedian(heard.Middle, heard.Of)
 			if collectors--; collectors == 0 {
 				return
 			}
@@ -224,7 +224,7 @@
 	for _, other := range told.Others {
 		t.o.Collector.Take(other)
 	}
-	t.o.Time.Show(told.Tally.Run, told.Own)
-	middle, of := t.o.Time.Middle()
-	return Heard{Run: t.o.Run, Own: t.o.Time.Own(), Middle: middle, Of: of}
+	t.o.Time.AddReading(told.Tally.Run, told.Own)
+	middle, of := t.o.Time.Median()
+	return Heard{Run: t.o.Run, Own: t.o.Time.Local(), Middle: middle, Of: of}
 }
