--- a/coordination/auth/auth_test.go
+++ b/coordination/auth/auth_test.go
@@ -16,15 +16,16 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// world is a store and one host's view of it.
-type world struct {
+// testHost is a store and the view that one host has of it.
+type testHost struct {
 	clock  clocktest.Machine
 	table  atomic.Pointer[routing.Table]
 	proven atomic.Pointer[time.Time]
-	newest *routing.Table
-	asked  atomic.Int64
-	// ask answers a question; nil answers as a sound store does.
-	ask func(ctx context.Context) error
+	// storeTable is the newest configuration at the store.
+	storeTable *routing.Table
+	proveCalls atomic.Int64
+	// prove replaces Options.Prove; if nil, the store answers and the host gets storeTable.
+	prove func(ctx context.Context) error
 }
 
 func tableOf(version uint64, keys map[string]string) *routing.Table {
@@ -35,29 +36,29 @@
 	return routing.NewTable(c)
 }
 
-// learn has the host know the newest configuration as of now.
-func (w *world) learn() {
+// refresh puts storeTable in force at the host, with a proof as of now.
+func (w *testHost) refresh() {
 	now := w.clock.Now()
-	w.table.Store(w.newest)
+	w.table.Store(w.storeTable)
 	w.proven.Store(&now)
 }
 
-func (w *world) checker(t *testing.T, strict bool) *Checker {
+func (w *testHost) checker(t *testing.T, strict bool) *Checker {
 	t.Helper()
 	c, err := New(Options{
 		Clock: &w.clock, Log: slog.New(slog.DiscardHandler), Table: w.table.Load, Observer: noObserver{},
-		Proven: func() time.Time {
+		ProvenAt: func() time.Time {
 			if at := w.proven.Load(); at != nil {
 				return *at
 			}
 			return time.Time{}
 		},
-		Ask: func(ctx context.Context) error {
-			w.asked.Add(1)
-			if w.ask != nil {
-				return w.ask(ctx)
+		Prove: func(ctx context.Context) error {
+			w.proveCalls.Add(1)
+			if w.prove != nil {
+				return w.prove(ctx)
 			}
-			w.learn()
+			w.refresh()
 			return nil
 		},
 		Strict: strict, RevokeWithin: 5 * time.Second, InForceWithin: 3 * time.Second,
@@ -70,11 +71,11 @@
 
 type noObserver struct{}
 
-func (noObserver) Checked(Outcome, time.Duration) {}
+func (noObserver) ObserveCheck(Outcome, time.Duration) {}
 
-var errAway = errors.New("the store can't be reached")
+var errStoreUnreachable = errors.New("the store can't be reached")
 
-func away(context.Context) error { return errAway }
+func failProve(context.Context) error { return errStoreUnreachable }
 
 func outcomeOf(customer *state.Customer, err error) string {
 	var unproven *UnprovenError
@@ -89,72 +90,75 @@
 	}
 }
 
-// in plays a test in virtual time, with a host that knows the key of depot.
-func in(t *testing.T, strict bool, play func(is *is.I, w *world, check func(key string) string)) {
+// withChecker runs a test in virtual time, with a host that knows the key of customer depot. check
+// returns the customer of a key, or the outcome if there is none.
+func withChecker(t *testing.T, strict bool, test func(is *is.I, w *testHost, check func(key string) string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &world{newest: tableOf(1, map[string]string{"k": "depot"})}
-		w.learn()
+		w := &testHost{storeTable: tableOf(1, map[string]string{"k": "depot"})}
+		w.refresh()
 		c := w.checker(t, strict)
-		play(is.New(t), w, func(key string) string {
+		test(is.New(t), w, func(key string) string {
 			return outcomeOf(c.Check(t.Context(), w.clock.Now(), []byte(key)))
 		})
 		synctest.Wait()
 	})
 }
 
-func TestKeyIsServedWhileItsProofIsYoung(t *testing.T) {
-	in(t, true, func(is *is.I, w *world, check func(string) string) {
-		w.ask = away
+// Guards against a key that is served on a proof older than RevokeWithin - clockMargin, or refused
+// earlier, and against a refusal although the store can be reached again.
+func TestKeyIsServedWhileItsProofIsRecent(t *testing.T) {
+	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
+		w.prove = failProve
 		for range 48 {
 			is.Equal(check("k"), "depot")
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(200 * time.Millisecond)
-		is.Equal(check("k"), "unproven") // 5 s without the store
-		w.ask = nil
-		time.Sleep(askMost)
-		is.Equal(check("k"), "depot") // it is asked before a request is refused
+		is.Equal(check("k"), "unproven") // 5 s without an answer of the store
+		w.prove = nil
+		time.Sleep(maxBackoff)
+		is.Equal(check("k"), "depot") // the store is asked before the request is refused
 	})
 }
 
-// A key that was revoked while this host was cut off is refused from the bound on, and
-// at once when the host learns of it.
+// Guards against service on a key that was revoked while this host couldn't reach the store: it is
+// refused once RevokeWithin has passed, and as unknown once the host gets the new configuration.
 func TestRevokedKeyIsNotServedPastTheBound(t *testing.T) {
-	in(t, true, func(is *is.I, w *world, check func(string) string) {
-		w.ask = away
-		w.newest = tableOf(2, nil)
+	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
+		w.prove = failProve
+		w.storeTable = tableOf(2, nil)
 		revoked := w.clock.Now()
 		for w.clock.Now().Sub(revoked) <= 8*time.Second {
 			served := check("k") == "depot"
 			is.True(!served || w.clock.Now().Sub(revoked) <= 5*time.Second)
 			time.Sleep(10 * time.Millisecond)
 		}
-		w.ask = nil
-		time.Sleep(askMost)
+		w.prove = nil
+		time.Sleep(maxBackoff)
 		is.Equal(check("k"), "unknown")
 	})
 }
 
-// The time in which a machine was suspended counts, though its timers stood still.
-func TestSuspendedHostHasNoProof(t *testing.T) {
-	in(t, true, func(is *is.I, w *world, check func(string) string) {
-		w.ask = away
+// Guards against a proof that doesn't age while the machine is suspended, since timers stop then.
+func TestSuspensionAgesTheProof(t *testing.T) {
+	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
+		w.prove = failProve
 		is.Equal(check("k"), "depot")
 		w.clock.Suspend(6 * time.Second)
 		is.Equal(check("k"), "unproven")
 	})
 }
 
-// A pause between the reading of a request and its check doesn't count against it, nor for
-// it: what counts is when it was read.
-func TestPauseBeforeTheCheckIsNoProof(t *testing.T) {
+// Guards against a check that uses its own time instead of the time at which the request was read: a
+// pause in between neither invalidates a proof that was recent then nor makes an old one valid.
+func TestProofIsJudgedAtTheTimeOfReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := &world{newest: tableOf(1, map[string]string{"k": "depot"})}
-		w.learn()
+		w := &testHost{storeTable: tableOf(1, map[string]string{"k": "depot"})}
+		w.refresh()
 		c := w.checker(t, true)
-		w.ask = away
+		w.prove = failProve
 		read := w.clock.Now().Add(4 * time.Second)
 		time.Sleep(20 * time.Second)
 		is.Equal(outcomeOf(c.Check(t.Context(), read, []byte("k"))), "depot")
@@ -162,48 +166,51 @@
 	})
 }
 
-func TestUnknownKeyIsAskedForFirst(t *testing.T) {
-	in(t, true, func(is *is.I, w *world, check func(string) string) {
-		w.newest = tableOf(2, map[string]string{"k": "depot", "new": "hall"})
-		is.Equal(check("new"), "unknown") // just proven: it can't have been in force for long
+// Guards against the refusal of a key that was added, but is missing in the host's configuration: once
+// the proof is too old to rule that out, the store is asked, and without an answer the key is unproven.
+func TestUnknownKeyIsCheckedAtTheStoreBeforeRefusal(t *testing.T) {
+	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
+		w.storeTable = tableOf(2, map[string]string{"k": "depot", "new": "hall"})
+		is.Equal(check("new"), "unknown") // the proof is recent: the key can't have been added long ago
 		time.Sleep(3 * time.Second)
 		is.Equal(check("new"), "hall")
-		is.Equal(w.asked.Load(), int64(1))
-		w.newest = tableOf(3, map[string]string{"k": "depot", "new": "hall", "newer": "nord"})
-		w.ask = away
+		is.Equal(w.proveCalls.Load(), int64(1))
+		w.storeTable = tableOf(3, map[string]string{"k": "depot", "new": "hall", "newer": "nord"})
+		w.prove = failProve
 		time.Sleep(3 * time.Second)
 		is.Equal(check("newer"), "unproven")
 		is.Equal(check(""), "unproven")
 	})
 }
 
-// A flood of unknown keys asks the store no more than once a bound.
+// Guards against a call to the store per request when many unknown keys arrive: calls are limited to
+// about one per InForceWithin, and by the backoff while the store doesn't answer.
 func TestUnknownKeysDoNotFloodTheStore(t *testing.T) {
-	in(t, true, func(is *is.I, w *world, check func(string) string) {
+	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
 		for range 10000 {
 			is.Equal(check("guess"), "unknown")
 			time.Sleep(time.Millisecond)
 		}
-		is.True(w.asked.Load() <= 4)
-		w.ask = away
+		is.True(w.proveCalls.Load() <= 4)
+		w.prove = failProve
 		time.Sleep(5 * time.Second)
-		before := w.asked.Load()
+		before := w.proveCalls.Load()
 		for range 1000 {
 			is.Equal(check("guess"), "unproven")
 			time.Sleep(time.Millisecond)
 		}
-		is.True(w.asked.Load()-before <= 2)
+		is.True(w.proveCalls.Load()-before <= 2)
 	})
 }
 
-// The store is asked ahead of need, so that no request waits for it.
-func TestStoreIsAskedBeforeTheProofIsTooOld(t *testing.T) {
-	in(t, true, func(is *is.I, w *world, check func(string) string) {
-		w.ask = func(ctx context.Context) error {
+// Guards against requests that wait for the store: the proof is renewed before it is too old.
+func TestProofIsRenewedAheadOfNeed(t *testing.T) {
+	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
+		w.prove = func(ctx context.Context) error {
 			if err := w.clock.Sleep(ctx, 50*time.Millisecond); err != nil {
 				return err
 			}
-			w.learn()
+			w.refresh()
 			return nil
 		}
 		for range 2000 {
@@ -212,50 +219,54 @@
 			is.Equal(w.clock.Now().Sub(before), time.Duration(0))
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(w.asked.Load() <= 7)
+		is.True(w.proveCalls.Load() <= 7)
 	})
 }
 
-func TestSilentStoreHoldsNoRequestUp(t *testing.T) {
-	in(t, true, func(is *is.I, w *world, check func(string) string) {
-		w.ask = func(ctx context.Context) error {
+// Guards against requests that wait for a store which doesn't answer: the first one waits at most
+// proveTimeout, and the next ones are refused at once during the backoff.
+func TestUnresponsiveStoreDoesNotBlockRequests(t *testing.T) {
+	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
+		w.prove = func(ctx context.Context) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}
 		time.Sleep(6 * time.Second)
 		before := w.clock.Now()
 		is.Equal(check("k"), "unproven")
-		is.True(w.clock.Now().Sub(before) <= askTimeout)
+		is.True(w.clock.Now().Sub(before) <= proveTimeout)
 		is.Equal(check("k"), "unproven")
-		is.True(w.clock.Now().Sub(before) <= askTimeout) // the second at once
+		is.True(w.clock.Now().Sub(before) <= proveTimeout) // the second request didn't wait
 	})
 }
 
-func TestKeysHoldWithoutProofWhereRevocationIsNotStrict(t *testing.T) {
-	in(t, false, func(is *is.I, w *world, check func(string) string) {
-		w.ask = away
+// Without strict revocation, keys in the configuration are served whatever the age of the proof. A key
+// that isn't found stays unproven, since it may have been added.
+func TestKeysAreServedWithoutProofWhenNotStrict(t *testing.T) {
+	withChecker(t, false, func(is *is.I, w *testHost, check func(string) string) {
+		w.prove = failProve
 		time.Sleep(time.Hour)
 		is.Equal(check("k"), "depot")
 		is.Equal(check("other"), "unproven")
 	})
 }
 
-func TestNoConfigurationProvesNothing(t *testing.T) {
-	in(t, true, func(is *is.I, w *world, check func(string) string) {
+func TestKeysAreUnprovenWithoutConfiguration(t *testing.T) {
+	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
 		w.table.Store(nil)
-		w.ask = away
+		w.prove = failProve
 		is.Equal(check("k"), "unproven")
 	})
 }
 
-func TestWrongBoundsNameTheRemedy(t *testing.T) {
+func TestNewRejectsInvalidOptions(t *testing.T) {
 	is := is.New(t)
 	_, err := New(Options{})
 	is.True(err != nil)
-	w := &world{}
+	w := &testHost{}
 	_, err = New(Options{
-		Clock: &w.clock, Log: slog.New(slog.DiscardHandler), Table: w.table.Load, Observer: noObserver{}, Ask: away,
-		Proven: func() time.Time { return time.Time{} }, Strict: true, InForceWithin: time.Second,
+		Clock: &w.clock, Log: slog.New(slog.DiscardHandler), Table: w.table.Load, Observer: noObserver{}, Prove: failProve,
+		ProvenAt: func() time.Time { return time.Time{} }, Strict: true, InForceWithin: time.Second,
 	})
 	is.True(err != nil)
 }
--- a/coordination/auth/doc.go
+++ b/coordination/auth/doc.go
@@ -1,21 +1,21 @@
-// Package auth decides whether a caller's key may be served: whose it is, and whether this
-// host can know that it hasn't been revoked.
+// Package auth checks the keys of callers: which customer a key belongs to, and whether this host's
+// configuration is proven recent enough to rule out that the key was revoked.
 //
-// Where revocation is strict, a request that was sent later than RevokeWithin after its key's
-// revocation was acknowledged may not run, at any host, in touch with the store or not. The
-// argument, in which sent ≤ read and proven ≤ acknowledged by the store's linearizability:
+// With strict revocation, no host may run a request that was sent later than RevokeWithin after the
+// revocation of its key was acknowledged, whether or not the host can reach the store. For the
+// times sent, read, proven and acknowledged, the store's linearizability implies:
 //
-//   - The host reads the request at the time read, so the caller sent it no later.
-//   - The host's configuration held at the time proven all that was acknowledged before.
-//   - The key is served only if read - proven ≤ RevokeWithin - margin. A revocation that the
-//     host doesn't know was acknowledged after proven, hence after sent - RevokeWithin.
+//   - The host reads the request at the time read, so sent ≤ read.
+//   - The host's configuration contains all writes that were acknowledged before the time proven.
+//   - The key is served only if read - proven ≤ RevokeWithin - clockMargin. A revocation that this
+//     configuration lacks was acknowledged after proven, hence after sent - RevokeWithin.
 //
-// Nothing counts after read: a host that is paused between the check and the sending, a
-// request that waits for its place, and the further attempts of the request are all of a
-// request that was sent in time. Times are of one clock, that of this host, which counts
-// suspensions; follow.Mirror carries the proof between hosts.
+// Delays after read don't matter: a pause of the host between the check and the sending, the wait of
+// a request for capacity, and its further attempts all concern a request that was sent in time. All
+// times are read from this host's clock, which counts time in suspension; follow.Mirror transfers
+// proofs between hosts.
 //
-// A key that isn't known is refused as unknown only on a proof young enough that a key that
-// was added can't be missing; otherwise the store is asked first. A host that can't know
-// says so, and that the request was not run.
+// A key that isn't found is refused as unknown only if the proof is so recent that a key which was
+// added must be in the configuration; otherwise the store is asked first. A host without a recent
+// proof refuses the request with an UnprovenError, which says that the request was not run.
 package auth
--- a/daemon/routed/keys.go
+++ b/daemon/routed/keys.go
@@ -13,7 +13,7 @@
 func (h *Host) buildKeys() error {
 	var err error
 	h.keys, err = auth.New(auth.Options{
-		Clock: h.clock, Log: h.log, Table: h.config.Table, Proven: h.configProven, Ask: h.askConfig, Observer: h.metrics,
+		Clock: h.clock, Log: h.log, Table: h.config.Table, ProvenAt: h.configProven, Prove: h.askConfig, Observer: h.metrics,
 		Strict: h.s.Bounds.Revoke > 0, RevokeWithin: h.s.Bounds.Revoke, InForceWithin: cmp.Or(h.s.Bounds.ConfigInForce, defaultInForce),
 	})
 	return err
--- a/daemon/routed/measures.go
+++ b/daemon/routed/measures.go
@@ -93,8 +93,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_rejected_total{reason=%q}`, reason)).Inc()
 }
 
-// Checked implements auth.Observer.
-func (m *measures) Checked(o auth.Outcome, _ time.Duration) { m.checked[o].Inc() }
+// ObserveCheck implements auth.Observer.
+func (m *measures) ObserveCheck(o auth.Outcome, _ time.Duration) { m.checked[o].Inc() }
 
 // Admitted implements forward.Observer.
 func (m *measures) Admitted(w forward.Phase, t forward.ReservationKind) {
