--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -1,19 +1,20 @@
-// Package lease keeps one named lease at the platform, so that usually only one
-// host does a piece of work.
+// Package lease acquires and renews one named lease in the store, so that usually only one host
+// does a piece of work.
 //
-// A lease only chooses who tries. It makes no action safe: a holder that was
-// paused goes on believing for a while, and two hosts may believe at the same
-// time. Whatever the holder does must be made safe by a conditional update of
-// the object that it changes. Calls to systems that check nothing are as safe as
-// the time between Permit and the arrival of the call is short.
+// A lease only elects the host that does the work. It doesn't make an action safe: a holder that was
+// paused may still believe that it holds the lease after another host has taken it over, so two hosts
+// may believe so at the same time. Every action of a holder must therefore be made safe by a
+// conditional update of the object that it changes. A call to a system that checks no condition is
+// only as safe as the time between Permit and the arrival of the call is short.
 //
-// A store that is restored from an older copy may have lost the last records of a lease. One that was
-// written in an earlier epoch of the store says nothing of who holds it now: whoever still does by
-// its own clock writes it again, and others wait as for a holder that is silent.
+// A store that is restored from an older copy may have lost the last records of a lease. A record
+// written in an earlier epoch of the store doesn't tell who holds the lease now: a host that still
+// holds it by its own clock writes the record again, and other hosts wait for the TTL, as they do for
+// a holder that doesn't renew.
 //
-// No clocks of two hosts are compared. A waiter takes a lease over only after it
-// has itself watched the object unchanged for the TTL; a holder gives up when its
-// own clock says that the last renewal is a TTL old.
+// The clocks of two hosts are never compared. A waiter takes a lease over only after it has itself
+// observed the object unchanged for the TTL; a holder gives the lease up when its own clock says
+// that the last renewal is a TTL old.
 package lease
 
 import (
@@ -30,50 +31,49 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// DefaultTTL is used when Options.TTL is zero.
+// DefaultTTL applies if Options.TTL is zero.
 const DefaultTTL = 9 * time.Second
 
-// callsPerTTL is how often a holder renews, and a waiter looks, in one TTL.
+// callsPerTTL is how often a holder renews, and a waiter polls, in one TTL.
 const callsPerTTL = 3
 
-// ErrLost says that the lease isn't held any more.
+// ErrLost is returned if the lease isn't held any more.
 var ErrLost = errors.New("the lease is held by another host or has lapsed; stop the work and acquire it again")
 
-// Options are the parts and settings of a Lessor.
+// Options configure a Lease. Store, Clock, Rand, Name and Holder are required.
 type Options struct {
 	Store store.Store
 	Clock state.Clock
-	// Rand spreads the calls of several hosts; the Lessor alone uses it.
+	// Rand jitters the calls of the hosts. It must not be shared: only the Lease may use it.
 	Rand *rand.Rand
 	// Name is the name of the lease object, for example planner.roster-llm.
 	Name string
-	// Holder is this host.
+	// Holder identifies this run of this host.
 	Holder state.HostID
-	// Machine names the machine that the host runs on, which runs one host at a time:
-	// a lease that an earlier run there held is free, since that run has ended. "" if
-	// it isn't known.
+	// Machine names the machine of this host, "" if it isn't known. A machine runs one host at a
+	// time, so a lease that an earlier run on it held is free: that run has ended.
 	Machine string
-	// TTL is how long a lease that isn't renewed stays with its holder. Three
-	// platform calls are made in each TTL, whatever the load. Default DefaultTTL.
+	// TTL is how long a lease that isn't renewed stays with its holder. A holder calls the store
+	// three times in each TTL, whatever the load. Default DefaultTTL.
 	TTL time.Duration
-	// CallGap is how far apart the calls of two holders must be, above their CallTime; with 0
-	// nothing keeps them apart. It must leave time to renew, so be well below the TTL.
+	// CallGap is the minimum time between calls of two holders, in addition to MaxCallTime; 0
+	// enforces none. It must leave time to renew, so it must be well below the TTL.
 	CallGap time.Duration
-	// MaxCallTime is the longest that a call under the lease takes from Permit on, until it has
-	// arrived or never will.
+	// MaxCallTime is the longest time from Permit until a call under the lease has arrived or can
+	// no longer arrive.
 	MaxCallTime time.Duration
-	// PollInterval is how often a waiter looks, asked anew at each third of the TTL, so
-	// that few hosts of many look often and others step in for them; nil stands for a
-	// third of the TTL.
+	// PollInterval returns how often a waiter polls the lease. It is evaluated again at each third
+	// of the TTL, so that of many hosts only a few poll often and others can replace them. If nil,
+	// a waiter polls at each third of the TTL.
 	PollInterval func() time.Duration
-	// MayBeLost reports whether an object of the lease that doesn't exist may have been lost by
-	// the store; nil stands for never.
+	// MayBeLost reports whether a lease object that doesn't exist may have been lost by the store;
+	// nil means never.
 	MayBeLost func() bool
-	// Log gets acquisitions and losses; nil means none.
+	// Log receives acquisitions and losses; nil discards them.
 	Log *slog.Logger
 }
 
-// OptionError says which option is wrong.
+// OptionError reports an option that is missing or invalid, and the remedy.
 type OptionError struct{ Option, Remedy string }
 
 // Error implements error.
@@ -96,42 +96,44 @@
 	case o.TTL < 0:
 		return &OptionError{"TTL", "use a positive duration"}
 	case o.CallGap < 0 || o.MaxCallTime < 0 || (o.CallGap > 0 && o.CallGap+o.TTL/callsPerTTL >= o.TTL):
-		return &OptionError{"Apart", "use at most half of the TTL, or a longer TTL"}
+		return &OptionError{"CallGap", "use at most half of the TTL, or a longer TTL"}
 	}
 	return nil
 }
 
-// record is the value of a lease object. Its version is what counts; the fields
-// tell a host its own lease and operators who holds it.
+// record is the value of a lease object. Conditional updates rely on the object's version only; the
+// fields let a host recognise its own lease and show operators the holder.
 type record struct {
-	// Holder is zero after a release.
+	// Holder is the run that holds the lease; it is zero after a release.
 	Holder state.HostID `json:"holder"`
-	// Nonce marks the last write, so that its writer recognises it.
+	// Nonce identifies the write, so that its writer recognises it.
 	Nonce string `json:"nonce"`
-	// Machine is that of the last holder; it stands after a release.
+	// Machine is that of the last holder; it is kept after a release.
 	Machine string `json:"machine,omitempty"`
-	// Epoch is that of the version which the record was written over.
+	// Epoch is the store's epoch of the version that the record was written over.
 	Epoch uint64 `json:"epoch,omitempty"`
-	// HoldOffMS is how long the term still had to keep silence at the write: a holder before it
-	// may have called until then.
+	// HoldOffMS is the part of the term's hold-off that was left at the write, in milliseconds: a
+	// previous holder may have made calls until then.
 	HoldOffMS int64 `json:"owed_ms,omitempty"`
 }
 
-// holdOff is OwedMS as a duration.
+// holdOff is HoldOffMS as a duration.
 func (r record) holdOff() time.Duration { return time.Duration(r.HoldOffMS) * time.Millisecond }
 
-// predatesRestore reports whether the record, read at that version, is older than the store's last
+// predatesRestore reports whether the record, read at version, was written before the store's last
 // restoration, so that later records may be lost.
 func (r record) predatesRestore(version uint64) bool { return r.Epoch < store.EpochOf(version) }
 
-// Lease acquires and keeps one lease. It is used by one goroutine at a time, but
-// for Held, Fence and First, which the work under the lease may ask.
+// Lease acquires and renews one lease for this host. It must be used by one goroutine at a time, except
+// for Held, Permit, PermitInTerm, HoldingOff, Fence, Epoch, FirstTerm and Reacquired, which are safe
+// for concurrent use.
 type Lease struct {
 	opts Options
-	// seenVersion and seenAt are the last version found and when it was first found.
+	// seenVersion is the version of the object at the last poll; seenAt is when a poll first found it.
 	seenVersion uint64
 	seenAt      time.Time
-	writes      uint64
+	// writes counts the writes of this run; it makes their nonces unique.
+	writes uint64
 
 	mu   sync.Mutex // guards term and permittedAt
 	term term
@@ -139,36 +141,36 @@
 	permittedAt time.Time
 }
 
-// term is what is known of the time for which the lease is held.
+// term is the time from one acquisition of the lease to its loss or release, as this host knows it.
 type term struct {
-	// version is the version of this host's own last write; 0 when not version.
+	// version is the version of this host's last write; store.Absent if the lease isn't held.
 	version uint64
-	// fence is the version at which the present term began.
+	// fence is the version of the object at the write that began the term.
 	fence uint64
-	// first says that nobody held the lease before the present term, and reacquired that a
-	// run on this machine did.
+	// first is set if nobody held the lease before the term; reacquired is set if a run on this
+	// machine was the last holder before it.
 	first, reacquired bool
 	// renewedAt is when the last successful write was started.
 	renewedAt time.Time
-	// holdOffUntil is when the first call of the term may be made.
+	// holdOffUntil is the end of the hold-off, before which the term permits no calls.
 	holdOffUntil time.Time
 }
 
-// currentTerm returns the currentTerm term.
+// currentTerm returns a copy of the current term.
 func (l *Lease) currentTerm() term {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.term
 }
 
-// updateTerm changes the present term.
+// updateTerm applies f to the current term.
 func (l *Lease) updateTerm(f func(t *term)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(&l.term)
 }
 
-// New validates the options and returns a Lessor that holds nothing yet.
+// New validates the options and returns a Lease that isn't held yet.
 func New(o Options) (*Lease, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -182,14 +184,15 @@
 	return &Lease{opts: o}, nil
 }
 
-// Held reports whether this host believes to hold the lease, by its own clock.
+// Held reports whether this host holds the lease by its own clock.
 func (l *Lease) Held() bool {
 	t := l.currentTerm()
 	return t.version != store.Absent && l.opts.Clock.Now().Sub(t.renewedAt) < l.opts.TTL
 }
 
-// TryAcquire looks at the lease once and takes it if it is free, released, this host's
-// own, or was seen unchanged for the TTL. It makes at most three platform calls.
+// TryAcquire reads the lease once and takes it if it is free, released, last held by this machine, or
+// was observed unchanged for the TTL. A record from before a restoration of the store is only taken
+// over for the last reason. It makes at most three calls to the store.
 func (l *Lease) TryAcquire(ctx context.Context) (bool, error) {
 	now := l.opts.Clock.Now()
 	obj, err := l.opts.Store.Get(ctx, store.KindLease, l.opts.Name)
@@ -221,31 +224,31 @@
 	return false, nil
 }
 
-// takeAbsent creates the lease's object. A holder whose record the store has lost may act until it
-// hasn't been able to renew for the TTL.
+// takeAbsent creates the lease object. If the store may have lost the object, a holder whose record
+// was lost may act until it hasn't been able to renew for the TTL, so the hold-off covers that time.
 func (l *Lease) takeAbsent(ctx context.Context) (bool, error) {
 	if !l.mayBeLost() {
 		return l.take(ctx, store.Absent, false, 0)
 	}
-	l.opts.Log.Warn("lease not at the store; it may have been lost", "lease", l.opts.Name, "silence", l.opts.TTL+l.opts.MaxCallTime)
+	l.opts.Log.Warn("lease object not found; the store may have lost it", "lease", l.opts.Name, "silence", l.opts.TTL+l.opts.MaxCallTime)
 	return l.take(ctx, store.Absent, false, l.opts.TTL+l.opts.MaxCallTime)
 }
 
 func (l *Lease) mayBeLost() bool { return l.opts.MayBeLost != nil && l.opts.MayBeLost() }
 
-// inFlightFor is how long the last call of this run may still be on its way.
+// inFlightFor returns how long the last call that this run permitted may still be in flight.
 func (l *Lease) inFlightFor(now time.Time) time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return max(0, l.permittedAt.Add(l.opts.MaxCallTime).Sub(now))
 }
 
-// writtenHere reports whether this run or an earlier one on this machine wrote the record last.
+// writtenHere reports whether this run or an earlier one on this machine wrote the record.
 func (l *Lease) writtenHere(r record) bool {
 	return r.Holder == l.opts.Holder || (l.opts.Machine != "" && r.Machine == l.opts.Machine)
 }
 
-// expired reports whether the lease's object has stood unchanged for a TTL.
+// expired reports whether this host has observed the lease object unchanged for a TTL.
 func (l *Lease) expired(obj store.Object, now time.Time) bool {
 	if obj.Version != l.seenVersion {
 		l.seenVersion, l.seenAt = obj.Version, now
@@ -254,8 +257,8 @@
 	return now.Sub(l.seenAt) >= l.opts.TTL
 }
 
-// take writes the lease over version and keeps silence for so long. Losing the race to
-// another host is no error.
+// take writes the lease over version and begins a term with the given hold-off. Losing the race to
+// another host isn't an error.
 func (l *Lease) take(ctx context.Context, version uint64, reacquired bool, holdOff time.Duration) (bool, error) {
 	err := l.write(ctx, version, l.opts.Holder, holdOff)
 	if err == nil {
@@ -270,19 +273,25 @@
 	return err == nil, err
 }
 
-// ErrNotPermitted says that no call may be made at this moment.
+// ErrNotPermitted is returned if no call may be made at this moment.
 var ErrNotPermitted = errors.New("no call may be made under the lease now; try again later, while it is held")
 
-// Permit returns the number of the present term if a call may leave at this moment. It is to
-// be asked after the last wait before the bytes of the call leave.
+// Permit returns the fence of the current term if a call may be sent at this moment, else
+// ErrNotPermitted. It must be called after the last wait before the bytes of the call are sent.
 //
-// Calls of two terms are at least Apart apart, and those of the earlier one have arrived or
-// never will when those of the later one begin: a holder makes none once its last renewal is
-// TTL - Apart old. Others take the lease over once they have seen it unchanged for the TTL,
-// and keep silence for CallTime then, as the next run on the same machine does, which may find
-// a call of the last one still under way, and the same run while one of its own may be; a lease
-// that was released is taken at once, so that silence is longer by Apart. The number is the
-// version of the object at the write that began the term, which no other write has.
+// Calls of two terms are at least CallGap apart, and the calls of the earlier term have arrived, or
+// can no longer arrive, before those of the later one begin:
+//
+//   - A holder sends no call once its last renewal is TTL - CallGap old.
+//   - A host that takes the lease over has observed it unchanged for the TTL, and then holds off for
+//     MaxCallTime.
+//   - The next run on the same machine holds off for MaxCallTime, since a call of the previous run may
+//     be in flight. The same run holds off while a call of its own may be.
+//   - A released lease can be taken at once, so the hold-off is longer by CallGap.
+//   - A term after a release, or on the same machine, lasts out the previous term's hold-off, too.
+//
+// The fence is the version of the object at the write that began the term; no other write has the
+// same version.
 func (l *Lease) Permit() (fence uint64, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -294,43 +303,44 @@
 	return t.fence, nil
 }
 
-// PermitInTerm returns what allows a call to leave while the term of that number goes on.
+// PermitInTerm returns a function that permits a call as Permit does, but only while the term with
+// that fence is the current one. It returns ErrNotPermitted otherwise.
 func (l *Lease) PermitInTerm(fence uint64) (permit func() error) {
 	return func() error {
-		present, err := l.Permit()
-		if err == nil && present != fence {
+		current, err := l.Permit()
+		if err == nil && current != fence {
 			err = ErrNotPermitted
 		}
 		return err
 	}
 }
 
-// HoldingOff reports whether the present term's first call may not be made yet.
+// HoldingOff reports whether the current term is still in its hold-off, so that no call is permitted.
 func (l *Lease) HoldingOff() bool { return l.holdOffLeft() > 0 }
 
-// holdOffLeft is how long it is until then.
+// holdOffLeft returns the rest of the current term's hold-off, 0 once it is over.
 func (l *Lease) holdOffLeft() time.Duration {
 	return max(0, l.currentTerm().holdOffUntil.Sub(l.opts.Clock.Now()))
 }
 
-// Fence is the version at which the present term began: a number that grows from
+// Fence returns the version of the object at the write that began the current term. It grows from
 // holder to holder.
 func (l *Lease) Fence() uint64 { return l.currentTerm().fence }
 
-// Epoch is that of the store at this host's last write of the lease, 0 if it isn't held. What the
-// holder wrote to the store in an earlier epoch may be lost.
+// Epoch returns the store's epoch at this host's last write of the lease, 0 if the lease isn't held.
+// What the holder wrote to the store in an earlier epoch may be lost.
 func (l *Lease) Epoch() uint64 { return store.EpochOf(l.currentTerm().version) }
 
-// FirstTerm reports whether nobody held the lease before the present term.
+// FirstTerm reports whether nobody held the lease before the current term.
 func (l *Lease) FirstTerm() bool { return l.currentTerm().first }
 
-// Reacquired reports whether the last holder before the present term was a run on this machine,
-// so that no other has held the lease since.
+// Reacquired reports whether the last holder before the current term was a run on this machine, so
+// that no other machine has held the lease in between.
 func (l *Lease) Reacquired() bool { return l.currentTerm().reacquired }
 
-// Renew extends a held lease. It returns ErrLost if the object has changed, and
-// the store's error if the platform gave no answer: the lease is then held until
-// the TTL passes on this host's clock.
+// Renew extends a held lease. It returns ErrLost if another write has replaced this host's, and the
+// store's error if the store gave no answer: the lease then stays held until the TTL passes on this
+// host's clock.
 func (l *Lease) Renew(ctx context.Context) error {
 	held := l.currentTerm().version
 	if held == store.Absent {
@@ -343,8 +353,8 @@
 	return l.renewAfterConflict(ctx)
 }
 
-// renewAfterConflict renews over an earlier write of this host whose answer was lost, or over what a restored
-// store has instead of its last write.
+// renewAfterConflict renews the lease if the conflicting object is an earlier write of this host whose
+// answer was lost, or an earlier record that a restored store has instead of its last write.
 func (l *Lease) renewAfterConflict(ctx context.Context) error {
 	obj, err := l.opts.Store.Get(ctx, store.KindLease, l.opts.Name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -363,22 +373,23 @@
 	return ErrLost
 }
 
-// survivesRestore reports whether the term goes on though the store has an earlier record, or none: the
-// store was restored, and nobody else can have taken the lease while this host's last renewal isn't
-// a TTL old. A term that is still silent doesn't: it may have begun beside one that was lost.
+// survivesRestore reports whether the term continues although the store has an earlier record or none:
+// the store was restored, and no other host can have taken the lease while this host's last renewal is
+// younger than the TTL. A term in its hold-off doesn't continue: a term that the store has lost may
+// have begun at the same time.
 func (l *Lease) survivesRestore(obj store.Object, r record, readable bool) bool {
 	if !l.Held() || l.HoldingOff() {
 		return false
 	}
 	survives := readable && r.predatesRestore(obj.Version) || obj.Version == store.Absent && l.mayBeLost()
 	if survives {
-		l.opts.Log.Warn("lease written again at a restored store", "lease", l.opts.Name, "version", store.FormatVersion(obj.Version), "record_of", r.Holder.String())
+		l.opts.Log.Warn("lease rewritten after a restoration of the store", "lease", l.opts.Name, "version", store.FormatVersion(obj.Version), "record_of", r.Holder.String())
 	}
 	return survives
 }
 
-// Release gives a held lease up, so that a waiter needn't wait for the TTL.
-// Releasing a lease that isn't held is no error.
+// Release gives up a held lease, so that a waiter needn't wait for the TTL. Releasing a lease that
+// isn't held isn't an error.
 func (l *Lease) Release(ctx context.Context) error {
 	held := l.currentTerm().version
 	if held == store.Absent {
@@ -392,14 +403,14 @@
 	return err
 }
 
-// markNotHeld forgets that the lease is held.
+// markNotHeld records that the lease isn't held any more.
 func (l *Lease) markNotHeld() { l.updateTerm(func(t *term) { t.version = store.Absent }) }
 
-// ceilMilliseconds rounds up, so that no silence is forgotten.
+// ceilMilliseconds rounds up, so that a stored hold-off is never shorter than the real one.
 func ceilMilliseconds(d time.Duration) int64 { return (d + time.Millisecond - 1).Milliseconds() }
 
-// write stores a record over version, of a term that still has to keep silence for owed. An answer
-// that was lost is read back and recognised by its nonce.
+// write stores a record over version with what is left of the term's hold-off. If the answer is lost,
+// the object is read back and the write recognised by its nonce.
 func (l *Lease) write(ctx context.Context, version uint64, holder state.HostID, holdOff time.Duration) error {
 	started := l.opts.Clock.Now()
 	l.writes++
@@ -419,6 +430,8 @@
 	return nil
 }
 
+// readBack reads the object after a write whose outcome is unknown. It returns the new version if the
+// write took effect, cause if the object is unchanged or unreadable, and a conflict otherwise.
 func (l *Lease) readBack(ctx context.Context, nonce string, version uint64, cause error) (uint64, error) {
 	obj, err := l.opts.Store.Get(ctx, store.KindLease, l.opts.Name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -17,7 +17,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// skewedClock is a host's clock that is wrong by a constant.
+// skewedClock is a host's clock that is wrong by a constant offset.
 type skewedClock struct{ offset time.Duration }
 
 func (c skewedClock) Now() time.Time { return time.Now().Add(c.offset) }
@@ -31,6 +31,8 @@
 	}
 }
 
+// newLease returns a host's Lease with default options. Each host seeds its random source by the
+// length of its name.
 func newLease(t *testing.T, p *storetest.Platform, host string, skew time.Duration) *lease.Lease {
 	t.Helper()
 	l, err := lease.New(lease.Options{
@@ -43,8 +45,8 @@
 	return l
 }
 
-// A host that starts again on the machine of the last holder needn't wait until that
-// lease lapses: the run that held it has ended.
+// Guards against a wait for the TTL after a restart: the next run on the machine of the last holder
+// takes the lease at once, since the run that held it has ended. Other machines still wait.
 func TestNextRunOnSameMachineAcquiresAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -72,7 +74,7 @@
 		is.True(held)
 		is.True(second.Reacquired())
 		is.True(second.Fence() > first.Fence())
-		is.True(errors.Is(first.Renew(t.Context()), lease.ErrLost)) // had it been alive
+		is.True(errors.Is(first.Renew(t.Context()), lease.ErrLost)) // the first run would lose the lease if it still ran
 		is.NoErr(second.Release(t.Context()))
 		other := run("5", "m2")
 		held, err = other.TryAcquire(t.Context())
@@ -82,7 +84,7 @@
 	})
 }
 
-// activeHolders notes who runs the work at each moment.
+// activeHolders records which hosts are running the work.
 type activeHolders struct {
 	mu     sync.Mutex
 	active map[string]bool
@@ -112,6 +114,7 @@
 	return h.active[host]
 }
 
+// refuseCallsOf returns a script by which the store refuses all calls of a host.
 func refuseCallsOf(host string) storetest.Script {
 	return func(c storetest.Call) storetest.Fault {
 		if c.Caller == host {
@@ -121,6 +124,8 @@
 	}
 }
 
+// Guards against a waiter that takes a lease over while it is renewed, or before it has itself observed
+// it unchanged for a TTL, and against a holder that doesn't notice the expiry.
 func TestLeaseIsTakenOverAfterTTL(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -129,20 +134,20 @@
 		var h activeHolders
 		go h.run(ctx, newLease(t, p, "a", 0), "a")
 		synctest.Wait()
-		// The waiter's clock is an hour ahead: a comparison of clocks would rob the holder.
+		// The waiter's clock is an hour ahead: if it compared clocks, it would take the lease from its holder.
 		go h.run(ctx, newLease(t, p, "bb", time.Hour), "bb")
 		time.Sleep(time.Hour)
 		is.True(h.isActive("a") && !h.isActive("bb"))
 		calls := p.Calls()
 		time.Sleep(time.Minute)
-		is.True(p.Calls()-calls <= 60) // two hosts, three looks in a TTL each
+		is.True(p.Calls()-calls <= 60) // two hosts, three calls in a TTL each
 
 		p.SetScript(refuseCallsOf("a"))
 		time.Sleep(lease.DefaultTTL - time.Second)
-		is.True(!h.isActive("bb")) // not before a TTL without renewal
+		is.True(!h.isActive("bb")) // not before a TTL has passed without renewal
 		time.Sleep(lease.DefaultTTL)
 		is.True(h.isActive("bb"))
-		is.True(!h.isActive("a")) // its own clock told it
+		is.True(!h.isActive("a")) // the lease expired by its own clock
 		p.SetScript(nil)
 		time.Sleep(time.Hour)
 		is.True(h.isActive("bb") && !h.isActive("a"))
@@ -151,8 +156,8 @@
 	})
 }
 
-// Of many hosts few look often; the lease is taken over by one that has become one of
-// the few, and costs no more calls for the others.
+// Guards against a lease without a holder while few hosts poll often: a host that starts to poll often
+// takes it over, and until then a waiter that polls rarely makes no additional calls.
 func TestHostThatBeginsToPollOftenTakesOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -177,7 +182,7 @@
 		time.Sleep(time.Minute)
 		calls := p.Calls()
 		time.Sleep(30 * time.Minute)
-		is.True(p.Calls()-calls <= 30*60/2+1) // the holder's renewals alone, every 2.4 s or more
+		is.True(p.Calls()-calls <= 30*60/2+1) // only the holder's renewals, one every 2.4 s or more
 		p.SetScript(refuseCallsOf("a"))
 		time.Sleep(5 * time.Minute)
 		is.True(!h.isActive("bb"))
@@ -189,18 +194,19 @@
 	})
 }
 
+// Guards against a wait for the TTL after a holder that ends in order: Run releases the lease.
 func TestLeaseIsReleasedWhenRunEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		p := storetest.NewPlatform(0)
 		var h activeHolders
-		first, stop := context.WithCancel(ctx)
-		go h.run(first, newLease(t, p, "a", 0), "a")
+		firstCtx, stopFirst := context.WithCancel(ctx)
+		go h.run(firstCtx, newLease(t, p, "a", 0), "a")
 		synctest.Wait()
 		go h.run(ctx, newLease(t, p, "bb", 0), "bb")
 		time.Sleep(time.Minute)
-		stop()
+		stopFirst()
 		time.Sleep(lease.DefaultTTL / 3)
 		is.True(h.isActive("bb")) // it needn't wait for the TTL
 		cancel()
@@ -208,6 +214,8 @@
 	})
 }
 
+// Guards against a lease that is reported lost because the answer to a write of its holder was lost:
+// the write is recognised by its nonce.
 func TestLeaseSurvivesLostAnswers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -222,11 +230,11 @@
 		p.SetScript(loseAnswerOfPut)
 		held, err := l.TryAcquire(t.Context())
 		is.NoErr(err)
-		is.True(held) // read back
+		is.True(held) // by reading the write back
 		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.LoseAnswer })
 		is.True(l.Renew(t.Context()) != nil)
 		p.SetScript(nil)
-		is.NoErr(l.Renew(t.Context())) // over its own write
+		is.NoErr(l.Renew(t.Context())) // renews over its own write
 		time.Sleep(2 * lease.DefaultTTL)
 		is.True(!l.Held())
 	})
@@ -241,8 +249,8 @@
 	})
 }
 
-// Guards against calls of two holders that come too close, because a host takes the lease, keeps
-// silence, and its next run on the same machine believes that nobody else has called lately.
+// Guards against calls of two holders that are less than CallGap apart: a host takes a released lease
+// and ends during its hold-off, and the next run on its machine starts without the rest of it.
 func TestNextRunInheritsRemainingHoldOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -268,7 +276,7 @@
 		calledAt := time.Now()
 		is.NoErr(first.Release(t.Context()))
 		second := run("b", "1")
-		acquire(second) // released: it keeps silence
+		acquire(second) // a released lease starts with a hold-off
 		time.Sleep(500 * time.Millisecond)
 		is.NoErr(second.Release(t.Context()))
 		third := run("b", "2")
@@ -284,7 +292,7 @@
 		is.NoErr(err)
 		is.True(time.Since(calledAt) >= callGap+maxCallTime)
 		is.True(time.Since(calledAt) <= callGap+2*maxCallTime)
-		fourth := run("b", "3") // the last one's silence is over
+		fourth := run("b", "3") // the hold-off of the previous run is over
 		is.NoErr(third.Release(t.Context()))
 		acquire(fourth)
 		time.Sleep(maxCallTime)
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -21,11 +21,11 @@
 	testTTL         = 6 * time.Second
 	testCallGap     = 3300 * time.Millisecond
 	testMaxCallTime = time.Second
-	// maxRollback is how far a restored store may be behind, at most.
+	// maxRollback is the longest time by which a restoration sets the store back.
 	maxRollback = 5 * time.Second
 )
 
-// callLog are the calls that machines made under the lease, in their order.
+// callLog records the calls that machines made under the lease, in their order.
 type callLog struct {
 	mu    sync.Mutex
 	calls []loggedCall
@@ -43,31 +43,33 @@
 	d.calls = append(d.calls, loggedCall{time.Now(), machine, fence})
 }
 
-// firstViolation reports the first two calls that must not follow each other.
+// firstViolation describes the first call that breaks the rules, "" if none does: one machine per
+// fence, fences that never decrease, and testCallGap between calls of different machines.
 func (d *callLog) firstViolation() string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	holders := map[uint64]string{}
+	machineOfFence := map[uint64]string{}
 	for i, c := range d.calls {
-		if other, used := holders[c.fence]; used && other != c.machine {
-			return fmt.Sprintf("%s and %s use the fence %s", other, c.machine, store.FormatVersion(c.fence))
+		if previous, used := machineOfFence[c.fence]; used && previous != c.machine {
+			return fmt.Sprintf("%s and %s both made calls with fence %s", previous, c.machine, store.FormatVersion(c.fence))
 		}
-		holders[c.fence] = c.machine
+		machineOfFence[c.fence] = c.machine
 		if i == 0 {
 			continue
 		}
 		before := d.calls[i-1]
 		switch {
 		case c.fence < before.fence:
-			return fmt.Sprintf("%s calls with %s after %s has with %s", c.machine, store.FormatVersion(c.fence), before.machine, store.FormatVersion(before.fence))
+			return fmt.Sprintf("%s made a call with fence %s after %s had made one with fence %s", c.machine, store.FormatVersion(c.fence), before.machine, store.FormatVersion(before.fence))
 		case c.machine != before.machine && c.at.Sub(before.at) < testCallGap:
-			return fmt.Sprintf("%s calls %s after %s", c.machine, c.at.Sub(before.at), before.machine)
+			return fmt.Sprintf("%s made a call only %s after one of %s", c.machine, c.at.Sub(before.at), before.machine)
 		}
 	}
 	return ""
 }
 
-// machine runs one host after another, each with its Lessor, and makes calls while it may.
+// machine runs one host after another, each with its own Lease, and makes calls whenever one is
+// permitted.
 type machine struct {
 	p         *storetest.Platform
 	calls     *callLog
@@ -108,8 +110,8 @@
 	<-m.done
 }
 
-// Guards against two hosts that act under one lease, or with fences that go back, after the store
-// lost who holds it: the record of an earlier holder, of a release, or none is there again.
+// Guards against two hosts that make calls under one lease, or with decreasing fences, after a
+// restoration has taken the store back to the record of an earlier holder, of a release, or to none.
 func TestOneHolderCallsAcrossStoreRestores(t *testing.T) {
 	const seeds = 400
 	totalCalls := 0
@@ -170,7 +172,7 @@
 				t.Errorf("seed %d: %s", seed, violation)
 			}
 			if last := calls.calls[len(calls.calls)-1]; ended.Sub(last.at) > testTTL {
-				t.Errorf("seed %d: nobody has acted for %s", seed, ended.Sub(last.at))
+				t.Errorf("seed %d: no host has made a call for %s", seed, ended.Sub(last.at))
 			}
 			totalCalls += len(calls.calls)
 		})
--- a/coordination/lease/run.go
+++ b/coordination/lease/run.go
@@ -8,9 +8,8 @@
 	"github.com/sourcegraph/conc"
 )
 
-// Acquire waits until the lease is held or ctx ends. It looks three times in a
-// TTL, or as often as LookEvery says; a platform that gives no answer is asked again
-// at the same pace.
+// Acquire waits until the lease is held or ctx ends; the error is that of ctx. It polls three times
+// in a TTL, or as often as PollInterval says; failed polls are retried at the same interval.
 func (l *Lease) Acquire(ctx context.Context) error {
 	if err := l.awaitFirstPoll(ctx); err != nil {
 		return err
@@ -22,7 +21,7 @@
 			return nil
 		}
 		if err != nil && ctx.Err() == nil {
-			l.opts.Log.Debug("lease not readable", "lease", l.opts.Name, "error", err)
+			l.opts.Log.Debug("lease acquisition failed; it is retried", "lease", l.opts.Name, "error", err)
 		}
 		if err := l.awaitNextPoll(ctx); err != nil {
 			return err
@@ -30,9 +29,9 @@
 	}
 }
 
-// awaitFirstPoll waits before the first look until this host is one of the few that look often, or
-// its first pause is over: the first looks of all hosts that start together would cost as much
-// as their looks of minutes.
+// awaitFirstPoll delays the first poll until this host is one of the few that poll often, or one
+// PollInterval has passed: if all hosts that start together polled at once, these polls would cost
+// as much as minutes of regular ones.
 func (l *Lease) awaitFirstPoll(ctx context.Context) error {
 	if l.opts.PollInterval == nil {
 		return nil
@@ -49,11 +48,11 @@
 	}
 }
 
-// firstPollCheckInterval is how often a host that has just started asks whether it is its turn to look: a
-// holder that restarts goes on almost at once.
+// firstPollCheckInterval is how often a host that has just started evaluates PollInterval. It is short,
+// so that a holder that restarts resumes almost at once.
 const firstPollCheckInterval = 200 * time.Millisecond
 
-// awaitNextPoll waits until a waiter's next look is due.
+// awaitNextPoll waits until the next poll of a waiter is due.
 func (l *Lease) awaitNextPoll(ctx context.Context) error {
 	polledAt := l.opts.Clock.Now()
 	for {
@@ -70,22 +69,22 @@
 	}
 }
 
-// jitteredInterval is the time between two renewals, or two questions of a waiter whether a look
-// is due: a third of the TTL.
+// jitteredInterval returns the time until the next renewal, or until a waiter next checks whether a
+// poll is due: a third of the TTL, less jitter.
 func (l *Lease) jitteredInterval() time.Duration { return l.jitter(l.opts.TTL / callsPerTTL) }
 
-// jitter takes up to a fifth off, so that hosts that started together drift apart.
+// jitter shortens d by up to a fifth at random, so that the calls of hosts that started together spread
+// out.
 func (l *Lease) jitter(d time.Duration) time.Duration {
 	return d - time.Duration(l.opts.Rand.Int64N(int64(d)/jitterDivisor+1))
 }
 
-// jitterDivisor is the part of a pause by which hosts drift apart.
+// jitterDivisor is the divisor of an interval that gives its largest jitter.
 const jitterDivisor = 5
 
-// Run acquires the lease and calls work with a context that is cancelled with
-// cause ErrLost once the lease is lost; it then waits for work to return and
-// acquires again. Run returns when work returns by itself, with its error, or
-// when ctx ends, with nil; it releases the lease in both cases.
+// Run acquires the lease and calls work with a context that is cancelled with cause ErrLost once the
+// lease is lost; it then waits for work to return and acquires the lease again. Run returns the error
+// of work if work returns on its own, and nil if ctx ends. It releases the lease in both cases.
 func (l *Lease) Run(ctx context.Context, work func(context.Context) error) error {
 	for {
 		if err := l.Acquire(ctx); err != nil {
@@ -100,17 +99,18 @@
 	}
 }
 
-// hold runs work while the lease is renewed. over is true if work ended by itself.
+// hold runs work while it renews the lease. workEnded reports whether work returned on its own; err
+// is then its error.
 func (l *Lease) hold(ctx context.Context, work func(context.Context) error) (workEnded bool, err error) {
 	workCtx, cancelWork := context.WithCancelCause(ctx)
 	defer cancelWork(nil)
 	renewCtx, stopRenewing := context.WithCancel(ctx)
 	defer stopRenewing()
 	var g conc.WaitGroup
-	var result error
+	var workErr error
 	g.Go(func() {
 		defer stopRenewing()
-		result = work(workCtx)
+		workErr = work(workCtx)
 	})
 	lost := l.renewUntilLost(renewCtx)
 	if lost {
@@ -120,10 +120,10 @@
 	if lost || ctx.Err() != nil {
 		return false, nil
 	}
-	return true, result
+	return true, workErr
 }
 
-// renewUntilLost renews until the lease is lost (true) or ctx ends (false).
+// renewUntilLost renews the lease until it is lost (true) or ctx ends (false).
 func (l *Lease) renewUntilLost(ctx context.Context) bool {
 	for {
 		if err := l.opts.Clock.Sleep(ctx, l.jitteredInterval()); err != nil {
@@ -139,8 +139,8 @@
 	}
 }
 
-// renewWithinTTL bounds the renewal by what is left of the TTL, so that a call that
-// hangs can't keep the belief alive.
+// renewWithinTTL bounds the renewal by what is left of the TTL, but at least a third of it, so that a
+// call that hangs doesn't delay the detection of an expired lease.
 func (l *Lease) renewWithinTTL(ctx context.Context) error {
 	left := l.opts.TTL - l.opts.Clock.Now().Sub(l.currentTerm().renewedAt)
 	ctx, cancel := context.WithTimeout(ctx, max(left, l.opts.TTL/callsPerTTL))
@@ -148,11 +148,11 @@
 	return l.Renew(ctx)
 }
 
-// releaseOnExit tries once; a platform that doesn't answer leaves the lease to lapse.
+// releaseOnExit tries to release the lease once; if the store doesn't answer, the lease expires.
 func (l *Lease) releaseOnExit(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.opts.TTL/callsPerTTL)
 	defer cancel()
 	if err := l.Release(ctx); err != nil {
-		l.opts.Log.Debug("lease not released", "lease", l.opts.Name, "error", err)
+		l.opts.Log.Debug("lease not released; it expires after its TTL", "lease", l.opts.Name, "error", err)
 	}
 }
--- a/coordination/order/run.go
+++ b/coordination/order/run.go
@@ -47,7 +47,7 @@
 }
 
 // Run drives the engines of the service until ctx ends, and returns nil then. It
-// is meant as the work of a lease.Lessor.
+// is meant as the work of a lease.Lease.
 func (p *Planner) Run(ctx context.Context) error {
 	var g conc.WaitGroup
 	next := agenda{}
