--- a/coordination/auth/auth_test.go
+++ b/coordination/auth/auth_test.go
@@ -37,28 +37,28 @@
 }
 
 // refresh puts storeTable in force at the host, with a proof as of now.
-func (w *testHost) refresh() {
-	now := w.clock.Now()
-	w.table.Store(w.storeTable)
-	w.proven.Store(&now)
+func (h *testHost) refresh() {
+	now := h.clock.Now()
+	h.table.Store(h.storeTable)
+	h.proven.Store(&now)
 }
 
-func (w *testHost) checker(t *testing.T, strict bool) *Checker {
+func (h *testHost) checker(t *testing.T, strict bool) *Checker {
 	t.Helper()
 	c, err := New(Options{
-		Clock: &w.clock, Log: slog.New(slog.DiscardHandler), Table: w.table.Load, Observer: noObserver{},
+		Clock: &h.clock, Log: slog.New(slog.DiscardHandler), Table: h.table.Load, Observer: noObserver{},
 		ProvenAt: func() time.Time {
-			if at := w.proven.Load(); at != nil {
+			if at := h.proven.Load(); at != nil {
 				return *at
 			}
 			return time.Time{}
 		},
 		Prove: func(ctx context.Context) error {
-			w.proveCalls.Add(1)
-			if w.prove != nil {
-				return w.prove(ctx)
+			h.proveCalls.Add(1)
+			if h.prove != nil {
+				return h.prove(ctx)
 			}
-			w.refresh()
+			h.refresh()
 			return nil
 		},
 		Strict: strict, RevokeWithin: 5 * time.Second, InForceWithin: 3 * time.Second,
@@ -92,14 +92,14 @@
 
 // withChecker runs a test in virtual time, with a host that knows the key of customer depot. check
 // returns the customer of a key, or the outcome if there is none.
-func withChecker(t *testing.T, strict bool, test func(is *is.I, w *testHost, check func(key string) string)) {
+func withChecker(t *testing.T, strict bool, test func(is *is.I, h *testHost, check func(key string) string)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := &testHost{storeTable: tableOf(1, map[string]string{"k": "depot"})}
-		w.refresh()
-		c := w.checker(t, strict)
-		test(is.New(t), w, func(key string) string {
-			return outcomeOf(c.Check(t.Context(), w.clock.Now(), []byte(key)))
+		h := &testHost{storeTable: tableOf(1, map[string]string{"k": "depot"})}
+		h.refresh()
+		c := h.checker(t, strict)
+		test(is.New(t), h, func(key string) string {
+			return outcomeOf(c.Check(t.Context(), h.clock.Now(), []byte(key)))
 		})
 		synctest.Wait()
 	})
@@ -108,15 +108,15 @@
 // Guards against a key that is served on a proof older than RevokeWithin - clockMargin, or refused
 // earlier, and against a refusal although the store can be reached again.
 func TestKeyIsServedWhileItsProofIsRecent(t *testing.T) {
-	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
-		w.prove = failProve
+	withChecker(t, true, func(is *is.I, h *testHost, check func(string) string) {
+		h.prove = failProve
 		for range 48 {
 			is.Equal(check("k"), "depot")
 			time.Sleep(100 * time.Millisecond)
 		}
 		time.Sleep(200 * time.Millisecond)
 		is.Equal(check("k"), "unproven") // 5 s without an answer of the store
-		w.prove = nil
+		h.prove = nil
 		time.Sleep(maxBackoff)
 		is.Equal(check("k"), "depot") // the store is asked before the request is refused
 	})
@@ -125,16 +125,16 @@
 // Guards against service on a key that was revoked while this host couldn't reach the store: it is
 // refused once RevokeWithin has passed, and as unknown once the host gets the new configuration.
 func TestRevokedKeyIsNotServedPastTheBound(t *testing.T) {
-	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
-		w.prove = failProve
-		w.storeTable = tableOf(2, nil)
-		revoked := w.clock.Now()
-		for w.clock.Now().Sub(revoked) <= 8*time.Second {
+	withChecker(t, true, func(is *is.I, h *testHost, check func(string) string) {
+		h.prove = failProve
+		h.storeTable = tableOf(2, nil)
+		revoked := h.clock.Now()
+		for h.clock.Now().Sub(revoked) <= 8*time.Second {
 			served := check("k") == "depot"
-			is.True(!served || w.clock.Now().Sub(revoked) <= 5*time.Second)
+			is.True(!served || h.clock.Now().Sub(revoked) <= 5*time.Second)
 			time.Sleep(10 * time.Millisecond)
 		}
-		w.prove = nil
+		h.prove = nil
 		time.Sleep(maxBackoff)
 		is.Equal(check("k"), "unknown")
 	})
@@ -142,10 +142,10 @@
 
 // Guards against a proof that doesn't age while the machine is suspended, since timers stop then.
 func TestSuspensionAgesTheProof(t *testing.T) {
-	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
-		w.prove = failProve
+	withChecker(t, true, func(is *is.I, h *testHost, check func(string) string) {
+		h.prove = failProve
 		is.Equal(check("k"), "depot")
-		w.clock.Suspend(6 * time.Second)
+		h.clock.Suspend(6 * time.Second)
 		is.Equal(check("k"), "unproven")
 	})
 }
@@ -155,11 +155,11 @@
 func TestProofIsJudgedAtTheTimeOfReading(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		w := &testHost{storeTable: tableOf(1, map[string]string{"k": "depot"})}
-		w.refresh()
-		c := w.checker(t, true)
-		w.prove = failProve
-		read := w.clock.Now().Add(4 * time.Second)
+		h := &testHost{storeTable: tableOf(1, map[string]string{"k": "depot"})}
+		h.refresh()
+		c := h.checker(t, true)
+		h.prove = failProve
+		read := h.clock.Now().Add(4 * time.Second)
 		time.Sleep(20 * time.Second)
 		is.Equal(outcomeOf(c.Check(t.Context(), read, []byte("k"))), "depot")
 		is.Equal(outcomeOf(c.Check(t.Context(), read.Add(time.Second), []byte("k"))), "unproven")
@@ -169,14 +169,14 @@
 // Guards against the refusal of a key that was added, but is missing in the host's configuration: once
 // the proof is too old to rule that out, the store is asked, and without an answer the key is unproven.
 func TestUnknownKeyIsCheckedAtTheStoreBeforeRefusal(t *testing.T) {
-	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
-		w.storeTable = tableOf(2, map[string]string{"k": "depot", "new": "hall"})
+	withChecker(t, true, func(is *is.I, h *testHost, check func(string) string) {
+		h.storeTable = tableOf(2, map[string]string{"k": "depot", "new": "hall"})
 		is.Equal(check("new"), "unknown") // the proof is recent: the key can't have been added long ago
 		time.Sleep(3 * time.Second)
 		is.Equal(check("new"), "hall")
-		is.Equal(w.proveCalls.Load(), int64(1))
-		w.storeTable = tableOf(3, map[string]string{"k": "depot", "new": "hall", "newer": "nord"})
-		w.prove = failProve
+		is.Equal(h.proveCalls.Load(), int64(1))
+		h.storeTable = tableOf(3, map[string]string{"k": "depot", "new": "hall", "newer": "nord"})
+		h.prove = failProve
 		time.Sleep(3 * time.Second)
 		is.Equal(check("newer"), "unproven")
 		is.Equal(check(""), "unproven")
@@ -186,65 +186,65 @@
 // Guards against a call to the store per request when many unknown keys arrive: calls are limited to
 // about one per InForceWithin, and by the backoff while the store doesn't answer.
 func TestUnknownKeysDoNotFloodTheStore(t *testing.T) {
-	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
+	withChecker(t, true, func(is *is.I, h *testHost, check func(string) string) {
 		for range 10000 {
 			is.Equal(check("guess"), "unknown")
 			time.Sleep(time.Millisecond)
 		}
-		is.True(w.proveCalls.Load() <= 4)
-		w.prove = failProve
+		is.True(h.proveCalls.Load() <= 4)
+		h.prove = failProve
 		time.Sleep(5 * time.Second)
-		before := w.proveCalls.Load()
+		before := h.proveCalls.Load()
 		for range 1000 {
 			is.Equal(check("guess"), "unproven")
 			time.Sleep(time.Millisecond)
 		}
-		is.True(w.proveCalls.Load()-before <= 2)
+		is.True(h.proveCalls.Load()-before <= 2)
 	})
 }
 
 // Guards against requests that wait for the store: the proof is renewed before it is too old.
 func TestProofIsRenewedAheadOfNeed(t *testing.T) {
-	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
-		w.prove = func(ctx context.Context) error {
-			if err := w.clock.Sleep(ctx, 50*time.Millisecond); err != nil {
+	withChecker(t, true, func(is *is.I, h *testHost, check func(string) string) {
+		h.prove = func(ctx context.Context) error {
+			if err := h.clock.Sleep(ctx, 50*time.Millisecond); err != nil {
 				return err
 			}
-			w.refresh()
+			h.refresh()
 			return nil
 		}
 		for range 2000 {
-			before := w.clock.Now()
+			before := h.clock.Now()
 			is.Equal(check("k"), "depot")
-			is.Equal(w.clock.Now().Sub(before), time.Duration(0))
+			is.Equal(h.clock.Now().Sub(before), time.Duration(0))
 			time.Sleep(10 * time.Millisecond)
 		}
-		is.True(w.proveCalls.Load() <= 7)
+		is.True(h.proveCalls.Load() <= 7)
 	})
 }
 
 // Guards against requests that wait for a store which doesn't answer: the first one waits at most
 // proveTimeout, and the next ones are refused at once during the backoff.
 func TestUnresponsiveStoreDoesNotBlockRequests(t *testing.T) {
-	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
-		w.prove = func(ctx context.Context) error {
+	withChecker(t, true, func(is *is.I, h *testHost, check func(string) string) {
+		h.prove = func(ctx context.Context) error {
 			<-ctx.Done()
 			return ctx.Err()
 		}
 		time.Sleep(6 * time.Second)
-		before := w.clock.Now()
+		before := h.clock.Now()
 		is.Equal(check("k"), "unproven")
-		is.True(w.clock.Now().Sub(before) <= proveTimeout)
+		is.True(h.clock.Now().Sub(before) <= proveTimeout)
 		is.Equal(check("k"), "unproven")
-		is.True(w.clock.Now().Sub(before) <= proveTimeout) // the second request didn't wait
+		is.True(h.clock.Now().Sub(before) <= proveTimeout) // the second request didn't wait
 	})
 }
 
 // Without strict revocation, keys in the configuration are served whatever the age of the proof. A key
 // that isn't found stays unproven, since it may have been added.
 func TestKeysAreServedWithoutProofWhenNotStrict(t *testing.T) {
-	withChecker(t, false, func(is *is.I, w *testHost, check func(string) string) {
-		w.prove = failProve
+	withChecker(t, false, func(is *is.I, h *testHost, check func(string) string) {
+		h.prove = failProve
 		time.Sleep(time.Hour)
 		is.Equal(check("k"), "depot")
 		is.Equal(check("other"), "unproven")
@@ -252,9 +252,9 @@
 }
 
 func TestKeysAreUnprovenWithoutConfiguration(t *testing.T) {
-	withChecker(t, true, func(is *is.I, w *testHost, check func(string) string) {
-		w.table.Store(nil)
-		w.prove = failProve
+	withChecker(t, true, func(is *is.I, h *testHost, check func(string) string) {
+		h.table.Store(nil)
+		h.prove = failProve
 		is.Equal(check("k"), "unproven")
 	})
 }
@@ -263,9 +263,9 @@
 	is := is.New(t)
 	_, err := New(Options{})
 	is.True(err != nil)
-	w := &testHost{}
+	h := &testHost{}
 	_, err = New(Options{
-		Clock: &w.clock, Log: slog.New(slog.DiscardHandler), Table: w.table.Load, Observer: noObserver{}, Prove: failProve,
+		Clock: &h.clock, Log: slog.New(slog.DiscardHandler), Table: h.table.Load, Observer: noObserver{}, Prove: failProve,
 		ProvenAt: func() time.Time { return time.Time{} }, Strict: true, InForceWithin: time.Second,
 	})
 	is.True(err != nil)
--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -110,7 +110,8 @@
 	Nonce string `json:"nonce"`
 	// Machine is that of the last holder; it is kept after a release.
 	Machine string `json:"machine,omitempty"`
-	// Epoch is the store's epoch of the version that the record was written over.
+	// Epoch is the store's epoch of the version that the record was written over. It is 0 for a new
+	// object: if the store was ever restored, such a record counts as older until it is renewed.
 	Epoch uint64 `json:"epoch,omitempty"`
 	// HoldOffMS is the part of the term's hold-off that was left at the write, in milliseconds: a
 	// previous holder may have made calls until then.
@@ -248,7 +249,8 @@
 	return r.Holder == l.opts.Holder || (l.opts.Machine != "" && r.Machine == l.opts.Machine)
 }
 
-// expired reports whether this host has observed the lease object unchanged for a TTL.
+// expired reports whether this host has observed the lease object unchanged for a TTL. The observation
+// starts when a poll first finds the object's version.
 func (l *Lease) expired(obj store.Object, now time.Time) bool {
 	if obj.Version != l.seenVersion {
 		l.seenVersion, l.seenAt = obj.Version, now
@@ -431,7 +433,9 @@
 }
 
 // readBack reads the object after a write whose outcome is unknown. It returns the new version if the
-// write took effect, cause if the object is unchanged or unreadable, and a conflict otherwise.
+// write took effect, cause if the object is unchanged or can't be read, and a conflict otherwise. A
+// write that a restoration may have followed counts as a conflict, since later records may be lost;
+// for a new object this can't be told, as its record has epoch 0.
 func (l *Lease) readBack(ctx context.Context, nonce string, version uint64, cause error) (uint64, error) {
 	obj, err := l.opts.Store.Get(ctx, store.KindLease, l.opts.Name)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -37,19 +37,19 @@
 	fence   uint64
 }
 
-func (d *callLog) record(machine string, fence uint64) {
-	d.mu.Lock()
-	defer d.mu.Unlock()
-	d.calls = append(d.calls, loggedCall{time.Now(), machine, fence})
+func (l *callLog) record(machine string, fence uint64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.calls = append(l.calls, loggedCall{time.Now(), machine, fence})
 }
 
 // firstViolation describes the first call that breaks the rules, "" if none does: one machine per
 // fence, fences that never decrease, and testCallGap between calls of different machines.
-func (d *callLog) firstViolation() string {
-	d.mu.Lock()
-	defer d.mu.Unlock()
+func (l *callLog) firstViolation() string {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	machineOfFence := map[uint64]string{}
-	for i, c := range d.calls {
+	for i, c := range l.calls {
 		if previous, used := machineOfFence[c.fence]; used && previous != c.machine {
 			return fmt.Sprintf("%s and %s both made calls with fence %s", previous, c.machine, store.FormatVersion(c.fence))
 		}
@@ -57,7 +57,7 @@
 		if i == 0 {
 			continue
 		}
-		before := d.calls[i-1]
+		before := l.calls[i-1]
 		switch {
 		case c.fence < before.fence:
 			return fmt.Sprintf("%s made a call with fence %s after %s had made one with fence %s", c.machine, store.FormatVersion(c.fence), before.machine, store.FormatVersion(before.fence))
--- a/coordination/truetime/truetime_test.go
+++ b/coordination/truetime/truetime_test.go
@@ -16,18 +16,18 @@
 func TestMedianToleratesAThirdOfWrongClocks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		k := New(clocktest.Bubble{})
+		c := New(clocktest.Bubble{})
 		for i := range 11 {
 			ahead := 2400 * time.Millisecond // the right clocks; the local one is behind
 			if i < 3 {
 				ahead = 0
 			}
-			k.AddReading(fmt.Sprint("h", i), time.Now().Add(ahead-time.Duration(i)*time.Millisecond))
+			c.AddReading(fmt.Sprint("h", i), time.Now().Add(ahead-time.Duration(i)*time.Millisecond))
 		}
-		deviation := k.Now().Sub(time.Now().Add(2400 * time.Millisecond))
+		deviation := c.Now().Sub(time.Now().Add(2400 * time.Millisecond))
 		is.True(deviation.Abs() < 15*time.Millisecond)
 		time.Sleep(readingLifetime)
-		is.Equal(k.Now(), time.Now()) // all readings have expired: only the local clock is left
+		is.Equal(c.Now(), time.Now()) // all readings have expired: only the local clock is left
 	})
 }
 
@@ -36,16 +36,16 @@
 func TestMedianOfMostClocksIsUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		k := New(clocktest.Bubble{})
-		k.AddMedian(time.Now().Add(time.Hour), minClocks-1) // too few clocks
-		is.Equal(k.Now(), time.Now())
-		k.AddMedian(time.Now().Add(time.Second), 20)
-		k.AddMedian(time.Now().Add(time.Hour), 5)
-		is.Equal(k.Now(), time.Now().Add(time.Second))
-		is.Equal(k.At(time.Now().Add(-time.Minute)), time.Now().Add(time.Second-time.Minute))
+		c := New(clocktest.Bubble{})
+		c.AddMedian(time.Now().Add(time.Hour), minClocks-1) // too few clocks
+		is.Equal(c.Now(), time.Now())
+		c.AddMedian(time.Now().Add(time.Second), 20)
+		c.AddMedian(time.Now().Add(time.Hour), 5)
+		is.Equal(c.Now(), time.Now().Add(time.Second))
+		is.Equal(c.At(time.Now().Add(-time.Minute)), time.Now().Add(time.Second-time.Minute))
 		time.Sleep(readingLifetime)
-		k.AddMedian(time.Now().Add(2*time.Second), 5) // the median of 20 clocks has expired
-		is.Equal(k.Now(), time.Now().Add(2*time.Second))
+		c.AddMedian(time.Now().Add(2*time.Second), 5) // the median of 20 clocks has expired
+		is.Equal(c.Now(), time.Now().Add(2*time.Second))
 	})
 }
 
@@ -54,13 +54,13 @@
 func TestTooFewClocksAreIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		k := New(clocktest.Bubble{})
-		k.AddReading("other", time.Now().Add(time.Hour))
-		is.Equal(k.Now(), time.Now())
+		c := New(clocktest.Bubble{})
+		c.AddReading("other", time.Now().Add(time.Hour))
+		is.Equal(c.Now(), time.Now())
 		for i := range 2 * maxReadings {
-			k.AddReading(fmt.Sprint("h", i), time.Now())
+			c.AddReading(fmt.Sprint("h", i), time.Now())
 		}
-		_, clocks := k.Median()
+		_, clocks := c.Median()
 		is.True(clocks <= maxReadings+1)
 	})
 }
