--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -64,8 +64,8 @@
 		is.NoErr(err)
 		is.True(held)
 		is.True(!first.Reacquired())
-		for _, other := range []*lease.Lease{run("3", "m2"), run("4", "")} {
-			held, err = other.TryAcquire(t.Context())
+		for _, waiter := range []*lease.Lease{run("3", "m2"), run("4", "")} {
+			held, err = waiter.TryAcquire(t.Context())
 			is.NoErr(err)
 			is.True(!held)
 		}
