--- a/coordination/truetime/truetime.go
+++ b/coordination/fleetclock/clock.go
@@ -1,4 +1,4 @@
-// Package truetime estimates the time of day as the median of the clocks of a fleet's hosts, so that
+// Package fleetclock estimates the time of day as the median of the clocks of a fleet's hosts, so that
 // what is counted per time window, such as usage, is assigned to the same window by all hosts.
 //
 // Each host reads a local clock that counts from the time of day at the start of the host, so later
@@ -7,7 +7,7 @@
 // right even if a third of the clocks are seconds off. A reading is late by the latency of its message
 // and by scheduling delays of a small host, some milliseconds in total, which is far less than the
 // length of a window.
-package truetime
+package fleetclock
 
 import (
 	"slices"
--- a/coordination/truetime/truetime_test.go
+++ b/coordination/fleetclock/clock_test.go
@@ -1,4 +1,4 @@
-package truetime
+package fleetclock
 
 import (
 	"fmt"
--- a/coordination/usage/fleet_test.go
+++ b/coordination/usage/fleet_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"github.com/thymerack/thymerack/coordination/clocktest"
+	"github.com/thymerack/thymerack/coordination/fleetclock"
 	"github.com/thymerack/thymerack/coordination/lease"
 	"github.com/thymerack/thymerack/coordination/store"
 	"github.com/thymerack/thymerack/coordination/store/storetest"
-	"github.com/thymerack/thymerack/coordination/truetime"
 	"github.com/thymerack/thymerack/state"
 )
 
@@ -151,7 +151,7 @@
 	f.runs++
 	run := fmt.Sprintf("%s-%d", h.self.Addr, f.runs)
 	f.mu.Unlock()
-	keeper := truetime.New(h.clock)
+	keeper := fleetclock.New(h.clock)
 	counter, collector := NewCounter(window, keeper.At), NewCollector(window)
 	log := slog.New(slog.DiscardHandler)
 	teller, err := NewTeller(TellerOptions{
--- a/coordination/usage/reporter.go
+++ b/coordination/usage/reporter.go
@@ -11,9 +11,9 @@
 
 	"github.com/sourcegraph/conc"
 
+	"github.com/thymerack/thymerack/coordination/fleetclock"
 	"github.com/thymerack/thymerack/coordination/lease"
 	"github.com/thymerack/thymerack/coordination/store"
-	"github.com/thymerack/thymerack/coordination/truetime"
 	"github.com/thymerack/thymerack/state"
 )
 
@@ -63,7 +63,7 @@
 	Self  state.Peer
 	Run   string
 	Hosts func() []state.Peer
-	Time  *truetime.Clock
+	Time  *fleetclock.Clock
 	Clock state.Clock
 	Log   *slog.Logger
 }
--- a/coordination/usage/teller.go
+++ b/coordination/usage/teller.go
@@ -12,7 +12,7 @@
 
 	"github.com/cespare/xxhash/v2"
 
-	"github.com/thymerack/thymerack/coordination/truetime"
+	"github.com/thymerack/thymerack/coordination/fleetclock"
 	"github.com/thymerack/thymerack/state"
 )
 
@@ -76,7 +76,7 @@
 	Peers     Peers
 	Counter   *Counter
 	Collector *Collector
-	Time      *truetime.Clock
+	Time      *fleetclock.Clock
 	Clock     state.Clock
 	Log       *slog.Logger
 }
--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -6,9 +6,9 @@
 
 	"github.com/sourcegraph/conc"
 
+	"github.com/thymerack/thymerack/coordination/fleetclock"
 	"github.com/thymerack/thymerack/coordination/lease"
 	"github.com/thymerack/thymerack/coordination/scale"
-	"github.com/thymerack/thymerack/coordination/truetime"
 	"github.com/thymerack/thymerack/coordination/usage"
 	"github.com/thymerack/thymerack/platform"
 	"github.com/thymerack/thymerack/state"
@@ -99,7 +99,7 @@
 		return nil
 	}
 	window := h.s.Bounds.UsageWindow
-	clock := truetime.New(h.clock)
+	clock := fleetclock.New(h.clock)
 	h.metrics.usage = usage.NewCounter(window, clock.At)
 	collector := usage.NewCollector(window)
 	peers := usages.Peers{Client: h.peers}
