--- a/coordination/lease/lease.go
+++ b/coordination/lease/lease.go
@@ -290,7 +290,7 @@
 //   - The next run on the same machine holds off for MaxCallTime, since a call of the previous run may
 //     be in flight. The same run holds off while a call of its own may be.
 //   - A released lease can be taken at once, so the hold-off is longer by CallGap.
-//   - A term after a release, or on the same machine, lasts out the previous term's hold-off, too.
+//   - A term after a release, or on the same machine, also waits for the end of the previous hold-off.
 //
 // The fence is the version of the object at the write that began the term; no other write has the
 // same version.
--- a/coordination/lease/lease_test.go
+++ b/coordination/lease/lease_test.go
@@ -194,7 +194,7 @@
 	})
 }
 
-// Guards against a wait for the TTL after a holder that ends in order: Run releases the lease.
+// Guards against a wait for the TTL after a holder shuts down: Run releases the lease.
 func TestLeaseIsReleasedWhenRunEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coordination/lease/restore_test.go
+++ b/coordination/lease/restore_test.go
@@ -43,7 +43,7 @@
 	l.calls = append(l.calls, loggedCall{time.Now(), machine, fence})
 }
 
-// firstViolation describes the first call that breaks the rules, "" if none does: one machine per
+// firstViolation describes the first call that breaks a rule, "" if none does. The rules: one machine per
 // fence, fences that never decrease, and testCallGap between calls of different machines.
 func (l *callLog) firstViolation() string {
 	l.mu.Lock()
