--- a/coordination/scale/adjust.go
+++ b/coordination/scale/adjust.go
@@ -102,7 +102,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	err = m.o.Platform.SetDesired(ctx, term, obs.spec.Name, p, desired, m.o.Lease.Still(term))
+	err = m.o.Platform.SetDesired(ctx, term, obs.spec.Name, p, desired, m.o.Lease.PermitInTerm(term))
 	m.o.Log.Info("runner count requested", "service", obs.spec.Name, "failure_domain", p.FailureDomain, "kind", string(p.Kind), "desired", desired,
 		"before", s.requested[p], "need", s.required, "term", term, "refused", err != nil, "cause", errorText(err))
 	switch {
--- a/coordination/scale/manager.go
+++ b/coordination/scale/manager.go
@@ -58,7 +58,7 @@
 // Options configure a Manager. All fields except NoTrafficUntil are required.
 type Options struct {
 	Platform      Platform
-	Lease         *lease.Lessor
+	Lease         *lease.Lease
 	InitialCounts InitialCounts
 	Clock         state.Clock
 	Log           *slog.Logger
@@ -185,7 +185,7 @@
 	}
 	now := m.o.Clock.Now()
 	serving, listed := countRunners(m.o.Instances(spec.Name))
-	if !m.resolveRequired(ctx, spec.Name, s, serving, now) || m.o.Lease.Silent() {
+	if !m.resolveRequired(ctx, spec.Name, s, serving, now) || m.o.Lease.HoldingOff() {
 		if now.Sub(s.startedAt) > initialCountTimeout {
 			m.resizing.Delete(spec.Name)
 		}
--- a/coordination/usage/fleet_test.go
+++ b/coordination/usage/fleet_test.go
@@ -12,10 +12,10 @@
 	"time"
 
 	"github.com/thymerack/thymerack/coordination/clocktest"
+	"github.com/thymerack/thymerack/coordination/fleetclock"
 	"github.com/thymerack/thymerack/coordination/lease"
 	"github.com/thymerack/thymerack/coordination/store"
 	"github.com/thymerack/thymerack/coordination/store/storetest"
-	"github.com/thymerack/thymerack/coordination/truetime"
 	"github.com/thymerack/thymerack/state"
 )
 
@@ -151,7 +151,7 @@
 	f.runs++
 	run := fmt.Sprintf("%s-%d", h.self.Addr, f.runs)
 	f.mu.Unlock()
-	keeper := truetime.New(h.clock)
+	keeper := fleetclock.New(h.clock)
 	counter, collector := NewCounter(window, keeper.At), NewCollector(window)
 	log := slog.New(slog.DiscardHandler)
 	teller, err := NewTeller(TellerOptions{
@@ -163,7 +163,7 @@
 	lessor, err := lease.New(lease.Options{
 		Store: f.store.Client(h.self.Addr), Clock: h.clock, Rand: rand.New(rand.NewPCG(uint64(f.runs), 1)), Name: "duties",
 		Holder: state.HostID{Name: h.self.Addr, Incarnation: run}, Machine: h.self.Addr, TTL: 6 * time.Second,
-		LookEvery: func() time.Duration { return time.Second }, Apart: leaseTime, CallTime: time.Second,
+		PollInterval: func() time.Duration { return time.Second }, CallGap: leaseTime, MaxCallTime: time.Second,
 		MayBeLost: func() bool { return store.EpochOf(f.store.Revision()) > 0 },
 	})
 	if err != nil {
--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -6,9 +6,9 @@
 
 	"github.com/sourcegraph/conc"
 
+	"github.com/thymerack/thymerack/coordination/fleetclock"
 	"github.com/thymerack/thymerack/coordination/lease"
 	"github.com/thymerack/thymerack/coordination/scale"
-	"github.com/thymerack/thymerack/coordination/truetime"
 	"github.com/thymerack/thymerack/coordination/usage"
 	"github.com/thymerack/thymerack/platform"
 	"github.com/thymerack/thymerack/state"
@@ -27,8 +27,8 @@
 	h.lessor, err = lease.New(lease.Options{
 		Store: h.store, Clock: h.clock, Rand: newRand(),
 		Name: leaseName, Holder: h.id, Machine: h.s.Host + "@" + h.s.IP,
-		TTL: leaseTTL, LookEvery: h.lookEvery, Log: h.log,
-		Apart: h.s.Bounds.LeaseTime + h.s.Bounds.ThawTime, CallTime: dutyCallTime, MayBeLost: h.leaseMayBeLost,
+		TTL: leaseTTL, PollInterval: h.lookEvery, Log: h.log,
+		CallGap: h.s.Bounds.LeaseTime + h.s.Bounds.ThawTime, MaxCallTime: dutyCallTime, MayBeLost: h.leaseMayBeLost,
 	})
 	return err
 }
@@ -99,7 +99,7 @@
 		return nil
 	}
 	window := h.s.Bounds.UsageWindow
-	clock := truetime.New(h.clock)
+	clock := fleetclock.New(h.clock)
 	h.metrics.usage = usage.NewCounter(window, clock.At)
 	collector := usage.NewCollector(window)
 	peers := usages.Peers{Client: h.peers}
