--- a/coordination/account/account.go
+++ b/coordination/account/account.go
@@ -30,14 +30,14 @@
 	RefusedAtOnce Outcome = "refused at once"
 	// RefusedByRunners requests were sent, and no runner took them.
 	RefusedByRunners Outcome = "refused by runners"
-	// GivenUp prompts were let in and not read in time.
-	GivenUp Outcome = "given up"
+	// PrefillTimeout prompts were let in and not read in time.
+	PrefillTimeout Outcome = "given up"
 	// CallerLeft requests lost their caller before an answer.
 	CallerLeft Outcome = "caller left"
 	// Unknown requests may have run and got no answer, or were cut.
 	Unknown Outcome = "unknown"
-	// Deadline requests had no time left.
-	Deadline Outcome = "deadline"
+	// DeadlinePassed requests had no time left.
+	DeadlinePassed Outcome = "deadline"
 )
 
 // Route is the account of one route's requests.
@@ -70,8 +70,8 @@
 	return r.held[int(quantile*float64(len(r.held)-1))]
 }
 
-// line is what is read of a host's log line about a request.
-type line struct {
+// logLine is what is read of a host's log logLine about a request.
+type logLine struct {
 	Message  string `json:"msg"`
 	Route    string `json:"route"`
 	Status   int    `json:"status"`
@@ -82,29 +82,29 @@
 	} `json:"sendings"`
 }
 
-// messageEnded is the message of the one line of each request.
-const messageEnded = "request ended"
+// requestEnded is the message of the one line of each request.
+const requestEnded = "request ended"
 
-// longestLine bounds a log line.
-const longestLine = 1 << 20
+// maxLineBytes bounds a log line.
+const maxLineBytes = 1 << 20
 
 // Read sums up logs; what stands before a line's first brace is passed over, and so are
 // lines of other messages. Routes come by name.
 func Read(r io.Reader) ([]*Route, error) {
 	routes := map[string]*Route{}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
-		text := lines.Bytes()
-		from := bytes.IndexByte(text, '{')
-		if from < 0 || !bytes.Contains(text, []byte(messageEnded)) {
+		raw := lines.Bytes()
+		start := bytes.IndexByte(raw, '{')
+		if start < 0 || !bytes.Contains(raw, []byte(requestEnded)) {
 			continue
 		}
-		var l line
-		if err := json.Unmarshal(text[from:], &l); err != nil {
+		var l logLine
+		if err := json.Unmarshal(raw[start:], &l); err != nil {
 			return nil, fmt.Errorf("line %d of the log is not whole JSON (%w); give the hosts' output as it was written", n, err)
 		}
-		if l.Message == messageEnded {
+		if l.Message == requestEnded {
 			add(routes, l)
 		}
 	}
@@ -119,7 +119,7 @@
 	return out, nil
 }
 
-func add(routes map[string]*Route, l line) {
+func add(routes map[string]*Route, l logLine) {
 	r := routes[l.Route]
 	if r == nil {
 		r = &Route{Name: l.Route, Requests: map[Outcome]int{}}
@@ -136,17 +136,17 @@
 }
 
 // outcome reads how the request ended from the reason that its caller was told.
-func (l line) outcome() Outcome {
+func (l logLine) outcome() Outcome {
 	sent := strings.Contains(l.Sendings.Steps, "prefill:") || strings.Contains(l.Sendings.Steps, "run:")
 	switch {
 	case l.Refused == "":
 		return Served
-	case l.because(forward.ReasonCancelled), strings.Contains(l.Refused, "caller left"):
+	case l.hasReason(forward.ReasonCancelled), strings.Contains(l.Refused, "caller left"):
 		return CallerLeft
-	case l.because(forward.ReasonOverload) && sent:
-		return GivenUp
-	case strings.Contains(l.Refused, "was not run") && l.because(forward.ReasonDeadline):
-		return Deadline
+	case l.hasReason(forward.ReasonOverload) && sent:
+		return PrefillTimeout
+	case strings.Contains(l.Refused, "was not run") && l.hasReason(forward.ReasonDeadline):
+		return DeadlinePassed
 	case strings.Contains(l.Refused, "was not run") && sent:
 		return RefusedByRunners
 	case strings.Contains(l.Refused, "was not run"):
@@ -156,5 +156,5 @@
 	}
 }
 
-// because reports whether the caller was told that reason.
-func (l line) because(r forward.Reason) bool { return strings.Contains(l.Refused, string(r)) }
+// hasReason reports whether the caller was told that reason.
+func (l logLine) hasReason(r forward.Reason) bool { return strings.Contains(l.Refused, string(r)) }
--- a/coordination/account/account_test.go
+++ b/coordination/account/account_test.go
@@ -8,7 +8,7 @@
 	"github.com/matryer/is"
 )
 
-const log = `
+const sampleLog = `
   3.1 front-1 {"msg":"request ended","route":"a","status":200,"took_ms":80,"sendings":{"steps":"prefill:e1:unknown:300ms/40ms prefill:e2:prefilled:30ms/31ms run:e3:answered:9ms"}}
 {"msg":"request ended","route":"a","status":0,"took_ms":4,"refused":"the request was not run (overloaded); send it again after 1s","sendings":{"steps":"place:e1:full:3000ms"}}
 {"msg":"request ended","route":"a","status":0,"took_ms":1900,"refused":"the request was not run (overloaded); send it again after 1s","sendings":{"steps":"prefill:e1:unknown:1890ms/90ms"}}
@@ -21,12 +21,12 @@
 
 func TestRequestsAreCountedByRouteAndOutcome(t *testing.T) {
 	is := is.New(t)
-	routes, err := Read(strings.NewReader(log))
+	routes, err := Read(strings.NewReader(sampleLog))
 	is.NoErr(err)
 	is.Equal(len(routes), 2)
 	a, b := routes[0], routes[1]
 	is.Equal(a.Name, "a")
-	is.Equal(a.Requests, map[Outcome]int{Served: 1, RefusedAtOnce: 1, GivenUp: 1, RefusedByRunners: 1})
+	is.Equal(a.Requests, map[Outcome]int{Served: 1, RefusedAtOnce: 1, PrefillTimeout: 1, RefusedByRunners: 1})
 	is.Equal(a.Moved, 1)
 	is.Equal(a.Total(), 4)
 	is.Equal(a.Held(0), 4*time.Millisecond)
--- a/coordination/usage/collector.go
+++ b/coordination/usage/collector.go
@@ -9,7 +9,7 @@
 // Collector holds what the hosts that tell this one have counted. It is safe for concurrent
 // use.
 type Collector struct {
-	length time.Duration
+	windowLength time.Duration
 
 	mu sync.Mutex
 	// tallies are the latest of each run of a host.
@@ -18,20 +18,20 @@
 
 // NewCollector returns an empty collector for windows of that length.
 func NewCollector(length time.Duration) *Collector {
-	return &Collector{length: length, tallies: map[string]Tally{}}
+	return &Collector{windowLength: length, tallies: map[string]Tally{}}
 }
 
-// Take keeps a tally. Tallies of one run may overtake each other; counts only grow, so that
+// Merge keeps a tally. Tallies of one run may overtake each other; counts only grow, so that
 // the higher ones of two are the later.
-func (c *Collector) Take(t Tally) {
+func (c *Collector) Merge(t Tally) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tallies[t.Run] = merged(c.tallies[t.Run], t)
-	c.forget(WindowAt(t.Through, c.length))
+	c.tallies[t.Run] = mergeTallies(c.tallies[t.Run], t)
+	c.evict(WindowAt(t.Through, c.windowLength))
 }
 
-// merged is what two tallies of one run tell together.
-func merged(a, b Tally) Tally {
+// mergeTallies is what two tallies of one run tell together.
+func mergeTallies(a, b Tally) Tally {
 	out := Tally{Run: b.Run, Addr: b.Addr, Through: b.Through, Windows: map[Window]Counts{}}
 	if a.Through.After(b.Through) {
 		out.Through = a.Through
@@ -46,18 +46,18 @@
 	return out
 }
 
-// forget drops old windows, and runs that told nothing for as long.
-func (c *Collector) forget(newest Window) {
+// evict drops old windows, and runs that told nothing for as long.
+func (c *Collector) evict(newest Window) {
 	for run, t := range c.tallies {
-		forgetOld(t.Windows, newest)
-		if WindowAt(t.Through, c.length)+keptWindows <= newest {
+		evictOld(t.Windows, newest)
+		if WindowAt(t.Through, c.windowLength)+retainedWindows <= newest {
 			delete(c.tallies, run)
 		}
 	}
 }
 
-// all are the latest tallies of all runs.
-func (c *Collector) all() []Tally {
+// snapshot are the latest tallies of snapshot runs.
+func (c *Collector) snapshot() []Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]Tally, 0, len(c.tallies))
@@ -68,18 +68,18 @@
 	return out
 }
 
-// Told returns what each run has counted in a window, and through when; runs that counted
+// Tallies returns what each run has counted in a window, and through when; runs that counted
 // nothing there are among them.
-func (c *Collector) Told(w Window) []Tally {
+func (c *Collector) Tallies(w Window) []Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]Tally, 0, len(c.tallies))
 	for _, t := range c.tallies {
-		told := Tally{Run: t.Run, Addr: t.Addr, Through: t.Through}
+		reported := Tally{Run: t.Run, Addr: t.Addr, Through: t.Through}
 		if counts := t.Windows[w]; counts != nil {
-			told.Windows = map[Window]Counts{w: counts}
+			reported.Windows = map[Window]Counts{w: counts}
 		}
-		out = append(out, told)
+		out = append(out, reported)
 	}
 	return out
 }
--- a/coordination/usage/counter.go
+++ b/coordination/usage/counter.go
@@ -31,9 +31,9 @@
 	return total
 }
 
-// keptWindows is how many windows counts and reports are kept for: twice the time after which
+// retainedWindows is how many windows counts and reports are kept for: twice the time after which
 // a report is of no use, with windows of five seconds and reports due within ten.
-const keptWindows = 8
+const retainedWindows = 8
 
 // Tally is what one run of a host has counted.
 type Tally struct {
@@ -47,7 +47,7 @@
 
 // Counter counts on one host. It is safe for concurrent use.
 type Counter struct {
-	length time.Duration
+	windowLength time.Duration
 	// trueTime turns a moment of the host's clock into true time.
 	trueTime func(time.Time) time.Time
 
@@ -57,34 +57,34 @@
 
 // NewCounter returns a counter for windows of that length.
 func NewCounter(length time.Duration, trueTime func(time.Time) time.Time) *Counter {
-	return &Counter{length: length, trueTime: trueTime, windows: map[Window]Counts{}}
+	return &Counter{windowLength: length, trueTime: trueTime, windows: map[Window]Counts{}}
 }
 
-// Began counts a request of a customer that began to run at a moment of the host's clock.
-func (c *Counter) Began(customer string, at time.Time) {
-	w := WindowAt(c.trueTime(at), c.length)
+// Inc counts a request of a customer that began to run at a moment of the host's clock.
+func (c *Counter) Inc(customer string, at time.Time) {
+	w := WindowAt(c.trueTime(at), c.windowLength)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	counts := c.windows[w]
 	if counts == nil {
 		counts = Counts{}
 		c.windows[w] = counts
-		forgetOld(c.windows, w)
+		evictOld(c.windows, w)
 	}
 	counts[customer]++
 }
 
-// forgetOld drops windows that are of no use any more.
-func forgetOld(windows map[Window]Counts, newest Window) {
+// evictOld drops windows that are of no use any more.
+func evictOld(windows map[Window]Counts, newest Window) {
 	for w := range windows {
-		if w+keptWindows <= newest {
+		if w+retainedWindows <= newest {
 			delete(windows, w)
 		}
 	}
 }
 
-// tally returns what was counted since a window began.
-func (c *Counter) tally(since Window) map[Window]Counts {
+// windowsSince returns what was counted since a window began.
+func (c *Counter) windowsSince(since Window) map[Window]Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := map[Window]Counts{}
--- a/coordination/usage/reports.go
+++ b/coordination/usage/reports.go
@@ -22,9 +22,9 @@
 	// Missing are the addresses of the listed hosts that hadn't told all of the window when it
 	// was decided.
 	Missing []string `json:"missing,omitempty"`
-	// Said is how many requests the runs of each host have counted, by its address. It is kept
+	// ByHost is how many requests the runs of each host have counted, by its address. It is kept
 	// for the latest windows only.
-	Said map[string]uint64 `json:"said,omitempty"`
+	ByHost map[string]uint64 `json:"said,omitempty"`
 	// Confirmed is set once the receiver has taken the report.
 	Confirmed bool `json:"confirmed,omitempty"`
 }
@@ -92,17 +92,17 @@
 func (r *reports) add(report Report) {
 	r.Reports = append(r.Reports, report)
 	r.Through = report.Window
-	if n := len(r.Reports); n > saidKept {
-		r.Reports[n-saidKept-1].Said = nil
+	if n := len(r.Reports); n > byHostWindows {
+		r.Reports[n-byHostWindows-1].ByHost = nil
 	}
-	if over := len(r.Reports) - keptWindows; over > 0 {
-		r.Reports = r.Reports[over:]
+	if excess := len(r.Reports) - retainedWindows; excess > 0 {
+		r.Reports = r.Reports[excess:]
 	}
 }
 
-// saidKept is the number of windows for which it is kept what each host said: with 300 hosts
+// byHostWindows is the number of windows for which it is kept what each host said: with 300 hosts
 // some fifteen kilobytes in each write.
-const saidKept = 2
+const byHostWindows = 2
 
 // List returns the recent reports, the oldest first; none if none was ever decided.
 func List(ctx context.Context, s store.Store) ([]Report, error) {
@@ -120,9 +120,9 @@
 	return &out
 }
 
-// over returns the reports with what a restored store has lost of them: present is what it has, nil
+// carryOver returns the reports with what a restored store has lost of them: present is what it has, nil
 // for nothing.
-func (r *reports) over(present *reports) *reports {
+func (r *reports) carryOver(present *reports) *reports {
 	if present != nil && present.Through >= r.Through {
 		return present
 	}
--- a/coordination/usage/usage_test.go
+++ b/coordination/usage/usage_test.go
@@ -17,39 +17,39 @@
 	"github.com/thymerack/thymerack/coordination/store/storetest"
 )
 
-// load has requests of some customers begin at hosts that are up, one each 8 ms, for so long.
+// generateLoad has requests of some customers begin at hosts that are up, one each 8 ms, for so long.
 // None begins so close to the edge of a window that clocks which hosts have shown each other by
 // messages can't agree on its window.
-func (f *fleet) load(rng *rand.Rand, span time.Duration) {
+func (f *fleet) generateLoad(rng *rand.Rand, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(8 * time.Millisecond) {
 		h := f.hosts[rng.IntN(len(f.hosts))]
 		edge := time.Duration(time.Now().UnixNano()) % window
-		if !f.is(f.away, h.self.Addr) && edge > 5*time.Millisecond && edge < window-5*time.Millisecond {
-			h.began(fmt.Sprint("c", min(rng.IntN(12), rng.IntN(12))))
+		if !f.contains(f.gone, h.self.Addr) && edge > 5*time.Millisecond && edge < window-5*time.Millisecond {
+			h.startRequest(fmt.Sprint("c", min(rng.IntN(12), rng.IntN(12))))
 		}
 	}
 }
 
-// judge checks the windows that ended before the present one but last, and returns how many
+// checkReports checks the windows that ended before the present one but last, and returns how many
 // were reported in time and how many of these are further off than the agreement allows.
-func (f *fleet) judge(first Window) (windows, inTime, off int) {
-	for w := first; w.End(window).Add(due).Before(time.Now()); w++ {
+func (f *fleet) checkReports(first Window) (windows, inTime, off int) {
+	for w := first; w.End(window).Add(reportDue).Before(time.Now()); w++ {
 		windows++
 		f.receiver.mu.Lock()
-		counts, at := f.receiver.taken[w], f.receiver.at[w]
+		counts, at := f.receiver.received[w], f.receiver.receivedAt[w]
 		f.receiver.mu.Unlock()
-		if at.IsZero() || at.After(w.End(window).Add(due)) {
+		if at.IsZero() || at.After(w.End(window).Add(reportDue)) {
 			continue
 		}
 		inTime++
-		if total, truth := float64(counts.Total()), float64(f.truth[w].Total()); math.Abs(total-truth) > mostOff*truth {
+		if total, truth := float64(counts.Total()), float64(f.started[w].Total()); math.Abs(total-truth) > maxError*truth {
 			off++
 		}
 	}
 	return windows, inTime, off
 }
 
-func inFleet(t *testing.T, n int, play func(is *is.I, f *fleet, rng *rand.Rand)) {
+func runFleet(t *testing.T, n int, run func(is *is.I, f *fleet, rng *rand.Rand)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, n)
@@ -58,46 +58,46 @@
 		}
 		defer func() {
 			for _, h := range f.hosts {
-				h.leave()
+				h.shutDown()
 			}
 			time.Sleep(time.Second) // what has left arrives
 		}()
-		play(is.New(t), f, rand.New(rand.NewPCG(uint64(n), 5)))
-		is.New(t).Equal(f.receiver.problems, nil)
+		run(is.New(t), f, rand.New(rand.NewPCG(uint64(n), 5)))
+		is.New(t).Equal(f.receiver.violations, nil)
 	})
 }
 
 // On a calm day each window is reported once, exactly, some seconds after its end.
-func TestWindowsAreReportedExactly(t *testing.T) {
-	inFleet(t, 12, func(is *is.I, f *fleet, rng *rand.Rand) {
+func TestWindowsAreReportedExactlyWithoutFaults(t *testing.T) {
+	runFleet(t, 12, func(is *is.I, f *fleet, rng *rand.Rand) {
 		first := WindowAt(time.Now(), window) + 1
-		f.load(rng, 75*time.Second)
-		windows, inTime, _ := f.judge(first)
+		f.generateLoad(rng, 75*time.Second)
+		windows, inTime, _ := f.checkReports(first)
 		is.True(windows >= 9)
 		is.Equal(inTime, windows)
-		for w, counts := range f.receiver.taken {
+		for w, counts := range f.receiver.received {
 			if w >= first && w.End(window).Before(time.Now()) {
-				is.Equal(counts, f.truth[w])
-				is.True(f.receiver.at[w].Sub(w.End(window)) < patience)
+				is.Equal(counts, f.started[w])
+				is.True(f.receiver.receivedAt[w].Sub(w.End(window)) < maxDecideDelay)
 			}
 		}
 	})
 }
 
 // A host that is lost takes half a second of its counts with it, whichever part it has.
-func TestLostHostsCostLittle(t *testing.T) {
-	for _, part := range []string{"holder", "collector", "any"} {
-		inFleet(t, 24, func(is *is.I, f *fleet, rng *rand.Rand) {
+func TestHostLossStaysWithinMaxError(t *testing.T) {
+	for _, role := range []string{"holder", "collector", "any"} {
+		runFleet(t, 24, func(is *is.I, f *fleet, rng *rand.Rand) {
 			first := WindowAt(time.Now(), window) + 1
 			for range 4 {
-				f.load(rng, 15*time.Second)
-				h := f.victim(part, rng)
+				f.generateLoad(rng, 15*time.Second)
+				h := f.pickHost(role, rng)
 				h.kill()
-				f.load(rng, time.Second)
+				f.generateLoad(rng, time.Second)
 				h.start()
 			}
-			f.load(rng, 15*time.Second)
-			windows, inTime, off := f.judge(first)
+			f.generateLoad(rng, 15*time.Second)
+			windows, inTime, off := f.checkReports(first)
 			is.Equal(off, 0)
 			is.Equal(inTime, windows) // also those whose holder was lost
 		})
@@ -106,23 +106,23 @@
 
 // All hosts are restarted in turn, collectors among them: what each has counted and was told
 // outlives it.
-func TestRestartsInTurnLoseNothing(t *testing.T) {
-	inFleet(t, 12, func(is *is.I, f *fleet, rng *rand.Rand) {
+func TestRollingRestartLosesNoCounts(t *testing.T) {
+	runFleet(t, 12, func(is *is.I, f *fleet, rng *rand.Rand) {
 		first := WindowAt(time.Now(), window) + 1
 		for _, h := range f.hosts {
-			f.load(rng, 1500*time.Millisecond)
-			h.leave()
-			f.load(rng, 0)
+			f.generateLoad(rng, 1500*time.Millisecond)
+			h.shutDown()
+			f.generateLoad(rng, 0)
 			h.start()
 		}
-		f.load(rng, 25*time.Second)
-		windows, inTime, off := f.judge(first)
+		f.generateLoad(rng, 25*time.Second)
+		windows, inTime, off := f.checkReports(first)
 		is.True(windows >= 4)
 		is.Equal(inTime, windows)
 		is.Equal(off, 0)
-		for w, counts := range f.receiver.taken {
+		for w, counts := range f.receiver.received {
 			if w >= first && w.End(window).Before(time.Now()) {
-				is.Equal(counts.Total(), f.truth[w].Total())
+				is.Equal(counts.Total(), f.started[w].Total())
 			}
 		}
 	})
@@ -130,150 +130,150 @@
 
 // A host that is gone for good and still listed doesn't hold reports up, unless it might have
 // counted more than may be missing.
-func TestFewMissingHostsHoldNoReportUp(t *testing.T) {
+func TestFewMissingHostsDoNotDelayReports(t *testing.T) {
 	for _, c := range []struct {
 		hosts int
-		brief bool
+		early bool
 	}{{60, true}, {12, false}} {
-		inFleet(t, c.hosts, func(is *is.I, f *fleet, rng *rand.Rand) {
-			f.load(rng, 11*time.Second)
+		runFleet(t, c.hosts, func(is *is.I, f *fleet, rng *rand.Rand) {
+			f.generateLoad(rng, 11*time.Second)
 			gone := f.hosts[len(f.hosts)-1]
 			gone.kill()
 			first := WindowAt(time.Now(), window) + 1
 			for end := time.Now().Add(25 * time.Second); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-				f.hosts[rng.IntN(len(f.hosts)-1)].began("c")
+				f.hosts[rng.IntN(len(f.hosts)-1)].startRequest("c")
 			}
 			for w := first; w < first+2; w++ {
-				is.Equal(f.receiver.at[w].Sub(w.End(window)) < patience, c.brief)
+				is.Equal(f.receiver.receivedAt[w].Sub(w.End(window)) < maxDecideDelay, c.early)
 			}
 		})
 	}
 }
 
-// victim is a host that has a part.
-func (f *fleet) victim(part string, rng *rand.Rand) *host {
+// pickHost is a host that has a part.
+func (f *fleet) pickHost(role string, rng *rand.Rand) *host {
 	f.receiver.mu.Lock()
 	defer f.receiver.mu.Unlock()
 	for _, h := range f.hosts {
 		last := len(f.receiver.calls) > 0 && f.receiver.calls[len(f.receiver.calls)-1].machine == h.self.Addr
-		if (part == "holder" && last) || (part == "collector" && h.self == Collectors(f.listed())[0]) {
+		if (role == "holder" && last) || (role == "collector" && h.self == Collectors(f.listed())[0]) {
 			return h
 		}
 	}
 	return f.hosts[rng.IntN(len(f.hosts))]
 }
 
-// trouble makes the store lose and refuse calls, or ends that.
-func (f *fleet) trouble(rng *rand.Rand) {
+// setStoreFaults makes the store lose and refuse calls, or ends that.
+func (f *fleet) setStoreFaults(rng *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.troubled = rng
+	f.storeFaults = rng
 }
 
-// befall has a host killed and started again (0), frozen (1) or cut off for a while (2).
-func (f *fleet) befall(h *host, what int, rng *rand.Rand) {
+// injectFault has a host killed and started again (0), frozen (1) or cut off for a while (2).
+func (f *fleet) injectFault(h *host, fault int, rng *rand.Rand) {
 	span := func() time.Duration { return time.Duration(rng.IntN(9000)) * time.Millisecond }
-	switch what {
+	switch fault {
 	case 0:
 		h.kill()
 		h.start()
 	case 1:
 		f.freeze(h.self.Addr, span())
 	case 2:
-		f.set(f.cut, h.self.Addr, true)
-		time.AfterFunc(span(), func() { f.set(f.cut, h.self.Addr, false) })
+		f.set(f.isolated, h.self.Addr, true)
+		time.AfterFunc(span(), func() { f.set(f.isolated, h.self.Addr, false) })
 	}
 }
 
 // Whatever fails, no window is reported with two counts, no term is shared or goes back and no
 // two machines take turns: kills, freezes, cuts, lost answers of the receiver, a store
 // that loses answers and carries writes out late, hosts that are gone for good.
-func TestReportsAreOneWhateverFails(t *testing.T) {
+func TestWindowHasOneReportUnderFaults(t *testing.T) {
 	for seed := range uint64(10) {
-		inFleet(t, 9, func(is *is.I, f *fleet, _ *rand.Rand) {
+		runFleet(t, 9, func(is *is.I, f *fleet, _ *rand.Rand) {
 			rng := rand.New(rand.NewPCG(seed, 9))
 			answers := rand.New(rand.NewPCG(seed, 11))
-			f.receiver.slow = rand.New(rand.NewPCG(seed, 12))
-			f.receiver.lose = func() bool { return answers.IntN(4) == 0 }
+			f.receiver.delays = rand.New(rand.NewPCG(seed, 12))
+			f.receiver.losesAnswer = func() bool { return answers.IntN(4) == 0 }
 			for range 40 {
-				h := f.victim([]string{"holder", "collector", "any"}[rng.IntN(3)], rng)
+				h := f.pickHost([]string{"holder", "collector", "any"}[rng.IntN(3)], rng)
 				switch what := rng.IntN(7); what {
 				case 0, 1, 2:
-					f.befall(h, what, rng)
+					f.injectFault(h, what, rng)
 				case 3:
-					f.trouble(rand.New(rand.NewPCG(seed, 10)))
+					f.setStoreFaults(rand.New(rand.NewPCG(seed, 10)))
 				case 4:
-					f.trouble(nil)
+					f.setStoreFaults(nil)
 				case 5:
-					h.leave()
+					h.shutDown()
 					h.start()
 				case 6:
-					f.set(f.refused, h.self.Addr, !f.is(f.refused, h.self.Addr))
+					f.set(f.storeRefused, h.self.Addr, !f.contains(f.storeRefused, h.self.Addr))
 				}
-				f.load(rng, time.Duration(rng.IntN(3000))*time.Millisecond)
+				f.generateLoad(rng, time.Duration(rng.IntN(3000))*time.Millisecond)
 			}
-			is.Equal(f.receiver.problems, nil)
+			is.Equal(f.receiver.violations, nil)
 		})
 	}
 }
 
 // Guards against a window that is reported with two counts, since a restored store lost what was
 // decided: with the holder killed, frozen, cut off or left alone, twice in a row or once.
-func TestReportsAreOneThoughTheStoreIsRestored(t *testing.T) {
+func TestWindowHasOneReportAfterStoreRestore(t *testing.T) {
 	for seed := range uint64(25) {
-		inFleet(t, 9, func(is *is.I, f *fleet, _ *rand.Rand) {
+		runFleet(t, 9, func(is *is.I, f *fleet, _ *rand.Rand) {
 			rng := rand.New(rand.NewPCG(seed, 9))
 			answers := rand.New(rand.NewPCG(seed, 11))
-			f.receiver.slow = rand.New(rand.NewPCG(seed, 12))
-			f.receiver.lose = func() bool { return answers.IntN(4) == 0 }
+			f.receiver.delays = rand.New(rand.NewPCG(seed, 12))
+			f.receiver.losesAnswer = func() bool { return answers.IntN(4) == 0 }
 			for range 20 {
-				h := f.victim([]string{"holder", "collector", "any"}[rng.IntN(3)], rng)
+				h := f.pickHost([]string{"holder", "collector", "any"}[rng.IntN(3)], rng)
 				switch what := rng.IntN(6); what {
 				case 0, 1, 2:
-					f.befall(h, what, rng)
+					f.injectFault(h, what, rng)
 				default:
 					f.restore(rng)
 				}
-				f.load(rng, time.Duration(rng.IntN(6000))*time.Millisecond)
+				f.generateLoad(rng, time.Duration(rng.IntN(6000))*time.Millisecond)
 			}
-			is.Equal(f.receiver.problems, nil)
+			is.Equal(f.receiver.violations, nil)
 		})
 	}
 }
 
 // A restoration costs no window where the holder lives: what was decided is known to it.
-func TestRestoredStoreCostsNoWindowWhileTheHolderLives(t *testing.T) {
-	inFleet(t, 9, func(is *is.I, f *fleet, rng *rand.Rand) {
-		f.load(rng, 7*time.Second)
+func TestStoreRestoreLosesNoWindowWhileHolderRuns(t *testing.T) {
+	runFleet(t, 9, func(is *is.I, f *fleet, rng *rand.Rand) {
+		f.generateLoad(rng, 7*time.Second)
 		first := WindowAt(time.Now(), window) + 1
 		for range 3 {
-			f.load(rng, 13*time.Second)
+			f.generateLoad(rng, 13*time.Second)
 			f.restore(rng)
 		}
-		f.load(rng, 20*time.Second)
-		windows, inTime, off := f.judge(first)
+		f.generateLoad(rng, 20*time.Second)
+		windows, inTime, off := f.checkReports(first)
 		is.True(windows >= 8)
 		is.Equal(inTime, windows)
 		is.Equal(off, 0)
-		is.Equal(f.receiver.problems, nil)
+		is.Equal(f.receiver.violations, nil)
 	})
 }
 
 // Clocks that are wrong from the start of a run on count with the others' middle.
-func TestWrongClocksCountInTheRightWindow(t *testing.T) {
-	inFleet(t, 24, func(is *is.I, f *fleet, rng *rand.Rand) {
-		f.load(rng, 5*time.Second)
+func TestSkewedClocksCountInTheRightWindow(t *testing.T) {
+	runFleet(t, 24, func(is *is.I, f *fleet, rng *rand.Rand) {
+		f.generateLoad(rng, 5*time.Second)
 		for i, h := range f.hosts {
 			if i%3 == 0 {
 				h.kill()
-				h.clock.by = 2400 * time.Millisecond
+				h.clock.skew = 2400 * time.Millisecond
 				h.start()
 			}
 		}
-		f.load(rng, 2*time.Second)
+		f.generateLoad(rng, 2*time.Second)
 		first := WindowAt(time.Now(), window) + 1
-		f.load(rng, 40*time.Second)
-		windows, inTime, off := f.judge(first)
+		f.generateLoad(rng, 40*time.Second)
+		windows, inTime, off := f.checkReports(first)
 		is.True(windows >= 4)
 		is.Equal(inTime, windows)
 		is.Equal(off, 0)
@@ -281,7 +281,7 @@
 }
 
 // A successor sends what was decided, and decides no window again.
-func TestSuccessorRepeatsWhatWasDecided(t *testing.T) {
+func TestDecidedWindowIsNotDecidedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
@@ -299,12 +299,12 @@
 		for w := Window(9); w < 30; w++ {
 			read.add(Report{Window: w})
 		}
-		is.Equal(len(read.Reports), keptWindows)
+		is.Equal(len(read.Reports), retainedWindows)
 		is.Equal(read.Through, Window(29)) // what was dropped stays decided
 	})
 }
 
-func TestUnreadableReportsNameTheRemedy(t *testing.T) {
+func TestUnreadableReportsAndMissingOptionsAreErrors(t *testing.T) {
 	is := is.New(t)
 	p := storetest.NewPlatform(0)
 	_, err := p.Client("a").Put(context.Background(), KindReports, reportsName, store.Absent, []byte("no json"))
@@ -313,6 +313,6 @@
 	is.True(err != nil)
 	_, err = NewReporter(Options{})
 	is.True(err != nil)
-	_, err = NewTeller(TellerOptions{Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler)})
+	_, err = NewPusher(PusherOptions{Clock: clocktest.Bubble{}, Log: slog.New(slog.DiscardHandler)})
 	is.True(err != nil)
 }
--- a/ctl/account.go
+++ b/ctl/account.go
@@ -46,6 +46,6 @@
 		r := out[i]
 		n := r.Requests
 		return fmt.Sprintf("%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d", r.Route, r.Total, n[account.Served], n[account.RefusedAtOnce], n[account.RefusedByRunners],
-			n[account.GivenUp], n[account.Deadline], n[account.Unknown], n[account.CallerLeft], r.Moved, r.HeldMS[0], r.HeldMS[1], r.HeldMS[2])
+			n[account.PrefillTimeout], n[account.DeadlinePassed], n[account.Unknown], n[account.CallerLeft], r.Moved, r.HeldMS[0], r.HeldMS[1], r.HeldMS[2])
 	})
 }
--- a/ctl/usage.go
+++ b/ctl/usage.go
@@ -48,7 +48,7 @@
 
 func customerRows(r usage.Report) []string { return usageRows(r, r.Counts) }
 
-func hostRows(r usage.Report) []string { return usageRows(r, r.Said) }
+func hostRows(r usage.Report) []string { return usageRows(r, r.ByHost) }
 
 // usageRows are a report's numbers by name, or one row if it has none.
 func usageRows(r usage.Report, numbers map[string]uint64) []string {
--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -104,16 +104,16 @@
 	collector := usage.NewCollector(window)
 	peers := usages.Peers{Client: h.peers}
 	var err error
-	h.teller, err = usage.NewTeller(usage.TellerOptions{
+	h.pusher, err = usage.NewPusher(usage.PusherOptions{
 		Self: h.members.self(), Run: h.id.String(), Hosts: h.members.All, Peers: peers, Counter: h.metrics.usage, Collector: collector,
 		Time: clock, Clock: h.clock, Log: h.log,
 	})
 	if err != nil {
 		return err
 	}
-	usages.Register(h.peerServer, h.teller, collector)
+	usages.Register(h.peerServer, h.pusher, collector)
 	h.reporter, err = usage.NewReporter(usage.Options{
-		Length: window, MostOff: h.s.Bounds.UsageOff, Lease: h.lessor, Store: h.store, Receiver: h.duties, Peers: peers, Collector: collector,
+		WindowLength: window, MaxError: h.s.Bounds.UsageOff, Lease: h.lessor, Store: h.store, Receiver: h.duties, Peers: peers, Collector: collector,
 		Self: h.members.self(), Run: h.id.String(), Hosts: h.members.All, Time: clock, Clock: h.clock, Log: h.log,
 	})
 	return err
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -66,9 +66,9 @@
 	// lessor holds the lease of the duties that one host at a time has.
 	lessor  *lease.Lessor
 	manager *stages.Manager
-	// teller tells other hosts what this one has counted, and reporter reports what all have;
+	// pusher tells other hosts what this one has counted, and reporter reports what all have;
 	// nil where usage isn't reported.
-	teller   *usage.Teller
+	pusher   *usage.Pusher
 	reporter *usage.Reporter
 	// scaler orders numbers of runners; nil where that isn't asked for.
 	scaler  *scale.Manager
--- a/daemon/routed/measures.go
+++ b/daemon/routed/measures.go
@@ -116,7 +116,7 @@
 // RequestStarted implements forward.Observer.
 func (m *measures) RequestStarted(customer string, at time.Time) {
 	if m.usage != nil {
-		m.usage.Began(customer, at)
+		m.usage.Inc(customer, at)
 	}
 }
 
--- a/daemon/routed/run.go
+++ b/daemon/routed/run.go
@@ -30,8 +30,8 @@
 	group.Go(func() { h.looker.Run(work) })
 	group.Go(func() { h.quarantine.Run(work) })
 	group.Go(func() { wallclock.Watch(work) })
-	if h.teller != nil {
-		group.Go(func() { h.teller.Run(work) })
+	if h.pusher != nil {
+		group.Go(func() { h.pusher.Run(work) })
 	}
 	managing, resign := context.WithCancel(work)
 	group.Go(func() {
@@ -71,10 +71,10 @@
 
 // tellLast tells the others what this host has counted until its end.
 func (h *Host) tellLast(ctx context.Context) {
-	if h.teller == nil {
+	if h.pusher == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, graceMargin/2)
 	defer cancel()
-	h.teller.Leave(ctx)
+	h.pusher.Flush(ctx)
 }
--- a/transport/usages/usages.go
+++ b/transport/usages/usages.go
@@ -56,40 +56,40 @@
 	return out
 }
 
-// told is a usage.Told.
-type told struct {
+// pushRequest is a usage.Told.
+type pushRequest struct {
 	Tally  tally   `msgpack:"t"`
 	Others []tally `msgpack:"h,omitempty"`
 	// OwnUS is the host's own clock, in Unix microseconds.
 	OwnUS int64 `msgpack:"o"`
 }
 
-// heard is a usage.Heard; times are in Unix microseconds.
-type heard struct {
+// pushResponse is a usage.Heard; times are in Unix microseconds.
+type pushResponse struct {
 	Run      string `msgpack:"r"`
 	OwnUS    int64  `msgpack:"o"`
 	MiddleUS int64  `msgpack:"m"`
 	Of       int    `msgpack:"n"`
 }
 
-// question asks for a window.
-type question struct {
+// fetchRequest asks for a window.
+type fetchRequest struct {
 	Window uint64 `msgpack:"w"`
 }
 
-// answer is what was told of a window.
-type answer struct {
+// fetchResponse is what was told of a window.
+type fetchResponse struct {
 	Tallies []tally `msgpack:"t"`
 }
 
 // Register lets the server answer hosts that tell their counts, and the one that asks for them.
-func Register(s *peer.Server, t *usage.Teller, c *usage.Collector) {
-	s.Handle(peerapi.KindTellUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, m told) (heard, error) {
-		h := t.Answer(usage.Told{Tally: m.Tally.decode(), Others: decodeAll(m.Others), Own: time.UnixMicro(m.OwnUS)})
-		return heard{Run: h.Run, OwnUS: h.Own.UnixMicro(), MiddleUS: h.Middle.UnixMicro(), Of: h.Of}, nil
+func Register(s *peer.Server, t *usage.Pusher, c *usage.Collector) {
+	s.Handle(peerapi.KindTellUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, m pushRequest) (pushResponse, error) {
+		h := t.HandlePush(usage.PushRequest{Tally: m.Tally.decode(), Others: decodeAll(m.Others), OwnTime: time.UnixMicro(m.OwnUS)})
+		return pushResponse{Run: h.Run, OwnUS: h.OwnTime.UnixMicro(), MiddleUS: h.Median.UnixMicro(), Of: h.Clocks}, nil
 	}))
-	s.Handle(peerapi.KindAskUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, q question) (answer, error) {
-		return answer{encodeAll(c.Told(usage.Window(q.Window)))}, nil
+	s.Handle(peerapi.KindAskUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, q fetchRequest) (fetchResponse, error) {
+		return fetchResponse{encodeAll(c.Tallies(usage.Window(q.Window)))}, nil
 	}))
 }
 
@@ -98,18 +98,18 @@
 
 var _ usage.Peers = Peers{}
 
-// Tell implements usage.Peers.
-func (p Peers) Tell(ctx context.Context, addr string, t usage.Told) (usage.Heard, error) {
-	h, err := peer.CallMsg[told, heard](ctx, p.Client, addr, peerapi.KindTellUsage, told{Tally: encode(t.Tally), Others: encodeAll(t.Others), OwnUS: t.Own.UnixMicro()})
+// Push implements usage.Peers.
+func (p Peers) Push(ctx context.Context, addr string, t usage.PushRequest) (usage.PushResponse, error) {
+	h, err := peer.CallMsg[pushRequest, pushResponse](ctx, p.Client, addr, peerapi.KindTellUsage, pushRequest{Tally: encode(t.Tally), Others: encodeAll(t.Others), OwnUS: t.OwnTime.UnixMicro()})
 	if err != nil {
-		return usage.Heard{}, err
+		return usage.PushResponse{}, err
 	}
-	return usage.Heard{Run: h.Run, Own: time.UnixMicro(h.OwnUS), Middle: time.UnixMicro(h.MiddleUS), Of: h.Of}, nil
+	return usage.PushResponse{Run: h.Run, OwnTime: time.UnixMicro(h.OwnUS), Median: time.UnixMicro(h.MiddleUS), Clocks: h.Of}, nil
 }
 
-// Ask implements usage.Peers.
-func (p Peers) Ask(ctx context.Context, addr string, w usage.Window) ([]usage.Tally, error) {
-	a, err := peer.CallMsg[question, answer](ctx, p.Client, addr, peerapi.KindAskUsage, question{uint64(w)})
+// Fetch implements usage.Peers.
+func (p Peers) Fetch(ctx context.Context, addr string, w usage.Window) ([]usage.Tally, error) {
+	a, err := peer.CallMsg[fetchRequest, fetchResponse](ctx, p.Client, addr, peerapi.KindAskUsage, fetchRequest{uint64(w)})
 	if err != nil {
 		return nil, err
 	}
--- a/transport/usages/usages_test.go
+++ b/transport/usages/usages_test.go
@@ -16,9 +16,9 @@
 		{Run: "h1/1", Addr: "10.1.0.1:7", Through: time.UnixMicro(1_767_225_600_123_456), Windows: map[usage.Window]usage.Counts{7: {"depot": 3}, 8: {}}},
 		{Run: "h2/1", Addr: "10.1.0.2:7", Through: time.UnixMicro(5), Windows: map[usage.Window]usage.Counts{}},
 	}
-	body, err := msgpack.Marshal(answer{encodeAll(sent)})
+	body, err := msgpack.Marshal(fetchResponse{encodeAll(sent)})
 	is.NoErr(err)
-	var got answer
+	var got fetchResponse
 	is.NoErr(msgpack.Unmarshal(body, &got))
 	for i, tally := range decodeAll(got.Tallies) {
 		is.Equal(tally.Run, sent[i].Run)
@@ -39,7 +39,7 @@
 			w[357774478+k]["huka"+string(rune('a'+c))+"70"] = 2
 		}
 	}
-	body, err := msgpack.Marshal(told{Tally: encode(usage.Tally{Run: "front-hall-nord-1/01a0811a-7960-7b29-bf05-4bc415a57a8b", Addr: "10.1.0.1:7280", Windows: w})})
+	body, err := msgpack.Marshal(pushRequest{Tally: encode(usage.Tally{Run: "front-hall-nord-1/01a0811a-7960-7b29-bf05-4bc415a57a8b", Addr: "10.1.0.1:7280", Windows: w})})
 	is.NoErr(err)
 	t.Logf("%d bytes", len(body))
 	is.True(2*len(body) < 8000/2)
