--- a/coordination/account/account.go
+++ b/coordination/account/account.go
@@ -1,9 +1,9 @@
-// Package account sums up a day of one deployment from its hosts' own logs: for each
-// route how many requests were served, refused, given up or cut, how long those were held
-// that were not served, and how often prompts were moved between engines.
+// Package account summarizes a day of one deployment from its hosts' logs: for each route, how
+// many requests were served, refused, abandoned or interrupted, how long the requests that
+// weren't served were held, and how often prompts were moved between engines.
 //
-// A caller's attempts have ids of their own, so that a log can't tell a first try from one
-// that came back.
+// Each attempt of a caller has a request id of its own, so that the log doesn't distinguish a
+// first attempt from a retry.
 package account
 
 import (
@@ -22,36 +22,36 @@
 // Outcome is how a request ended.
 type Outcome string
 
-// The outcomes.
+// Outcomes of requests.
 const (
-	// Served requests got a runner's answer, a failure of its own among them.
+	// Served requests got a runner's response, even if it was an error of the runner's own.
 	Served Outcome = "served"
-	// RefusedAtOnce requests were told to come back without having been sent anywhere.
+	// RefusedAtOnce requests were refused without having been sent to a runner.
 	RefusedAtOnce Outcome = "refused at once"
-	// RefusedByRunners requests were sent, and no runner took them.
+	// RefusedByRunners requests were sent, and no runner accepted them.
 	RefusedByRunners Outcome = "refused by runners"
-	// PrefillTimeout prompts were let in and not read in time.
+	// PrefillTimeout requests were admitted, and their prefill didn't finish in time.
 	PrefillTimeout Outcome = "given up"
-	// CallerLeft requests lost their caller before an answer.
+	// CallerLeft requests lost their caller before a response.
 	CallerLeft Outcome = "caller left"
-	// Unknown requests may have run and got no answer, or were cut.
+	// Unknown requests may have run and got no response, or an interrupted one.
 	Unknown Outcome = "unknown"
-	// DeadlinePassed requests had no time left.
+	// DeadlinePassed requests weren't run before their deadline.
 	DeadlinePassed Outcome = "deadline"
 )
 
-// Route is the account of one route's requests.
+// Route summarizes the requests of one route.
 type Route struct {
 	Name string
-	// Requests are counted by outcome.
+	// Requests holds the number of requests by outcome.
 	Requests map[Outcome]int
-	// Moved prompts were sent to more than one engine for reading.
+	// Moved is the number of requests with more than one prefill attempt.
 	Moved int
-	// held are the times of requests that weren't served.
+	// held holds the durations of the requests that weren't served.
 	held []time.Duration
 }
 
-// Total is the number of requests.
+// Total returns the number of requests.
 func (r *Route) Total() int {
 	n := 0
 	for _, count := range r.Requests {
@@ -60,8 +60,8 @@
 	return n
 }
 
-// Held returns how long requests were held that were not served, by quantile, 0 to 1; 0
-// if all were.
+// Held returns a quantile (0 to 1) of how long the requests that weren't served were held; 0
+// if all were served.
 func (r *Route) Held(quantile float64) time.Duration {
 	if len(r.held) == 0 {
 		return 0
@@ -70,7 +70,7 @@
 	return r.held[int(quantile*float64(len(r.held)-1))]
 }
 
-// logLine is what is read of a host's log logLine about a request.
+// logLine holds the decoded fields of a host's log line about a request.
 type logLine struct {
 	Message  string `json:"msg"`
 	Route    string `json:"route"`
@@ -82,14 +82,15 @@
 	} `json:"sendings"`
 }
 
-// requestEnded is the message of the one line of each request.
+// requestEnded is the message of the log line that each request has once.
 const requestEnded = "request ended"
 
-// maxLineBytes bounds a log line.
+// maxLineBytes bounds the length of a log line, in bytes.
 const maxLineBytes = 1 << 20
 
-// Read sums up logs; what stands before a line's first brace is passed over, and so are
-// lines of other messages. Routes come by name.
+// Read summarizes logs, one Route for each route, sorted by name. It skips any prefix before
+// the first brace of a line, and lines with other messages. An error names the line that can't
+// be decoded.
 func Read(r io.Reader) ([]*Route, error) {
 	routes := map[string]*Route{}
 	lines := bufio.NewScanner(r)
@@ -135,7 +136,7 @@
 	}
 }
 
-// outcome reads how the request ended from the reason that its caller was told.
+// outcome derives the outcome from the refusal that the caller got and the steps of the request.
 func (l logLine) outcome() Outcome {
 	sent := strings.Contains(l.Sendings.Steps, "prefill:") || strings.Contains(l.Sendings.Steps, "run:")
 	switch {
@@ -156,5 +157,5 @@
 	}
 }
 
-// hasReason reports whether the caller was told that reason.
+// hasReason reports whether the refusal names the given reason.
 func (l logLine) hasReason(r forward.Reason) bool { return strings.Contains(l.Refused, string(r)) }
--- a/coordination/usage/collector.go
+++ b/coordination/usage/collector.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Collector holds what the hosts that tell this one have counted. It is safe for concurrent
+// Collector holds the counts that hosts have pushed to this one. It is safe for concurrent
 // use.
 type Collector struct {
 	windowLength time.Duration
 
 	mu sync.Mutex
-	// tallies are the latest of each run of a host.
+	// tallies holds the latest tally of each run of a host, by run.
 	tallies map[string]Tally
 }
 
-// NewCollector returns an empty collector for windows of that length.
+// NewCollector returns an empty collector for windows of the given length.
 func NewCollector(length time.Duration) *Collector {
 	return &Collector{windowLength: length, tallies: map[string]Tally{}}
 }
 
-// Merge keeps a tally. Tallies of one run may overtake each other; counts only grow, so that
-// the higher ones of two are the later.
+// Merge adds a tally to what is known of its run. Tallies of one run may arrive out of order;
+// counts only grow, so the higher counts of a window are the later ones.
 func (c *Collector) Merge(t Tally) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,7 +30,7 @@
 	c.evict(WindowAt(t.Through, c.windowLength))
 }
 
-// mergeTallies is what two tallies of one run tell together.
+// mergeTallies combines two tallies of one run: the higher counts of each window.
 func mergeTallies(a, b Tally) Tally {
 	out := Tally{Run: b.Run, Addr: b.Addr, Through: b.Through, Windows: map[Window]Counts{}}
 	if a.Through.After(b.Through) {
@@ -46,7 +46,7 @@
 	return out
 }
 
-// evict drops old windows, and runs that told nothing for as long.
+// evict drops old windows, and runs that have pushed nothing for as long.
 func (c *Collector) evict(newest Window) {
 	for run, t := range c.tallies {
 		evictOld(t.Windows, newest)
@@ -56,7 +56,7 @@
 	}
 }
 
-// snapshot are the latest tallies of snapshot runs.
+// snapshot returns the latest tallies of all runs.
 func (c *Collector) snapshot() []Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -68,8 +68,8 @@
 	return out
 }
 
-// Tallies returns what each run has counted in a window, and through when; runs that counted
-// nothing there are among them.
+// Tallies returns the counts of each run in window w, and the time through which its counts
+// are complete. Runs without requests in w are included.
 func (c *Collector) Tallies(w Window) []Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coordination/usage/counter.go
+++ b/coordination/usage/counter.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// Window is the number of a window: window k begins k window lengths after the start of 1970.
+// Window numbers a time window: window k begins k window lengths after the Unix epoch.
 type Window uint64
 
-// WindowAt is the window of a moment of true time.
+// WindowAt returns the window that contains t, a moment of true time (see package truetime).
 func WindowAt(t time.Time, length time.Duration) Window {
 	return Window(t.UnixMilli() / length.Milliseconds())
 }
 
-// End is the moment at which the window ends.
+// End returns the moment at which the window ends.
 func (w Window) End(length time.Duration) time.Time {
 	return time.UnixMilli(int64(w+1) * length.Milliseconds())
 }
 
-// Counts are requests by customer.
+// Counts holds numbers of requests by customer.
 type Counts map[string]uint64
 
-// Total is the number of requests of all customers.
+// Total returns the number of requests of all customers.
 func (c Counts) Total() uint64 {
 	total := uint64(0)
 	for _, n := range c {
@@ -31,36 +31,37 @@
 	return total
 }
 
-// retainedWindows is how many windows counts and reports are kept for: twice the time after which
-// a report is of no use, with windows of five seconds and reports due within ten.
+// retainedWindows is how many windows of counts and reports are kept. It covers twice the
+// time after which a report is of no use, for windows of 5 s and reports due within 10 s.
 const retainedWindows = 8
 
-// Tally is what one run of a host has counted.
+// Tally holds the counts of one run of a host.
 type Tally struct {
-	// Run names the run of the host and Addr where other hosts reach it.
+	// Run identifies the run of the host; Addr is where other hosts reach it.
 	Run, Addr string
-	// Through is the true time, as that host knows it, up to which Windows are whole.
+	// Through is the true time, by that host's clock, up to which Windows are complete.
 	Through time.Time
-	// Windows are those of late, whole: a later tally of the run replaces an earlier one.
+	// Windows holds the full counts of the recent windows: a later tally of the run replaces
+	// an earlier one.
 	Windows map[Window]Counts
 }
 
-// Counter counts on one host. It is safe for concurrent use.
+// Counter counts the requests that begin to run on one host. It is safe for concurrent use.
 type Counter struct {
 	windowLength time.Duration
-	// trueTime turns a moment of the host's clock into true time.
+	// trueTime converts a moment of the host's clock to true time.
 	trueTime func(time.Time) time.Time
 
 	mu      sync.Mutex
 	windows map[Window]Counts
 }
 
-// NewCounter returns a counter for windows of that length.
+// NewCounter returns a counter for windows of the given length.
 func NewCounter(length time.Duration, trueTime func(time.Time) time.Time) *Counter {
 	return &Counter{windowLength: length, trueTime: trueTime, windows: map[Window]Counts{}}
 }
 
-// Inc counts a request of a customer that began to run at a moment of the host's clock.
+// Inc counts a request of customer that began to run at the given moment of the host's clock.
 func (c *Counter) Inc(customer string, at time.Time) {
 	w := WindowAt(c.trueTime(at), c.windowLength)
 	c.mu.Lock()
@@ -74,7 +75,7 @@
 	counts[customer]++
 }
 
-// evictOld drops windows that are of no use any more.
+// evictOld drops the windows that are no longer retained.
 func evictOld(windows map[Window]Counts, newest Window) {
 	for w := range windows {
 		if w+retainedWindows <= newest {
@@ -83,7 +84,7 @@
 	}
 }
 
-// windowsSince returns what was counted since a window began.
+// windowsSince returns the counts of window since and of all later ones.
 func (c *Counter) windowsSince(since Window) map[Window]Counts {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/coordination/usage/doc.go
+++ b/coordination/usage/doc.go
@@ -1,15 +1,15 @@
 // Package usage counts the requests that began to run, by customer and window of true time,
-// and reports each window's counts once.
+// and reports the counts of each window once.
 //
-// Each host counts in its own memory (Counter) and tells its counts, which only grow, to a
-// collector: one of two hosts of its failure domain that all hosts compute alike. A host that
-// is lost takes with it what it has counted since it told last, half a second. The holder of
-// the duties' lease (Reporter) asks the collectors once a window has ended, adds up what each
-// run of a host has counted there, and decides the report: one conditional write of the one
-// object that keeps the recent reports. Only what was decided is sent, bit for bit as it was
-// decided, by whoever holds the lease, until the receiver has confirmed it.
+// Each host counts in memory (Counter) and pushes its counts, which only grow, to a collector
+// (Pusher, Collector). Each failure domain has two collectors, which all hosts derive from the
+// host list alike. A lost host loses the counts since its last push, at most half a second of
+// them. The holder of the duties' lease (Reporter) fetches the tallies of all collectors once
+// a window has ended, sums the counts of all runs of hosts and decides the report by one
+// conditional write to the single object that keeps the recent reports. Only decided reports
+// are sent, unchanged, by the current holder of the lease, until the receiver confirms them.
 //
-// A window is decided in its turn or never again: the object keeps how far windows were
-// decided, so that neither a late write nor the removal of an old report lets one be decided
-// twice.
+// Windows are decided in order, each at most once: the object records the last window that was
+// decided, so that neither a delayed write nor the eviction of an old report lets a window be
+// decided twice.
 package usage
--- a/coordination/usage/fleet_test.go
+++ b/coordination/usage/fleet_test.go
@@ -19,7 +19,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// The figures of the service agreement that the tests hold reports to.
+// The limits that the tests check reports against.
 const (
 	window    = 5 * time.Second
 	reportDue = 10 * time.Second
@@ -27,7 +27,7 @@
 	maxError  = 0.05
 )
 
-// fleet is hosts that count, over one store and one receiver.
+// fleet simulates hosts that count requests, with one store and one receiver.
 type fleet struct {
 	t        *testing.T
 	store    *storetest.Platform
@@ -35,18 +35,18 @@
 	hosts    []*host
 
 	mu sync.Mutex
-	// isolated hosts reach nobody, storeRefused ones all but the store; gone hosts are gone.
+	// isolated hosts reach nothing; storeRefused hosts reach all but the store; gone hosts aren't listed.
 	isolated, storeRefused, gone map[string]bool
-	// started is what began, by window and customer.
+	// started holds the requests that began, by window and customer.
 	started map[Window]Counts
 	runs    int
-	// frozenUntil is when a frozen host goes on; what it does outside waits until then.
+	// frozenUntil is when a frozen host resumes; its calls and those to it wait until then.
 	frozenUntil map[string]time.Time
-	// storeFaults draws the faults of the store; nil while it is sound.
+	// storeFaults draws the faults of the store; nil while there are none.
 	storeFaults *rand.Rand
 }
 
-// host is one machine; a run of it can end and another begin.
+// host is one machine; its runs follow one another.
 type host struct {
 	f     *fleet
 	self  state.Peer
@@ -61,7 +61,7 @@
 	collector *Collector
 }
 
-// skewedClock is a machine's clock that is wrong by a constant.
+// skewedClock is a clock that is wrong by a constant.
 type skewedClock struct {
 	clocktest.Machine
 	skew time.Duration
@@ -93,7 +93,7 @@
 	return f
 }
 
-// restore has the store go away and come back as it was some seconds before.
+// restore makes the store unreachable for a while and restores it to its state of some seconds before.
 func (f *fleet) restore(rng *rand.Rand) {
 	for _, h := range f.hosts {
 		f.set(f.storeRefused, h.self.Addr, true)
@@ -117,7 +117,7 @@
 	set[addr] = member
 }
 
-// freeze has a host stand still for so long.
+// freeze suspends the calls of a host for the given time.
 func (f *fleet) freeze(addr string, span time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -131,7 +131,7 @@
 	time.Sleep(max(0, left))
 }
 
-// listed are the hosts that aren't gone.
+// listed returns the hosts that aren't gone.
 func (f *fleet) listed() []state.Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -191,22 +191,22 @@
 	})
 }
 
-// shutDown ends the present run in order.
+// shutDown ends the current run after a last push.
 func (h *host) shutDown() {
 	h.pusher.Flush(context.Background())
 	h.stop()
 	h.ended.Wait()
 }
 
-// kill ends the present run without a word: nobody hears of what it does on its way out, nor
-// of the host until another run begins.
+// kill ends the current run abruptly: nothing that it sends arrives, and the host is
+// unreachable until another run begins.
 func (h *host) kill() {
 	h.f.set(h.f.isolated, h.self.Addr, true)
 	h.stop()
 	h.ended.Wait()
 }
 
-// startRequest has a request begin at the host now.
+// startRequest counts a request that begins at the host now.
 func (h *host) startRequest(customer string) {
 	h.mu.Lock()
 	counter := h.counter
@@ -221,7 +221,7 @@
 	h.f.started[w][customer]++
 }
 
-// network carries the calls of one host.
+// network carries the calls of one host to others.
 type network struct {
 	f    *fleet
 	from *host
@@ -278,16 +278,16 @@
 	return collector.Tallies(w), nil
 }
 
-// receiver takes reports and notes what breaks a promise.
+// receiver accepts reports and records each violation of what they guarantee.
 type receiver struct {
 	t          *testing.T
 	mu         sync.Mutex
 	received   map[Window]Counts
 	receivedAt map[Window]time.Time
 	calls      []reportCall
-	// losesAnswer decides whether the answer to a report is lost.
+	// losesAnswer decides whether the response to a report is lost.
 	losesAnswer func() bool
-	// delays draws how long a report is on its way; nil for some milliseconds.
+	// delays draws the network delay of a report; nil for 2 ms.
 	delays     *rand.Rand
 	violations []string
 }
@@ -299,7 +299,7 @@
 	at      time.Time
 }
 
-// receive takes a report, and returns an error if its answer is lost.
+// receive records a report, and returns an error if its response is lost.
 func (r *receiver) receive(machine string, term uint64, w Window, counts Counts) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -312,13 +312,13 @@
 	for i, c := range r.calls {
 		switch {
 		case c.term > term:
-			r.violation("%s calls with %d after %d", machine, term, c.term)
+			r.violation("%s reports under term %d after term %d", machine, term, c.term)
 		case c.term == term && c.machine != machine:
-			r.violation("%s and %s call with %d", machine, c.machine, term)
+			r.violation("%s and %s report under the same term %d", machine, c.machine, term)
 		case c.machine == machine && now.Sub(c.at) < leaseTime:
 			for _, other := range r.calls[i:] {
 				if other.machine != machine {
-					r.violation("%s calls again %s after its last call, with one of %s between", machine, now.Sub(c.at), other.machine)
+					r.violation("%s reports again %s after its last report, with one of %s between them", machine, now.Sub(c.at), other.machine)
 				}
 			}
 		}
@@ -330,7 +330,7 @@
 	return nil
 }
 
-// delay is how long a report is on its way, less than a call may take.
+// delay returns the network delay of a report, which is shorter than the timeout of a call.
 func (r *receiver) delay() time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -344,7 +344,7 @@
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
 
-// receiverClient is the way of one host to the receiver.
+// receiverClient sends the reports of one host to the receiver.
 type receiverClient struct {
 	f    *fleet
 	from *host
@@ -360,7 +360,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	// What has left arrives, whatever becomes of who sent it.
+	// A report that was sent arrives even if its sender is killed or times out.
 	arrived := make(chan error, 1)
 	go func() {
 		time.Sleep(s.f.receiver.delay())
--- a/coordination/usage/reporter.go
+++ b/coordination/usage/reporter.go
@@ -18,40 +18,41 @@
 )
 
 const (
-	// pollInterval is how often the holder looks whether a window has ended.
+	// pollInterval is how often the lease holder checks whether a window has ended.
 	pollInterval = 250 * time.Millisecond
-	// settleDelay is how long after its end a window is decided at the earliest: hosts tell their
-	// counts each half second, and some need a second try.
+	// settleDelay is the earliest time after its end at which a window is decided: hosts push
+	// their counts every half second, and some need a second try.
 	settleDelay = 1200 * time.Millisecond
-	// maxDecideDelay is how long after its end a window is decided at the latest, though a host
-	// hasn't told all of it: a cut or pause of some seconds may end by then, and half of the
-	// time until the report is due (10 s) is left for a successor to send it.
+	// maxDecideDelay is the latest time after its end at which a window is decided, even if
+	// counts of a host are missing. It outlasts a network partition or pause of some seconds,
+	// and leaves half of the time until the report is due (10 s) for a successor to send it.
 	maxDecideDelay = 5 * time.Second
-	// fewMissingDecideDelay is the same where so few hosts are missing that their counts can't matter: a
-	// host that is gone for good is listed for ten seconds and more.
+	// fewMissingDecideDelay replaces maxDecideDelay if so few hosts are missing that their
+	// counts are within the error bound: a host that is gone for good is listed for 10 s or more.
 	fewMissingDecideDelay = 2 * time.Second
-	// missingErrorShare is how much of the error that a report may have may come from hosts that
-	// are missing; the rest is for what lost hosts took with them.
+	// missingErrorShare is the share of a report's maximum error that missing hosts may cause;
+	// the rest allows for the counts that lost hosts didn't push.
 	missingErrorShare = 0.4
-	// fetchTimeout bounds a question to a collector, which answers in some milliseconds; one that
-	// is gone holds a report up for so long. callTimeout bounds a call to the store.
+	// fetchTimeout bounds a fetch from a collector, which answers within some milliseconds; an
+	// unreachable collector delays a report by this much. callTimeout bounds a call to the store
+	// or the receiver.
 	fetchTimeout = 250 * time.Millisecond
 	callTimeout  = time.Second
 	// resendDelay is the pause after a report that wasn't confirmed.
 	resendDelay = 700 * time.Millisecond
 )
 
-// Receiver takes reports. A report may arrive although Report returns an error.
+// Receiver accepts reports. A report may have arrived even if Report returns an error.
 type Receiver interface {
-	// Report sends a window's counts under the term of that number; permit is asked last
-	// before the bytes leave.
+	// Report sends the counts of window w under the given lease term. It calls permit last
+	// before it sends, and sends nothing if permit returns an error.
 	Report(ctx context.Context, term uint64, w Window, counts Counts, permit func() error) error
 }
 
-// Options configure a Reporter. All fields are required.
+// Options configures a Reporter. All fields are required.
 type Options struct {
-	// WindowLength is that of a window, and MostOff how far a report may be from the truth, as a part
-	// of it.
+	// WindowLength is the length of a window; MaxError is the largest error of a report, as a
+	// fraction of the true count.
 	WindowLength time.Duration
 	MaxError     float64
 	Lease        *lease.Lessor
@@ -59,7 +60,7 @@
 	Receiver     Receiver
 	Peers        Peers
 	Collector    *Collector
-	// Self is this host, Run this run of it, and Hosts lists all hosts.
+	// Self is this host, Run identifies its run, and Hosts returns all listed hosts.
 	Self  state.Peer
 	Run   string
 	Hosts func() []state.Peer
@@ -68,21 +69,22 @@
 	Log   *slog.Logger
 }
 
-// Reporter decides and sends the reports while it holds the lease. Hold alone uses it.
+// Reporter decides and sends the reports while it holds the lease. Only Hold uses its fields.
 type Reporter struct {
 	opts Options
-	// stored are the reports as they are at the store; nil until they are read in a term.
+	// stored holds the reports as last read or written, with later confirmations and skipped
+	// windows, which the next write stores; nil if they have to be read again.
 	stored *reports
-	// latest are the reports as they were last known in this term; nil before the first. A
-	// restored store may have lost some of them.
+	// latest holds the reports as last known in this term; nil before the first read. A restored
+	// store may have lost some of them.
 	latest *reports
-	// writes numbers this run's writes.
+	// writes counts the writes of this run; the number identifies a write.
 	writes int
-	// sendFailedAt is when a report was last sent in vain.
+	// sendFailedAt is when a report was last sent without confirmation.
 	sendFailedAt time.Time
 }
 
-// NewReporter validates the options.
+// NewReporter returns a Reporter, or an error if a field of the options is missing.
 func NewReporter(o Options) (*Reporter, error) {
 	if o.WindowLength < time.Millisecond || o.Lease == nil || o.Store == nil || o.Receiver == nil || o.Peers == nil || o.Collector == nil || o.Run == "" || o.Hosts == nil || o.Time == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("usage: a field of Options is missing; set all of them")
@@ -90,12 +92,12 @@
 	return &Reporter{opts: o}, nil
 }
 
-// Hold decides and sends reports for one term of the lease, until ctx ends with it.
+// Hold decides and sends reports for one term of the lease, until ctx ends with the term.
 func (r *Reporter) Hold(ctx context.Context) {
 	r.stored, r.latest = nil, nil
 	for {
 		if err := r.step(ctx); err != nil && ctx.Err() == nil {
-			r.opts.Log.Warn("usage not decided; tried again", "cause", err.Error())
+			r.opts.Log.Warn("usage report not decided, retrying", "cause", err.Error())
 		}
 		if r.opts.Clock.Sleep(ctx, pollInterval) != nil {
 			return
@@ -103,7 +105,7 @@
 	}
 }
 
-// step decides the next window if it is time, and sends what isn't confirmed.
+// step decides the next window if it is due, and sends the unconfirmed reports.
 func (r *Reporter) step(ctx context.Context) error {
 	if r.stored == nil {
 		if err := r.load(ctx); err != nil {
@@ -115,69 +117,72 @@
 	return err
 }
 
-// load reads what was decided. When nothing was ever, the present window is the first.
+// load reads the stored reports. If no window was ever decided, the current window is the
+// first.
 func (r *Reporter) load(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	known, err := loadReports(ctx, r.opts.Store)
+	stored, err := loadReports(ctx, r.opts.Store)
 	if err != nil {
-		return fmt.Errorf("read the reports of usage: %w", err)
+		return fmt.Errorf("read usage reports: %w", err)
 	}
 	switch {
 	case r.latest != nil:
-		known = r.latest.carryOver(known)
-	case known == nil:
-		known = &reports{Through: r.currentWindow() - 1}
-	case known.restored():
-		r.skipUncertain(known)
+		stored = r.latest.carryOver(stored)
+	case stored == nil:
+		stored = &reports{Through: r.currentWindow() - 1}
+	case stored.restored():
+		r.skipUncertain(stored)
 	}
-	r.setStored(known)
+	r.setStored(stored)
 	return nil
 }
 
-// setStored takes the reports as they are.
-func (r *Reporter) setStored(known *reports) { r.stored, r.latest = known, known }
+// setStored records the reports as last read or written.
+func (r *Reporter) setStored(stored *reports) { r.stored, r.latest = stored, stored }
 
-// skipUncertain gives up the windows that an earlier holder may have decided and sent, where a restored
-// store has lost what it decided: a second report with other counts would be worse than none.
-func (r *Reporter) skipUncertain(known *reports) {
+// skipUncertain skips the windows that an earlier holder may have decided and sent before a restore
+// of the store lost them: a second report with other counts would be worse than none.
+func (r *Reporter) skipUncertain(stored *reports) {
 	through := r.currentWindow() - 1
-	if known.Through >= through {
+	if stored.Through >= through {
 		return
 	}
-	r.opts.Log.Error("usage of windows given up: the store was restored, and another host may have reported them", "from", known.Through+1, "to", through)
-	known.Through = through
+	r.opts.Log.Error("usage windows skipped: the store was restored and another host may have reported them", "from", stored.Through+1, "to", through)
+	stored.Through = through
 }
 
+// currentWindow returns the window of the present true time.
 func (r *Reporter) currentWindow() Window { return WindowAt(r.opts.Time.Now(), r.opts.WindowLength) }
 
-// decide decides the next window once it has ended and its counts are in.
+// decide decides the next window once it has ended and either the counts of all hosts are
+// complete or the delay for missing hosts has passed.
 func (r *Reporter) decide(ctx context.Context) error {
 	w, now := r.stored.Through+1, r.opts.Time.Now()
 	if oldest := r.currentWindow() - retainedWindows; w < oldest {
-		r.opts.Log.Error("usage of windows lost, which nobody reported in time", "from", w, "to", oldest-1)
+		r.opts.Log.Error("usage windows lost: no host reported them in time", "from", w, "to", oldest-1)
 		w = oldest
 	}
-	since := now.Sub(w.End(r.opts.WindowLength))
-	if since < settleDelay {
+	afterEnd := now.Sub(w.End(r.opts.WindowLength))
+	if afterEnd < settleDelay {
 		return nil
 	}
 	tallies := r.fetchTallies(ctx, w)
 	missing := r.missingHosts(tallies, w)
-	if len(missing) > 0 && since < maxDecideDelay && !(since >= fewMissingDecideDelay && r.withinMaxError(len(missing))) {
+	if len(missing) > 0 && afterEnd < maxDecideDelay && !(afterEnd >= fewMissingDecideDelay && r.withinMaxError(len(missing))) {
 		return nil
 	}
 	report := Report{Window: w, Counts: sumCounts(tallies, w), Missing: missing, ByHost: totalsByHost(tallies, w)}
 	if err := r.write(ctx, report); err != nil {
 		return err
 	}
-	r.opts.Log.Info("usage decided", "window", w, "requests", report.Counts.Total(), "customers", len(report.Counts),
-		"runs", len(tallies), "missing", missing, "after_end", since)
+	r.opts.Log.Info("usage report decided", "window", w, "requests", report.Counts.Total(), "customers", len(report.Counts),
+		"runs", len(tallies), "missing", missing, "after_end", afterEnd)
 	return nil
 }
 
-// write decides a report at the store. After an error it is unknown what was decided, and
-// the reports are read again.
+// write decides a report by writing it to the store. After an error it is unknown whether the
+// write took effect, so that the reports are read again.
 func (r *Reporter) write(ctx context.Context, report Report) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -187,19 +192,19 @@
 	next.Writer = fmt.Sprintf("%s/%d", r.opts.Run, r.writes)
 	if err := next.save(ctx, r.opts.Store); err != nil {
 		r.stored = nil
-		return fmt.Errorf("decide window %d: %w", report.Window, err)
+		return fmt.Errorf("decide usage window %d: %w", report.Window, err)
 	}
 	r.setStored(next)
 	return nil
 }
 
-// withinMaxError reports whether so many missing hosts leave a report within its error.
+// withinMaxError reports whether a report without that many hosts stays within the maximum error.
 func (r *Reporter) withinMaxError(missing int) bool {
 	return float64(missing) <= missingErrorShare*r.opts.MaxError*float64(len(r.opts.Hosts()))
 }
 
-// fetchTallies asks the collectors what they were told of a window; a run that told several counts
-// once, by its highest counts.
+// fetchTallies returns the tallies of window w from all collectors, one for each run: a run
+// that several collectors hold counts once, by its highest counts.
 func (r *Reporter) fetchTallies(ctx context.Context, w Window) []Tally {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
@@ -213,7 +218,7 @@
 		fetches.Go(func() {
 			fetched, err := r.opts.Peers.Fetch(ctx, c.Addr, w)
 			if err != nil {
-				r.opts.Log.Info("collector of usage not asked", "peer", c.Addr, "window", w, "cause", err.Error())
+				r.opts.Log.Info("usage collector did not answer", "peer", c.Addr, "window", w, "cause", err.Error())
 				return
 			}
 			mu.Lock()
@@ -238,7 +243,7 @@
 	return out
 }
 
-// missingHosts are the listed hosts that haven't told all of a window.
+// missingHosts returns the listed hosts whose counts of window w aren't complete.
 func (r *Reporter) missingHosts(tallies []Tally, w Window) []string {
 	newest := latestByAddr(tallies)
 	var out []string
@@ -251,7 +256,7 @@
 	return out
 }
 
-// latestByAddr is the latest time through which a host at an address has told.
+// latestByAddr returns the latest Through of the tallies of each host, by address.
 func latestByAddr(tallies []Tally) map[string]time.Time {
 	out := make(map[string]time.Time, len(tallies))
 	for _, t := range tallies {
@@ -262,6 +267,7 @@
 	return out
 }
 
+// sumCounts returns the counts of all runs in window w.
 func sumCounts(tallies []Tally, w Window) Counts {
 	out := Counts{}
 	for _, t := range tallies {
@@ -272,7 +278,7 @@
 	return out
 }
 
-// totalsByHost is what the runs of each host have counted in a window.
+// totalsByHost returns the number of requests that the runs of each host counted in window w.
 func totalsByHost(tallies []Tally, w Window) map[string]uint64 {
 	out := make(map[string]uint64, len(tallies))
 	for _, t := range tallies {
@@ -303,15 +309,16 @@
 	}
 }
 
+// sendOne sends a report under the given lease term and logs the result.
 func (r *Reporter) sendOne(ctx context.Context, term uint64, report *Report) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	err := r.opts.Receiver.Report(ctx, term, report.Window, report.Counts, r.opts.Lease.Still(term))
-	late := r.opts.Time.Now().Sub(report.Window.End(r.opts.WindowLength))
+	afterEnd := r.opts.Time.Now().Sub(report.Window.End(r.opts.WindowLength))
 	if err != nil {
-		r.opts.Log.Warn("usage not confirmed; sent again", "window", report.Window, "term", term, "after_end", late, "cause", err.Error())
+		r.opts.Log.Warn("usage report not confirmed, retrying", "window", report.Window, "term", term, "after_end", afterEnd, "cause", err.Error())
 		return err
 	}
-	r.opts.Log.Info("usage reported", "window", report.Window, "term", term, "requests", report.Counts.Total(), "after_end", late)
+	r.opts.Log.Info("usage report confirmed", "window", report.Window, "term", term, "requests", report.Counts.Total(), "after_end", afterEnd)
 	return nil
 }
--- a/coordination/usage/reports.go
+++ b/coordination/usage/reports.go
@@ -9,45 +9,45 @@
 	"github.com/thymerack/thymerack/coordination/store"
 )
 
-// The object that keeps the recent reports.
+// KindReports is the kind and reportsName the name of the object that keeps the recent reports.
 const (
 	KindReports = "thymerack-usage"
 	reportsName = "reports"
 )
 
-// Report is the decided counts of one window. It never changes.
+// Report holds the decided counts of one window. The counts never change.
 type Report struct {
 	Window Window `json:"window"`
 	Counts Counts `json:"counts"`
-	// Missing are the addresses of the listed hosts that hadn't told all of the window when it
-	// was decided.
+	// Missing holds the addresses of the listed hosts whose counts of the window were
+	// incomplete when it was decided.
 	Missing []string `json:"missing,omitempty"`
-	// ByHost is how many requests the runs of each host have counted, by its address. It is kept
-	// for the latest windows only.
+	// ByHost holds the number of requests that the runs of each host have counted, by address.
+	// It is kept for the latest windows only.
 	ByHost map[string]uint64 `json:"said,omitempty"`
-	// Confirmed is set once the receiver has taken the report.
+	// Confirmed is set once the receiver has accepted the report.
 	Confirmed bool `json:"confirmed,omitempty"`
 }
 
-// reports are the recent reports as the store keeps them.
+// reports holds the recent reports as stored.
 type reports struct {
-	// Through is the last window that was decided or given up: none up to it ever is again.
+	// Through is the last window that was decided or skipped; no window up to it is decided again.
 	Through Window `json:"through"`
-	// Reports are the last ones, the oldest first.
+	// Reports holds the recent reports, the oldest first.
 	Reports []Report `json:"reports"`
-	// Writer marks the last write, so that its writer recognises it.
+	// Writer identifies the last write, so that its writer recognises it.
 	Writer string `json:"writer"`
-	// Epoch is that of the version which the reports were written over.
+	// Epoch is the epoch of the version that the last write replaced.
 	Epoch uint64 `json:"epoch,omitempty"`
 
 	version uint64
 }
 
-// restored reports whether the reports are older than the store's last restoration, so that later
-// ones may be lost.
+// restored reports whether the reports were written before the last restore of the store, so
+// that later ones may be lost.
 func (r *reports) restored() bool { return r.Epoch < store.EpochOf(r.version) }
 
-// UnreadableError says that the object of the reports can't be read.
+// UnreadableError means that the stored object of the reports can't be decoded.
 type UnreadableError struct{ Cause error }
 
 // Error implements error.
@@ -58,7 +58,7 @@
 // Unwrap returns the cause.
 func (e *UnreadableError) Unwrap() error { return e.Cause }
 
-// loadReports reads the recent reports; nil if none was ever decided.
+// loadReports reads the recent reports; it returns nil if no window was ever decided.
 func loadReports(ctx context.Context, s store.Store) (*reports, error) {
 	o, err := s.Get(ctx, KindReports, reportsName)
 	if errors.Is(err, store.ErrNotFound) {
@@ -74,12 +74,12 @@
 	return r, nil
 }
 
-// save writes the reports in place of the version that they were read at.
+// save writes the reports if the stored version is still the one that was read.
 func (r *reports) save(ctx context.Context, s store.Store) error {
 	r.Epoch = store.EpochOf(r.version)
 	value, err := json.Marshal(r)
 	if err != nil {
-		return fmt.Errorf("encode the reports of usage: %w", err)
+		return fmt.Errorf("encode usage reports: %w", err)
 	}
 	version, err := s.Put(ctx, KindReports, reportsName, r.version, value)
 	if err == nil {
@@ -88,7 +88,7 @@
 	return err
 }
 
-// add decides a window's report, which must be the next.
+// add appends a report, which must be that of the next window, and evicts old ones.
 func (r *reports) add(report Report) {
 	r.Reports = append(r.Reports, report)
 	r.Through = report.Window
@@ -100,11 +100,11 @@
 	}
 }
 
-// byHostWindows is the number of windows for which it is kept what each host said: with 300 hosts
-// some fifteen kilobytes in each write.
+// byHostWindows is the number of windows for which counts by host are kept: with 300 hosts they
+// add about 15 KB to each write.
 const byHostWindows = 2
 
-// List returns the recent reports, the oldest first; none if none was ever decided.
+// List returns the recent reports, the oldest first; none if no window was ever decided.
 func List(ctx context.Context, s store.Store) ([]Report, error) {
 	r, err := loadReports(ctx, s)
 	if r == nil || err != nil {
@@ -113,15 +113,15 @@
 	return r.Reports, nil
 }
 
-// clone is a copy that may be changed beside r.
+// clone returns a copy whose list of reports can be changed independently of r.
 func (r *reports) clone() *reports {
 	out := *r
 	out.Reports = append([]Report(nil), r.Reports...)
 	return &out
 }
 
-// carryOver returns the reports with what a restored store has lost of them: present is what it has, nil
-// for nothing.
+// carryOver returns the reports including those that a restore of the store has lost. present
+// holds the reports as stored, nil if there are none.
 func (r *reports) carryOver(present *reports) *reports {
 	if present != nil && present.Through >= r.Through {
 		return present
--- a/coordination/usage/teller.go
+++ b/coordination/usage/teller.go
@@ -17,44 +17,45 @@
 )
 
 const (
-	// pushInterval is how often a host tells its counts: what is lost with a host is half of it
-	// at the mean, a twentieth of a window of five seconds.
+	// pushInterval is how often a host pushes its counts: a lost host loses half an interval of
+	// counts on average, a twentieth of a window of 5 s.
 	pushInterval = 500 * time.Millisecond
-	// pushTimeout bounds a call to a collector; another is told after it.
+	// pushTimeout bounds a call to a collector, after which another collector is tried.
 	pushTimeout = 400 * time.Millisecond
-	// collectorsPerDomain collectors of each failure domain are enough for one to be lost at any time.
+	// collectorsPerDomain is the number of collectors of each failure domain: two, so that one
+	// may be lost at any time.
 	collectorsPerDomain = 2
 )
 
-// PushRequest is what a host tells a collector.
+// PushRequest is what a host sends to a collector.
 type PushRequest struct {
 	Tally Tally
-	// Others are what a collector that leaves was told by other hosts.
+	// Others holds the tallies of other hosts that a collector hands over when it shuts down.
 	Others []Tally
-	// OwnTime is the host's own clock.
+	// OwnTime is the time by the host's own clock.
 	OwnTime time.Time
 }
 
-// PushResponse is a collector's answer.
+// PushResponse is a collector's response to a PushRequest.
 type PushResponse struct {
-	// Run and Own name the collector's run and show its own clock.
+	// Run identifies the collector's run; OwnTime is the time by its own clock.
 	Run     string
 	OwnTime time.Time
-	// Median is the time that the collector has worked out of so many clocks.
+	// Median is the median time that the collector computed over Clocks clocks.
 	Median time.Time
 	Clocks int
 }
 
-// Peers reaches other hosts.
+// Peers calls other hosts.
 type Peers interface {
-	// Push brings counts to the collector at addr.
+	// Push sends counts to the collector at addr.
 	Push(ctx context.Context, addr string, t PushRequest) (PushResponse, error)
-	// Fetch asks the collector at addr what it was told of a window.
+	// Fetch returns the tallies of window w that the collector at addr holds.
 	Fetch(ctx context.Context, addr string, w Window) ([]Tally, error)
 }
 
-// Collectors are the hosts that collect the counts of all, two of each failure domain, the
-// strongest. All hosts that know the same list compute the same.
+// Collectors returns the hosts that collect the counts of all: the strongest two of each
+// failure domain. All hosts that have the same list compute the same collectors.
 func Collectors(hosts []state.Peer) []state.Peer {
 	perDomain := map[string]int{}
 	var out []state.Peer
@@ -67,10 +68,10 @@
 	return out
 }
 
-// PusherOptions configure a Teller. All fields are required.
+// PusherOptions configures a Pusher. All fields are required.
 type PusherOptions struct {
 	Self state.Peer
-	// Run names this run of the host, unlike any other.
+	// Run identifies this run of the host; it is unique.
 	Run       string
 	Hosts     func() []state.Peer
 	Peers     Peers
@@ -81,24 +82,24 @@
 	Log       *slog.Logger
 }
 
-// Pusher tells collectors what this host has counted. It is safe for concurrent use.
+// Pusher pushes the counts of this host to collectors. It is safe for concurrent use.
 type Pusher struct {
 	opts PusherOptions
-	// lastFailed is the collector that didn't answer last; it is asked last.
+	// lastFailed is the address of the collector that failed last; it is tried last.
 	lastFailed atomic.Pointer[string]
 
 	mu sync.Mutex
-	// acked is what the collector that answered last knows.
+	// acked holds the counts that the last collector to respond has.
 	acked ackedCounts
 }
 
-// ackedCounts is how many requests of each window a run of a collector was told.
+// ackedCounts holds the number of requests of each window that a run of a collector has.
 type ackedCounts struct {
 	addr, run string
 	windows   map[Window]uint64
 }
 
-// NewPusher validates the options.
+// NewPusher returns a Pusher, or an error if a field of the options is missing.
 func NewPusher(o PusherOptions) (*Pusher, error) {
 	if o.Self.Addr == "" || o.Run == "" || o.Hosts == nil || o.Peers == nil || o.Counter == nil || o.Collector == nil || o.Time == nil || o.Clock == nil || o.Log == nil {
 		return nil, errors.New("usage: a field of TellerOptions is missing; set all of them")
@@ -106,39 +107,39 @@
 	return &Pusher{opts: o}, nil
 }
 
-// Run tells collectors until ctx ends.
+// Run pushes counts until ctx ends.
 func (p *Pusher) Run(ctx context.Context) {
 	for p.opts.Clock.Sleep(ctx, pushInterval) == nil {
 		p.Push(ctx)
 	}
 }
 
-// tally is what this host has counted of late.
+// tally returns the recent counts of this host.
 func (p *Pusher) tally() Tally {
 	through := p.opts.Time.Now()
-	// Windows before the last that may still be decided have been told.
+	// Counts of earlier windows have been pushed, and those windows are decided.
 	present := WindowAt(through, p.opts.Counter.windowLength)
 	since := present - min(pushedWindows, present)
 	return Tally{Run: p.opts.Run, Addr: p.opts.Self.Addr, Through: through, Windows: p.opts.Counter.windowsSince(since)}
 }
 
-// pushedWindows is how many windows before the present one are told each time: a report is
-// decided within two of its end.
+// pushedWindows is how many windows before the current one are pushed each time: a report is
+// decided within two windows of the end of its own.
 const pushedWindows = 2
 
-// Push tells a collector, and another if the first doesn't answer.
+// Push pushes the counts to one collector, and to another if the first doesn't respond.
 func (p *Pusher) Push(ctx context.Context) { p.push(ctx, PushRequest{Tally: p.tally()}, 1) }
 
-// Flush tells two collectors what this host has counted until its end, and what it was told
-// itself: hosts that end before it can't tell that again, and the collector that is told may
-// be the next to leave.
+// Flush pushes the final counts of this host and those it has collected to two collectors:
+// hosts that have already shut down can't push theirs again, and the collector that gets them
+// may be the next to shut down.
 func (p *Pusher) Flush(ctx context.Context) {
 	p.push(ctx, PushRequest{Tally: p.tally(), Others: p.opts.Collector.snapshot()}, collectorsPerDomain)
 }
 
-// push tells so many collectors what each doesn't know yet.
+// push sends to that many collectors the counts that each lacks.
 func (p *Pusher) push(ctx context.Context, full PushRequest, collectors int) {
-	p.opts.Collector.Merge(full.Tally) // this host may be a collector, or the only host that is left
+	p.opts.Collector.Merge(full.Tally) // this host may be a collector, or the only remaining host
 	for _, c := range p.targets() {
 		req := full
 		req.Tally.Windows = p.unacked(c.Addr, full.Tally.Windows)
@@ -156,13 +157,13 @@
 			continue
 		}
 		if !p.failedLast(c.Addr) {
-			p.opts.Log.Info("collector of usage not reached", "peer", c.Addr, "cause", err.Error())
+			p.opts.Log.Info("usage collector not reached", "peer", c.Addr, "cause", err.Error())
 		}
 		p.lastFailed.Store(&c.Addr)
 	}
 }
 
-// unacked are the windows in which the collector at an address doesn't know all.
+// unacked returns the windows whose latest counts the collector at addr doesn't have yet.
 func (p *Pusher) unacked(addr string, windows map[Window]Counts) map[Window]Counts {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -175,8 +176,8 @@
 	return out
 }
 
-// recordAck notes what a run of a collector knows now. One that has restarted knows nothing of
-// what was told before, which shows in its first answer: it is told all the next time.
+// recordAck records the counts that a run of a collector has. A restarted collector has lost
+// earlier counts, which its first response shows by a new run: the next push sends all counts.
 func (p *Pusher) recordAck(addr, run string, windows map[Window]Counts) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -190,14 +191,14 @@
 	}
 }
 
-// failedLast reports whether the collector at an address didn't answer last.
+// failedLast reports whether the collector at addr is the one that failed last.
 func (p *Pusher) failedLast(addr string) bool {
 	failed := p.lastFailed.Load()
 	return failed != nil && *failed == addr
 }
 
-// targets are the collectors to tell: those of the own failure domain first, each host in an
-// targets of its own so that they share the load, and one that failed last.
+// targets returns the collectors to try, in order: those of the own failure domain first, with
+// the collector that failed last at the end. Each host has its own order, to spread the load.
 func (p *Pusher) targets() []state.Peer {
 	all := slices.DeleteFunc(Collectors(p.opts.Hosts()), func(peer state.Peer) bool { return peer.Addr == p.opts.Self.Addr })
 	rank := func(peer state.Peer) (out uint64) {
@@ -214,11 +215,11 @@
 	return all[:min(len(all), maxPushTargets)]
 }
 
-// maxPushTargets bounds the collectors that are tried at a time: both of the own domain and one of
-// another.
+// maxPushTargets bounds the collectors that one push tries: both of the own failure domain and
+// one of another.
 const maxPushTargets = 3
 
-// HandlePush takes what a host tells this one, as a collector.
+// HandlePush merges the counts that another host pushes to this one as a collector.
 func (p *Pusher) HandlePush(req PushRequest) PushResponse {
 	p.opts.Collector.Merge(req.Tally)
 	for _, other := range req.Others {
--- a/coordination/usage/usage_test.go
+++ b/coordination/usage/usage_test.go
@@ -17,9 +17,9 @@
 	"github.com/thymerack/thymerack/coordination/store/storetest"
 )
 
-// generateLoad has requests of some customers begin at hosts that are up, one each 8 ms, for so long.
-// None begins so close to the edge of a window that clocks which hosts have shown each other by
-// messages can't agree on its window.
+// generateLoad starts a request every 8 ms, of some customers, at random hosts that aren't gone,
+// for the given time. None begins within 5 ms of the edge of a window, where clocks that are
+// synchronized by messages may disagree on the window.
 func (f *fleet) generateLoad(rng *rand.Rand, span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); time.Sleep(8 * time.Millisecond) {
 		h := f.hosts[rng.IntN(len(f.hosts))]
@@ -30,8 +30,8 @@
 	}
 }
 
-// checkReports checks the windows that ended before the present one but last, and returns how many
-// were reported in time and how many of these are further off than the agreement allows.
+// checkReports checks the windows from first on whose report is due. It returns their number, how
+// many were reported in time and how many of these exceed the maximum error.
 func (f *fleet) checkReports(first Window) (windows, inTime, off int) {
 	for w := first; w.End(window).Add(reportDue).Before(time.Now()); w++ {
 		windows++
@@ -60,14 +60,14 @@
 			for _, h := range f.hosts {
 				h.shutDown()
 			}
-			time.Sleep(time.Second) // what has left arrives
+			time.Sleep(time.Second) // sent reports arrive
 		}()
 		run(is.New(t), f, rand.New(rand.NewPCG(uint64(n), 5)))
 		is.New(t).Equal(f.receiver.violations, nil)
 	})
 }
 
-// On a calm day each window is reported once, exactly, some seconds after its end.
+// Without faults each window is reported once, exactly, within maxDecideDelay of its end.
 func TestWindowsAreReportedExactlyWithoutFaults(t *testing.T) {
 	runFleet(t, 12, func(is *is.I, f *fleet, rng *rand.Rand) {
 		first := WindowAt(time.Now(), window) + 1
@@ -84,7 +84,7 @@
 	})
 }
 
-// A host that is lost takes half a second of its counts with it, whichever part it has.
+// A lost host loses at most half a second of counts, be it holder, collector or any other host.
 func TestHostLossStaysWithinMaxError(t *testing.T) {
 	for _, role := range []string{"holder", "collector", "any"} {
 		runFleet(t, 24, func(is *is.I, f *fleet, rng *rand.Rand) {
@@ -99,13 +99,13 @@
 			f.generateLoad(rng, 15*time.Second)
 			windows, inTime, off := f.checkReports(first)
 			is.Equal(off, 0)
-			is.Equal(inTime, windows) // also those whose holder was lost
+			is.Equal(inTime, windows) // also the windows whose holder was lost
 		})
 	}
 }
 
-// All hosts are restarted in turn, collectors among them: what each has counted and was told
-// outlives it.
+// A rolling restart of all hosts, collectors included, loses no counts: each host pushes its own
+// and those it has collected before it ends.
 func TestRollingRestartLosesNoCounts(t *testing.T) {
 	runFleet(t, 12, func(is *is.I, f *fleet, rng *rand.Rand) {
 		first := WindowAt(time.Now(), window) + 1
@@ -128,8 +128,8 @@
 	})
 }
 
-// A host that is gone for good and still listed doesn't hold reports up, unless it might have
-// counted more than may be missing.
+// A host that is gone for good but still listed doesn't delay reports, unless its counts may
+// exceed the maximum error.
 func TestFewMissingHostsDoNotDelayReports(t *testing.T) {
 	for _, c := range []struct {
 		hosts int
@@ -150,7 +150,7 @@
 	}
 }
 
-// pickHost is a host that has a part.
+// pickHost returns the host with a role (the last to report, the strongest collector) or any host.
 func (f *fleet) pickHost(role string, rng *rand.Rand) *host {
 	f.receiver.mu.Lock()
 	defer f.receiver.mu.Unlock()
@@ -163,14 +163,14 @@
 	return f.hosts[rng.IntN(len(f.hosts))]
 }
 
-// setStoreFaults makes the store lose and refuse calls, or ends that.
+// setStoreFaults makes the store lose responses and refuse calls; nil ends that.
 func (f *fleet) setStoreFaults(rng *rand.Rand) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.storeFaults = rng
 }
 
-// injectFault has a host killed and started again (0), frozen (1) or cut off for a while (2).
+// injectFault kills and restarts a host (0), freezes it (1) or isolates it for a while (2).
 func (f *fleet) injectFault(h *host, fault int, rng *rand.Rand) {
 	span := func() time.Duration { return time.Duration(rng.IntN(9000)) * time.Millisecond }
 	switch fault {
@@ -185,9 +185,10 @@
 	}
 }
 
-// Whatever fails, no window is reported with two counts, no term is shared or goes back and no
-// two machines take turns: kills, freezes, cuts, lost answers of the receiver, a store
-// that loses answers and carries writes out late, hosts that are gone for good.
+// Under faults no window is reported with different counts, no lease term is shared or decreases
+// and no two machines alternate within the lease time. The faults are kills, freezes, isolated
+// hosts, lost responses of the receiver, a store that loses responses, refuses calls and
+// carries out writes of frozen hosts late, and hosts that can't reach the store.
 func TestWindowHasOneReportUnderFaults(t *testing.T) {
 	for seed := range uint64(10) {
 		runFleet(t, 9, func(is *is.I, f *fleet, _ *rand.Rand) {
@@ -217,8 +218,8 @@
 	}
 }
 
-// Guards against a window that is reported with two counts, since a restored store lost what was
-// decided: with the holder killed, frozen, cut off or left alone, twice in a row or once.
+// Guards against a window that is reported with different counts after a restore of the store has
+// lost the decided report, with the holder killed, frozen, isolated or left alone, repeatedly.
 func TestWindowHasOneReportAfterStoreRestore(t *testing.T) {
 	for seed := range uint64(25) {
 		runFleet(t, 9, func(is *is.I, f *fleet, _ *rand.Rand) {
@@ -241,7 +242,7 @@
 	}
 }
 
-// A restoration costs no window where the holder lives: what was decided is known to it.
+// A restore of the store loses no window while the holder runs, since it keeps the decided reports.
 func TestStoreRestoreLosesNoWindowWhileHolderRuns(t *testing.T) {
 	runFleet(t, 9, func(is *is.I, f *fleet, rng *rand.Rand) {
 		f.generateLoad(rng, 7*time.Second)
@@ -259,7 +260,7 @@
 	})
 }
 
-// Clocks that are wrong from the start of a run on count with the others' middle.
+// Hosts whose clocks are wrong from the start of a run count in the windows of the fleet's median.
 func TestSkewedClocksCountInTheRightWindow(t *testing.T) {
 	runFleet(t, 24, func(is *is.I, f *fleet, rng *rand.Rand) {
 		f.generateLoad(rng, 5*time.Second)
@@ -280,7 +281,7 @@
 	})
 }
 
-// A successor sends what was decided, and decides no window again.
+// A decided window keeps its counts: a concurrent decision conflicts, and evicted windows stay decided.
 func TestDecidedWindowIsNotDecidedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -290,7 +291,7 @@
 		next := r.clone()
 		next.add(Report{Window: 8, Counts: Counts{"c": 3}})
 		is.NoErr(next.save(t.Context(), p.Client("a")))
-		late := r.clone() // decided by another on what it had read before
+		late := r.clone() // another host decides from an outdated read
 		late.add(Report{Window: 8, Counts: Counts{"c": 2}})
 		is.True(store.IsConflict(late.save(t.Context(), p.Client("b"))))
 		read, err := loadReports(t.Context(), p.Client("b"))
@@ -300,7 +301,7 @@
 			read.add(Report{Window: w})
 		}
 		is.Equal(len(read.Reports), retainedWindows)
-		is.Equal(read.Through, Window(29)) // what was dropped stays decided
+		is.Equal(read.Through, Window(29)) // evicted windows stay decided
 	})
 }
 
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -66,7 +66,7 @@
 	// lessor holds the lease of the duties that one host at a time has.
 	lessor  *lease.Lessor
 	manager *stages.Manager
-	// pusher tells other hosts what this one has counted, and reporter reports what all have;
+	// pusher pushes the counts of this host to collectors, and reporter reports those of all hosts;
 	// nil where usage isn't reported.
 	pusher   *usage.Pusher
 	reporter *usage.Reporter
--- a/transport/usages/usages.go
+++ b/transport/usages/usages.go
@@ -56,7 +56,7 @@
 	return out
 }
 
-// pushRequest is a usage.Told.
+// pushRequest is a usage.PushRequest.
 type pushRequest struct {
 	Tally  tally   `msgpack:"t"`
 	Others []tally `msgpack:"h,omitempty"`
@@ -64,7 +64,7 @@
 	OwnUS int64 `msgpack:"o"`
 }
 
-// pushResponse is a usage.Heard; times are in Unix microseconds.
+// pushResponse is a usage.PushResponse; times are in Unix microseconds.
 type pushResponse struct {
 	Run      string `msgpack:"r"`
 	OwnUS    int64  `msgpack:"o"`
@@ -72,12 +72,12 @@
 	Of       int    `msgpack:"n"`
 }
 
-// fetchRequest asks for a window.
+// fetchRequest requests the tallies of a window.
 type fetchRequest struct {
 	Window uint64 `msgpack:"w"`
 }
 
-// fetchResponse is what was told of a window.
+// fetchResponse holds the tallies of a window.
 type fetchResponse struct {
 	Tallies []tally `msgpack:"t"`
 }
