--- a/coordination/account/account.go
+++ b/coordination/account/account.go
@@ -120,6 +120,7 @@
 	return out, nil
 }
 
+// add counts the request of a log line in its route.
 func add(routes map[string]*Route, l logLine) {
 	r := routes[l.Route]
 	if r == nil {
--- a/coordination/account/account_test.go
+++ b/coordination/account/account_test.go
@@ -8,6 +8,7 @@
 	"github.com/matryer/is"
 )
 
+// sampleLog has one line for most outcomes, one with a prefix, and two that are not of requests.
 const sampleLog = `
   3.1 front-1 {"msg":"request ended","route":"a","status":200,"took_ms":80,"sendings":{"steps":"prefill:e1:unknown:300ms/40ms prefill:e2:prefilled:30ms/31ms run:e3:answered:9ms"}}
 {"msg":"request ended","route":"a","status":0,"took_ms":4,"refused":"the request was not run (overloaded); send it again after 1s","sendings":{"steps":"place:e1:full:3000ms"}}
@@ -19,6 +20,7 @@
 no line of ours
 `
 
+// Requests are counted by route and outcome; lines without a request are skipped.
 func TestRequestsAreCountedByRouteAndOutcome(t *testing.T) {
 	is := is.New(t)
 	routes, err := Read(strings.NewReader(sampleLog))
@@ -36,6 +38,7 @@
 	is.Equal(b.Moved, 0)
 }
 
+// A log line that isn't complete JSON is an error that names the line; an empty log has no routes.
 func TestBrokenLogNamesItsLine(t *testing.T) {
 	is := is.New(t)
 	_, err := Read(strings.NewReader("{}\n{\"msg\":\"request ended\",\"rou"))
--- a/coordination/usage/collector.go
+++ b/coordination/usage/collector.go
@@ -75,11 +75,11 @@
 	defer c.mu.Unlock()
 	out := make([]Tally, 0, len(c.tallies))
 	for _, t := range c.tallies {
-		reported := Tally{Run: t.Run, Addr: t.Addr, Through: t.Through}
+		tally := Tally{Run: t.Run, Addr: t.Addr, Through: t.Through}
 		if counts := t.Windows[w]; counts != nil {
-			reported.Windows = map[Window]Counts{w: counts}
+			tally.Windows = map[Window]Counts{w: counts}
 		}
-		out = append(out, reported)
+		out = append(out, tally)
 	}
 	return out
 }
--- a/coordination/usage/fleet_test.go
+++ b/coordination/usage/fleet_test.go
@@ -69,6 +69,7 @@
 
 func (c *skewedClock) Now() time.Time { return c.Machine.Now().Add(c.skew) }
 
+// newFleet returns a fleet of n hosts in three failure domains, none of them started.
 func newFleet(t *testing.T, n int) *fleet {
 	f := &fleet{
 		t: t, store: storetest.NewPlatform(time.Second), isolated: map[string]bool{}, storeRefused: map[string]bool{}, gone: map[string]bool{}, frozenUntil: map[string]time.Time{}, started: map[Window]Counts{},
@@ -105,12 +106,14 @@
 	}
 }
 
+// contains reports whether addr is in one of the fleet's sets of addresses.
 func (f *fleet) contains(set map[string]bool, addr string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return set[addr]
 }
 
+// set adds addr to a set of addresses or removes it.
 func (f *fleet) set(set map[string]bool, addr string, member bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -124,6 +127,7 @@
 	f.frozenUntil[addr] = time.Now().Add(span)
 }
 
+// awaitThaw blocks while the host at addr is frozen.
 func (f *fleet) awaitThaw(addr string) {
 	f.mu.Lock()
 	left := time.Until(f.frozenUntil[addr])
@@ -229,6 +233,7 @@
 
 var errNoAnswer = errors.New("no answer")
 
+// reach returns the host at addr if a call from n.from arrives there before ctx ends.
 func (n network) reach(ctx context.Context, addr string) (*host, error) {
 	n.f.awaitThaw(n.from.self.Addr)
 	if err := (clocktest.Bubble{}).Sleep(ctx, time.Millisecond); err != nil {
@@ -255,7 +260,7 @@
 }
 
 // Push implements Peers.
-func (n network) Push(ctx context.Context, addr string, t PushRequest) (PushResponse, error) {
+func (n network) Push(ctx context.Context, addr string, req PushRequest) (PushResponse, error) {
 	h, err := n.reach(ctx, addr)
 	if err != nil {
 		return PushResponse{}, err
@@ -263,7 +268,7 @@
 	h.mu.Lock()
 	pusher := h.pusher
 	h.mu.Unlock()
-	return pusher.HandlePush(t), nil
+	return pusher.HandlePush(req), nil
 }
 
 // Fetch implements Peers.
@@ -304,7 +309,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := time.Now()
-	if known, again := r.received[w]; again && !maps.Equal(known, counts) {
+	if earlier, again := r.received[w]; again && !maps.Equal(earlier, counts) {
 		r.violation("window %d was reported with different counts", w)
 	} else if !again {
 		r.received[w], r.receivedAt[w] = maps.Clone(counts), now
@@ -340,6 +345,7 @@
 	return time.Duration(r.delays.IntN(950)) * time.Millisecond
 }
 
+// violation records a violation; r.mu is held.
 func (r *receiver) violation(format string, args ...any) {
 	r.violations = append(r.violations, fmt.Sprintf(format, args...))
 }
--- a/coordination/usage/reports.go
+++ b/coordination/usage/reports.go
@@ -40,6 +40,7 @@
 	// Epoch is the epoch of the version that the last write replaced.
 	Epoch uint64 `json:"epoch,omitempty"`
 
+	// version is the stored version that was read or written last.
 	version uint64
 }
 
@@ -120,16 +121,16 @@
 	return &out
 }
 
-// carryOver returns the reports including those that a restore of the store has lost. present
+// carryOver returns the reports including those that a restore of the store has lost. current
 // holds the reports as stored, nil if there are none.
-func (r *reports) carryOver(present *reports) *reports {
-	if present != nil && present.Through >= r.Through {
-		return present
+func (r *reports) carryOver(current *reports) *reports {
+	if current != nil && current.Through >= r.Through {
+		return current
 	}
 	out := r.clone()
 	out.version = store.Absent
-	if present != nil {
-		out.version = present.version
+	if current != nil {
+		out.version = current.version
 	}
 	return out
 }
--- a/coordination/usage/teller.go
+++ b/coordination/usage/teller.go
@@ -49,7 +49,7 @@
 // Peers calls other hosts.
 type Peers interface {
 	// Push sends counts to the collector at addr.
-	Push(ctx context.Context, addr string, t PushRequest) (PushResponse, error)
+	Push(ctx context.Context, addr string, req PushRequest) (PushResponse, error)
 	// Fetch returns the tallies of window w that the collector at addr holds.
 	Fetch(ctx context.Context, addr string, w Window) ([]Tally, error)
 }
@@ -102,7 +102,7 @@
 // NewPusher returns a Pusher, or an error if a field of the options is missing.
 func NewPusher(o PusherOptions) (*Pusher, error) {
 	if o.Self.Addr == "" || o.Run == "" || o.Hosts == nil || o.Peers == nil || o.Counter == nil || o.Collector == nil || o.Time == nil || o.Clock == nil || o.Log == nil {
-		return nil, errors.New("usage: a field of TellerOptions is missing; set all of them")
+		return nil, errors.New("usage: a field of PusherOptions is missing; set all of them")
 	}
 	return &Pusher{opts: o}, nil
 }
@@ -118,8 +118,8 @@
 func (p *Pusher) tally() Tally {
 	through := p.opts.Time.Now()
 	// Counts of earlier windows have been pushed, and those windows are decided.
-	present := WindowAt(through, p.opts.Counter.windowLength)
-	since := present - min(pushedWindows, present)
+	current := WindowAt(through, p.opts.Counter.windowLength)
+	since := current - min(pushedWindows, current)
 	return Tally{Run: p.opts.Run, Addr: p.opts.Self.Addr, Through: through, Windows: p.opts.Counter.windowsSince(since)}
 }
 
--- a/coordination/usage/usage_test.go
+++ b/coordination/usage/usage_test.go
@@ -31,8 +31,8 @@
 }
 
 // checkReports checks the windows from first on whose report is due. It returns their number, how
-// many were reported in time and how many of these exceed the maximum error.
-func (f *fleet) checkReports(first Window) (windows, inTime, off int) {
+// many were reported in time and how many of these exceed the maximum error (inexact).
+func (f *fleet) checkReports(first Window) (windows, inTime, inexact int) {
 	for w := first; w.End(window).Add(reportDue).Before(time.Now()); w++ {
 		windows++
 		f.receiver.mu.Lock()
@@ -42,13 +42,14 @@
 			continue
 		}
 		inTime++
-		if total, truth := float64(counts.Total()), float64(f.started[w].Total()); math.Abs(total-truth) > maxError*truth {
-			off++
+		if total, expected := float64(counts.Total()), float64(f.started[w].Total()); math.Abs(total-expected) > maxError*expected {
+			inexact++
 		}
 	}
-	return windows, inTime, off
+	return windows, inTime, inexact
 }
 
+// runFleet runs a test in a bubble of fake time on a started fleet of n hosts, and shuts them down.
 func runFleet(t *testing.T, n int, run func(is *is.I, f *fleet, rng *rand.Rand)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -97,8 +98,8 @@
 				h.start()
 			}
 			f.generateLoad(rng, 15*time.Second)
-			windows, inTime, off := f.checkReports(first)
-			is.Equal(off, 0)
+			windows, inTime, inexact := f.checkReports(first)
+			is.Equal(inexact, 0)
 			is.Equal(inTime, windows) // also the windows whose holder was lost
 		})
 	}
@@ -116,10 +117,10 @@
 			h.start()
 		}
 		f.generateLoad(rng, 25*time.Second)
-		windows, inTime, off := f.checkReports(first)
+		windows, inTime, inexact := f.checkReports(first)
 		is.True(windows >= 4)
 		is.Equal(inTime, windows)
-		is.Equal(off, 0)
+		is.Equal(inexact, 0)
 		for w, counts := range f.receiver.received {
 			if w >= first && w.End(window).Before(time.Now()) {
 				is.Equal(counts.Total(), f.started[w].Total())
@@ -133,7 +134,7 @@
 func TestFewMissingHostsDoNotDelayReports(t *testing.T) {
 	for _, c := range []struct {
 		hosts int
-		early bool
+		early bool // reported before maxDecideDelay
 	}{{60, true}, {12, false}} {
 		runFleet(t, c.hosts, func(is *is.I, f *fleet, rng *rand.Rand) {
 			f.generateLoad(rng, 11*time.Second)
@@ -198,9 +199,9 @@
 			f.receiver.losesAnswer = func() bool { return answers.IntN(4) == 0 }
 			for range 40 {
 				h := f.pickHost([]string{"holder", "collector", "any"}[rng.IntN(3)], rng)
-				switch what := rng.IntN(7); what {
+				switch fault := rng.IntN(7); fault {
 				case 0, 1, 2:
-					f.injectFault(h, what, rng)
+					f.injectFault(h, fault, rng)
 				case 3:
 					f.setStoreFaults(rand.New(rand.NewPCG(seed, 10)))
 				case 4:
@@ -229,9 +230,9 @@
 			f.receiver.losesAnswer = func() bool { return answers.IntN(4) == 0 }
 			for range 20 {
 				h := f.pickHost([]string{"holder", "collector", "any"}[rng.IntN(3)], rng)
-				switch what := rng.IntN(6); what {
+				switch fault := rng.IntN(6); fault {
 				case 0, 1, 2:
-					f.injectFault(h, what, rng)
+					f.injectFault(h, fault, rng)
 				default:
 					f.restore(rng)
 				}
@@ -252,10 +253,10 @@
 			f.restore(rng)
 		}
 		f.generateLoad(rng, 20*time.Second)
-		windows, inTime, off := f.checkReports(first)
+		windows, inTime, inexact := f.checkReports(first)
 		is.True(windows >= 8)
 		is.Equal(inTime, windows)
-		is.Equal(off, 0)
+		is.Equal(inexact, 0)
 		is.Equal(f.receiver.violations, nil)
 	})
 }
@@ -274,10 +275,10 @@
 		f.generateLoad(rng, 2*time.Second)
 		first := WindowAt(time.Now(), window) + 1
 		f.generateLoad(rng, 40*time.Second)
-		windows, inTime, off := f.checkReports(first)
+		windows, inTime, inexact := f.checkReports(first)
 		is.True(windows >= 4)
 		is.Equal(inTime, windows)
-		is.Equal(off, 0)
+		is.Equal(inexact, 0)
 	})
 }
 
@@ -305,6 +306,7 @@
 	})
 }
 
+// Unreadable reports and missing options are errors.
 func TestUnreadableReportsAndMissingOptionsAreErrors(t *testing.T) {
 	is := is.New(t)
 	p := storetest.NewPlatform(0)
