--- a/coordination/account/account.go
+++ b/coordination/account/account.go
@@ -1,9 +1,9 @@
-// Package account sums up a day of one deployment from its hosts' own logs: for each
-// route how many requests were served, refused, given up or cut, how long those were held
-// that were not served, and how often prompts were moved between engines.
+// Package account summarizes a day of one deployment from its hosts' logs: for each route, how
+// many requests were served, refused, abandoned or interrupted, how long the requests that
+// weren't served were held, and how often prompts were moved between engines.
 //
-// A caller's attempts have ids of their own, so that a log can't tell a first try from one
-// that came back.
+// Each attempt of a caller has a request id of its own, so that the log doesn't distinguish a
+// first attempt from a retry.
 package account
 
 import (
@@ -22,36 +22,36 @@
 // Outcome is how a request ended.
 type Outcome string
 
-// The outcomes.
+// Outcomes of requests.
 const (
-	// Served requests got a runner's answer, a failure of its own among them.
+	// Served requests got a runner's response, even if it was an error of the runner's own.
 	Served Outcome = "served"
-	// RefusedAtOnce requests were told to come back without having been sent anywhere.
+	// RefusedAtOnce requests were refused without having been sent to a runner.
 	RefusedAtOnce Outcome = "refused at once"
-	// RefusedByRunners requests were sent, and no runner took them.
+	// RefusedByRunners requests were sent, and no runner accepted them.
 	RefusedByRunners Outcome = "refused by runners"
-	// GivenUp prompts were let in and not read in time.
-	GivenUp Outcome = "given up"
-	// CallerLeft requests lost their caller before an answer.
+	// PrefillTimeout requests were admitted, and their prefill didn't finish in time.
+	PrefillTimeout Outcome = "given up"
+	// CallerLeft requests lost their caller before a response.
 	CallerLeft Outcome = "caller left"
-	// Unknown requests may have run and got no answer, or were cut.
+	// Unknown requests may have run and got no response, or an interrupted one.
 	Unknown Outcome = "unknown"
-	// Deadline requests had no time left.
-	Deadline Outcome = "deadline"
+	// DeadlinePassed requests weren't run before their deadline.
+	DeadlinePassed Outcome = "deadline"
 )
 
-// Route is the account of one route's requests.
+// Route summarizes the requests of one route.
 type Route struct {
 	Name string
-	// Requests are counted by outcome.
+	// Requests holds the number of requests by outcome.
 	Requests map[Outcome]int
-	// Moved prompts were sent to more than one engine for reading.
+	// Moved is the number of requests with more than one prefill attempt.
 	Moved int
-	// held are the times of requests that weren't served.
+	// held holds the durations of the requests that weren't served.
 	held []time.Duration
 }
 
-// Total is the number of requests.
+// Total returns the number of requests.
 func (r *Route) Total() int {
 	n := 0
 	for _, count := range r.Requests {
@@ -60,8 +60,8 @@
 	return n
 }
 
-// Held returns how long requests were held that were not served, by quantile, 0 to 1; 0
-// if all were.
+// Held returns a quantile (0 to 1) of how long the requests that weren't served were held; 0
+// if all were served.
 func (r *Route) Held(quantile float64) time.Duration {
 	if len(r.held) == 0 {
 		return 0
@@ -70,8 +70,8 @@
 	return r.held[int(quantile*float64(len(r.held)-1))]
 }
 
-// line is what is read of a host's log line about a request.
-type line struct {
+// logLine holds the decoded fields of a host's log line about a request.
+type logLine struct {
 	Message  string `json:"msg"`
 	Route    string `json:"route"`
 	Status   int    `json:"status"`
@@ -82,29 +82,30 @@
 	} `json:"sendings"`
 }
 
-// messageEnded is the message of the one line of each request.
-const messageEnded = "request ended"
+// requestEnded is the message of the log line that each request has once.
+const requestEnded = "request ended"
 
-// longestLine bounds a log line.
-const longestLine = 1 << 20
+// maxLineBytes bounds the length of a log line, in bytes.
+const maxLineBytes = 1 << 20
 
-// Read sums up logs; what stands before a line's first brace is passed over, and so are
-// lines of other messages. Routes come by name.
+// Read summarizes logs, one Route for each route, sorted by name. It skips any prefix before
+// the first brace of a line, and lines with other messages. An error names the line that can't
+// be decoded.
 func Read(r io.Reader) ([]*Route, error) {
 	routes := map[string]*Route{}
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
-		text := lines.Bytes()
-		from := bytes.IndexByte(text, '{')
-		if from < 0 || !bytes.Contains(text, []byte(messageEnded)) {
+		raw := lines.Bytes()
+		start := bytes.IndexByte(raw, '{')
+		if start < 0 || !bytes.Contains(raw, []byte(requestEnded)) {
 			continue
 		}
-		var l line
-		if err := json.Unmarshal(text[from:], &l); err != nil {
+		var l logLine
+		if err := json.Unmarshal(raw[start:], &l); err != nil {
 			return nil, fmt.Errorf("line %d of the log is not whole JSON (%w); give the hosts' output as it was written", n, err)
 		}
-		if l.Message == messageEnded {
+		if l.Message == requestEnded {
 			add(routes, l)
 		}
 	}
@@ -119,7 +120,8 @@
 	return out, nil
 }
 
-func add(routes map[string]*Route, l line) {
+// add counts the request of a log line in its route.
+func add(routes map[string]*Route, l logLine) {
 	r := routes[l.Route]
 	if r == nil {
 		r = &Route{Name: l.Route, Requests: map[Outcome]int{}}
@@ -135,18 +137,18 @@
 	}
 }
 
-// outcome reads how the request ended from the reason that its caller was told.
-func (l line) outcome() Outcome {
+// outcome derives the outcome from the refusal that the caller got and the steps of the request.
+func (l logLine) outcome() Outcome {
 	sent := strings.Contains(l.Sendings.Steps, "prefill:") || strings.Contains(l.Sendings.Steps, "run:")
 	switch {
 	case l.Refused == "":
 		return Served
-	case l.because(forward.ReasonCancelled), strings.Contains(l.Refused, "caller left"):
+	case l.hasReason(forward.ReasonCancelled), strings.Contains(l.Refused, "caller left"):
 		return CallerLeft
-	case l.because(forward.ReasonOverload) && sent:
-		return GivenUp
-	case strings.Contains(l.Refused, "was not run") && l.because(forward.ReasonDeadline):
-		return Deadline
+	case l.hasReason(forward.ReasonOverload) && sent:
+		return PrefillTimeout
+	case strings.Contains(l.Refused, "was not run") && l.hasReason(forward.ReasonDeadline):
+		return DeadlinePassed
 	case strings.Contains(l.Refused, "was not run") && sent:
 		return RefusedByRunners
 	case strings.Contains(l.Refused, "was not run"):
@@ -156,5 +158,5 @@
 	}
 }
 
-// because reports whether the caller was told that reason.
-func (l line) because(r forward.Reason) bool { return strings.Contains(l.Refused, string(r)) }
+// hasReason reports whether the refusal names the given reason.
+func (l logLine) hasReason(r forward.Reason) bool { return strings.Contains(l.Refused, string(r)) }
--- a/coordination/account/account_test.go
+++ b/coordination/account/account_test.go
@@ -8,7 +8,8 @@
 	"github.com/matryer/is"
 )
 
-const log = `
+// sampleLog has one line for most outcomes, one with a prefix, and two that are not of requests.
+const sampleLog = `
   3.1 front-1 {"msg":"request ended","route":"a","status":200,"took_ms":80,"sendings":{"steps":"prefill:e1:unknown:300ms/40ms prefill:e2:prefilled:30ms/31ms run:e3:answered:9ms"}}
 {"msg":"request ended","route":"a","status":0,"took_ms":4,"refused":"the request was not run (overloaded); send it again after 1s","sendings":{"steps":"place:e1:full:3000ms"}}
 {"msg":"request ended","route":"a","status":0,"took_ms":1900,"refused":"the request was not run (overloaded); send it again after 1s","sendings":{"steps":"prefill:e1:unknown:1890ms/90ms"}}
@@ -19,14 +20,15 @@
 no line of ours
 `
 
+// Requests are counted by route and outcome; lines without a request are skipped.
 func TestRequestsAreCountedByRouteAndOutcome(t *testing.T) {
 	is := is.New(t)
-	routes, err := Read(strings.NewReader(log))
+	routes, err := Read(strings.NewReader(sampleLog))
 	is.NoErr(err)
 	is.Equal(len(routes), 2)
 	a, b := routes[0], routes[1]
 	is.Equal(a.Name, "a")
-	is.Equal(a.Requests, map[Outcome]int{Served: 1, RefusedAtOnce: 1, GivenUp: 1, RefusedByRunners: 1})
+	is.Equal(a.Requests, map[Outcome]int{Served: 1, RefusedAtOnce: 1, PrefillTimeout: 1, RefusedByRunners: 1})
 	is.Equal(a.Moved, 1)
 	is.Equal(a.Total(), 4)
 	is.Equal(a.Held(0), 4*time.Millisecond)
@@ -36,6 +38,7 @@
 	is.Equal(b.Moved, 0)
 }
 
+// A log line that isn't complete JSON is an error that names the line; an empty log has no routes.
 func TestBrokenLogNamesItsLine(t *testing.T) {
 	is := is.New(t)
 	_, err := Read(strings.NewReader("{}\n{\"msg\":\"request ended\",\"rou"))
--- a/coordination/usage/collector.go
+++ b/coordination/usage/collector.go
@@ -6,32 +6,32 @@
 	"time"
 )
 
-// Collector holds what the hosts that tell this one have counted. It is safe for concurrent
+// Collector holds the counts that hosts have pushed to this one. It is safe for concurrent
 // use.
 type Collector struct {
-	length time.Duration
+	windowLength time.Duration
 
 	mu sync.Mutex
-	// tallies are the latest of each run of a host.
+	// tallies holds the latest tally of each run of a host, by run.
 	tallies map[string]Tally
 }
 
-// NewCollector returns an empty collector for windows of that length.
+// NewCollector returns an empty collector for windows of the given length.
 func NewCollector(length time.Duration) *Collector {
-	return &Collector{length: length, tallies: map[string]Tally{}}
+	return &Collector{windowLength: length, tallies: map[string]Tally{}}
 }
 
-// Take keeps a tally. Tallies of one run may overtake each other; counts only grow, so that
-// the higher ones of two are the later.
-func (c *Collector) Take(t Tally) {
+// Merge adds a tally to what is known of its run. Tallies of one run may arrive out of order;
+// counts only grow, so the higher counts of a window are the later ones.
+func (c *Collector) Merge(t Tally) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.tallies[t.Run] = merged(c.tallies[t.Run], t)
-	c.forget(WindowAt(t.Through, c.length))
+	c.tallies[t.Run] = mergeTallies(c.tallies[t.Run], t)
+	c.evict(WindowAt(t.Through, c.windowLength))
 }
 
-// merged is what two tallies of one run tell together.
-func merged(a, b Tally) Tally {
+// mergeTallies combines two tallies of one run: the higher counts of each window.
+func mergeTallies(a, b Tally) Tally {
 	out := Tally{Run: b.Run, Addr: b.Addr, Through: b.Through, Windows: map[Window]Counts{}}
 	if a.Through.After(b.Through) {
 		out.Through = a.Through
@@ -46,18 +46,18 @@
 	return out
 }
 
-// forget drops old windows, and runs that told nothing for as long.
-func (c *Collector) forget(newest Window) {
+// evict drops old windows, and runs that have pushed nothing for as long.
+func (c *Collector) evict(newest Window) {
 	for run, t := range c.tallies {
-		forgetOld(t.Windows, newest)
-		if WindowAt(t.Through, c.length)+keptWindows <= newest {
+		evictOld(t.Windows, newest)
+		if WindowAt(t.Through, c.windowLength)+retainedWindows <= newest {
 			delete(c.tallies, run)
 		}
 	}
 }
 
-// all are the latest tallies of all runs.
-func (c *Collector) all() []Tally {
+// snapshot returns the latest tallies of all runs.
+func (c *Collector) snapshot() []Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]Tally, 0, len(c.tallies))
@@ -68,18 +68,18 @@
 	return out
 }
 
-// Told returns what each run has counted in a window, and through when; runs that counted
-// nothing there are among them.
-func (c *Collector) Told(w Window) []Tally {
+// Tallies returns the counts of each run in window w, and the time through which its counts
+// are complete. Runs without requests in w are included.
+func (c *Collector) Tallies(w Window) []Tally {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := make([]Tally, 0, len(c.tallies))
 	for _, t := range c.tallies {
-		told := Tally{Run: t.Run, Addr: t.Addr, Through: t.Through}
+		tally := Tally{Run: t.Run, Addr: t.Addr, Through: t.Through}
 		if counts := t.Windows[w]; counts != nil {
-			told.Windows = map[Window]Counts{w: counts}
+			tally.Windows = map[Window]Counts{w: counts}
 		}
-		out = append(out, told)
+		out = append(out, tally)
 	}
 	return out
 }
