--- a/coordination/stages/stages_test.go
+++ b/coordination/stages/stages_test.go
@@ -21,7 +21,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-func engines(prefill, decode int) []state.Instance {
+func newInstances(prefill, decode int) []state.Instance {
 	var out []state.Instance
 	for i := range prefill + decode {
 		role := state.RolePrefill
@@ -33,33 +33,33 @@
 	return out
 }
 
-func TestTarget(t *testing.T) {
+func TestPrefillTarget(t *testing.T) {
 	for _, c := range []struct {
 		n     int
 		share float64
 		want  int
 	}{{12, 0.68, 8}, {57, 0.68, 39}, {12, 0.99, 10}, {12, 0.01, 2}, {4, 0.9, 2}, {3, 0.9, 1}, {2, 0.5, 1}} {
 		is := is.New(t)
-		is.Equal(Target(c.n, c.share), c.want)
+		is.Equal(PrefillTarget(c.n, c.share), c.want)
 	}
 }
 
-func TestPlanKeepsEachFailureDomainServed(t *testing.T) {
+func TestPlanKeepsDecodeEngineInEachFailureDomain(t *testing.T) {
 	is := is.New(t)
-	list := engines(4, 8)
+	list := newInstances(4, 8)
 	changes := Plan(list, 9)
 	is.Equal(len(changes), 5)
-	left := map[string]int{}
+	remaining := map[string]int{}
 	for _, e := range list {
 		if e.Role == state.RoleDecode {
-			left[e.FailureDomain]++
+			remaining[e.FailureDomain]++
 		}
 	}
 	for _, c := range changes {
 		is.Equal(c.Role, state.RolePrefill)
-		left[c.Instance.FailureDomain]--
+		remaining[c.Instance.FailureDomain]--
 	}
-	for domain, n := range left {
+	for domain, n := range remaining {
 		is.True(n >= 1) // domain keeps an engine that generates
 		_ = domain
 	}
@@ -68,7 +68,7 @@
 }
 
 // given is one order as an engine got it.
-type received struct {
+type receivedOrder struct {
 	at     time.Time
 	holder string
 	fence  uint64
@@ -77,32 +77,32 @@
 // fakeEngines carry orders out as the platform's do, at once or late, and note them.
 type fakeEngines struct {
 	// resizing says that the number of engines is about to change.
-	resizing bool
-	mu       sync.Mutex
-	engines  map[state.InstanceID]*fakeEngine
-	rng      *rand.Rand
-	late     float64
-	orders   []received
-	problems []string
+	resizing        bool
+	mu              sync.Mutex
+	engines         map[state.InstanceID]*fakeEngine
+	rng             *rand.Rand
+	lateProbability float64
+	orders          []receivedOrder
+	problems        []string
 	// announced is when a change of each engine was announced last.
 	announced map[state.InstanceID]time.Time
 	// perEngine is what an engine that generates would have active and waiting if
 	// all did.
-	perEngine float64
+	loadPerEngine float64
 	// ordered is called once, with the first order; nil for nothing.
-	ordered func()
+	onFirstOrder func()
 }
 
 type fakeEngine struct {
-	instance state.Instance
-	accepted uint64
-	busyTill time.Time
+	instance  state.Instance
+	accepted  uint64
+	busyUntil time.Time
 }
 
-const switchTime = 3 * time.Second
+const roleSwitchTime = 3 * time.Second
 
-func newFakeEngines(list []state.Instance, late float64, seed uint64) *fakeEngines {
-	f := &fakeEngines{engines: map[state.InstanceID]*fakeEngine{}, announced: map[state.InstanceID]time.Time{}, rng: rand.New(rand.NewPCG(seed, 7)), late: late}
+func newFakeEngines(list []state.Instance, lateProbability float64, seed uint64) *fakeEngines {
+	f := &fakeEngines{engines: map[state.InstanceID]*fakeEngine{}, announced: map[state.InstanceID]time.Time{}, rng: rand.New(rand.NewPCG(seed, 7)), lateProbability: lateProbability}
 	for _, i := range list {
 		f.engines[i.ID] = &fakeEngine{instance: i}
 	}
@@ -114,11 +114,11 @@
 	defer f.mu.Unlock()
 	var out []state.Instance
 	for _, e := range f.engines {
-		if time.Now().After(e.busyTill) {
+		if time.Now().After(e.busyUntil) {
 			out = append(out, e.instance)
 		} else {
 			before := e.instance
-			before.Role = other(before.Role)
+			before.Role = otherRole(before.Role)
 			out = append(out, before)
 		}
 	}
@@ -127,7 +127,7 @@
 
 // instances are the engines as they are, without what the list lags behind; f.mu is
 // held.
-func (f *fakeEngines) instances() []state.Instance {
+func (f *fakeEngines) currentInstances() []state.Instance {
 	var out []state.Instance
 	for _, e := range f.engines {
 		out = append(out, e.instance)
@@ -135,7 +135,7 @@
 	return out
 }
 
-func other(r state.Role) state.Role {
+func otherRole(r state.Role) state.Role {
 	if r == state.RolePrefill {
 		return state.RoleDecode
 	}
@@ -145,18 +145,18 @@
 func (f *fakeEngines) Report(_ context.Context, i *state.Instance) (Report, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	e := f.runOf(i.ID)
-	r := Report{Born: e.instance.ID.Born, Role: e.instance.Role, Busy: time.Now().Before(e.busyTill), Accepted: e.accepted, Active: 5}
-	if f.perEngine > 0 && r.Role == state.RoleDecode {
-		generating := len(f.engines) - prefilling(f.instances())
-		r.Active = int(f.perEngine * float64(len(f.engines)) / float64(generating))
+	e := f.currentRun(i.ID)
+	r := Report{Born: e.instance.ID.Born, Role: e.instance.Role, Busy: time.Now().Before(e.busyUntil), AcceptedOrders: e.accepted, Active: 5}
+	if f.loadPerEngine > 0 && r.Role == state.RoleDecode {
+		decode := len(f.engines) - countPrefill(f.currentInstances())
+		r.Active = int(f.loadPerEngine * float64(len(f.engines)) / float64(decode))
 	}
 	return r, nil
 }
 
 // runOf is the run that answers for an engine: that of the id, or the one that has
 // restarted under its name.
-func (f *fakeEngines) runOf(id state.InstanceID) *fakeEngine {
+func (f *fakeEngines) currentRun(id state.InstanceID) *fakeEngine {
 	if e := f.engines[id]; e != nil {
 		return e
 	}
@@ -174,17 +174,17 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.judge(o)
-	if f.ordered != nil {
-		f.ordered()
-		f.ordered = nil
+	f.checkOrder(o)
+	if f.onFirstOrder != nil {
+		f.onFirstOrder()
+		f.onFirstOrder = nil
 	}
 	if since := time.Since(f.announced[i.ID]); since < AnnounceLead || since > 5*time.Second {
 		f.problems = append(f.problems, fmt.Sprintf("%s was ordered %s after its announcement", i.ID, since))
 	}
-	if f.rng.Float64() < f.late {
-		wait := time.Duration(2+f.rng.IntN(10)) * time.Second
-		time.AfterFunc(wait, func() {
+	if f.rng.Float64() < f.lateProbability {
+		delay := time.Duration(2+f.rng.IntN(10)) * time.Second
+		time.AfterFunc(delay, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			f.apply(i.ID, o)
@@ -202,7 +202,7 @@
 }
 
 // announce notes which engines are about to change.
-func (f *fakeEngines) announce(_ context.Context, changes []Change) {
+func (f *fakeEngines) announce(_ context.Context, changes []RoleChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, c := range changes {
@@ -218,23 +218,23 @@
 }
 
 func (f *fakeEngines) apply(id state.InstanceID, o Order) Result {
-	e := f.runOf(id)
+	e := f.currentRun(id)
 	switch {
-	case o.Accepted != e.accepted || time.Now().Before(e.busyTill):
+	case o.ExpectedAcceptedOrders != e.accepted || time.Now().Before(e.busyUntil):
 		return ResultConflict
 	case o.Role == e.instance.Role:
 		return ResultAccepted
 	}
 	e.accepted++
 	e.instance.Role = o.Role
-	e.busyTill = time.Now().Add(switchTime)
+	e.busyUntil = time.Now().Add(roleSwitchTime)
 	return ResultAccepted
 }
 
-const leaseTime = 3 * time.Second
+const termGap = 3 * time.Second
 
 // judge checks an order against those before it.
-func (f *fakeEngines) judge(o Order) {
+func (f *fakeEngines) checkOrder(o Order) {
 	now := time.Now()
 	for _, r := range f.orders {
 		switch {
@@ -242,48 +242,48 @@
 			f.problems = append(f.problems, fmt.Sprintf("%s and %s share the fence %d", r.holder, o.Holder, o.Fence))
 		case o.Fence < r.fence:
 			f.problems = append(f.problems, fmt.Sprintf("fence %d after %d", o.Fence, r.fence))
-		case r.holder != o.Holder && now.Sub(r.at) < leaseTime:
+		case r.holder != o.Holder && now.Sub(r.at) < termGap:
 			f.problems = append(f.problems, fmt.Sprintf("%s orders %s after %s", o.Holder, now.Sub(r.at), r.holder))
 		}
 	}
-	f.orders = append(f.orders, received{now, o.Holder, o.Fence})
+	f.orders = append(f.orders, receivedOrder{now, o.Holder, o.Fence})
 }
 
 // crash takes engines out of the list until back is called.
 func (f *fakeEngines) crash(ids ...string) (back func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var gone []*fakeEngine
+	var crashed []*fakeEngine
 	for _, id := range ids {
-		gone = append(gone, f.engines[state.InstanceID{Name: id}])
+		crashed = append(crashed, f.engines[state.InstanceID{Name: id}])
 		delete(f.engines, state.InstanceID{Name: id})
 	}
 	return func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		for _, e := range gone {
+		for _, e := range crashed {
 			f.engines[e.instance.ID] = e
 		}
 	}
 }
 
 func newManager(t testing.TB, p *storetest.Platform, f *fakeEngines, host string, run int) *Manager {
-	return newManagerAt(t, clocktest.Bubble{}, p, f, host, run)
+	return newManagerWithClock(t, clocktest.Bubble{}, p, f, host, run)
 }
 
 // newManagerAt has a clock of its own.
-func newManagerAt(t testing.TB, clock state.Clock, p *storetest.Platform, f *fakeEngines, host string, run int) *Manager {
+func newManagerWithClock(t testing.TB, clock state.Clock, p *storetest.Platform, f *fakeEngines, host string, run int) *Manager {
 	lessor, err := lease.New(lease.Options{
 		Store: p.Client(host), Clock: clock, Rand: rand.New(rand.NewPCG(uint64(run), uint64(len(host)))),
 		Name: "engine-roles", Holder: state.HostID{Name: host, Incarnation: fmt.Sprint(run)}, TTL: 6 * time.Second, Machine: host,
-		Apart: leaseTime, CallTime: time.Second, MayBeLost: func() bool { return store.EpochOf(p.Revision()) > 0 },
+		Apart: termGap, CallTime: time.Second, MayBeLost: func() bool { return store.EpochOf(p.Revision()) > 0 },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	m, err := New(Options{
-		Engines: f, Lease: lessor, Shares: Shares{p.Client(host)}, Clock: clock, Log: slog.New(slog.DiscardHandler), Host: host,
-		Services: func() []string { return []string{"llm"} }, Instances: f.list, Announce: f.announce, Share: 0.68, Resizing: f.isResizing,
+		Engines: f, Lease: lessor, Shares: PrefillShares{p.Client(host)}, Clock: clock, Log: slog.New(slog.DiscardHandler), Host: host,
+		Services: func() []string { return []string{"llm"} }, Instances: f.list, Announce: f.announce, InitialPrefillShare: 0.68, Resizing: f.isResizing,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -300,7 +300,7 @@
 }
 
 // runHolder runs a manager until the returned function is called.
-func runHolder(t *testing.T, p *storetest.Platform, f *fakeEngines, host string) (stop func()) {
+func startHolder(t *testing.T, p *storetest.Platform, f *fakeEngines, host string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
 	m := newManager(t, p, f, host, 1)
@@ -311,10 +311,10 @@
 	}
 }
 
-func TestSplitIsOrderedOnceAndThenLeftAlone(t *testing.T) {
+func TestSplitIsOrderedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakeEngines(engines(4, 8), 0, 1)
+		f := newFakeEngines(newInstances(4, 8), 0, 1)
 		p := storetest.NewPlatform(time.Second)
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
@@ -332,12 +332,12 @@
 
 // A first split waits until the number of engines is as it will be: orders to engines that are
 // about to leave would be in vain.
-func TestFirstSplitWaitsForTheNumberOfEngines(t *testing.T) {
+func TestInitialSplitWaitsForResize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakeEngines(engines(4, 8), 0, 1)
+		f := newFakeEngines(newInstances(4, 8), 0, 1)
 		f.resizing = true
-		stop := runHolder(t, storetest.NewPlatform(time.Second), f, "h")
+		stop := startHolder(t, storetest.NewPlatform(time.Second), f, "h")
 		defer stop()
 		time.Sleep(5 * time.Second)
 		f.mu.Lock()
@@ -353,13 +353,13 @@
 
 // A holder whose machine is suspended in the midst of its orders gives none of the others when it
 // is back: another host has the lease by then, though no timer here says that time has passed.
-func TestSuspendedHolderGivesNoFurtherOrders(t *testing.T) {
+func TestSuspendedHolderSendsNoFurtherOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakeEngines(engines(2, 10), 0, 1)
+		f := newFakeEngines(newInstances(2, 10), 0, 1)
 		p := storetest.NewPlatform(time.Second)
 		machine := &clocktest.Machine{}
-		f.ordered = func() {
+		f.onFirstOrder = func() {
 			machine.Suspend(time.Minute)
 			other := p.Client("other")
 			o, err := other.Get(t.Context(), store.KindLease, "engine-roles")
@@ -369,16 +369,16 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		var done sync.WaitGroup
-		m := newManagerAt(t, machine, p, f, "h", 1)
+		m := newManagerWithClock(t, machine, p, f, "h", 1)
 		done.Go(func() { _ = m.Run(ctx) })
 		for f.orderCount() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(leaseTime) // the time in which another holder's orders mustn't meet this one's
-		given := f.orderCount()
+		time.Sleep(termGap) // the time in which another holder's orders mustn't meet this one's
+		orders := f.orderCount()
 		cancel()
 		done.Wait()
-		is.Equal(given, 1)
+		is.Equal(orders, 1)
 	})
 }
 
@@ -386,7 +386,7 @@
 func (f *fakeEngines) restart(name string, born int64, role state.Role) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	before := f.runOf(state.InstanceID{Name: name}).instance
+	before := f.currentRun(state.InstanceID{Name: name}).instance
 	delete(f.engines, before.ID)
 	before.ID.Born, before.Role = born, role
 	f.engines[before.ID] = &fakeEngine{instance: before}
@@ -394,11 +394,11 @@
 
 // An engine that restarts under its name has carried out no order: what was ordered of
 // the former run counts no more, and the new one is brought to the split.
-func TestOrdersOfAFormerRunDoNotCount(t *testing.T) {
+func TestOrdersOfPreviousRunAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakeEngines(engines(4, 8), 0, 1)
-		stop := runHolder(t, storetest.NewPlatform(time.Second), f, "h")
+		f := newFakeEngines(newInstances(4, 8), 0, 1)
+		stop := startHolder(t, storetest.NewPlatform(time.Second), f, "h")
 		time.Sleep(5 * time.Second) // four of eight have just been ordered to read
 		var changed []string
 		f.mu.Lock()
@@ -414,17 +414,17 @@
 		}
 		time.Sleep(time.Minute)
 		stop()
-		is.Equal(f.reading(), 8)
+		is.Equal(f.prefillCount(), 8)
 		is.Equal(len(f.problems), 0)
 	})
 }
 
 // The list still shows the former run while another answers the report: nothing is
 // ordered by the count of orders of a run that isn't listed.
-func TestEngineThatRestartedSinceItWasListedIsNotOrdered(t *testing.T) {
+func TestEngineRestartedSinceListingIsNotOrdered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakeEngines(engines(4, 8), 0, 1)
+		f := newFakeEngines(newInstances(4, 8), 0, 1)
 		listed := f.list("llm")
 		for i := range listed {
 			listed[i].ID.Born = 1
@@ -441,11 +441,11 @@
 	})
 }
 
-func TestCrashOfSecondsMovesNoRole(t *testing.T) {
+func TestShortCrashChangesNoRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakeEngines(engines(8, 4), 0, 1)
-		stop := runHolder(t, storetest.NewPlatform(time.Second), f, "h")
+		f := newFakeEngines(newInstances(8, 4), 0, 1)
+		stop := startHolder(t, storetest.NewPlatform(time.Second), f, "h")
 		time.Sleep(10 * time.Second)
 		back := f.crash("e00", "e01", "e02")
 		time.Sleep(2 * time.Second)
@@ -458,16 +458,16 @@
 
 // A holder that takes over in the middle of a crash finds the split of the one before
 // it, not a first split to be ordered.
-func TestCrashDuringATakeOverMovesNoRole(t *testing.T) {
+func TestCrashDuringTakeoverChangesNoRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakeEngines(engines(8, 4), 0, 1)
+		f := newFakeEngines(newInstances(8, 4), 0, 1)
 		p := storetest.NewPlatform(time.Second)
-		stop := runHolder(t, p, f, "h1")
+		stop := startHolder(t, p, f, "h1")
 		time.Sleep(10 * time.Second)
 		stop()
-		stop = runHolder(t, p, f, "h2")
-		time.Sleep(leaseTime) // it keeps silence for a second more
+		stop = startHolder(t, p, f, "h2")
+		time.Sleep(termGap) // it keeps silence for a second more
 		back := f.crash("e00", "e01", "e02")
 		time.Sleep(3 * time.Second)
 		back()
@@ -479,38 +479,38 @@
 
 // A holder knows the load of the engines when its silence ends: it acts on it at once,
 // and not before.
-func TestLoadIsLookedAtDuringTheSilence(t *testing.T) {
+func TestLoadIsSampledDuringSilentPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakeEngines(engines(8, 4), 0, 1)
+		f := newFakeEngines(newInstances(8, 4), 0, 1)
 		p := storetest.NewPlatform(time.Second)
-		stop := runHolder(t, p, f, "h1")
+		stop := startHolder(t, p, f, "h1")
 		time.Sleep(10 * time.Second)
 		stop()
 		f.setLoad(8)
 		began := time.Now()
-		stop = runHolder(t, p, f, "h2")
-		time.Sleep(leaseTime + time.Second)
+		stop = startHolder(t, p, f, "h2")
+		time.Sleep(termGap + time.Second)
 		is.Equal(f.orderCount(), 0)
 		time.Sleep(3 * time.Second) // the list stands for 1.2 s before the first look
 		stop()
 		is.True(len(f.orders) > 0)
-		is.True(f.orders[0].at.Sub(began) < leaseTime+4*time.Second)
+		is.True(f.orders[0].at.Sub(began) < termGap+4*time.Second)
 		is.Equal(len(f.problems), 0)
 	})
 }
 
 // All hosts were killed: the holder's machine goes on without a silence, as nobody else
 // can have ordered since.
-func TestNextRunOnTheSameMachineKeepsNoSilence(t *testing.T) {
+func TestNextRunOnSameMachineHasNoSilentPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		f := newFakeEngines(engines(8, 4), 0, 1)
+		f := newFakeEngines(newInstances(8, 4), 0, 1)
 		p := storetest.NewPlatform(time.Second)
 		ctx, kill := context.WithCancel(t.Context())
 		var done sync.WaitGroup
-		first := newManager(t, p, f, "h1", 1)
-		done.Go(func() { _ = first.Run(ctx) })
+		firstRun := newManager(t, p, f, "h1", 1)
+		done.Go(func() { _ = firstRun.Run(ctx) })
 		time.Sleep(10 * time.Second)
 		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.Refuse }) // it can't give the lease back
 		kill()
@@ -518,9 +518,9 @@
 		p.SetScript(nil)
 		f.setLoad(8)
 		began := time.Now()
-		second := newManager(t, p, f, "h1", 2)
+		secondRun := newManager(t, p, f, "h1", 2)
 		ctx, stop := context.WithCancel(t.Context())
-		done.Go(func() { _ = second.Run(ctx) })
+		done.Go(func() { _ = secondRun.Run(ctx) })
 		time.Sleep(6 * time.Second)
 		stop()
 		done.Wait()
@@ -532,22 +532,22 @@
 
 // Runners list themselves one after the other when a deployment starts: a first plan of
 // some of them would give a split near that of all, which is then left alone.
-func TestFirstSplitIsOfAllEngines(t *testing.T) {
-	for _, early := range []int{1, 2, 5, 8, 11} {
+func TestInitialSplitCountsAllEngines(t *testing.T) {
+	for _, listedFirst := range []int{1, 2, 5, 8, 11} {
 		synctest.Test(t, func(t *testing.T) {
 			is := is.New(t)
-			f := newFakeEngines(engines(4, 8), 0, 1)
-			var later []string
-			for i := early; i < 12; i++ {
-				later = append(later, fmt.Sprintf("e%02d", i))
+			f := newFakeEngines(newInstances(4, 8), 0, 1)
+			var listedLater []string
+			for i := listedFirst; i < 12; i++ {
+				listedLater = append(listedLater, fmt.Sprintf("e%02d", i))
 			}
-			back := f.crash(later...) // not listed yet
-			stop := runHolder(t, storetest.NewPlatform(time.Second), f, "h")
+			back := f.crash(listedLater...) // not listed yet
+			stop := startHolder(t, storetest.NewPlatform(time.Second), f, "h")
 			time.Sleep(time.Second)
 			back()
 			time.Sleep(20 * time.Second)
 			stop()
-			is.Equal(f.reading(), 8)
+			is.Equal(f.prefillCount(), 8)
 			is.Equal(len(f.orders), 4)
 		})
 	}
@@ -555,12 +555,12 @@
 
 // A service whose engines of one role are lost for good gets others for it, however
 // few are left.
-func TestLostRoleIsFilledAgain(t *testing.T) {
+func TestLostRoleIsRefilled(t *testing.T) {
 	for _, c := range []struct {
 		name            string
 		prefill, decode int
 		lost            []string
-		reading         int
+		wantPrefill     int
 	}{
 		{"all that generate, two left", 2, 2, []string{"e02", "e03"}, 1},
 		{"all that read, two left", 2, 2, []string{"e00", "e01"}, 1},
@@ -571,13 +571,13 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
-				f := newFakeEngines(engines(c.prefill, c.decode), 0, 1)
-				stop := runHolder(t, storetest.NewPlatform(time.Second), f, "h")
+				f := newFakeEngines(newInstances(c.prefill, c.decode), 0, 1)
+				stop := startHolder(t, storetest.NewPlatform(time.Second), f, "h")
 				time.Sleep(10 * time.Second)
 				f.crash(c.lost...)
 				time.Sleep(20 * time.Second)
 				stop()
-				is.Equal(f.reading(), c.reading)
+				is.Equal(f.prefillCount(), c.wantPrefill)
 				is.Equal(len(f.problems), 0)
 			})
 		})
@@ -589,25 +589,25 @@
 func TestHoldsNoConflictingRoleOrders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
-		late := rapid.SampledFrom([]float64{0, 0.4, 0.9}).Draw(rt, "late")
-		cuts := rapid.SliceOfN(rapid.IntRange(0, 5), 4, 12).Draw(rt, "troubles")
+		lateProbability := rapid.SampledFrom([]float64{0, 0.4, 0.9}).Draw(rt, "late")
+		faults := rapid.SliceOfN(rapid.IntRange(0, 5), 4, 12).Draw(rt, "troubles")
 		var problems []string
-		synctest.Test(t, func(t *testing.T) { problems = playHolders(t, seed, late, cuts) })
+		synctest.Test(t, func(t *testing.T) { problems = simulateHolders(t, seed, lateProbability, faults) })
 		if len(problems) > 0 {
 			rt.Fatal(problems[0])
 		}
 	})
 }
 
-func playHolders(t *testing.T, seed uint64, late float64, troubles []int) []string {
-	f := newFakeEngines(engines(4, 8), late, seed)
+func simulateHolders(t *testing.T, seed uint64, lateProbability float64, faults []int) []string {
+	f := newFakeEngines(newInstances(4, 8), lateProbability, seed)
 	p := storetest.NewPlatform(time.Second)
-	cut := map[string]bool{}
+	isCutOff := map[string]bool{}
 	var mu sync.Mutex
 	p.SetScript(func(c storetest.Call) storetest.Fault {
 		mu.Lock()
 		defer mu.Unlock()
-		if cut[c.Caller] {
+		if isCutOff[c.Caller] {
 			return storetest.Refuse
 		}
 		return storetest.None
@@ -622,16 +622,16 @@
 	for i := range stops {
 		start(i, 1)
 	}
-	for n, trouble := range troubles {
+	for n, fault := range faults {
 		time.Sleep(time.Duration(500+700*n) * time.Millisecond)
-		i := trouble % len(stops)
-		if trouble < len(stops) { // a restart at once
+		i := fault % len(stops)
+		if fault < len(stops) { // a restart at once
 			stops[i]()
 			start(i, n+2)
 			continue
 		}
 		mu.Lock()
-		cut[fmt.Sprint("h", i)] = !cut[fmt.Sprint("h", i)]
+		isCutOff[fmt.Sprint("h", i)] = !isCutOff[fmt.Sprint("h", i)]
 		mu.Unlock()
 	}
 	time.Sleep(30 * time.Second)
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -305,11 +305,11 @@
 func (h *Host) buildManager() error {
 	var err error
 	h.manager, err = stages.New(stages.Options{
-		Engines: platform.Engines{Caller: h.pool, Timeout: dutyCallTime}, Lease: h.lessor, Shares: stages.Shares{Store: h.store}, Clock: h.clock, Log: h.log, Host: h.s.Host,
+		Engines: platform.Engines{Caller: h.pool, Timeout: dutyCallTime}, Lease: h.lessor, Shares: stages.PrefillShares{Store: h.store}, Clock: h.clock, Log: h.log, Host: h.s.Host,
 		Services: h.engineServices, Instances: h.engines,
-		Resizing: h.resizing,
-		Announce: h.announce,
-		Share:    h.o.PrefillShare,
+		Resizing:            h.resizing,
+		Announce:            h.announce,
+		InitialPrefillShare: h.o.PrefillShare,
 	})
 	return err
 }
@@ -318,13 +318,13 @@
 func (h *Host) resizing(service string) bool { return h.scaler != nil && h.scaler.Resizing(service) }
 
 // announce tells all hosts, this one too, which engines are about to change their role.
-func (h *Host) announce(ctx context.Context, changes []stages.Change) {
+func (h *Host) announce(ctx context.Context, changes []stages.RoleChange) {
 	byRole := map[state.Role][]state.InstanceID{}
 	for _, c := range changes {
 		byRole[c.Role] = append(byRole[c.Role], c.Instance.ID)
 	}
 	for role, engines := range byRole {
-		if err := roles.Announce(ctx, h.fanout, engines, role, stages.SettleWithin); err != nil {
+		if err := roles.Announce(ctx, h.fanout, engines, role, stages.AnnouncementTTL); err != nil {
 			h.log.Error("change of role not announced", "engines", len(engines), "role", string(role), "cause", err.Error())
 		}
 	}
