--- a/coordination/stages/demand.go
+++ b/coordination/stages/demand.go
@@ -6,85 +6,95 @@
 )
 
 const (
-	// sampleEvery and sampleMost bound the reports that are read, of each role, which
-	// are priced as probes: four a second in all.
+	// sampleInterval and maxSamplesPerRole bound the engine reports that are fetched per service
+	// to four a second for both roles together. The platform bills a report like a probe.
 	sampleInterval    = 1500 * time.Millisecond
 	maxSamplesPerRole = 3
-	// sampleGain is the weight of a new sample: about ten seconds count. A gain of
-	// 0.3 a second followed each swing of the mix, some seconds late, and cost a
-	// fifth of the worth (docs/MEASUREMENTS.md).
+	// sampleWeight is the weight of a new sample in the moving averages, which thus cover about
+	// the last ten seconds. A weight of 0.3 a second followed each swing of the workload mix,
+	// some seconds late, and lost a fifth of the benchmark score.
 	sampleWeight = 0.15
-	// generatingHigh is the load of the generating engines above which more are
-	// wanted if prompts don't wait: on the standard days it stays below 1, also in
-	// phases of long answers, and where answers are mostly long it passes 2.
+	// decodeLoadHigh is the mean load of the decode engines above which more of them are needed,
+	// unless prompts queue as well. In the benchmark workloads the load stays below 1, also in
+	// phases of long answers. Where most answers are long it exceeds 2.
 	decodeLoadHigh = 1.2
-	// generatingWanted is the load that a change aims at.
+	// decodeLoadTarget is the load of the decode engines that a move to decode aims at.
 	decodeLoadTarget = 0.8
-	// generatingRoom is the load that the engines which are left to generate may have at
-	// the peak that was seen lately, and spareShare the part of all engines that is kept
-	// beside them for those that may be lost, rounded up. Of the others as many again read
-	// prompts, if more than waitingSome of them wait at an engine: what was seen for some
-	// seconds isn't the mix of a day.
+	// maxPeakDecodeLoad is the load that the remaining decode engines may have at the recent
+	// peak after a move to prefill. spareFraction of all engines, rounded up, stays in decode in
+	// addition, to replace engines that may be lost. It also bounds how many decode engines one
+	// change moves to prefill: a few seconds of samples may not represent the mix of the whole
+	// day.
 	maxPeakDecodeLoad = 0.4
 	spareFraction     = 1.0 / 16
-	significantQueue  = 0.3
-	// peakDecay is what is left of a peak at the next look: half after ten seconds, the
-	// time between two bursts on today's sheets.
+	// significantQueue is the mean number of queued prompts per prefill engine above which
+	// engines are moved to prefill.
+	significantQueue = 0.3
+	// peakDecayPerSample is the factor by which the recorded peak decays with each sample. It
+	// halves a peak in ten seconds, the time between two bursts in the benchmark workloads.
 	peakDecayPerSample = 0.9
-	// waitingLow prompts at an engine are read in time: an engine reads one in some
-	// 28 ms, and four at a time still in a shortest objective of 120 ms.
+	// acceptableQueue is the number of queued prompts per prefill engine that are still computed
+	// in time: a prompt takes about 28 ms, so four take less than the shortest latency objective
+	// of 120 ms.
 	acceptableQueue = 4
-	// idleLoad and less is no traffic, which tells nothing of the mix.
+	// idleLoad is the decode load below which a sample without queued prompts is ignored:
+	// without traffic it says nothing about the mix.
 	idleLoad = 0.02
-	// loadedFrom is the load of the generating engines from which the split matters: a
-	// tenth of their places; so do prompts that wait.
+	// significantDecodeLoad is the load of the decode engines, as a fraction of their slots,
+	// from which the split matters. It also matters if more than significantQueue prompts are
+	// queued.
 	significantDecodeLoad = 0.1
-	// generatingGross is a load that no swing of the mix reaches on the standard days.
+	// decodeOverload is a decode load that no swing of the mix reaches in the benchmark
+	// workloads. Above it even the first change waits only for initialCooldown.
 	decodeOverload = 2
-	// holdAfter is how long a changed share stands: a change of role takes some seconds,
-	// and its effect some more to show. holdFirst is how long the first one does, from
-	// the first sample, unless engines that read would be taken for less than a gross
-	// load.
+	// changeCooldown is how long a changed share is kept at least: a role change takes some
+	// seconds, and its effect on the load some more. initialCooldown is the time from the first
+	// sample to the first change, unless that change moves engines to decode at a load of at
+	// most decodeOverload: then changeCooldown applies.
 	changeCooldown  = 8 * time.Second
 	initialCooldown = 3 * time.Second
-	// mostMoved is the part of the engines that read prompts which one change takes.
+	// maxMovedFraction is the largest fraction of the prefill engines that one change moves to
+	// decode.
 	maxMovedFraction = 0.5
 )
 
-// sample is the state of a service's engines at one look.
+// loadSample is the load of a service's engines at one time.
 type loadSample struct {
-	// generating is how full the engines that generate are; above 1 requests wait.
+	// decodeLoad is the mean load of the sampled decode engines. Requests queue above 1.
 	decodeLoad float64
-	// waiting is the number of prompts that wait at an engine that reads.
+	// queuedPrompts is the mean number of queued prompts per sampled prefill engine.
 	queuedPrompts float64
 }
 
-// demand turns samples into the share of engines that read prompts.
+// shareEstimator computes the fraction of a service's engines that should do prefill from load
+// samples.
 type shareEstimator struct {
+	// share is the current estimate, between 0 and 1. mean holds moving averages of the samples.
 	share float64
 	mean  loadSample
-	// peak is the highest load of the generating engines lately, as if there were one.
+	// peakDecodeLoad is the recent peak of the total decode load, in fully loaded engines.
 	peakDecodeLoad float64
 	sampledAt      time.Time
-	// changedAt is when the share changed, or of the first sample.
+	// changedAt is the time of the last change of share, or of the first sample.
 	changedAt time.Time
 	sampled   bool
-	// most is the largest number of engines of late, last seen at mostAt.
+	// recentMax is the largest number of engines within lossWindow, last observed at
+	// recentMaxAt.
 	recentMax   int
 	recentMaxAt time.Time
-	// loaded is set once a load was seen for which the split matters.
+	// loadSeen reports whether a load was sampled for which the split matters.
 	loadSeen bool
-	// moved is set once the share has changed.
+	// shareChanged reports whether share has changed since the estimator was created.
 	shareChanged bool
 }
 
 func newShareEstimator(share float64) *shareEstimator { return &shareEstimator{share: share} }
 
-// due reports whether the next sample should be read.
+// due reports whether sampleInterval has passed since the last sample.
 func (d *shareEstimator) due(now time.Time) bool { return now.Sub(d.sampledAt) >= sampleInterval }
 
-// note takes a sample of a service with n engines, of which reading read prompts,
-// and reports whether the share changed.
+// addSample adds a sample of a service with n engines, prefill of which do prefill, and
+// reports whether the share changed.
 func (d *shareEstimator) addSample(now time.Time, s loadSample, n, prefill int) bool {
 	d.sampledAt = now
 	d.loadSeen = d.loadSeen || s.decodeLoad >= significantDecodeLoad || s.queuedPrompts > significantQueue
@@ -107,27 +117,30 @@
 	return true
 }
 
-// inUse is how many of n engines the recent peak of generation fills, but no more than
-// generated before engines were lost, nor than half of those that are left. When engines are
-// lost, so many of the rest go on generating whatever the share says: answers under way take
-// seconds, and callers whose questions find no slot are refused, while prompts that wait are
-// read late. A whole fleet is divided by the share alone.
+// decodeEnginesInUse returns how many of the n remaining engines must stay in decode after
+// engines were lost, whatever the share says: as many as the recent peak of decode load fills,
+// but no more than did decode before the loss, and at most half of n. Running answers hold
+// their slots for seconds, and requests that find no decode slot are refused, while queued
+// prompts are only delayed. Without a loss the share alone divides the engines.
 func (d *shareEstimator) decodeEnginesInUse(n int) int {
 	decodeBeforeLoss := d.recentMax - PrefillTarget(d.recentMax, d.share)
 	return min(int(math.Ceil(d.peakDecodeLoad)), decodeBeforeLoss, n/2)
 }
 
-// noteSize notes the number of engines.
+// recordEngineCount records the current number of engines, so that decodeEnginesInUse detects
+// a loss.
 func (d *shareEstimator) recordEngineCount(n int, now time.Time) {
 	if n >= d.recentMax || now.Sub(d.recentMaxAt) >= lossWindow {
 		d.recentMax, d.recentMaxAt = n, now
 	}
 }
 
-// lossLasts is how long engines that are missing count as lost; later the fleet is as it is.
+// lossWindow is how long missing engines count as lost. After it the remaining engines are
+// taken as the normal size of the service.
 const lossWindow = 30 * time.Second
 
-// hold is how long the present share stands at least against a wish to move engines.
+// cooldown returns the minimum age of the present share before it may change so that toMove
+// engines leave prefill.
 func (d *shareEstimator) cooldown(toMove int) time.Duration {
 	if d.shareChanged || (toMove > 0 && d.mean.decodeLoad <= decodeOverload) {
 		return changeCooldown
@@ -135,8 +148,8 @@
 	return initialCooldown
 }
 
-// wanted is the number of n engines, of which reading read prompts, that should leave
-// that for generating; it is negative for the other way.
+// enginesToMove returns how many engines should move from prefill to decode, given n engines,
+// prefill of which do prefill. A negative number is a move from decode to prefill.
 func (d *shareEstimator) enginesToMove(n, prefill int) int {
 	decode := n - prefill
 	switch {
@@ -152,7 +165,8 @@
 	}
 }
 
-// load is how full an engine is, by requests or by memory; above 1 some wait.
+// load returns the load of an engine by its requests per slot or by its KV memory, whichever
+// is higher. Requests queue above 1.
 func (r Report) load(slots int) float64 {
 	load := 0.0
 	if slots > 0 {
--- a/coordination/stages/learn.go
+++ b/coordination/stages/learn.go
@@ -9,15 +9,19 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// kept is what this host knows of a service's saved share.
+// cachedShare is the last known stored share of a service on this host.
 type cachedShare struct {
-	share   float64
+	share float64
+	// version is the store version of the object that holds the share; store.Absent if there is
+	// none.
 	version uint64
-	// unsaved is set while the store has an older one.
+	// unsaved reports whether share is newer than the stored one.
 	unsaved bool
 }
 
-// share is the share of engines that should read prompts by the load seen.
+// prefillShare returns the fraction of a service's engines that should do prefill. It samples
+// the load if a sample is due. No sample is taken while ordered changes are still to bring the
+// split to the plan, except if the split is speculative and its limit of orders is used up.
 func (m *Manager) prefillShare(ctx context.Context, service string, engines []state.Instance, now time.Time) float64 {
 	d := m.estimators[service]
 	if d == nil {
@@ -32,7 +36,7 @@
 		return d.share
 	}
 	changed := d.addSample(now, current, len(engines), countPrefill(engines))
-	m.o.Log.Info("engines sampled", "service", service, "generating", current.decodeLoad, "waiting", current.queuedPrompts,
+	m.o.Log.Info("engine load sampled", "service", service, "generating", current.decodeLoad, "waiting", current.queuedPrompts,
 		"mean_generating", d.mean.decodeLoad, "mean_waiting", d.mean.queuedPrompts, "prefill_share", d.share, "changed", changed)
 	if changed {
 		m.planReached[service] = false
@@ -42,8 +46,9 @@
 	return d.share
 }
 
-// firstShare is the share that a term begins with: what was saved last, or the
-// settings'. What this host could not save stands unless another has saved since.
+// initialShare returns the share at the start of a term: the stored one, or the configured one
+// if none is stored or the store can't be read. A share that this host couldn't save takes
+// precedence unless another holder has saved one since.
 func (m *Manager) initialShare(ctx context.Context, service string) float64 {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -53,19 +58,20 @@
 	case cached.unsaved && (err != nil || version == cached.version):
 		share = cached.share
 	case err != nil:
-		m.o.Log.Warn("share not read; the settings' is taken", "service", service, "prefill_share", m.o.InitialPrefillShare, "cause", err.Error())
+		m.o.Log.Warn("prefill share could not be loaded; using the configured share", "service", service, "prefill_share", m.o.InitialPrefillShare, "cause", err.Error())
 		share = m.o.InitialPrefillShare
 	case version == store.Absent:
 		share = m.o.InitialPrefillShare
 	default:
 		m.cachedShares[service] = cachedShare{share: share, version: version}
 	}
-	m.o.Log.Info("share of a new term", "service", service, "prefill_share", share, "version", version)
+	m.o.Log.Info("initial prefill share of the term", "service", service, "prefill_share", share, "version", version)
 	return share
 }
 
-// save keeps the share for the next holder, and again after the store was restored from an older copy;
-// it is tried again until it succeeds.
+// saveShare stores the share for the next holder if it is unsaved, or if the store was
+// restored from an older copy since the last save. A failed save is retried after the next
+// sample.
 func (m *Manager) saveShare(ctx context.Context, service string) {
 	cached := m.cachedShares[service]
 	cached.unsaved = cached.unsaved || cached.version != store.Absent && store.EpochOf(cached.version) < m.o.Lease.Epoch()
@@ -76,21 +82,22 @@
 	defer cancel()
 	version, err := m.o.Shares.Save(ctx, service, cached.share, cached.version)
 	if store.IsConflict(err) || store.IsUnknownOutcome(err) {
-		// This host's own write may have taken effect, or an earlier holder's late one.
+		// The conflicting write may be an earlier attempt of this host or a late write of a
+		// previous holder. Its version is the one that the next attempt replaces.
 		if _, currentVersion, err := m.o.Shares.Load(ctx, service); err == nil {
 			cached.version = currentVersion
 		}
 	}
 	if err != nil {
-		m.o.Log.Warn("share not saved; tried again", "service", service, "prefill_share", cached.share, "cause", err.Error())
+		m.o.Log.Warn("prefill share could not be saved; retrying after the next sample", "service", service, "prefill_share", cached.share, "cause", err.Error())
 	} else {
 		cached.version, cached.unsaved = version, false
 	}
 	m.cachedShares[service] = cached
 }
 
-// sample reads the reports of some engines of each role. It fails if none that
-// generates can be read.
+// sampleLoad fetches the reports of some engines of each role and returns their mean load. It
+// returns false if no decode engine returned a report.
 func (m *Manager) sampleLoad(ctx context.Context, engines []state.Instance) (loadSample, bool) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -105,7 +112,8 @@
 	return out, true
 }
 
-// reports reads the reports of some engines of a role, and returns of how many.
+// sampleReports fetches the reports of up to maxSamplesPerRole random engines of a role, calls
+// add for each and returns their number. Engines that don't answer are skipped.
 func (m *Manager) sampleReports(ctx context.Context, engines []state.Instance, role state.Role, add func(*state.Instance, Report)) int {
 	n := 0
 	for _, index := range rand.Perm(len(engines)) {
@@ -115,11 +123,11 @@
 		}
 		report, err := m.fetchReport(ctx, i)
 		if err != nil {
-			m.o.Log.Info("engine not sampled", "instance", i.ID, "cause", err.Error())
+			m.o.Log.Info("engine report could not be fetched; engine left out of the sample", "instance", i.ID, "cause", err.Error())
 			continue
 		}
 		if report.Role != role {
-			continue // it has changed since it was listed
+			continue // the role has changed since the engine was listed
 		}
 		add(i, report)
 		n++
--- a/coordination/stages/plan.go
+++ b/coordination/stages/plan.go
@@ -1,7 +1,8 @@
-// Package stages divides the engines of a service between reading prompts and
-// generating, and gives the engines their orders. One host at a time does so: it
-// holds a lease, and each order carries a fence, the engine's instance and the
-// number of orders that the engine has accepted.
+// Package stages divides the engines of a service between the roles prefill and decode, and
+// orders the engines to change their roles. Only the host that holds the lease does so. Each
+// order carries the fencing token of the lease term, the instance of the engine and the number
+// of orders that the engine has accepted so far, so that orders of different holders can't
+// conflict.
 package stages
 
 import (
@@ -12,17 +13,18 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// RoleChange is one engine and the role it should have.
+// RoleChange is an engine and the role that it is to change to.
 type RoleChange struct {
 	Instance state.Instance
 	Role     state.Role
 }
 
-// minEach is the least number of engines of either role, so that one crash
-// leaves the other.
+// minPerRole is the minimum number of engines of each role, so that one crash leaves another
+// engine of the role.
 const minPerRole = 2
 
-// PrefillTarget returns how many of n engines read prompts at the given share.
+// PrefillTarget returns how many of n engines should do prefill at the given share. Each role
+// gets at least minPerRole engines, or half of them if there are too few.
 func PrefillTarget(n int, share float64) int {
 	if n < 2*minPerRole {
 		return n / 2
@@ -31,9 +33,9 @@
 	return min(max(want, minPerRole), n-minPerRole)
 }
 
-// Plan returns the changes that bring the number of prefill engines to want. It
-// takes engines from the failure domain that has most of the role that is too
-// many, so that each domain keeps some of both; equal choices go by id.
+// Plan returns the changes that bring the number of prefill engines to want. It takes engines
+// from the failure domain that has the most engines of the surplus role, so that each domain
+// keeps engines of both roles. Ties are broken by name.
 func Plan(engines []state.Instance, want int) []RoleChange {
 	current := countPrefill(engines)
 	from, to := state.RoleDecode, state.RolePrefill
@@ -60,7 +62,7 @@
 	return out
 }
 
-// prefilling counts the engines that read prompts.
+// countPrefill returns the number of prefill engines.
 func countPrefill(engines []state.Instance) int {
 	n := 0
 	for _, e := range engines {
@@ -71,6 +73,8 @@
 	return n
 }
 
+// largestDomain returns the failure domain with the most engines, the first by name among
+// equals, or "" if no engine is left.
 func largestDomain(byDomain map[string][]state.Instance) string {
 	largest := ""
 	for domain, list := range byDomain {
