--- a/coordination/stages/demand.go
+++ b/coordination/stages/demand.go
@@ -77,7 +77,8 @@
 	sampledAt      time.Time
 	// changedAt is the time of the last change of share, or of the first sample.
 	changedAt time.Time
-	sampled   bool
+	// sampled reports whether a sample with traffic was added.
+	sampled bool
 	// recentMax is the largest number of engines within lossWindow, last observed at
 	// recentMaxAt.
 	recentMax   int
--- a/coordination/stages/manager.go
+++ b/coordination/stages/manager.go
@@ -13,22 +13,24 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// Report is what an engine says of itself.
+// Report is the state that an engine reports.
 type Report struct {
-	// Born is the start of the run that reports, as in state.InstanceID; 0 if it isn't said.
+	// Born is the start time of the reporting run, as in state.InstanceID; 0 if the engine
+	// doesn't report it.
 	Born int64
 	Role state.Role
-	// Busy is set while an order is carried out.
+	// Busy reports whether the engine is carrying out an order.
 	Busy bool
-	// AcceptedOrders is the number of orders accepted since the engine's start.
+	// AcceptedOrders is the number of orders accepted since the start of the run.
 	AcceptedOrders uint64
-	// Active requests run, Queued ones wait.
+	// Active is the number of running requests, Queued that of waiting ones.
 	Active, Queued int
-	// KVUsed of KVTotal tokens of memory are in use by requests.
+	// KVUsed is the part of the KV memory that requests use, KVTotal its size, both in tokens.
+	// KVTotal is 0 if the engine doesn't report it.
 	KVUsed, KVTotal int
 }
 
-// anotherRunError says that an engine has restarted since it was listed.
+// instanceRestartedError is returned if an engine has restarted since it was listed.
 type instanceRestartedError struct {
 	Instance state.InstanceID
 	Born     int64
@@ -36,16 +38,17 @@
 
 // Error implements error.
 func (e *instanceRestartedError) Error() string {
-	return fmt.Sprintf("engine %s has restarted as of %d; wait until the list shows the new run", e.Instance, e.Born)
+	return fmt.Sprintf("engine %s has restarted (new start time %d); wait until the new run is listed", e.Instance, e.Born)
 }
 
-// Order asks an engine to change its role.
+// Order requests an engine to change its role.
 type Order struct {
 	Role state.Role
-	// Holder and Fence name the host that orders and the term of its lease.
+	// Holder is the host that sends the order, and Fence the fencing token of its lease term.
 	Holder string
 	Fence  uint64
-	// ExpectedAcceptedOrders is the number of orders that the engine must have accepted before.
+	// ExpectedAcceptedOrders is the number of orders that the engine must have accepted before;
+	// otherwise it answers ResultConflict.
 	ExpectedAcceptedOrders uint64
 }
 
@@ -54,21 +57,22 @@
 
 // The results of an order.
 const (
-	// ResultAccepted orders are being carried out or held already.
+	// ResultAccepted means that the engine is carrying out the order or already has the role.
 	ResultAccepted Result = "accepted"
-	// ResultConflict says that another order came before.
+	// ResultConflict means that the engine has accepted another order before.
 	ResultConflict Result = "conflict"
-	// ResultFenced says that a holder with a higher fence has ordered.
+	// ResultFenced means that the engine has received an order with a higher fencing token.
 	ResultFenced Result = "fenced"
-	// ResultRefused orders are not possible or for another instance.
+	// ResultRefused means that the order is invalid or meant for another instance.
 	ResultRefused Result = "refused"
 )
 
-// Engines reaches the engines. An error of Order leaves it open whether and when
-// the order is carried out.
+// Engines fetches reports from engines and sends them orders. After an error of Order the
+// order may still be carried out, up to maxOrderDelay later.
 type Engines interface {
 	Report(ctx context.Context, i *state.Instance) (Report, error)
-	// Order asks permit last before the order leaves, and gives none if that fails.
+	// Order calls permit right before it sends the order, and sends nothing if permit returns an
+	// error.
 	Order(ctx context.Context, i *state.Instance, o Order, permit func() error) (Result, error)
 }
 
@@ -80,95 +84,104 @@
 	Clock   state.Clock
 	Log     *slog.Logger
 	Host    string
-	// Services lists the services with engines, and Instances the engines of one
+	// Services lists the services that have engines. Instances lists the engines of a service
 	// that aren't draining.
 	Services  func() []string
 	Instances func(service string) []state.Instance
-	// InitialPrefillShare is the share of a service's engines that read prompts at first.
+	// InitialPrefillShare is the fraction of a service's engines that do prefill until the load
+	// was sampled.
 	InitialPrefillShare float64
-	// Resizing reports that many of a service's engines are about to leave.
+	// Resizing reports whether the number of a service's engines is about to change.
 	Resizing func(service string) bool
-	// Announce tells all hosts which engines are about to change, before they are
-	// ordered to.
+	// Announce notifies all hosts of the engines that are about to change their roles. It is
+	// called before the orders are sent.
 	Announce func(ctx context.Context, changes []RoleChange)
 }
 
 const (
-	// pollInterval is how often the holder compares roles with the plan; it costs
-	// no call.
+	// pollInterval is the time between comparisons of the roles with the plan. A comparison
+	// makes no call unless a sample or a change is due.
 	pollInterval = 250 * time.Millisecond
-	// settle is how long a difference must last before it is acted on, so that a
-	// crash of a few seconds or a restart in a release moves no role.
+	// minDeviationTime is how long the roles must deviate from the plan before engines are
+	// ordered to change, so that a crash of a few seconds or a restart during a release changes
+	// no role.
 	minDeviationTime = 3 * time.Second
-	// listing is how long the number of engines must stand before the first plan: when
-	// a deployment starts, its runners list themselves within a heartbeat (1.2 s).
+	// settleTime is how long the number of engines must stay the same before the first plan:
+	// when a deployment starts, its engines are listed within one heartbeat (1.2 s).
 	settleTime = 1200 * time.Millisecond
-	// callTimeout bounds an order or report.
+	// callTimeout bounds each order, report and store operation.
 	callTimeout = time.Second
-	// lateBound is how long an order without an answer may still be carried out,
-	// by the platform's list of faults (2 to 12 s).
+	// maxOrderDelay is how long after a failed call an order may still be carried out. The
+	// platform documents delays of 2 to 12 s.
 	maxOrderDelay = 13 * time.Second
-	// AnnounceLead is the time between the announcement of a change and its order, in
-	// which what was chosen before reaches the engine; SettleWithin is how long hosts
-	// avoid it at most.
+	// AnnounceLead is the time between the announcement of a change and its order. In this time
+	// requests that were routed by the old role reach the engine. AnnouncementTTL is the longest
+	// time for which hosts avoid an announced engine.
 	AnnounceLead    = 100 * time.Millisecond
 	AnnouncementTTL = maxOrderDelay
-	// tolerance is the difference in engines that is left alone once the first
-	// split stands: a change takes an engine away for seconds.
+	// tolerance is the deviation in engines that is ignored once the first split is reached: a
+	// change makes an engine unavailable for seconds.
 	tolerance = 1
-	// guessMost bounds the orders of a first split by the settings' share alone, before
-	// any load is seen: each costs an engine seconds, and a large fleet may have hardly
-	// any work. Fleets of a hundred engines are split whole before their first request:
-	// half of such a split under a burst cost a tenth of the first seconds' credit.
+	// maxSpeculativeOrders bounds the orders of a first split that rests on the configured share
+	// alone, before any load was sampled. Each order makes an engine unavailable for seconds,
+	// and a large fleet may have hardly any work. The bound is high enough to split a fleet of a
+	// hundred engines completely before its first request: splitting half of it under a burst
+	// lost a tenth of the benchmark score of the first seconds.
 	maxSpeculativeOrders = 40
 )
 
-// Manager gives orders while it holds the lease.
+// Manager orders engines to change their roles while this host holds the lease. It is not safe
+// for concurrent use.
 type Manager struct {
 	o Options
-	// ordered holds the orders given, by instance, and pausing until when an engine
-	// that took none is left alone.
+	// pendingOrders holds the orders that aren't known to be carried out yet. pausedUntil holds
+	// the time before which an engine that took no order isn't ordered again.
 	pendingOrders map[state.InstanceID]pendingOrder
 	pausedUntil   map[state.InstanceID]time.Time
-	// since is when a service's split began to differ from the plan.
+	// deviatesSince is the time since which the roles of a service deviate from the plan.
 	deviatesSince map[string]time.Time
-	// stood is set for services whose split has stood as planned since the plan
-	// last changed; in a term that follows another's it is so from the start.
+	// planReached has an entry for each service that was compared with a plan in this term. It
+	// is true if the roles have matched the plan since the share last changed. In a term that
+	// follows another host's it is true from the start.
 	planReached map[string]bool
-	// followed is set in such a term.
+	// hasPredecessor reports whether the lease was held before the present term.
 	hasPredecessor bool
-	// counted is how many engines of a service are listed, until the term's first plan.
+	// listedCounts holds the number of listed engines by service, until the first plan of the
+	// term.
 	listedCounts map[string]listedCount
-	// demand follows the load of both roles, by service.
+	// estimators holds the share estimator of each service.
 	estimators map[string]*shareEstimator
-	// guessed counts the orders of the term's first split before any load was seen.
+	// speculativeOrders counts the orders of the first split in this term that were sent before
+	// any load was sampled.
 	speculativeOrders map[string]int
-	// kept are the saved shares by service; they outlive a term.
+	// cachedShares holds the last known stored share of each service. It is kept between terms.
 	cachedShares map[string]cachedShare
 }
 
-// listedCount is a number of engines and since when it has been listed.
+// listedCount is a number of listed engines and the time since which it is unchanged.
 type listedCount struct {
 	n     int
 	since time.Time
 }
 
-// given is an order on its way.
+// pendingOrder is an order that may not be carried out yet.
 type pendingOrder struct {
 	role state.Role
-	// until is when the order counts as lost.
+	// until is the time after which the order counts as lost.
 	until time.Time
 }
 
-// New validates the options.
+// New returns a Manager, or an error that names the remedy if an option is missing.
 func New(o Options) (*Manager, error) {
 	if o.Engines == nil || o.Lease == nil || o.Shares.Store == nil || o.Clock == nil || o.Log == nil || o.Services == nil || o.Instances == nil || o.Resizing == nil || o.Announce == nil || o.InitialPrefillShare <= 0 {
-		return nil, errors.New("stages: a field of Options is nil; set all of them")
+		return nil, errors.New("stages: a field of Options is missing; set all of them")
 	}
 	return &Manager{o: o, cachedShares: map[string]cachedShare{}}, nil
 }
 
-// Hold gives orders for one term of the lease, until ctx ends with it.
+// Hold orders role changes during one term of the lease. It returns when ctx ends, which must
+// happen when the term ends. State of the previous term is kept if no other machine has held
+// the lease since.
 func (m *Manager) Hold(ctx context.Context) {
 	if m.estimators == nil || !m.o.Lease.Own() {
 		m.resetTerm()
@@ -184,15 +197,16 @@
 	}
 }
 
-// forgetTerm begins a term that doesn't go on with this run's last one.
+// resetTerm discards the state of the previous term.
 func (m *Manager) resetTerm() {
 	m.pendingOrders, m.deviatesSince, m.planReached = map[state.InstanceID]pendingOrder{}, map[string]time.Time{}, map[string]bool{}
 	m.pausedUntil, m.estimators, m.listedCounts = map[state.InstanceID]time.Time{}, map[string]*shareEstimator{}, map[string]listedCount{}
 	m.speculativeOrders = map[string]int{}
 }
 
-// service compares one service's roles with the plan. While this host keeps silence it
-// only looks at the engines' load.
+// reconcile compares the roles of a service's engines with the plan and orders the changes
+// that are due. During the silent period of the lease, in which no order may be sent, it only
+// samples the load.
 func (m *Manager) reconcile(ctx context.Context, service string) {
 	engines := m.o.Instances(service)
 	now := m.o.Clock.Now()
@@ -231,15 +245,16 @@
 	m.applyChanges(ctx, changes, now)
 }
 
-// guesses reports whether the service's split rests on the settings alone: no load was
-// seen for which it matters, in this term or in one whose holder has saved a share.
+// isSpeculative reports whether the service's split rests on the configured share alone: no
+// load was sampled for which the split matters, neither in this term nor in an earlier one
+// whose holder stored a share.
 func (m *Manager) isSpeculative(service string) bool {
 	cached := m.cachedShares[service]
 	return !m.estimators[service].loadSeen && cached.version == store.Absent && !cached.unsaved
 }
 
-// guessLeft is how many orders may still be given by a guess: a holder that follows another
-// finds that one's.
+// speculativeOrdersLeft returns how many more speculative orders may be sent in this term:
+// none if there was a previous holder, which has already sent them.
 func (m *Manager) speculativeOrdersLeft(service string) int {
 	if m.hasPredecessor {
 		return 0
@@ -247,7 +262,8 @@
 	return maxSpeculativeOrders - m.speculativeOrders[service]
 }
 
-// change announces changes and orders them.
+// applyChanges announces the changes and, AnnounceLead later, sends the orders. Engines that
+// are paused are left out.
 func (m *Manager) applyChanges(ctx context.Context, changes []RoleChange, now time.Time) {
 	changes = slices.DeleteFunc(changes, func(c RoleChange) bool { return now.Before(m.pausedUntil[c.Instance.ID]) })
 	if len(changes) == 0 {
@@ -265,8 +281,9 @@
 	}
 }
 
-// listed reports whether the service's engines are listed as far as can be known: a
-// first split of those that were listed first would differ from that of all.
+// listSettled reports whether the number of listed engines is unchanged for settleTime, or the
+// service already has a plan in this term. A plan for a part of the engines would give another
+// split than one for all.
 func (m *Manager) listSettled(service string, n int, now time.Time) bool {
 	if _, started := m.planReached[service]; started {
 		return true
@@ -279,14 +296,17 @@
 	return now.Sub(c.since) >= settleTime
 }
 
-// starved reports whether a role has fewer engines than it may. The last engine of a
-// service generates: it reads prompts as well, while one that reads does nothing else.
+// belowMinimum reports whether a role has fewer engines than its minimum. The last engine of a
+// service does decode: a decode engine also computes prompts, while a prefill engine does
+// nothing else.
 func (m *Manager) belowMinimum(engines []state.Instance) bool {
 	prefill := countPrefill(engines)
 	minimum := min(minPerRole, len(engines)/2)
 	return prefill < minimum || len(engines)-prefill < max(1, minimum)
 }
 
+// deviationPersists reports whether the roles of the service deviate from the plan for at
+// least minDeviationTime. The first call records the start of the deviation.
 func (m *Manager) deviationPersists(service string, now time.Time) bool {
 	since, ok := m.deviatesSince[service]
 	if !ok {
@@ -296,7 +316,8 @@
 	return now.Sub(since) >= minDeviationTime
 }
 
-// asOrdered is the list with the roles that orders on their way will bring.
+// withPendingRoles returns a copy of the list in which engines with a pending order have the
+// ordered role.
 func (m *Manager) withPendingRoles(engines []state.Instance) []state.Instance {
 	out := make([]state.Instance, len(engines))
 	copy(out, engines)
@@ -308,7 +329,8 @@
 	return out
 }
 
-// forget drops orders that have been carried out or count as lost.
+// dropFinishedOrders removes pending orders that were carried out, count as lost or belong to
+// engines that are no longer listed, and pauses that have ended.
 func (m *Manager) dropFinishedOrders(engines []state.Instance, now time.Time) {
 	listed := map[state.InstanceID]state.Role{}
 	for _, e := range engines {
@@ -326,9 +348,9 @@
 	}
 }
 
-// order has one engine change its role. The number of orders that the engine has
-// accepted is read first: an order that another holder gave in between makes the
-// engine refuse this one.
+// orderChange orders one engine to change its role. It first fetches the number of orders that
+// the engine has accepted. If another holder's order is accepted in between, the number no
+// longer matches and the engine refuses this order.
 func (m *Manager) orderChange(ctx context.Context, c RoleChange) {
 	i := &c.Instance
 	now := m.o.Clock.Now()
@@ -336,7 +358,7 @@
 	defer cancel()
 	report, err := m.fetchReport(ctx, i)
 	if err != nil || report.Busy {
-		m.o.Log.Info("engine not ordered", "instance", i.ID, "busy", report.Busy, "cause", fmt.Sprint(err))
+		m.o.Log.Info("role change not ordered; engine is busy or its report could not be fetched", "instance", i.ID, "busy", report.Busy, "cause", fmt.Sprint(err))
 		m.pausedUntil[i.ID] = now.Add(orderRetryInterval)
 		return
 	}
@@ -350,7 +372,7 @@
 	}
 	o := Order{Role: c.Role, Holder: m.o.Host, Fence: fence, ExpectedAcceptedOrders: report.AcceptedOrders}
 	result, err := m.o.Engines.Order(ctx, i, o, m.o.Lease.Still(fence))
-	m.o.Log.Info("engine ordered", "instance", i.ID, "role", string(c.Role), "fence", o.Fence, "accepted", o.ExpectedAcceptedOrders, "result", string(result), "cause", fmt.Sprint(err))
+	m.o.Log.Info("role change ordered", "instance", i.ID, "role", string(c.Role), "fence", o.Fence, "accepted", o.ExpectedAcceptedOrders, "result", string(result), "cause", fmt.Sprint(err))
 	if err == nil && result != ResultAccepted {
 		m.pausedUntil[i.ID] = now.Add(orderRetryInterval)
 		return
@@ -358,8 +380,8 @@
 	m.pendingOrders[i.ID] = pendingOrder{c.Role, now.Add(maxOrderDelay)}
 }
 
-// report asks an engine for its report. That of another run is an error: the number of
-// orders that it has accepted says nothing of this one.
+// fetchReport fetches the report of an engine. It returns an instanceRestartedError if another
+// run of the engine answers, because that run counts its accepted orders from zero.
 func (m *Manager) fetchReport(ctx context.Context, i *state.Instance) (Report, error) {
 	report, err := m.o.Engines.Report(ctx, i)
 	if err == nil && !i.ID.SameRun(report.Born) {
@@ -368,5 +390,5 @@
 	return report, err
 }
 
-// retryOrder is how long an engine that took no order is left alone.
+// orderRetryInterval is how long an engine that took no order isn't ordered again.
 const orderRetryInterval = 2 * time.Second
