--- a/coordination/stages/demand.go
+++ b/coordination/stages/demand.go
@@ -92,29 +92,29 @@
 func newShareEstimator(share float64) *shareEstimator { return &shareEstimator{share: share} }
 
 // due reports whether sampleInterval has passed since the last sample.
-func (d *shareEstimator) due(now time.Time) bool { return now.Sub(d.sampledAt) >= sampleInterval }
+func (e *shareEstimator) due(now time.Time) bool { return now.Sub(e.sampledAt) >= sampleInterval }
 
 // addSample adds a sample of a service with n engines, prefill of which do prefill, and
 // reports whether the share changed.
-func (d *shareEstimator) addSample(now time.Time, s loadSample, n, prefill int) bool {
-	d.sampledAt = now
-	d.loadSeen = d.loadSeen || s.decodeLoad >= significantDecodeLoad || s.queuedPrompts > significantQueue
+func (e *shareEstimator) addSample(now time.Time, s loadSample, n, prefill int) bool {
+	e.sampledAt = now
+	e.loadSeen = e.loadSeen || s.decodeLoad >= significantDecodeLoad || s.queuedPrompts > significantQueue
 	if s.decodeLoad < idleLoad && s.queuedPrompts == 0 {
 		return false
 	}
-	if !d.sampled {
-		d.mean, d.sampled, d.changedAt = s, true, now
+	if !e.sampled {
+		e.mean, e.sampled, e.changedAt = s, true, now
 	}
-	d.mean.decodeLoad += sampleWeight * (s.decodeLoad - d.mean.decodeLoad)
-	d.mean.queuedPrompts += sampleWeight * (s.queuedPrompts - d.mean.queuedPrompts)
-	d.peakDecodeLoad = max(d.peakDecodeLoad*peakDecayPerSample, s.decodeLoad*float64(n-prefill))
-	toMove := d.enginesToMove(n, prefill)
-	if toMove == 0 || now.Sub(d.changedAt) < d.cooldown(toMove) {
+	e.mean.decodeLoad += sampleWeight * (s.decodeLoad - e.mean.decodeLoad)
+	e.mean.queuedPrompts += sampleWeight * (s.queuedPrompts - e.mean.queuedPrompts)
+	e.peakDecodeLoad = max(e.peakDecodeLoad*peakDecayPerSample, s.decodeLoad*float64(n-prefill))
+	toMove := e.enginesToMove(n, prefill)
+	if toMove == 0 || now.Sub(e.changedAt) < e.cooldown(toMove) {
 		return false
 	}
-	d.share = float64(prefill-toMove) / float64(n)
-	d.mean.decodeLoad *= float64(n-prefill) / float64(n-prefill+toMove)
-	d.changedAt, d.shareChanged = now, true
+	e.share = float64(prefill-toMove) / float64(n)
+	e.mean.decodeLoad *= float64(n-prefill) / float64(n-prefill+toMove)
+	e.changedAt, e.shareChanged = now, true
 	return true
 }
 
@@ -123,16 +123,16 @@
 // but no more than did decode before the loss, and at most half of n. Running answers hold
 // their slots for seconds, and requests that find no decode slot are refused, while queued
 // prompts are only delayed. Without a loss the share alone divides the engines.
-func (d *shareEstimator) decodeEnginesInUse(n int) int {
-	decodeBeforeLoss := d.recentMax - PrefillTarget(d.recentMax, d.share)
-	return min(int(math.Ceil(d.peakDecodeLoad)), decodeBeforeLoss, n/2)
+func (e *shareEstimator) decodeEnginesInUse(n int) int {
+	decodeBeforeLoss := e.recentMax - PrefillTarget(e.recentMax, e.share)
+	return min(int(math.Ceil(e.peakDecodeLoad)), decodeBeforeLoss, n/2)
 }
 
 // recordEngineCount records the current number of engines, so that decodeEnginesInUse detects
 // a loss.
-func (d *shareEstimator) recordEngineCount(n int, now time.Time) {
-	if n >= d.recentMax || now.Sub(d.recentMaxAt) >= lossWindow {
-		d.recentMax, d.recentMaxAt = n, now
+func (e *shareEstimator) recordEngineCount(n int, now time.Time) {
+	if n >= e.recentMax || now.Sub(e.recentMaxAt) >= lossWindow {
+		e.recentMax, e.recentMaxAt = n, now
 	}
 }
 
@@ -142,8 +142,8 @@
 
 // cooldown returns the minimum age of the present share before it may change so that toMove
 // engines leave prefill.
-func (d *shareEstimator) cooldown(toMove int) time.Duration {
-	if d.shareChanged || (toMove > 0 && d.mean.decodeLoad <= decodeOverload) {
+func (e *shareEstimator) cooldown(toMove int) time.Duration {
+	if e.shareChanged || (toMove > 0 && e.mean.decodeLoad <= decodeOverload) {
 		return changeCooldown
 	}
 	return initialCooldown
@@ -151,15 +151,15 @@
 
 // enginesToMove returns how many engines should move from prefill to decode, given n engines,
 // prefill of which do prefill. A negative number is a move from decode to prefill.
-func (d *shareEstimator) enginesToMove(n, prefill int) int {
+func (e *shareEstimator) enginesToMove(n, prefill int) int {
 	decode := n - prefill
 	switch {
-	case d.mean.decodeLoad > decodeLoadHigh && d.mean.queuedPrompts < acceptableQueue:
-		missing := math.Ceil(float64(decode) * (d.mean.decodeLoad/decodeLoadTarget - 1))
+	case e.mean.decodeLoad > decodeLoadHigh && e.mean.queuedPrompts < acceptableQueue:
+		missing := math.Ceil(float64(decode) * (e.mean.decodeLoad/decodeLoadTarget - 1))
 		return max(0, min(int(missing), int(maxMovedFraction*float64(prefill)), prefill-minPerRole))
-	case d.mean.queuedPrompts > significantQueue:
+	case e.mean.queuedPrompts > significantQueue:
 		spare := int(math.Ceil(spareFraction * float64(n)))
-		needed := int(math.Ceil(d.peakDecodeLoad/maxPeakDecodeLoad)) + spare
+		needed := int(math.Ceil(e.peakDecodeLoad/maxPeakDecodeLoad)) + spare
 		return -max(0, min(decode-max(needed, minPerRole), spare))
 	default:
 		return 0
--- a/coordination/stages/demand_test.go
+++ b/coordination/stages/demand_test.go
@@ -18,14 +18,14 @@
 
 // play gives a demand one sample a second, from a function of the second, and returns
 // the seconds at which the share changed. What is moved stays moved.
-func simulate(d *shareEstimator, n int, seconds int, sampleAt func(second, reading int) loadSample) []int {
+func simulate(estimator *shareEstimator, n int, seconds int, sampleAt func(second, reading int) loadSample) []int {
 	var changedAt []int
-	prefill := PrefillTarget(n, d.share)
+	prefill := PrefillTarget(n, estimator.share)
 	now := time.Now()
 	for second := range seconds {
-		if d.addSample(now.Add(time.Duration(second)*time.Second), sampleAt(second, prefill), n, prefill) {
+		if estimator.addSample(now.Add(time.Duration(second)*time.Second), sampleAt(second, prefill), n, prefill) {
 			changedAt = append(changedAt, second)
-			prefill = PrefillTarget(n, d.share)
+			prefill = PrefillTarget(n, estimator.share)
 		}
 	}
 	return changedAt
@@ -41,9 +41,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
-			d := newShareEstimator(0.7)
-			is.Equal(len(simulate(d, 12, 80, sampleAt)), 0)
-			is.Equal(d.share, 0.7)
+			estimator := newShareEstimator(0.7)
+			is.Equal(len(simulate(estimator, 12, 80, sampleAt)), 0)
+			is.Equal(estimator.share, 0.7)
 		})
 	}
 }
@@ -51,22 +51,22 @@
 // Mostly long answers: three times the load that four engines carry.
 func TestEstimatorMovesEnginesToDecodeUnderOverload(t *testing.T) {
 	is := is.New(t)
-	d := newShareEstimator(0.68)
-	changes := simulate(d, 12, 60, func(_, reading int) loadSample { return loadSample{decodeLoad: 12 / float64(12-reading)} })
+	estimator := newShareEstimator(0.68)
+	changes := simulate(estimator, 12, 60, func(_, reading int) loadSample { return loadSample{decodeLoad: 12 / float64(12-reading)} })
 	is.True(len(changes) >= 1 && len(changes) <= 3)
 	is.True(changes[0] <= 4) // gross load is acted on within seconds
-	is.True(d.share < 0.4)
-	is.True(PrefillTarget(12, d.share) >= minPerRole)
+	is.True(estimator.share < 0.4)
+	is.True(PrefillTarget(12, estimator.share) >= minPerRole)
 }
 
 // Hardly any answers: prompts wait at all times.
 func TestEstimatorMovesIdleDecodeEnginesToPrefill(t *testing.T) {
 	is := is.New(t)
-	d := newShareEstimator(0.5)
-	changes := simulate(d, 12, 60, func(int, int) loadSample { return loadSample{decodeLoad: 0.05, queuedPrompts: 40} })
+	estimator := newShareEstimator(0.5)
+	changes := simulate(estimator, 12, 60, func(int, int) loadSample { return loadSample{decodeLoad: 0.05, queuedPrompts: 40} })
 	is.True(len(changes) >= 1)
-	is.True(d.share > 0.7)
-	is.True(12-PrefillTarget(12, d.share) >= minPerRole)
+	is.True(estimator.share > 0.7)
+	is.True(12-PrefillTarget(12, estimator.share) >= minPerRole)
 }
 
 // A day begins with cold caches: prompts wait at twelve engines of 18, and the other six
@@ -87,11 +87,11 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
-			d := newShareEstimator(0.64)
-			changes := simulate(d, c.n, 30, func(_, reading int) loadSample {
+			estimator := newShareEstimator(0.64)
+			changes := simulate(estimator, c.n, 30, func(_, reading int) loadSample {
 				return loadSample{decodeLoad: c.decodeLoad / float64(c.n-reading), queuedPrompts: 3}
 			})
-			is.Equal(c.n-PrefillTarget(c.n, d.share), c.wantDecode)
+			is.Equal(c.n-PrefillTarget(c.n, estimator.share), c.wantDecode)
 			is.Equal(len(changes), c.wantChanges)
 			is.True(len(changes) == 0 || changes[0] <= 4)
 		})
@@ -101,8 +101,8 @@
 // A burst of answers that is over still counts for some seconds: the next one may come.
 func TestEstimatorKeepsDecodePeakBetweenBursts(t *testing.T) {
 	is := is.New(t)
-	d := newShareEstimator(0.64)
-	changes := simulate(d, 12, 12, func(s, _ int) loadSample {
+	estimator := newShareEstimator(0.64)
+	changes := simulate(estimator, 12, 12, func(s, _ int) loadSample {
 		if s < 3 {
 			return loadSample{decodeLoad: 0.8}
 		}
@@ -270,16 +270,16 @@
 // the share would leave ten to generate what filled fourteen a moment ago.
 func TestDecodeEnginesInUseAreKeptAfterLoss(t *testing.T) {
 	is := is.New(t)
-	d := newShareEstimator(0.64)
+	estimator := newShareEstimator(0.64)
 	at := time.Unix(100, 0)
-	d.recordEngineCount(86, at)
-	d.addSample(at, loadSample{decodeLoad: 0.45, queuedPrompts: 0}, 86, 55)
-	d.recordEngineCount(28, at.Add(time.Second))
-	is.Equal(d.decodeEnginesInUse(28), 14)
-	is.Equal(d.decodeEnginesInUse(20), 10) // prompts are read all the same
+	estimator.recordEngineCount(86, at)
+	estimator.addSample(at, loadSample{decodeLoad: 0.45, queuedPrompts: 0}, 86, 55)
+	estimator.recordEngineCount(28, at.Add(time.Second))
+	is.Equal(estimator.decodeEnginesInUse(28), 14)
+	is.Equal(estimator.decodeEnginesInUse(20), 10) // prompts are read all the same
 	is.Equal(newShareEstimator(0.64).decodeEnginesInUse(28), 0)
-	d.recordEngineCount(28, at.Add(lossWindow))
-	is.Equal(d.decodeEnginesInUse(28), 28-PrefillTarget(28, 0.64)) // that is the fleet now
+	estimator.recordEngineCount(28, at.Add(lossWindow))
+	is.Equal(estimator.decodeEnginesInUse(28), 28-PrefillTarget(28, 0.64)) // that is the fleet now
 }
 
 // Twelve engines of rostering's first deployment: a burst of questions fills five and more, and
@@ -288,9 +288,9 @@
 func TestShareAloneDividesFleetWithoutLoss(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{4, 12, 57, 300} {
-		d := newShareEstimator(0.64)
-		d.recordEngineCount(n, time.Unix(100, 0))
-		d.peakDecodeLoad = float64(n)
-		is.True(n-d.decodeEnginesInUse(n) >= PrefillTarget(n, 0.64))
+		estimator := newShareEstimator(0.64)
+		estimator.recordEngineCount(n, time.Unix(100, 0))
+		estimator.peakDecodeLoad = float64(n)
+		is.True(n-estimator.decodeEnginesInUse(n) >= PrefillTarget(n, 0.64))
 	}
 }
--- a/coordination/stages/learn.go
+++ b/coordination/stages/learn.go
@@ -23,27 +23,27 @@
 // the load if a sample is due. No sample is taken while ordered changes are still to bring the
 // split to the plan, except if the split is speculative and its limit of orders is used up.
 func (m *Manager) prefillShare(ctx context.Context, service string, engines []state.Instance, now time.Time) float64 {
-	d := m.estimators[service]
-	if d == nil {
-		d = newShareEstimator(m.initialShare(ctx, service))
-		m.estimators[service] = d
+	estimator := m.estimators[service]
+	if estimator == nil {
+		estimator = newShareEstimator(m.initialShare(ctx, service))
+		m.estimators[service] = estimator
 	}
-	if (!m.planReached[service] && !(m.isSpeculative(service) && m.speculativeOrdersLeft(service) == 0)) || !d.due(now) {
-		return d.share
+	if (!m.planReached[service] && !(m.isSpeculative(service) && m.speculativeOrdersLeft(service) == 0)) || !estimator.due(now) {
+		return estimator.share
 	}
 	current, ok := m.sampleLoad(ctx, engines)
 	if !ok {
-		return d.share
+		return estimator.share
 	}
-	changed := d.addSample(now, current, len(engines), countPrefill(engines))
+	changed := estimator.addSample(now, current, len(engines), countPrefill(engines))
 	m.o.Log.Info("engine load sampled", "service", service, "generating", current.decodeLoad, "waiting", current.queuedPrompts,
-		"mean_generating", d.mean.decodeLoad, "mean_waiting", d.mean.queuedPrompts, "prefill_share", d.share, "changed", changed)
+		"mean_generating", estimator.mean.decodeLoad, "mean_waiting", estimator.mean.queuedPrompts, "prefill_share", estimator.share, "changed", changed)
 	if changed {
 		m.planReached[service] = false
-		m.cachedShares[service] = cachedShare{d.share, m.cachedShares[service].version, true}
+		m.cachedShares[service] = cachedShare{estimator.share, m.cachedShares[service].version, true}
 	}
 	m.saveShare(ctx, service)
-	return d.share
+	return estimator.share
 }
 
 // initialShare returns the share at the start of a term: the stored one, or the configured one
