--- a/coordination/stages/demand_test.go
+++ b/coordination/stages/demand_test.go
@@ -18,7 +18,7 @@
 
 // play gives a demand one sample a second, from a function of the second, and returns
 // the seconds at which the share changed. What is moved stays moved.
-func simulate(estimator *shareEstimator, n int, seconds int, sampleAt func(second, reading int) loadSample) []int {
+func simulate(estimator *shareEstimator, n int, seconds int, sampleAt func(second, prefill int) loadSample) []int {
 	var changedAt []int
 	prefill := PrefillTarget(n, estimator.share)
 	now := time.Now()
@@ -32,7 +32,7 @@
 }
 
 func TestEstimatorIgnoresLoadSwings(t *testing.T) {
-	for name, sampleAt := range map[string]func(second, reading int) loadSample{
+	for name, sampleAt := range map[string]func(second, prefill int) loadSample{
 		"around the slots":       func(s, _ int) loadSample { return loadSample{decodeLoad: 0.4 + 1.2*float64(s/3%2)} },
 		"long phases":            func(s, _ int) loadSample { return loadSample{decodeLoad: 0.2 + 0.9*float64(s/14%2)} },
 		"prompts wait in phases": func(s, _ int) loadSample { return loadSample{decodeLoad: 0.3, queuedPrompts: 150 * float64(s/14%2)} },
@@ -52,7 +52,7 @@
 func TestEstimatorMovesEnginesToDecodeUnderOverload(t *testing.T) {
 	is := is.New(t)
 	estimator := newShareEstimator(0.68)
-	changes := simulate(estimator, 12, 60, func(_, reading int) loadSample { return loadSample{decodeLoad: 12 / float64(12-reading)} })
+	changes := simulate(estimator, 12, 60, func(_, prefill int) loadSample { return loadSample{decodeLoad: 12 / float64(12-prefill)} })
 	is.True(len(changes) >= 1 && len(changes) <= 3)
 	is.True(changes[0] <= 4) // gross load is acted on within seconds
 	is.True(estimator.share < 0.4)
@@ -88,8 +88,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
 			estimator := newShareEstimator(0.64)
-			changes := simulate(estimator, c.n, 30, func(_, reading int) loadSample {
-				return loadSample{decodeLoad: c.decodeLoad / float64(c.n-reading), queuedPrompts: 3}
+			changes := simulate(estimator, c.n, 30, func(_, prefill int) loadSample {
+				return loadSample{decodeLoad: c.decodeLoad / float64(c.n-prefill), queuedPrompts: 3}
 			})
 			is.Equal(c.n-PrefillTarget(c.n, estimator.share), c.wantDecode)
 			is.Equal(len(changes), c.wantChanges)
@@ -117,10 +117,10 @@
 	return countPrefill(f.currentInstances())
 }
 
-func (f *fakeEngines) setLoad(perEngine float64) {
+func (f *fakeEngines) setLoad(loadPerEngine float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.loadPerEngine = perEngine
+	f.loadPerEngine = loadPerEngine
 }
 
 func TestNextHolderKeepsSavedShare(t *testing.T) {
@@ -132,14 +132,14 @@
 		stop := startHolder(t, p, f, "h1")
 		time.Sleep(40 * time.Second)
 		stop()
-		learnt := f.prefillCount()
-		is.True(learnt <= 4)
+		wantPrefill := f.prefillCount()
+		is.True(wantPrefill <= 4)
 		f.setLoad(0.7) // no reason to change anything
 
 		stop = startHolder(t, p, f, "h2")
 		time.Sleep(40 * time.Second)
 		stop()
-		is.Equal(f.prefillCount(), learnt)
+		is.Equal(f.prefillCount(), wantPrefill)
 		is.Equal(len(f.problems), 0)
 	})
 }
@@ -156,15 +156,15 @@
 		time.Sleep(40 * time.Second)
 		f.setLoad(0.7) // no reason to change anything
 		time.Sleep(20 * time.Second)
-		learnt, _, err := PrefillShares{p.Client("test")}.Load(t.Context(), "llm")
+		savedBefore, _, err := PrefillShares{p.Client("test")}.Load(t.Context(), "llm")
 		is.NoErr(err)
 		p.RestoreBefore(5 * time.Minute)
 		time.Sleep(20 * time.Second)
 		stop()
-		savedAgain, version, err := PrefillShares{p.Client("test")}.Load(t.Context(), "llm")
+		savedAfter, version, err := PrefillShares{p.Client("test")}.Load(t.Context(), "llm")
 		is.NoErr(err)
 		is.True(version != store.Absent)
-		is.Equal(savedAgain, learnt)
+		is.Equal(savedAfter, savedBefore)
 		is.Equal(len(f.problems), 0)
 	})
 }
@@ -200,8 +200,8 @@
 		setFailing(kindEngineShares + " put")
 		stop := startHolder(t, p, f, "h1")
 		time.Sleep(20 * time.Second)
-		learnt := f.prefillCount()
-		is.True(learnt <= 4)
+		wantPrefill := f.prefillCount()
+		is.True(wantPrefill <= 4)
 		is.True(refusalCount() > 0)
 		f.setLoad(0.7)
 		setFailing(" ") // the lease lapses
@@ -209,7 +209,7 @@
 		setFailing("")
 		time.Sleep(40 * time.Second)
 		stop()
-		is.Equal(f.prefillCount(), learnt)
+		is.Equal(f.prefillCount(), wantPrefill)
 		share, version, err := PrefillShares{p.Client("test")}.Load(t.Context(), "llm")
 		is.NoErr(err)
 		is.True(version > 0) // saved once the store answered
--- a/coordination/stages/stages_test.go
+++ b/coordination/stages/stages_test.go
@@ -400,16 +400,16 @@
 		f := newFakeEngines(newInstances(4, 8), 0, 1)
 		stop := startHolder(t, storetest.NewPlatform(time.Second), f, "h")
 		time.Sleep(5 * time.Second) // four of eight have just been ordered to read
-		var changed []string
+		var ordered []string
 		f.mu.Lock()
 		is.Equal(len(f.orders), 4)
 		for id, e := range f.engines {
 			if e.accepted > 0 {
-				changed = append(changed, id.Name)
+				ordered = append(ordered, id.Name)
 			}
 		}
 		f.mu.Unlock()
-		for i, name := range changed {
+		for i, name := range ordered {
 			f.restart(name, int64(i+1), state.RoleDecode)
 		}
 		time.Sleep(time.Minute)
@@ -488,14 +488,14 @@
 		time.Sleep(10 * time.Second)
 		stop()
 		f.setLoad(8)
-		began := time.Now()
+		startedAt := time.Now()
 		stop = startHolder(t, p, f, "h2")
 		time.Sleep(termGap + time.Second)
 		is.Equal(f.orderCount(), 0)
 		time.Sleep(3 * time.Second) // the list stands for 1.2 s before the first look
 		stop()
 		is.True(len(f.orders) > 0)
-		is.True(f.orders[0].at.Sub(began) < termGap+4*time.Second)
+		is.True(f.orders[0].at.Sub(startedAt) < termGap+4*time.Second)
 		is.Equal(len(f.problems), 0)
 	})
 }
@@ -517,7 +517,7 @@
 		done.Wait()
 		p.SetScript(nil)
 		f.setLoad(8)
-		began := time.Now()
+		startedAt := time.Now()
 		secondRun := newManager(t, p, f, "h1", 2)
 		ctx, stop := context.WithCancel(t.Context())
 		done.Go(func() { _ = secondRun.Run(ctx) })
@@ -525,7 +525,7 @@
 		stop()
 		done.Wait()
 		is.True(len(f.orders) > 0)
-		is.True(f.orders[0].at.Sub(began) < 5*time.Second)
+		is.True(f.orders[0].at.Sub(startedAt) < 5*time.Second)
 		is.Equal(len(f.problems), 0)
 	})
 }
