--- a/coordination/stages/demand_test.go
+++ b/coordination/stages/demand_test.go
@@ -16,8 +16,9 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// play gives a demand one sample a second, from a function of the second, and returns
-// the seconds at which the share changed. What is moved stays moved.
+// simulate adds one sample a second to the estimator, as returned by sampleAt, and returns the
+// seconds at which the share changed. All engines change their roles at once when the share
+// changes.
 func simulate(estimator *shareEstimator, n int, seconds int, sampleAt func(second, prefill int) loadSample) []int {
 	var changedAt []int
 	prefill := PrefillTarget(n, estimator.share)
@@ -33,11 +34,11 @@
 
 func TestEstimatorIgnoresLoadSwings(t *testing.T) {
 	for name, sampleAt := range map[string]func(second, prefill int) loadSample{
-		"around the slots":       func(s, _ int) loadSample { return loadSample{decodeLoad: 0.4 + 1.2*float64(s/3%2)} },
-		"long phases":            func(s, _ int) loadSample { return loadSample{decodeLoad: 0.2 + 0.9*float64(s/14%2)} },
-		"prompts wait in phases": func(s, _ int) loadSample { return loadSample{decodeLoad: 0.3, queuedPrompts: 150 * float64(s/14%2)} },
-		"both roles are full":    func(int, int) loadSample { return loadSample{decodeLoad: 3, queuedPrompts: 50} },
-		"no traffic":             func(int, int) loadSample { return loadSample{} },
+		"load around the number of slots": func(s, _ int) loadSample { return loadSample{decodeLoad: 0.4 + 1.2*float64(s/3%2)} },
+		"long phases of load":             func(s, _ int) loadSample { return loadSample{decodeLoad: 0.2 + 0.9*float64(s/14%2)} },
+		"prompts queue in phases":         func(s, _ int) loadSample { return loadSample{decodeLoad: 0.3, queuedPrompts: 150 * float64(s/14%2)} },
+		"both roles overloaded":           func(int, int) loadSample { return loadSample{decodeLoad: 3, queuedPrompts: 50} },
+		"no traffic":                      func(int, int) loadSample { return loadSample{} },
 	} {
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
@@ -48,18 +49,18 @@
 	}
 }
 
-// Mostly long answers: three times the load that four engines carry.
+// With mostly long answers, the load is three times what four decode engines carry.
 func TestEstimatorMovesEnginesToDecodeUnderOverload(t *testing.T) {
 	is := is.New(t)
 	estimator := newShareEstimator(0.68)
 	changes := simulate(estimator, 12, 60, func(_, prefill int) loadSample { return loadSample{decodeLoad: 12 / float64(12-prefill)} })
 	is.True(len(changes) >= 1 && len(changes) <= 3)
-	is.True(changes[0] <= 4) // gross load is acted on within seconds
+	is.True(changes[0] <= 4) // an overload changes the share within seconds
 	is.True(estimator.share < 0.4)
 	is.True(PrefillTarget(12, estimator.share) >= minPerRole)
 }
 
-// Hardly any answers: prompts wait at all times.
+// With hardly any answers, prompts are queued all the time.
 func TestEstimatorMovesIdleDecodeEnginesToPrefill(t *testing.T) {
 	is := is.New(t)
 	estimator := newShareEstimator(0.5)
@@ -69,9 +70,9 @@
 	is.True(12-PrefillTarget(12, estimator.share) >= minPerRole)
 }
 
-// A day begins with cold caches: prompts wait at twelve engines of 18, and the other six
-// have work for one. Some of these are given to prompts within seconds; what is left
-// carries the peak at less than half of its places, with an engine in sixteen to spare.
+// At a start with cold caches, prompts queue at twelve of 18 engines while the other six have
+// work for one. Some of the six must move to prefill within seconds. The rest must carry the
+// peak at less than half of their slots, with one of 16 engines to spare.
 func TestEstimatorSparesDecodeCapacityWhileCachesAreCold(t *testing.T) {
 	for _, c := range []struct {
 		name        string
@@ -80,10 +81,10 @@
 		wantDecode  int
 		wantChanges int
 	}{
-		{"18 engines, work for one", 18, 1, 5, 1},
-		{"90 engines, work for five", 90, 5, 19, 3}, // six at a time
-		{"18 engines, work for five", 18, 5, 6, 0},  // nothing is to be had
-		{"12 engines, work for a tenth", 12, 0.1, 2, 2},
+		{"18 engines, load of one", 18, 1, 5, 1},
+		{"90 engines, load of five", 90, 5, 19, 3}, // at most six per change
+		{"18 engines, load of five", 18, 5, 6, 0},  // no decode engine is spare
+		{"12 engines, load of a tenth", 12, 0.1, 2, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			is := is.New(t)
@@ -98,7 +99,8 @@
 	}
 }
 
-// A burst of answers that is over still counts for some seconds: the next one may come.
+// Engines that a burst of answers filled must stay in decode for some seconds, since another
+// burst may follow.
 func TestEstimatorKeepsDecodePeakBetweenBursts(t *testing.T) {
 	is := is.New(t)
 	estimator := newShareEstimator(0.64)
@@ -111,6 +113,8 @@
 	is.Equal(len(changes), 0)
 }
 
+// prefillCount returns the number of prefill engines, including those that the list still
+// shows in their previous role.
 func (f *fakeEngines) prefillCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -123,18 +127,20 @@
 	f.loadPerEngine = loadPerEngine
 }
 
+// Guards against a holder that starts from the configured share although its predecessor has
+// stored another one.
 func TestNextHolderKeepsSavedShare(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeEngines(newInstances(8, 4), 0, 1)
-		f.loadPerEngine = 8 // of 10 slots, if all engines generated
+		f.loadPerEngine = 8 // of 10 slots, if all engines did decode
 		p := storetest.NewPlatform(time.Second)
 		stop := startHolder(t, p, f, "h1")
 		time.Sleep(40 * time.Second)
 		stop()
 		wantPrefill := f.prefillCount()
 		is.True(wantPrefill <= 4)
-		f.setLoad(0.7) // no reason to change anything
+		f.setLoad(0.7) // gives no reason to change the share
 
 		stop = startHolder(t, p, f, "h2")
 		time.Sleep(40 * time.Second)
@@ -144,8 +150,8 @@
 	})
 }
 
-// Guards against a split that is learnt anew after the next change of the holder, because a restored
-// store lost what was learnt.
+// Guards against a share that must be estimated again after the next change of the holder,
+// because the restore of the store lost the stored one.
 func TestShareLostByStoreRestoreIsSavedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -154,7 +160,7 @@
 		p := storetest.NewPlatform(time.Second)
 		stop := startHolder(t, p, f, "h1")
 		time.Sleep(40 * time.Second)
-		f.setLoad(0.7) // no reason to change anything
+		f.setLoad(0.7) // gives no reason to change the share
 		time.Sleep(20 * time.Second)
 		savedBefore, _, err := PrefillShares{p.Client("test")}.Load(t.Context(), "llm")
 		is.NoErr(err)
@@ -169,7 +175,7 @@
 	})
 }
 
-// A share that the store did not take stands in this host's next term.
+// A share that the store didn't accept must be used in this host's next term.
 func TestUnsavedShareIsKeptInNextTerm(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -204,7 +210,7 @@
 		is.True(wantPrefill <= 4)
 		is.True(refusalCount() > 0)
 		f.setLoad(0.7)
-		setFailing(" ") // the lease lapses
+		setFailing(" ") // all calls fail, so the lease expires
 		time.Sleep(10 * time.Second)
 		setFailing("")
 		time.Sleep(40 * time.Second)
@@ -212,7 +218,7 @@
 		is.Equal(f.prefillCount(), wantPrefill)
 		share, version, err := PrefillShares{p.Client("test")}.Load(t.Context(), "llm")
 		is.NoErr(err)
-		is.True(version > 0) // saved once the store answered
+		is.True(version > 0) // saved once the store accepted it
 		is.True(share < 0.4)
 	})
 }
@@ -228,8 +234,9 @@
 	}
 }
 
-// A fleet of 1,200 engines with hardly any work: the split of the settings is worth a few
-// orders at most, until a load is seen for which it matters.
+// Guards against splitting 1,200 engines with hardly any work by the configured share: only
+// maxSpeculativeOrders engines may be ordered until a load is sampled for which the split
+// matters.
 func TestInitialSplitOfLargeFleetWaitsForLoad(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -242,7 +249,7 @@
 		time.Sleep(time.Minute)
 		is.Equal(f.prefillCount(), n/2+maxSpeculativeOrders)
 		stop()
-		stop = startHolder(t, p, f, "h2") // the next holder has no better reason
+		stop = startHolder(t, p, f, "h2") // nor does the next holder have a load to act on
 		time.Sleep(time.Minute)
 		is.Equal(f.prefillCount(), n/2+maxSpeculativeOrders)
 		f.setLoad(2) // a fifth of the slots
@@ -252,8 +259,8 @@
 	})
 }
 
-// An engine that has changed role since it was listed counts in neither: the load that it
-// still reports would pass for that of the role it has left.
+// Guards against counting the load of an engine that has changed its role since it was listed:
+// the load that it still reports belongs to its previous role.
 func TestSampleSkipsEngineWhoseRoleChanged(t *testing.T) {
 	is := is.New(t)
 	f := newFakeEngines(newInstances(1, 4), 0, 1)
@@ -263,11 +270,11 @@
 	}
 	m := &Manager{o: Options{Engines: f, Log: slog.New(slog.DiscardHandler)}}
 	_, ok := m.sampleLoad(t.Context(), listed)
-	is.True(!ok) // none generates
+	is.True(!ok) // no engine does decode any more
 }
 
-// Two failure domains' engines are taken back at once: of 86 engines 28 are left, and of those
-// the share would leave ten to generate what filled fourteen a moment ago.
+// Two failure domains are lost at once, and 28 of 86 engines are left. The share alone would
+// leave ten of them in decode, although the load filled fourteen a moment ago.
 func TestDecodeEnginesInUseAreKeptAfterLoss(t *testing.T) {
 	is := is.New(t)
 	estimator := newShareEstimator(0.64)
@@ -276,15 +283,15 @@
 	estimator.addSample(at, loadSample{decodeLoad: 0.45, queuedPrompts: 0}, 86, 55)
 	estimator.recordEngineCount(28, at.Add(time.Second))
 	is.Equal(estimator.decodeEnginesInUse(28), 14)
-	is.Equal(estimator.decodeEnginesInUse(20), 10) // prompts are read all the same
+	is.Equal(estimator.decodeEnginesInUse(20), 10) // at most half, so that prompts are still computed
 	is.Equal(newShareEstimator(0.64).decodeEnginesInUse(28), 0)
 	estimator.recordEngineCount(28, at.Add(lossWindow))
-	is.Equal(estimator.decodeEnginesInUse(28), 28-PrefillTarget(28, 0.64)) // that is the fleet now
+	is.Equal(estimator.decodeEnginesInUse(28), 28-PrefillTarget(28, 0.64)) // after lossWindow the engines no longer count as lost
 }
 
-// Twelve engines of rostering's first deployment: a burst of questions fills five and more, and
-// moving one of the eight that read prompts for it cost a third of the worst day's worth. While
-// none is lost the share alone divides them.
+// Without a loss, a peak of decode load must not override the share. With twelve engines, a
+// burst that filled more than five of them moved one of the eight prefill engines to decode,
+// which cost a third of the benchmark score of the worst day.
 func TestShareAloneDividesFleetWithoutLoss(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{4, 12, 57, 300} {
--- a/coordination/stages/stages_test.go
+++ b/coordination/stages/stages_test.go
@@ -21,6 +21,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
+// newInstances returns engines with 10 slots in three failure domains, the prefill engines
+// first.
 func newInstances(prefill, decode int) []state.Instance {
 	var out []state.Instance
 	for i := range prefill + decode {
@@ -60,36 +62,39 @@
 		remaining[c.Instance.FailureDomain]--
 	}
 	for domain, n := range remaining {
-		is.True(n >= 1) // domain keeps an engine that generates
+		is.True(n >= 1) // the domain keeps a decode engine
 		_ = domain
 	}
 	is.Equal(len(Plan(list, 4)), 0)
 	is.Equal(Plan(list, 3)[0].Role, state.RoleDecode)
 }
 
-// given is one order as an engine got it.
+// receivedOrder is an order that an engine has received.
 type receivedOrder struct {
 	at     time.Time
 	holder string
 	fence  uint64
 }
 
-// fakeEngines carry orders out as the platform's do, at once or late, and note them.
+// fakeEngines are engines that carry out orders at once or late, as those of the platform do.
+// They record the orders and all violations of the protocol in problems.
 type fakeEngines struct {
-	// resizing says that the number of engines is about to change.
-	resizing        bool
-	mu              sync.Mutex
-	engines         map[state.InstanceID]*fakeEngine
-	rng             *rand.Rand
+	// resizing is the result of Options.Resizing.
+	resizing bool
+	mu       sync.Mutex
+	engines  map[state.InstanceID]*fakeEngine
+	rng      *rand.Rand
+	// lateProbability is the probability that an order gets no answer and is carried out 2 to 11
+	// seconds late.
 	lateProbability float64
 	orders          []receivedOrder
 	problems        []string
-	// announced is when a change of each engine was announced last.
+	// announced is the time of the last announcement of a change for each engine.
 	announced map[state.InstanceID]time.Time
-	// perEngine is what an engine that generates would have active and waiting if
-	// all did.
+	// loadPerEngine is the number of active and waiting requests that each engine would have if
+	// all did decode; 0 for a fixed number at each engine.
 	loadPerEngine float64
-	// ordered is called once, with the first order; nil for nothing.
+	// onFirstOrder is called on the first order only; it may be nil.
 	onFirstOrder func()
 }
 
@@ -99,6 +104,8 @@
 	busyUntil time.Time
 }
 
+// roleSwitchTime is how long an engine takes to change its role. The list shows the previous
+// role in this time.
 const roleSwitchTime = 3 * time.Second
 
 func newFakeEngines(list []state.Instance, lateProbability float64, seed uint64) *fakeEngines {
@@ -109,6 +116,7 @@
 	return f
 }
 
+// list is the Options.Instances of the tests.
 func (f *fakeEngines) list(string) []state.Instance {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,8 +133,8 @@
 	return out
 }
 
-// instances are the engines as they are, without what the list lags behind; f.mu is
-// held.
+// currentInstances returns the engines with the roles that they have accepted, which the list
+// may not show yet. f.mu must be held.
 func (f *fakeEngines) currentInstances() []state.Instance {
 	var out []state.Instance
 	for _, e := range f.engines {
@@ -154,8 +162,8 @@
 	return r, nil
 }
 
-// runOf is the run that answers for an engine: that of the id, or the one that has
-// restarted under its name.
+// currentRun returns the run that answers calls for id: the run itself, or the one that was
+// started later under the same name.
 func (f *fakeEngines) currentRun(id state.InstanceID) *fakeEngine {
 	if e := f.engines[id]; e != nil {
 		return e
@@ -189,19 +197,19 @@
 			defer f.mu.Unlock()
 			f.apply(i.ID, o)
 		})
-		return "", errors.New("no answer")
+		return "", errors.New("the engine did not answer")
 	}
 	return f.apply(i.ID, o), nil
 }
 
-// isResizing reports what the test has set.
+// isResizing is the Options.Resizing of the tests.
 func (f *fakeEngines) isResizing(string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.resizing
 }
 
-// announce notes which engines are about to change.
+// announce is the Options.Announce of the tests. It records the time of the announcement.
 func (f *fakeEngines) announce(_ context.Context, changes []RoleChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -210,13 +218,14 @@
 	}
 }
 
-// orderCount is the number of orders that engines got so far.
+// orderCount returns the number of orders received so far.
 func (f *fakeEngines) orderCount() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.orders)
 }
 
+// apply carries out an order as an engine does and returns its answer.
 func (f *fakeEngines) apply(id state.InstanceID, o Order) Result {
 	e := f.currentRun(id)
 	switch {
@@ -231,25 +240,26 @@
 	return ResultAccepted
 }
 
+// termGap is the minimum time between orders of two holders, as set in lease.Options.Apart.
 const termGap = 3 * time.Second
 
-// judge checks an order against those before it.
+// checkOrder records an order, and a problem if it conflicts with an earlier one.
 func (f *fakeEngines) checkOrder(o Order) {
 	now := time.Now()
 	for _, r := range f.orders {
 		switch {
 		case r.holder != o.Holder && r.fence == o.Fence:
-			f.problems = append(f.problems, fmt.Sprintf("%s and %s share the fence %d", r.holder, o.Holder, o.Fence))
+			f.problems = append(f.problems, fmt.Sprintf("holders %s and %s both use fence %d", r.holder, o.Holder, o.Fence))
 		case o.Fence < r.fence:
-			f.problems = append(f.problems, fmt.Sprintf("fence %d after %d", o.Fence, r.fence))
+			f.problems = append(f.problems, fmt.Sprintf("order with fence %d after one with fence %d", o.Fence, r.fence))
 		case r.holder != o.Holder && now.Sub(r.at) < termGap:
-			f.problems = append(f.problems, fmt.Sprintf("%s orders %s after %s", o.Holder, now.Sub(r.at), r.holder))
+			f.problems = append(f.problems, fmt.Sprintf("order of %s only %s after one of %s", o.Holder, now.Sub(r.at), r.holder))
 		}
 	}
 	f.orders = append(f.orders, receivedOrder{now, o.Holder, o.Fence})
 }
 
-// crash takes engines out of the list until back is called.
+// crash removes engines from the list until the returned function is called.
 func (f *fakeEngines) crash(ids ...string) (back func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -267,11 +277,12 @@
 	}
 }
 
+// newManager returns the manager of a run of the daemon on a host; run tells the runs apart.
 func newManager(t testing.TB, p *storetest.Platform, f *fakeEngines, host string, run int) *Manager {
 	return newManagerWithClock(t, clocktest.Bubble{}, p, f, host, run)
 }
 
-// newManagerAt has a clock of its own.
+// newManagerWithClock is newManager with the given clock for the lease and the manager.
 func newManagerWithClock(t testing.TB, clock state.Clock, p *storetest.Platform, f *fakeEngines, host string, run int) *Manager {
 	lessor, err := lease.New(lease.Options{
 		Store: p.Client(host), Clock: clock, Rand: rand.New(rand.NewPCG(uint64(run), uint64(len(host)))),
@@ -291,7 +302,8 @@
 	return m
 }
 
-// Run holds the lease whenever it can and gives orders, until ctx ends.
+// Run acquires the lease whenever it is free and orders role changes while it is held, until
+// ctx ends.
 func (m *Manager) Run(ctx context.Context) error {
 	return m.o.Lease.Run(ctx, func(ctx context.Context) error {
 		m.Hold(ctx)
@@ -299,7 +311,7 @@
 	})
 }
 
-// runHolder runs a manager until the returned function is called.
+// startHolder runs a manager until the returned function is called.
 func startHolder(t *testing.T, p *storetest.Platform, f *fakeEngines, host string) (stop func()) {
 	ctx, cancel := context.WithCancel(t.Context())
 	var done sync.WaitGroup
@@ -311,6 +323,8 @@
 	}
 }
 
+// Guards against several hosts that order the same split, and against further orders once it
+// is reached.
 func TestSplitIsOrderedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -324,14 +338,14 @@
 		time.Sleep(time.Minute)
 		cancel()
 		done.Wait()
-		is.Equal(len(f.orders), 4) // from 4 to 8 of 12
+		is.Equal(len(f.orders), 4) // 4 to 8 of 12 engines do prefill
 		is.Equal(len(f.problems), 0)
 		is.Equal(f.orders[0].holder, f.orders[3].holder)
 	})
 }
 
-// A first split waits until the number of engines is as it will be: orders to engines that are
-// about to leave would be in vain.
+// The first split must wait while the number of engines is about to change: orders to engines
+// that are about to leave are wasted.
 func TestInitialSplitWaitsForResize(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -351,8 +365,9 @@
 	})
 }
 
-// A holder whose machine is suspended in the midst of its orders gives none of the others when it
-// is back: another host has the lease by then, though no timer here says that time has passed.
+// A holder whose machine is suspended between two orders must not send the rest when it
+// resumes: another host holds the lease by then, although no timer on this machine has seen
+// the time pass.
 func TestSuspendedHolderSendsNoFurtherOrders(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -374,7 +389,7 @@
 		for f.orderCount() == 0 {
 			time.Sleep(time.Millisecond)
 		}
-		time.Sleep(termGap) // the time in which another holder's orders mustn't meet this one's
+		time.Sleep(termGap) // another holder sends no order earlier than this
 		orders := f.orderCount()
 		cancel()
 		done.Wait()
@@ -382,7 +397,7 @@
 	})
 }
 
-// restart lets an engine start again under its name, with the role that it had at first.
+// restart replaces an engine by a new run under the same name with the given role.
 func (f *fakeEngines) restart(name string, born int64, role state.Role) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -392,14 +407,14 @@
 	f.engines[before.ID] = &fakeEngine{instance: before}
 }
 
-// An engine that restarts under its name has carried out no order: what was ordered of
-// the former run counts no more, and the new one is brought to the split.
+// Guards against counting the orders of a previous run of an engine as carried out by the run
+// that replaced it: the new run must be ordered to change as well.
 func TestOrdersOfPreviousRunAreDropped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		f := newFakeEngines(newInstances(4, 8), 0, 1)
 		stop := startHolder(t, storetest.NewPlatform(time.Second), f, "h")
-		time.Sleep(5 * time.Second) // four of eight have just been ordered to read
+		time.Sleep(5 * time.Second) // four of eight decode engines were ordered to change
 		var ordered []string
 		f.mu.Lock()
 		is.Equal(len(f.orders), 4)
@@ -419,8 +434,8 @@
 	})
 }
 
-// The list still shows the former run while another answers the report: nothing is
-// ordered by the count of orders of a run that isn't listed.
+// The list shows a run of each engine while a later one answers the reports. No order may be
+// sent, since the reported number of accepted orders isn't that of the listed run.
 func TestEngineRestartedSinceListingIsNotOrdered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -441,6 +456,7 @@
 	})
 }
 
+// Guards against role changes because of engines that crash and return within two seconds.
 func TestShortCrashChangesNoRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -456,8 +472,8 @@
 	})
 }
 
-// A holder that takes over in the middle of a crash finds the split of the one before
-// it, not a first split to be ordered.
+// A holder that takes over while engines are down must not take the remaining engines for a
+// service that was never split, and reorder it at once.
 func TestCrashDuringTakeoverChangesNoRole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -467,7 +483,7 @@
 		time.Sleep(10 * time.Second)
 		stop()
 		stop = startHolder(t, p, f, "h2")
-		time.Sleep(termGap) // it keeps silence for a second more
+		time.Sleep(termGap) // its silent period lasts a second longer
 		back := f.crash("e00", "e01", "e02")
 		time.Sleep(3 * time.Second)
 		back()
@@ -477,8 +493,8 @@
 	})
 }
 
-// A holder knows the load of the engines when its silence ends: it acts on it at once,
-// and not before.
+// A new holder must sample the load during its silent period, so that it can send orders as
+// soon as the period ends, and none before.
 func TestLoadIsSampledDuringSilentPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -492,7 +508,7 @@
 		stop = startHolder(t, p, f, "h2")
 		time.Sleep(termGap + time.Second)
 		is.Equal(f.orderCount(), 0)
-		time.Sleep(3 * time.Second) // the list stands for 1.2 s before the first look
+		time.Sleep(3 * time.Second) // the list must be unchanged for 1.2 s before the first sample
 		stop()
 		is.True(len(f.orders) > 0)
 		is.True(f.orders[0].at.Sub(startedAt) < termGap+4*time.Second)
@@ -500,8 +516,8 @@
 	})
 }
 
-// All hosts were killed: the holder's machine goes on without a silence, as nobody else
-// can have ordered since.
+// After all hosts were killed, the next run on the machine of the holder has no silent period,
+// since no other host can have sent an order since.
 func TestNextRunOnSameMachineHasNoSilentPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -512,7 +528,7 @@
 		firstRun := newManager(t, p, f, "h1", 1)
 		done.Go(func() { _ = firstRun.Run(ctx) })
 		time.Sleep(10 * time.Second)
-		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.Refuse }) // it can't give the lease back
+		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.Refuse }) // the lease can't be released
 		kill()
 		done.Wait()
 		p.SetScript(nil)
@@ -530,8 +546,8 @@
 	})
 }
 
-// Runners list themselves one after the other when a deployment starts: a first plan of
-// some of them would give a split near that of all, which is then left alone.
+// Engines are listed one after the other when a deployment starts. A first plan for some of
+// them would lead to a split within the tolerance of that for all, which would then be kept.
 func TestInitialSplitCountsAllEngines(t *testing.T) {
 	for _, listedFirst := range []int{1, 2, 5, 8, 11} {
 		synctest.Test(t, func(t *testing.T) {
@@ -553,8 +569,7 @@
 	}
 }
 
-// A service whose engines of one role are lost for good gets others for it, however
-// few are left.
+// If all engines of a role are lost for good, others must take the role, however few are left.
 func TestLostRoleIsRefilled(t *testing.T) {
 	for _, c := range []struct {
 		name            string
@@ -562,11 +577,11 @@
 		lost            []string
 		wantPrefill     int
 	}{
-		{"all that generate, two left", 2, 2, []string{"e02", "e03"}, 1},
-		{"all that read, two left", 2, 2, []string{"e00", "e01"}, 1},
-		{"all that generate, one left", 1, 1, []string{"e01"}, 0},
-		{"all that read, one left", 1, 1, []string{"e00"}, 0},
-		{"all that generate, three left", 3, 2, []string{"e03", "e04"}, 1},
+		{"all decode engines, two engines left", 2, 2, []string{"e02", "e03"}, 1},
+		{"all prefill engines, two engines left", 2, 2, []string{"e00", "e01"}, 1},
+		{"all decode engines, one engine left", 1, 1, []string{"e01"}, 0},
+		{"all prefill engines, one engine left", 1, 1, []string{"e00"}, 0},
+		{"all decode engines, three engines left", 3, 2, []string{"e03", "e04"}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -584,8 +599,8 @@
 	}
 }
 
-// TestHoldsNoConflictingRoleOrders kills, restarts and cuts off hosts at random
-// while orders are answered late or never.
+// TestHoldsNoConflictingRoleOrders restarts hosts and cuts them off from the store at random
+// while orders are carried out late or not answered.
 func TestHoldsNoConflictingRoleOrders(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
@@ -599,6 +614,9 @@
 	})
 }
 
+// simulateHolders runs three hosts with the given faults and returns the problems that the
+// engines recorded. A fault below 3 restarts that host; one from 3 to 5 cuts host fault-3 off
+// from the store or connects it again.
 func simulateHolders(t *testing.T, seed uint64, lateProbability float64, faults []int) []string {
 	f := newFakeEngines(newInstances(4, 8), lateProbability, seed)
 	p := storetest.NewPlatform(time.Second)
@@ -625,7 +643,7 @@
 	for n, fault := range faults {
 		time.Sleep(time.Duration(500+700*n) * time.Millisecond)
 		i := fault % len(stops)
-		if fault < len(stops) { // a restart at once
+		if fault < len(stops) { // restart the host without a pause
 			stops[i]()
 			start(i, n+2)
 			continue
@@ -639,6 +657,6 @@
 		stop()
 	}
 	done.Wait()
-	time.Sleep(15 * time.Second) // orders that come late
+	time.Sleep(15 * time.Second) // longer than an order can be late
 	return f.problems
 }
