--- a/coordination/stages/demand.go
+++ b/coordination/stages/demand.go
@@ -45,7 +45,7 @@
 	// queued.
 	significantDecodeLoad = 0.1
 	// decodeOverload is a decode load that no swing of the mix reaches in the benchmark
-	// workloads. Above it even the first change waits only for initialCooldown.
+	// workloads. Above it the first change to decode waits only for initialCooldown.
 	decodeOverload = 2
 	// changeCooldown is how long a changed share is kept at least: a role change takes some
 	// seconds, and its effect on the load some more. initialCooldown is the time from the first
--- a/coordination/stages/demand_test.go
+++ b/coordination/stages/demand_test.go
@@ -73,7 +73,7 @@
 // At a start with cold caches, prompts queue at twelve of 18 engines while the other six have
 // work for one. Some of the six must move to prefill within seconds. The rest must carry the
 // peak at less than half of their slots, with one of 16 engines to spare.
-func TestEstimatorSparesDecodeCapacityWhileCachesAreCold(t *testing.T) {
+func TestEstimatorMovesSpareDecodeEnginesWhileCachesAreCold(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		n           int
--- a/coordination/stages/learn.go
+++ b/coordination/stages/learn.go
@@ -9,7 +9,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// cachedShare is the last known stored share of a service on this host.
+// cachedShare is this host's copy of the stored share of a service, or a newer share that is
+// still to be stored.
 type cachedShare struct {
 	share float64
 	// version is the store version of the object that holds the share; store.Absent if there is
@@ -20,8 +21,8 @@
 }
 
 // prefillShare returns the fraction of a service's engines that should do prefill. It samples
-// the load if a sample is due. No sample is taken while ordered changes are still to bring the
-// split to the plan, except if the split is speculative and its limit of orders is used up.
+// the load if a sample is due. The load isn't sampled before the roles have reached the plan,
+// except if the split is speculative and maxSpeculativeOrders orders were sent.
 func (m *Manager) prefillShare(ctx context.Context, service string, engines []state.Instance, now time.Time) float64 {
 	estimator := m.estimators[service]
 	if estimator == nil {
--- a/coordination/stages/manager.go
+++ b/coordination/stages/manager.go
@@ -15,8 +15,8 @@
 
 // Report is the state that an engine reports.
 type Report struct {
-	// Born is the start time of the reporting run, as in state.InstanceID; 0 if the engine
-	// doesn't report it.
+	// Born is the start time of the reporting run in Unix milliseconds, as in state.InstanceID; 0
+	// if the engine doesn't report it.
 	Born int64
 	Role state.Role
 	// Busy reports whether the engine is carrying out an order.
@@ -154,7 +154,7 @@
 	// speculativeOrders counts the orders of the first split in this term that were sent before
 	// any load was sampled.
 	speculativeOrders map[string]int
-	// cachedShares holds the last known stored share of each service. It is kept between terms.
+	// cachedShares holds the stored or unsaved share of each service. It is kept between terms.
 	cachedShares map[string]cachedShare
 }
 
