--- a/coordination/stages/estimator.go
+++ b/coordination/stages/estimator.go
@@ -12,11 +12,12 @@
 	maxSamplesPerRole = 3
 	// sampleWeight is the weight of a new sample in the moving averages, which thus cover about
 	// the last ten seconds. A weight of 0.3 a second followed each swing of the workload mix,
-	// some seconds late, and lost a fifth of the benchmark score.
+	// some seconds late, and lost a fifth of the goodput, the credited answers that are delivered
+	// in time (docs/MEASUREMENTS.md).
 	sampleWeight = 0.15
 	// decodeLoadHigh is the mean load of the decode engines above which more of them are needed,
-	// unless prompts queue as well. In the benchmark workloads the load stays below 1, also in
-	// phases of long answers. Where most answers are long it exceeds 2.
+	// unless prompts queue as well. On a typical day the load stays below 1, also in phases of
+	// long answers. Where most answers are long it exceeds 2.
 	decodeLoadHigh = 1.2
 	// decodeLoadTarget is the load of the decode engines that a move to decode aims at.
 	decodeLoadTarget = 0.8
@@ -31,7 +32,8 @@
 	// engines are moved to prefill.
 	significantQueue = 0.3
 	// peakDecayPerSample is the factor by which the recorded peak decays with each sample. It
-	// halves a peak in ten seconds, the time between two bursts in the benchmark workloads.
+	// halves a peak in ten seconds, the time between two bursts in the deployments that the
+	// system serves today.
 	peakDecayPerSample = 0.9
 	// acceptableQueue is the number of queued prompts per prefill engine that are still computed
 	// in time: a prompt takes about 28 ms, so four take less than the shortest latency objective
@@ -44,8 +46,8 @@
 	// from which the split matters. It also matters if more than significantQueue prompts are
 	// queued.
 	significantDecodeLoad = 0.1
-	// decodeOverload is a decode load that no swing of the mix reaches in the benchmark
-	// workloads. Above it the first change to decode waits only for initialCooldown.
+	// decodeOverload is a decode load that no swing of the mix reaches on a typical day. Above it
+	// the first change to decode waits only for initialCooldown.
 	decodeOverload = 2
 	// changeCooldown is how long a changed share is kept at least: a role change takes some
 	// seconds, and its effect on the load some more. initialCooldown is the time from the first
--- a/coordination/stages/estimator_test.go
+++ b/coordination/stages/estimator_test.go
@@ -291,7 +291,7 @@
 
 // Without a loss, a peak of decode load must not override the share. With twelve engines, a
 // burst that filled more than five of them moved one of the eight prefill engines to decode,
-// which cost a third of the benchmark score of the worst day.
+// which cost a third of the goodput of the worst day.
 func TestShareAloneDividesFleetWithoutLoss(t *testing.T) {
 	is := is.New(t)
 	for _, n := range []int{4, 12, 57, 300} {
--- a/coordination/stages/manager.go
+++ b/coordination/stages/manager.go
@@ -111,8 +111,8 @@
 	settleTime = 1200 * time.Millisecond
 	// callTimeout bounds each order, report and store operation.
 	callTimeout = time.Second
-	// maxOrderDelay is how long after a failed call an order may still be carried out. The
-	// platform documents delays of 2 to 12 s.
+	// maxOrderDelay is how long after a failed call an order may still be carried out. On the
+	// platform that can take 2 to 12 s.
 	maxOrderDelay = 13 * time.Second
 	// AnnounceLead is the time between the announcement of a change and its order. In this time
 	// requests that were routed by the old role reach the engine. AnnouncementTTL is the longest
@@ -126,7 +126,7 @@
 	// alone, before any load was sampled. Each order makes an engine unavailable for seconds,
 	// and a large fleet may have hardly any work. The bound is high enough to split a fleet of a
 	// hundred engines completely before its first request: splitting half of it under a burst
-	// lost a tenth of the benchmark score of the first seconds.
+	// lost a tenth of the goodput of the first seconds.
 	maxSpeculativeOrders = 40
 )
 
