--- a/coordination/member/membertest/wire.go
+++ b/coordination/member/membertest/wire.go
@@ -174,8 +174,8 @@
 }
 
 // Config implements rollout.Peers.
-func (w *wire) Config(ctx context.Context, to state.Member, r rollout.Request) (rollout.Versioned, error) {
-	return call(ctx, w, to.PeerAddr, r, func(h *Host, r rollout.Request) (rollout.Versioned, error) {
+func (w *wire) Config(ctx context.Context, to state.Member, r rollout.Request) (rollout.VersionedValue, error) {
+	return call(ctx, w, to.PeerAddr, r, func(h *Host, r rollout.Request) (rollout.VersionedValue, error) {
 		return h.Rollout.Serve(r), nil
 	})
 }
--- a/coordination/rollout/edit.go
+++ b/coordination/rollout/edit.go
@@ -11,19 +11,19 @@
 )
 
 const (
-	// editTries bounds the writes of one edit, readBackTries the readings after a
+	// maxEditWrites bounds the writes of one edit, readBackTries the readings after a
 	// lost answer.
-	editTries     = 3
-	readBackTries = 5
+	maxEditWrites = 3
+	maxReadBacks  = 5
 )
 
 // EditConflictError says that the configuration has changed since the version
 // that an edit was made on.
-type EditConflictError struct{ Base, Present uint64 }
+type EditConflictError struct{ Base, Current uint64 }
 
 // Error implements error.
 func (e *EditConflictError) Error() string {
-	return fmt.Sprintf("the edit was made on version %d, but version %d is present; read that one, repeat the change on it and send it again", e.Base, e.Present)
+	return fmt.Sprintf("the edit was made on version %d, but version %d is present; read that one, repeat the change on it and send it again", e.Base, e.Current)
 }
 
 // EditUnknownError says that it can't be told whether an edit took effect.
@@ -52,7 +52,7 @@
 	if err != nil {
 		return 0, err
 	}
-	nonce := m.nonce()
+	nonce := m.newNonce()
 	value, err := json.Marshal(present.next(nonce, m.opts.Self.Name, base, config))
 	if err != nil {
 		return 0, err
@@ -62,7 +62,7 @@
 	}
 	version, err := m.write(ctx, base, nonce, value)
 	if err == nil {
-		m.offer(Versioned{Version: version, Value: value}, "")
+		m.applyIfHigher(VersionedValue{Version: version, Value: value}, "")
 	}
 	return version, err
 }
@@ -74,12 +74,12 @@
 		return Envelope{}, err
 	}
 	if o.Version != base {
-		return Envelope{}, &EditConflictError{Base: base, Present: o.Version}
+		return Envelope{}, &EditConflictError{Base: base, Current: o.Version}
 	}
 	if base == store.Absent {
 		return Envelope{}, nil
 	}
-	e, err := open(o.Value)
+	e, err := parseEnvelope(o.Value)
 	if err != nil {
 		return Envelope{}, nil // an edit replaces a value that can't be read
 	}
@@ -90,82 +90,82 @@
 // edit is known not to have taken effect is it written again, on the same base,
 // so that at most one of the writes can take effect.
 func (m *Manager) write(ctx context.Context, base uint64, nonce string, value []byte) (uint64, error) {
-	lost := false
-	for range editTries {
+	answerLost := false
+	for range maxEditWrites {
 		version, err := m.opts.Store.Put(ctx, store.KindConfig, ObjectName, base, value)
 		if err == nil {
 			return version, nil
 		}
 		var conflict *store.ConflictError
 		switch {
-		case errors.As(err, &conflict) && !lost:
-			return 0, &EditConflictError{Base: base, Present: conflict.Actual}
+		case errors.As(err, &conflict) && !answerLost:
+			return 0, &EditConflictError{Base: base, Current: conflict.Actual}
 		case errors.As(err, &conflict):
 			// An earlier try may have taken effect.
-		case store.IsUnavailable(err) && !store.IsUnknownOutcome(err) && !lost:
+		case store.IsUnavailable(err) && !store.IsUnknownOutcome(err) && !answerLost:
 			return 0, err
 		default:
-			lost = true
+			answerLost = true
 		}
-		if m.fault == faultAssumeTaken {
+		if m.fault == faultAssumeCommitted {
 			return base + 1, nil
 		}
 		found, version, err := m.readBack(ctx, base, nonce)
 		switch {
 		case err != nil:
 			return 0, &EditUnknownError{Base: base, Cause: err}
-		case found == outcomeTaken:
+		case found == outcomeCommitted:
 			return version, nil
-		case found == outcomeNotTaken && version != base:
-			return 0, &EditConflictError{Base: base, Present: version}
+		case found == outcomeNotCommitted && version != base:
+			return 0, &EditConflictError{Base: base, Current: version}
 		case found == outcomeUnknown:
-			return 0, &EditUnknownError{Base: base, Cause: errTrail}
+			return 0, &EditUnknownError{Base: base, Cause: errTooManyEdits}
 		}
 	}
-	return 0, &EditUnknownError{Base: base, Cause: errTries}
+	return 0, &EditUnknownError{Base: base, Cause: errAnswersLost}
 }
 
 var (
-	errTrail = errors.New("too many edits were made since")
-	errTries = errors.New("the platform lost every answer")
+	errTooManyEdits = errors.New("too many edits were made since")
+	errAnswersLost  = errors.New("the platform lost every answer")
 )
 
 // readBack reads the object and looks for the edit. For an edit that didn't take
 // effect it returns the present version.
-func (m *Manager) readBack(ctx context.Context, base uint64, nonce string) (outcome, uint64, error) {
+func (m *Manager) readBack(ctx context.Context, base uint64, nonce string) (editOutcome, uint64, error) {
 	var failure error
-	pause := retryMin
-	for range readBackTries {
+	pause := minRetryPause
+	for range maxReadBacks {
 		o, err := m.opts.Store.Get(ctx, store.KindConfig, ObjectName)
 		if err == nil || errors.Is(err, store.ErrNotFound) {
-			return lookFor(o, nonce, base)
+			return findEditIn(o, nonce, base)
 		}
 		failure = err
 		if err := m.opts.Clock.Sleep(ctx, m.jitter(pause)); err != nil {
 			return outcomeUnknown, 0, failure
 		}
-		pause = min(2*pause, retryMax)
+		pause = min(2*pause, maxRetryPause)
 	}
 	return outcomeUnknown, 0, failure
 }
 
-func lookFor(o store.Object, nonce string, base uint64) (outcome, uint64, error) {
+func findEditIn(o store.Object, nonce string, base uint64) (editOutcome, uint64, error) {
 	if o.Version == base {
-		return outcomeNotTaken, base, nil
+		return outcomeNotCommitted, base, nil
 	}
-	e, err := open(o.Value)
+	e, err := parseEnvelope(o.Value)
 	if err != nil {
 		return outcomeUnknown, 0, err
 	}
-	found, version := e.find(nonce, base, o.Version)
-	if found == outcomeNotTaken {
+	found, version := e.findEdit(nonce, base, o.Version)
+	if found == outcomeNotCommitted {
 		version = o.Version
 	}
 	return found, version, nil
 }
 
-// nonce returns a value that no other edit has: the host's run and a random part.
-func (m *Manager) nonce() string {
+// newNonce returns a value that no other edit has: the host's run and a random part.
+func (m *Manager) newNonce() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return fmt.Sprintf("%s-%016x", m.opts.Self.Incarnation, m.random.Uint64())
--- a/coordination/rollout/envelope.go
+++ b/coordination/rollout/envelope.go
@@ -8,8 +8,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// maxTrail is how many earlier edits an envelope names.
-const maxTrail = 32
+// maxPriorEdits is how many earlier edits an envelope names.
+const maxPriorEdits = 32
 
 // Envelope is the stored form of an edited configuration.
 type Envelope struct {
@@ -19,21 +19,21 @@
 	Base uint64 `json:"base"`
 	// Author is the host that the edit was made at.
 	Author string `json:"author"`
-	// Trail names the edits before, the latest first.
-	Trail  []Edited        `json:"trail,omitempty"`
-	Config json.RawMessage `json:"config"`
+	// PriorEdits names the edits before, the latest first.
+	PriorEdits []EditRecord    `json:"trail,omitempty"`
+	Config     json.RawMessage `json:"config"`
 }
 
-// Edited names one earlier edit.
-type Edited struct {
+// EditRecord names one earlier edit.
+type EditRecord struct {
 	Nonce string `json:"nonce"`
 	// Base is the version it was made on, Version the one it made.
 	Base    uint64 `json:"base"`
 	Version uint64 `json:"version"`
 }
 
-// open takes an envelope apart; a value without one is its own configuration.
-func open(value []byte) (Envelope, error) {
+// parseEnvelope takes an envelope apart; a value without one is its own configuration.
+func parseEnvelope(value []byte) (Envelope, error) {
 	var e Envelope
 	if err := json.Unmarshal(value, &e); err != nil {
 		return e, &state.ConfigError{Where: "the value", Problem: fmt.Sprintf("not JSON: %v", err), Remedy: "write it with thymectl config edit"}
@@ -44,8 +44,8 @@
 	return e, nil
 }
 
-// parse decodes a configuration strictly: an unknown field is a misspelt one.
-func parse(config []byte) (*state.Config, error) {
+// parseConfig decodes a configuration strictly: an unknown field is a misspelt one.
+func parseConfig(config []byte) (*state.Config, error) {
 	decoder := json.NewDecoder(bytes.NewReader(config))
 	decoder.DisallowUnknownFields()
 	var c state.Config
@@ -64,38 +64,38 @@
 	if e.Nonce == "" {
 		return out
 	}
-	out.Trail = append([]Edited{{Nonce: e.Nonce, Base: e.Base, Version: base}}, e.Trail...)
-	out.Trail = out.Trail[:min(len(out.Trail), maxTrail)]
+	out.PriorEdits = append([]EditRecord{{Nonce: e.Nonce, Base: e.Base, Version: base}}, e.PriorEdits...)
+	out.PriorEdits = out.PriorEdits[:min(len(out.PriorEdits), maxPriorEdits)]
 	return out
 }
 
-// outcome is what a value read back tells about an edit.
-type outcome int
+// editOutcome is what a value read back tells about an edit.
+type editOutcome int
 
 const (
-	outcomeUnknown outcome = iota
-	outcomeTaken
-	outcomeNotTaken
+	outcomeUnknown editOutcome = iota
+	outcomeCommitted
+	outcomeNotCommitted
 )
 
-// find looks for an edit made on base in the object read back at version, and
+// findEdit looks for an edit made on base in the object read back at version, and
 // returns the version that the edit made.
-func (e Envelope) find(nonce string, base, version uint64) (outcome, uint64) {
+func (e Envelope) findEdit(nonce string, base, version uint64) (editOutcome, uint64) {
 	if version == base {
-		return outcomeNotTaken, 0
+		return outcomeNotCommitted, 0
 	}
 	if e.Nonce == nonce {
-		return outcomeTaken, version
+		return outcomeCommitted, version
 	}
 	if e.Nonce != "" && e.Base == base {
-		return outcomeNotTaken, 0 // another edit was made on the same base
+		return outcomeNotCommitted, 0 // another edit was made on the same base
 	}
-	for _, t := range e.Trail {
+	for _, t := range e.PriorEdits {
 		if t.Nonce == nonce {
-			return outcomeTaken, t.Version
+			return outcomeCommitted, t.Version
 		}
 		if t.Base == base {
-			return outcomeNotTaken, 0
+			return outcomeNotCommitted, 0
 		}
 	}
 	return outcomeUnknown, 0
--- a/coordination/rollout/export_test.go
+++ b/coordination/rollout/export_test.go
@@ -2,8 +2,8 @@
 
 // Faults that tests switch on.
 const (
-	FaultApplyAny    = faultApplyAny
-	FaultAssumeTaken = faultAssumeTaken
+	FaultApplyAny        = faultApplyAny
+	FaultAssumeCommitted = faultAssumeCommitted
 )
 
 // SetFault switches a deliberate mistake on.
--- a/coordination/rollout/follow.go
+++ b/coordination/rollout/follow.go
@@ -10,32 +10,32 @@
 )
 
 const (
-	// retryMin and retryMax bound the pause after a failed platform call.
-	retryMin = 250 * time.Millisecond
-	retryMax = 2 * time.Second
-	// peerGrace is how long the platform's own watch is given before a peer that
+	// minRetryPause and retryMax bound the pause after a failed platform call.
+	minRetryPause = 250 * time.Millisecond
+	maxRetryPause = 2 * time.Second
+	// peerFetchDelay is how long the platform's own watch is given before a peer that
 	// has a higher version is asked for it.
-	peerGrace = 200 * time.Millisecond
-	// fetchTries bounds the fetches that follow one hint.
-	fetchTries = 5
+	peerFetchDelay = 200 * time.Millisecond
+	// maxHintFetches bounds the fetches that follow one hint.
+	maxHintFetches = 5
 )
 
-var errGap = errors.New("the watch missed changes; list the kind again")
+var errWatchGap = errors.New("the watch missed changes; list the kind again")
 
 // watch follows the object at the platform until ctx ends.
 func (m *Manager) watch(ctx context.Context) {
-	pause := retryMin
+	pause := minRetryPause
 	for ctx.Err() == nil {
 		revision, err := m.list(ctx)
 		for err == nil {
-			pause = retryMin
+			pause = minRetryPause
 			revision, err = m.watchOnce(ctx, revision)
 		}
-		if errors.Is(err, errGap) {
+		if errors.Is(err, errWatchGap) {
 			continue
 		}
 		_ = m.opts.Clock.Sleep(ctx, m.jitter(pause))
-		pause = min(2*pause, retryMax)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
@@ -47,7 +47,7 @@
 	}
 	m.opts.HeardPlatform(sent)
 	for _, o := range objects {
-		m.take(o)
+		m.applyObject(o)
 	}
 	return revision, nil
 }
@@ -60,21 +60,21 @@
 	}
 	m.opts.HeardPlatform(sent)
 	if batch.Gap {
-		return 0, errGap
+		return 0, errWatchGap
 	}
 	for _, e := range batch.Events {
 		if !e.Deleted {
-			m.take(e.Object)
+			m.applyObject(e.Object)
 		}
 	}
 	return batch.Revision, nil
 }
 
-// take offers the shared object. A deleted object changes nothing: the version in
+// applyObject offers the shared object. A deleted object changes nothing: the version in
 // force stays until a higher one is written.
-func (m *Manager) take(o store.Object) {
+func (m *Manager) applyObject(o store.Object) {
 	if o.Name == ObjectName {
-		m.offer(Versioned{Version: o.Version, Value: o.Value}, "")
+		m.applyIfHigher(VersionedValue{Version: o.Version, Value: o.Value}, "")
 	}
 }
 
@@ -87,7 +87,7 @@
 	}
 	m.mu.Unlock()
 	select {
-	case m.hints <- struct{}{}:
+	case m.hintSignal <- struct{}{}:
 	default:
 	}
 }
@@ -98,50 +98,50 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.hints:
-			m.chase(ctx)
+		case <-m.hintSignal:
+			m.fetchHinted(ctx)
 		}
 	}
 }
 
-// chase fetches the version hinted at. A fetch that fails is repeated, from the
+// fetchHinted fetches the version hinted at. A fetch that fails is repeated, from the
 // host that gave the latest hint: hints come with changes of a host's entry only,
 // so the next one may be a second away.
-func (m *Manager) chase(ctx context.Context) {
-	for range fetchTries {
-		if !m.wantsHint(m.takeHint(false)) {
+func (m *Manager) fetchHinted(ctx context.Context) {
+	for range maxHintFetches {
+		if !m.isHintCandidate(m.pendingHint(false)) {
 			return
 		}
-		if m.Version() > 0 && m.opts.Clock.Sleep(ctx, m.jitter(peerGrace)) != nil {
+		if m.Version() > 0 && m.opts.Clock.Sleep(ctx, m.jitter(peerFetchDelay)) != nil {
 			return
 		}
-		m.fetch(ctx, m.takeHint(false))
+		m.fetch(ctx, m.pendingHint(false))
 	}
-	m.takeHint(true)
+	m.pendingHint(true)
 }
 
-// takeHint returns the hint and, if asked, forgets it.
-func (m *Manager) takeHint(forget bool) hint {
+// pendingHint returns the hint and, if asked, forgets it.
+func (m *Manager) pendingHint(reset bool) hint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h := m.hint
-	if forget {
+	if reset {
 		m.hint = hint{}
 	}
 	return h
 }
 
-func (m *Manager) wantsHint(h hint) bool { return m.wants(h.version, h.from.ID.String()) }
+func (m *Manager) isHintCandidate(h hint) bool { return m.isCandidate(h.version, h.from.ID.String()) }
 
 func (m *Manager) fetch(ctx context.Context, h hint) {
-	if !m.wantsHint(h) {
+	if !m.isHintCandidate(h) {
 		return
 	}
-	ctx, cancel := m.deadline(ctx, m.opts.FetchTimeout)
+	ctx, cancel := m.withTimeout(ctx, m.opts.FetchTimeout)
 	defer cancel()
 	v, err := m.opts.Peers.Config(ctx, h.from, Request{Above: m.Version()})
 	if err != nil || v.Version == 0 {
 		return
 	}
-	m.offer(v, h.from.ID.String())
+	m.applyIfHigher(v, h.from.ID.String())
 }
--- a/coordination/rollout/fuzz_test.go
+++ b/coordination/rollout/fuzz_test.go
@@ -44,7 +44,7 @@
 	const atMost = 100
 	for name, setup := range map[string]func(*rollout.Manager){
 		"apply any version":    func(m *rollout.Manager) { m.SetFault(rollout.FaultApplyAny) },
-		"assume edit was made": func(m *rollout.Manager) { m.SetFault(rollout.FaultAssumeTaken) },
+		"assume edit was made": func(m *rollout.Manager) { m.SetFault(rollout.FaultAssumeCommitted) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
--- a/coordination/rollout/history_test.go
+++ b/coordination/rollout/history_test.go
@@ -76,7 +76,7 @@
 	}
 	var conflict *rollout.EditConflictError
 	if errors.As(out.err, &conflict) {
-		return at == conflict.Present && at != in.base, at
+		return at == conflict.Current && at != in.base, at
 	}
 	return true, at
 }
--- a/coordination/rollout/manager.go
+++ b/coordination/rollout/manager.go
@@ -21,7 +21,7 @@
 type Peers interface {
 	// Config fetches the configuration in force at a host if its version is
 	// higher than above; else the answer is zero.
-	Config(ctx context.Context, to state.Member, r Request) (Versioned, error)
+	Config(ctx context.Context, to state.Member, r Request) (VersionedValue, error)
 }
 
 // Request asks for a configuration above a version.
@@ -29,8 +29,8 @@
 	Above uint64 `msgpack:"a"`
 }
 
-// Versioned is a stored value and its version.
-type Versioned struct {
+// VersionedValue is a stored value and its version.
+type VersionedValue struct {
 	Version uint64 `msgpack:"v"`
 	Value   []byte `msgpack:"b"`
 }
@@ -69,7 +69,7 @@
 
 const defaultFetchTimeout = time.Second
 
-func (o *Options) fill() error {
+func (o *Options) setDefaults() error {
 	switch {
 	case o.Self.Zero():
 		return &OptionsError{Option: "Self"}
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// Problem is a version that was refused.
-type Problem struct {
+// RefusedVersion is a version that was refused.
+type RefusedVersion struct {
 	At      time.Time
 	Version uint64
 	// From is the host that it came from; empty for the platform.
@@ -108,23 +108,23 @@
 
 // Manager keeps the configuration of one host.
 type Manager struct {
-	opts  Options
-	hints chan struct{}
-	ready chan struct{}
+	opts       Options
+	hintSignal chan struct{}
+	ready      chan struct{}
 
-	// applying is held while a version is checked and applied, so that versions
+	// applyMu is held while a version is checked and applied, so that versions
 	// are applied one after the other in growing order.
-	applying sync.Mutex
+	applyMu sync.Mutex
 
 	mu      sync.Mutex
 	random  *rand.Rand
-	inForce Versioned
-	// refused holds the highest version found invalid, by its source. What one
+	inForce VersionedValue
+	// highestRefused holds the highest version found invalid, by its source. What one
 	// source garbled may come whole from another.
-	refused map[string]uint64
-	problem *Problem
-	hint    hint
-	fault   fault
+	highestRefused map[string]uint64
+	lastRefused    *RefusedVersion
+	hint           hint
+	fault          fault
 }
 
 // hint is the host that is known to have the highest version.
@@ -140,19 +140,19 @@
 const (
 	// faultApplyAny applies any version that differs.
 	faultApplyAny fault = iota + 1
-	// faultAssumeTaken reports an edit as accepted whose answer was lost.
-	faultAssumeTaken
+	// faultAssumeCommitted reports an edit as accepted whose answer was lost.
+	faultAssumeCommitted
 )
 
 // New checks the options and returns a manager with no configuration in force.
 func New(o Options) (*Manager, error) {
-	if err := o.fill(); err != nil {
+	if err := o.setDefaults(); err != nil {
 		return nil, err
 	}
 	return &Manager{
-		opts: o, hints: make(chan struct{}, 1), ready: make(chan struct{}),
-		refused: map[string]uint64{},
-		random:  rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(o.Self.String()))),
+		opts: o, hintSignal: make(chan struct{}, 1), ready: make(chan struct{}),
+		highestRefused: map[string]uint64{},
+		random:         rand.New(rand.NewPCG(o.Seed, xxhash.Sum64String(o.Self.String()))),
 	}, nil
 }
 
@@ -176,32 +176,32 @@
 }
 
 // InForceValue returns the stored value in force and its version.
-func (m *Manager) InForceValue() Versioned {
+func (m *Manager) InForceValue() VersionedValue {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.inForce
 }
 
 // Serve answers a peer that asks for the configuration above a version.
-func (m *Manager) Serve(r Request) Versioned {
+func (m *Manager) Serve(r Request) VersionedValue {
 	v := m.InForceValue()
 	if v.Version <= r.Above {
-		return Versioned{}
+		return VersionedValue{}
 	}
 	return v
 }
 
-// LastProblem returns the last version that was refused; nil if there was none
+// LastRefused returns the last version that was refused; nil if there was none
 // since a valid one came into force.
-func (m *Manager) LastProblem() *Problem {
+func (m *Manager) LastRefused() *RefusedVersion {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.problem
+	return m.lastRefused
 }
 
 // Validate checks a configuration as an edit would, and returns it.
 func (m *Manager) Validate(config []byte) (*state.Config, error) {
-	c, err := parse(config)
+	c, err := parseConfig(config)
 	if err != nil {
 		return nil, err
 	}
@@ -214,21 +214,21 @@
 	return c, nil
 }
 
-// offer puts a version in force if it is valid and higher than the present one.
+// applyIfHigher puts a version in force if it is valid and higher than the present one.
 // from is empty for the platform.
-func (m *Manager) offer(v Versioned, from string) {
-	m.applying.Lock()
-	defer m.applying.Unlock()
-	if !m.wants(v.Version, from) {
+func (m *Manager) applyIfHigher(v VersionedValue, from string) {
+	m.applyMu.Lock()
+	defer m.applyMu.Unlock()
+	if !m.isCandidate(v.Version, from) {
 		return
 	}
-	e, err := open(v.Value)
+	e, err := parseEnvelope(v.Value)
 	var c *state.Config
 	if err == nil {
 		c, err = m.Validate(e.Config)
 	}
 	if err != nil {
-		m.refuse(v.Version, from, err)
+		m.recordRefusal(v.Version, from, err)
 		return
 	}
 	c.Version = v.Version
@@ -236,8 +236,8 @@
 	m.mu.Lock()
 	first := m.inForce.Version == 0
 	m.inForce = v
-	m.problem = nil
-	clear(m.refused)
+	m.lastRefused = nil
+	clear(m.highestRefused)
 	m.mu.Unlock()
 	m.opts.Log.Info("configuration in force", "version", v.Version, "from", from)
 	if first {
@@ -245,26 +245,26 @@
 	}
 }
 
-// wants reports whether a version of a source is worth looking at.
-func (m *Manager) wants(version uint64, from string) bool {
+// isCandidate reports whether a version of a source is worth looking at.
+func (m *Manager) isCandidate(version uint64, from string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	if m.fault == faultApplyAny {
 		return version != 0 && version != m.inForce.Version
 	}
-	return version > m.inForce.Version && version > m.refused[from]
+	return version > m.inForce.Version && version > m.highestRefused[from]
 }
 
-func (m *Manager) refuse(version uint64, from string, err error) {
+func (m *Manager) recordRefusal(version uint64, from string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.refused[from] = max(m.refused[from], version)
-	m.problem = &Problem{At: m.opts.Clock.Now(), Version: version, From: from, Err: err}
+	m.highestRefused[from] = max(m.highestRefused[from], version)
+	m.lastRefused = &RefusedVersion{At: m.opts.Clock.Now(), Version: version, From: from, Err: err}
 	m.opts.Log.Warn("configuration refused", "version", version, "from", from, "error", err)
 }
 
-// deadline bounds a call by the manager's clock.
-func (m *Manager) deadline(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
+// withTimeout bounds a call by the manager's clock.
+func (m *Manager) withTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
 		_ = m.opts.Clock.Sleep(ctx, d)
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -22,8 +22,8 @@
 // lone answers for peers that can't be reached.
 type lone struct{}
 
-func (lone) Config(context.Context, state.Member, rollout.Request) (rollout.Versioned, error) {
-	return rollout.Versioned{}, errors.New("no peer")
+func (lone) Config(context.Context, state.Member, rollout.Request) (rollout.VersionedValue, error) {
+	return rollout.VersionedValue{}, errors.New("no peer")
 }
 
 func newManager(t *testing.T, s store.Store, name string) *rollout.Manager {
@@ -56,7 +56,7 @@
 	_, err = m.Edit(t.Context(), first, config(3))
 	var conflict *rollout.EditConflictError
 	is.True(errors.As(err, &conflict))
-	is.Equal(*conflict, rollout.EditConflictError{Base: first, Present: second})
+	is.Equal(*conflict, rollout.EditConflictError{Base: first, Current: second})
 	_, err = m.Edit(t.Context(), second, []byte(`{"services":[],"clases":[]}`))
 	var invalid *state.ConfigError
 	is.True(errors.As(err, &invalid))
@@ -102,7 +102,7 @@
 				}
 				var conflict *rollout.EditConflictError
 				is.True(errors.As(err, &conflict))
-				is.Equal(conflict.Present, base+1)
+				is.Equal(conflict.Current, base+1)
 			})
 		})
 	}
@@ -119,14 +119,14 @@
 
 // forgetful is a peer that loses its first answers.
 type forgetful struct {
-	value rollout.Versioned
+	value rollout.VersionedValue
 	lose  int
 }
 
-func (f *forgetful) Config(context.Context, state.Member, rollout.Request) (rollout.Versioned, error) {
+func (f *forgetful) Config(context.Context, state.Member, rollout.Request) (rollout.VersionedValue, error) {
 	if f.lose > 0 {
 		f.lose--
-		return rollout.Versioned{}, errors.New("lost by the test")
+		return rollout.VersionedValue{}, errors.New("lost by the test")
 	}
 	return f.value, nil
 }
@@ -139,7 +139,7 @@
 		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.Refuse })
 		m, err := rollout.New(rollout.Options{
 			Self: state.HostID{Name: "a", Incarnation: "1"}, Store: p.Client("a"), Clock: clocktest.Bubble{},
-			Peers: &forgetful{value: rollout.Versioned{Version: 7, Value: config(1)}, lose: 2},
+			Peers: &forgetful{value: rollout.VersionedValue{Version: 7, Value: config(1)}, lose: 2},
 			Apply: func(*state.Config) bool { return true },
 		})
 		is.NoErr(err)
@@ -179,11 +179,11 @@
 		is.Equal(m.Version(), good)
 		bad := put(good, `{"services":[{"name":"s","kind":"service"}],"classes":[{"name":"c","deadline_ms":1}],"policies":[{"name":"p","hook":"admit","source":"("}]}`)
 		is.Equal(m.Version(), good)
-		is.Equal(m.LastProblem().Version, bad)
+		is.Equal(m.LastRefused().Version, bad)
 		next, err := m.Edit(ctx, bad, config(2))
 		is.NoErr(err)
 		is.Equal(m.Version(), next)
-		is.Equal(m.LastProblem(), nil)
+		is.Equal(m.LastRefused(), nil)
 		cancel()
 		<-done
 	})
--- a/coordination/rollout/status.go
+++ b/coordination/rollout/status.go
@@ -23,14 +23,14 @@
 	// Behind are the answering hosts with a lower version.
 	Behind []state.HostID
 	// Silent are the hosts that don't answer, whose version isn't known for sure.
-	Silent  []state.HostID
-	Hosts   []HostReport
-	Problem *Problem
+	Silent      []state.HostID
+	Hosts       []HostReport
+	LastRefused *RefusedVersion
 }
 
-// InForce sums up the hosts' reports, for thymectl config status.
-func (m *Manager) InForce(hosts []HostReport) Status {
-	s := Status{Hosts: hosts, Problem: m.LastProblem(), Highest: m.Version()}
+// Status sums up the hosts' reports, for thymectl config status.
+func (m *Manager) Status(hosts []HostReport) Status {
+	s := Status{Hosts: hosts, LastRefused: m.LastRefused(), Highest: m.Version()}
 	for _, h := range hosts {
 		s.Highest = max(s.Highest, h.Version)
 	}
--- a/daemon/config.go
+++ b/daemon/config.go
@@ -24,7 +24,7 @@
 		return err
 	}
 	d.add("rollout", d.rollout.Run)
-	d.peerServer.Handle(peerapi.KindConfig, peer.HandleMsg(func(_ context.Context, _ state.HostID, r rollout.Request) (rollout.Versioned, error) {
+	d.peerServer.Handle(peerapi.KindConfig, peer.HandleMsg(func(_ context.Context, _ state.HostID, r rollout.Request) (rollout.VersionedValue, error) {
 		return d.rollout.Serve(r), nil
 	}))
 	return nil
@@ -37,8 +37,8 @@
 type rolloutPeers struct{ client *peer.Client }
 
 // Config implements rollout.Peers.
-func (p *rolloutPeers) Config(ctx context.Context, to state.Member, r rollout.Request) (rollout.Versioned, error) {
-	return peer.CallMsg[rollout.Request, rollout.Versioned](ctx, p.client, to.PeerAddr, peerapi.KindConfig, r)
+func (p *rolloutPeers) Config(ctx context.Context, to state.Member, r rollout.Request) (rollout.VersionedValue, error) {
+	return peer.CallMsg[rollout.Request, rollout.VersionedValue](ctx, p.client, to.PeerAddr, peerapi.KindConfig, r)
 }
 
 // Config implements operators.Backend.
@@ -81,10 +81,10 @@
 			Host: h.Member.ID, FailureDomain: h.Member.FailureDomain, Version: h.Version, AgeMillis: h.Age.Milliseconds(), Answers: h.Answers,
 		})
 	}
-	status := b.d.rollout.InForce(reports)
+	status := b.d.rollout.Status(reports)
 	out.Accepted = status.Highest
-	if status.Problem != nil {
-		out.Problem = status.Problem.Err.Error()
+	if status.LastRefused != nil {
+		out.Problem = status.LastRefused.Err.Error()
 	}
 	return out
 }
