--- a/coordination/rollout/edit.go
+++ b/coordination/rollout/edit.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxEditWrites bounds the writes of one edit, readBackTries the readings after a
-	// lost answer.
+	// maxEditWrites bounds the writes of one edit, maxReadBacks the reads that
+	// follow each lost answer.
 	maxEditWrites = 3
 	maxReadBacks  = 5
 )
 
-// EditConflictError says that the configuration has changed since the version
-// that an edit was made on.
+// EditConflictError reports that an edit wasn't made because the current version
+// of the configuration isn't the edit's base version.
 type EditConflictError struct{ Base, Current uint64 }
 
 // Error implements error.
@@ -26,7 +26,8 @@
 	return fmt.Sprintf("the edit was made on version %d, but version %d is present; read that one, repeat the change on it and send it again", e.Base, e.Current)
 }
 
-// EditUnknownError says that it can't be told whether an edit took effect.
+// EditUnknownError reports that the outcome of an edit on Base is unknown: it may
+// or may not have taken effect.
 type EditUnknownError struct {
 	Base  uint64
 	Cause error
@@ -41,9 +42,9 @@
 func (e *EditUnknownError) Unwrap() error { return e.Cause }
 
 // Edit validates a configuration (without envelope) and writes it if base is
-// still the present version; 0 creates the object. It returns the new version.
-// Errors: *state.ConfigError and those of Check, *EditConflictError,
-// *EditUnknownError, *store.UnavailableError (nothing was written), a context's.
+// still the current version; base 0 creates the object. It returns the new version.
+// Errors are *state.ConfigError, those of Options.Check, *EditConflictError,
+// *EditUnknownError, *store.UnavailableError (nothing was written) and those of ctx.
 func (m *Manager) Edit(ctx context.Context, base uint64, config []byte) (uint64, error) {
 	if _, err := m.Validate(config); err != nil {
 		return 0, err
@@ -67,7 +68,9 @@
 	return version, err
 }
 
-// readBase reads the envelope that an edit is made on.
+// readBase reads the envelope at version base. It returns an empty envelope if
+// the object doesn't exist yet or can't be parsed, and *EditConflictError if the
+// current version isn't base.
 func (m *Manager) readBase(ctx context.Context, base uint64) (Envelope, error) {
 	o, err := m.opts.Store.Get(ctx, store.KindConfig, ObjectName)
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
@@ -81,14 +84,15 @@
 	}
 	e, err := parseEnvelope(o.Value)
 	if err != nil {
-		return Envelope{}, nil // an edit replaces a value that can't be read
+		return Envelope{}, nil // an edit may replace an invalid value
 	}
 	return e, nil
 }
 
-// write makes the conditional update. A lost answer is read back; only if the
-// edit is known not to have taken effect is it written again, on the same base,
-// so that at most one of the writes can take effect.
+// write makes the conditional update and returns the version it created. If the
+// answer is lost, it reads the object back, and repeats the write only if the edit
+// has not taken effect. All writes have the same base, so that at most one of them
+// can take effect.
 func (m *Manager) write(ctx context.Context, base uint64, nonce string, value []byte) (uint64, error) {
 	answerLost := false
 	for range maxEditWrites {
@@ -101,7 +105,7 @@
 		case errors.As(err, &conflict) && !answerLost:
 			return 0, &EditConflictError{Base: base, Current: conflict.Actual}
 		case errors.As(err, &conflict):
-			// An earlier try may have taken effect.
+			// The conflict may be with an earlier write of this edit.
 		case store.IsUnavailable(err) && !store.IsUnknownOutcome(err) && !answerLost:
 			return 0, err
 		default:
@@ -130,8 +134,9 @@
 	errAnswersLost  = errors.New("the platform lost every answer")
 )
 
-// readBack reads the object and looks for the edit. For an edit that didn't take
-// effect it returns the present version.
+// readBack reads the object and searches it for the edit with this nonce. It
+// returns the version that the edit created, or the current version if the edit
+// didn't take effect. Failed reads are repeated with exponential backoff.
 func (m *Manager) readBack(ctx context.Context, base uint64, nonce string) (editOutcome, uint64, error) {
 	var failure error
 	pause := minRetryPause
@@ -149,6 +154,8 @@
 	return outcomeUnknown, 0, failure
 }
 
+// findEditIn searches a stored object for the edit with this nonce made on base.
+// Its results are those of readBack.
 func findEditIn(o store.Object, nonce string, base uint64) (editOutcome, uint64, error) {
 	if o.Version == base {
 		return outcomeNotCommitted, base, nil
@@ -164,7 +171,8 @@
 	return found, version, nil
 }
 
-// newNonce returns a value that no other edit has: the host's run and a random part.
+// newNonce returns a value unique to one edit: the host's incarnation and a random
+// part.
 func (m *Manager) newNonce() string {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/coordination/rollout/envelope.go
+++ b/coordination/rollout/envelope.go
@@ -8,31 +8,35 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// maxPriorEdits is how many earlier edits an envelope names.
+// maxPriorEdits bounds the prior edits that an envelope lists, and with it the
+// size of the stored value. The outcome of an edit that is followed by more edits
+// than that before it is read back is unknown.
 const maxPriorEdits = 32
 
 // Envelope is the stored form of an edited configuration.
 type Envelope struct {
-	// Nonce marks the edit that wrote the value.
+	// Nonce identifies the edit that wrote the value.
 	Nonce string `json:"nonce"`
-	// Base is the version that the edit was made on.
+	// Base is the version of the object that the edit replaced; 0 if it created the
+	// object.
 	Base uint64 `json:"base"`
-	// Author is the host that the edit was made at.
+	// Author is the name of the host that wrote the edit.
 	Author string `json:"author"`
-	// PriorEdits names the edits before, the latest first.
+	// PriorEdits lists up to maxPriorEdits earlier edits, the latest first.
 	PriorEdits []EditRecord    `json:"trail,omitempty"`
 	Config     json.RawMessage `json:"config"`
 }
 
-// EditRecord names one earlier edit.
+// EditRecord identifies a prior edit.
 type EditRecord struct {
 	Nonce string `json:"nonce"`
-	// Base is the version it was made on, Version the one it made.
+	// Base is the version that the edit replaced, Version the one it created.
 	Base    uint64 `json:"base"`
 	Version uint64 `json:"version"`
 }
 
-// parseEnvelope takes an envelope apart; a value without one is its own configuration.
+// parseEnvelope decodes a stored value. A value without an envelope is returned as
+// the Config of an otherwise empty one.
 func parseEnvelope(value []byte) (Envelope, error) {
 	var e Envelope
 	if err := json.Unmarshal(value, &e); err != nil {
@@ -44,7 +48,8 @@
 	return e, nil
 }
 
-// parseConfig decodes a configuration strictly: an unknown field is a misspelt one.
+// parseConfig decodes a configuration. It refuses unknown fields, because a
+// misspelt field would otherwise be ignored silently.
 func parseConfig(config []byte) (*state.Config, error) {
 	decoder := json.NewDecoder(bytes.NewReader(config))
 	decoder.DisallowUnknownFields()
@@ -58,7 +63,9 @@
 	return &c, nil
 }
 
-// next returns the envelope of an edit made on the object at base.
+// next returns the envelope of an edit that replaces e, stored at version base. If
+// e has no nonce, the edit that wrote it can't be identified and the new envelope
+// lists no prior edits.
 func (e Envelope) next(nonce, author string, base uint64, config []byte) Envelope {
 	out := Envelope{Nonce: nonce, Base: base, Author: author, Config: config}
 	if e.Nonce == "" {
@@ -69,17 +76,20 @@
 	return out
 }
 
-// editOutcome is what a value read back tells about an edit.
+// editOutcome is whether an edit took effect, as far as the stored object shows.
 type editOutcome int
 
 const (
+	// outcomeUnknown means that the object doesn't show whether the edit took effect.
 	outcomeUnknown editOutcome = iota
 	outcomeCommitted
 	outcomeNotCommitted
 )
 
-// findEdit looks for an edit made on base in the object read back at version, and
-// returns the version that the edit made.
+// findEdit searches e, read at version, for the edit with this nonce made on base.
+// It returns the version that the edit created, 0 unless it took effect. Only one
+// edit can take effect on a base, so another edit on the same base means that this
+// one didn't.
 func (e Envelope) findEdit(nonce string, base, version uint64) (editOutcome, uint64) {
 	if version == base {
 		return outcomeNotCommitted, 0
--- a/coordination/rollout/export_test.go
+++ b/coordination/rollout/export_test.go
@@ -1,10 +1,10 @@
 package rollout
 
-// Faults that tests switch on.
+// Deliberate faults that tests inject.
 const (
 	FaultApplyAny        = faultApplyAny
 	FaultAssumeCommitted = faultAssumeCommitted
 )
 
-// SetFault switches a deliberate mistake on.
+// SetFault makes the manager behave with a deliberate fault.
 func (m *Manager) SetFault(f fault) { m.fault = f }
--- a/coordination/rollout/follow.go
+++ b/coordination/rollout/follow.go
@@ -10,19 +10,22 @@
 )
 
 const (
-	// minRetryPause and retryMax bound the pause after a failed platform call.
+	// minRetryPause and maxRetryPause bound the exponential backoff after a failed
+	// platform call.
 	minRetryPause = 250 * time.Millisecond
 	maxRetryPause = 2 * time.Second
-	// peerFetchDelay is how long the platform's own watch is given before a peer that
-	// has a higher version is asked for it.
+	// peerFetchDelay is the delay before a higher version is fetched from a peer. It
+	// leaves time for the version to arrive through the platform's watch. A host that has
+	// no configuration yet fetches without it.
 	peerFetchDelay = 200 * time.Millisecond
-	// maxHintFetches bounds the fetches that follow one hint.
+	// maxHintFetches bounds the fetches that one signal on hintSignal causes.
 	maxHintFetches = 5
 )
 
 var errWatchGap = errors.New("the watch missed changes; list the kind again")
 
-// watch follows the object at the platform until ctx ends.
+// watch keeps up with the object at the platform until ctx ends: it lists the kind,
+// then watches for changes, and lists again after a gap or an error.
 func (m *Manager) watch(ctx context.Context) {
 	pause := minRetryPause
 	for ctx.Err() == nil {
@@ -39,6 +42,8 @@
 	}
 }
 
+// list applies the platform's current object and returns the revision from which to
+// watch.
 func (m *Manager) list(ctx context.Context) (uint64, error) {
 	sent := m.opts.Clock.Now()
 	objects, revision, err := m.opts.Store.List(ctx, store.KindConfig)
@@ -52,6 +57,8 @@
 	return revision, nil
 }
 
+// watchOnce applies one batch of changes after a revision and returns the revision
+// of the batch. It returns errWatchGap if the platform no longer has all of them.
 func (m *Manager) watchOnce(ctx context.Context, after uint64) (uint64, error) {
 	sent := m.opts.Clock.Now()
 	batch, err := m.opts.Store.Watch(ctx, store.KindConfig, after)
@@ -70,16 +77,17 @@
 	return batch.Revision, nil
 }
 
-// applyObject offers the shared object. A deleted object changes nothing: the version in
-// force stays until a higher one is written.
+// applyObject applies the configuration object if its version is higher, and ignores
+// other objects. Callers skip deletions: the version in force stays until a higher
+// one is written.
 func (m *Manager) applyObject(o store.Object) {
 	if o.Name == ObjectName {
 		m.applyIfHigher(VersionedValue{Version: o.Version, Value: o.Value}, "")
 	}
 }
 
-// Hint tells that a host has a version in force; one that is higher than the one
-// here is fetched. It never blocks.
+// Hint reports that another host has a version in force. If it is higher than the
+// local one, Run fetches it from that host. Hint never blocks.
 func (m *Manager) Hint(from state.Member, version uint64) {
 	m.mu.Lock()
 	if version > m.inForce.Version && version >= m.hint.version {
@@ -92,7 +100,7 @@
 	}
 }
 
-// fetchHints fetches the versions that are hinted at, until ctx ends.
+// fetchHints fetches the versions passed to Hint until ctx ends.
 func (m *Manager) fetchHints(ctx context.Context) {
 	for {
 		select {
@@ -104,9 +112,9 @@
 	}
 }
 
-// fetchHinted fetches the version hinted at. A fetch that fails is repeated, from the
-// host that gave the latest hint: hints come with changes of a host's entry only,
-// so the next one may be a second away.
+// fetchHinted fetches the hinted version and applies it. A failed fetch is repeated
+// from the host of the latest hint, without waiting for another hint: hints come
+// only when a host's entry changes, so the next one may be a second away.
 func (m *Manager) fetchHinted(ctx context.Context) {
 	for range maxHintFetches {
 		if !m.isHintCandidate(m.pendingHint(false)) {
@@ -120,7 +128,7 @@
 	m.pendingHint(true)
 }
 
-// pendingHint returns the hint and, if asked, forgets it.
+// pendingHint returns the latest hint, and clears it if reset is set.
 func (m *Manager) pendingHint(reset bool) hint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -131,8 +139,11 @@
 	return h
 }
 
+// isHintCandidate reports whether the hinted version is to be fetched.
 func (m *Manager) isHintCandidate(h hint) bool { return m.isCandidate(h.version, h.from.ID.String()) }
 
+// fetch fetches the configuration from the host of the hint and applies it if its
+// version is higher than the one in force. A failed fetch has no effect.
 func (m *Manager) fetch(ctx context.Context, h hint) {
 	if !m.isHintCandidate(h) {
 		return
--- a/coordination/rollout/manager.go
+++ b/coordination/rollout/manager.go
@@ -14,52 +14,56 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// ObjectName is the name of the configuration object of kind store.KindConfig.
+// ObjectName is the name of the configuration object, whose kind is store.KindConfig.
 const ObjectName = "shared"
 
-// Peers reaches other hosts.
+// Peers fetches configurations from other hosts.
 type Peers interface {
 	// Config fetches the configuration in force at a host if its version is
-	// higher than above; else the answer is zero.
+	// higher than r.Above. Otherwise it returns the zero value.
 	Config(ctx context.Context, to state.Member, r Request) (VersionedValue, error)
 }
 
-// Request asks for a configuration above a version.
+// Request is a peer's request for the configuration in force if its version is
+// higher than Above.
 type Request struct {
 	Above uint64 `msgpack:"a"`
 }
 
-// VersionedValue is a stored value and its version.
+// VersionedValue holds a stored value (a configuration with or without its
+// envelope) and its version. Version 0 means that there is none.
 type VersionedValue struct {
 	Version uint64 `msgpack:"v"`
 	Value   []byte `msgpack:"b"`
 }
 
-// Options configure a Manager.
+// Options configures a Manager.
 type Options struct {
 	Self  state.HostID
 	Store store.Store
 	Peers Peers
 	Clock state.Clock
-	// Seed starts the random source of nonces and pauses. Two hosts must not
-	// share it: with Self it makes nonces unique.
+	// Seed seeds the random source of nonces and retry pauses, together with Self.
+	// Hosts must not share a seed, or their nonces may not be unique.
 	Seed uint64
 	// Check refuses configurations beyond state.Config.Validate, for example
 	// because a policy doesn't compile; nil accepts all.
 	Check func(*state.Config) error
 	// Apply puts a valid configuration in force, such as Keeper.SetConfig. It is
-	// called with growing versions and by one goroutine at a time.
+	// called with increasing versions and by one goroutine at a time. Its result
+	// is ignored.
 	Apply func(*state.Config) bool
-	// HeardPlatform is told when the platform answered, with the time at which
-	// the call was sent; nil ignores it.
+	// HeardPlatform is called after each answer of the platform to a list or watch,
+	// with the time at which the call was sent; nil is allowed.
 	HeardPlatform func(sent time.Time)
 	// FetchTimeout bounds a fetch from a peer; zero means one second.
 	FetchTimeout time.Duration
-	// Log takes notes of versions put in force and of problems; nil discards them.
+	// Log receives a message for each version put in force or refused; nil discards
+	// them.
 	Log *slog.Logger
 }
 
-// OptionsError says which option is missing.
+// OptionsError reports a required option that isn't set.
 type OptionsError struct{ Option string }
 
 // Error implements error.
@@ -69,6 +73,8 @@
 
 const defaultFetchTimeout = time.Second
 
+// setDefaults sets the defaults of optional options. It returns *OptionsError if a
+// required one is missing.
 func (o *Options) setDefaults() error {
 	switch {
 	case o.Self.Zero():
@@ -97,54 +103,58 @@
 	return nil
 }
 
-// RefusedVersion is a version that was refused.
+// RefusedVersion describes a version that was refused as invalid.
 type RefusedVersion struct {
 	At      time.Time
 	Version uint64
-	// From is the host that it came from; empty for the platform.
+	// From is the ID of the host that sent it; empty for the platform.
 	From string
 	Err  error
 }
 
-// Manager keeps the configuration of one host.
+// Manager keeps the configuration of one host up to date and edits the shared one.
 type Manager struct {
-	opts       Options
+	opts Options
+	// hintSignal has a buffer of one and wakes fetchHints after a call of Hint.
 	hintSignal chan struct{}
-	ready      chan struct{}
+	// ready is closed once a configuration is in force.
+	ready chan struct{}
 
 	// applyMu is held while a version is checked and applied, so that versions
-	// are applied one after the other in growing order.
+	// are applied one at a time and in increasing order.
 	applyMu sync.Mutex
 
 	mu      sync.Mutex
 	random  *rand.Rand
 	inForce VersionedValue
-	// highestRefused holds the highest version found invalid, by its source. What one
-	// source garbled may come whole from another.
+	// highestRefused holds the highest invalid version by source (host ID, empty for
+	// the platform). A version that is corrupt from one source may be valid from
+	// another.
 	highestRefused map[string]uint64
 	lastRefused    *RefusedVersion
 	hint           hint
 	fault          fault
 }
 
-// hint is the host that is known to have the highest version.
+// hint is the highest version reported to Hint and the host that has it in force.
 type hint struct {
 	from    state.Member
 	version uint64
 }
 
-// fault names deliberate mistakes that the tests switch on, to show that they
-// would be found.
+// fault is a deliberate fault that tests inject to show that they detect it.
 type fault uint8
 
 const (
-	// faultApplyAny applies any version that differs.
+	// faultApplyAny applies any version that differs from the one in force, also a
+	// lower one.
 	faultApplyAny fault = iota + 1
-	// faultAssumeCommitted reports an edit as accepted whose answer was lost.
+	// faultAssumeCommitted reports an edit as accepted if its answer was lost.
 	faultAssumeCommitted
 )
 
-// New checks the options and returns a manager with no configuration in force.
+// New returns a manager with no configuration in force, or *OptionsError if a
+// required option is missing.
 func New(o Options) (*Manager, error) {
 	if err := o.setDefaults(); err != nil {
 		return nil, err
@@ -156,7 +166,8 @@
 	}, nil
 }
 
-// Run follows the platform's object and fetches from peers, until ctx ends.
+// Run applies new versions from the platform and from peers until ctx ends, and
+// returns the error of ctx.
 func (m *Manager) Run(ctx context.Context) error {
 	var routines conc.WaitGroup
 	routines.Go(func() { m.watch(ctx) })
@@ -165,7 +176,7 @@
 	return ctx.Err()
 }
 
-// Ready is closed once a configuration is in force.
+// Ready returns a channel that is closed once a configuration is in force.
 func (m *Manager) Ready() <-chan struct{} { return m.ready }
 
 // Version returns the version in force; 0 for none.
@@ -182,7 +193,8 @@
 	return m.inForce
 }
 
-// Serve answers a peer that asks for the configuration above a version.
+// Serve answers a peer's request. It returns the zero value if the version in force
+// isn't higher than r.Above.
 func (m *Manager) Serve(r Request) VersionedValue {
 	v := m.InForceValue()
 	if v.Version <= r.Above {
@@ -191,15 +203,15 @@
 	return v
 }
 
-// LastRefused returns the last version that was refused; nil if there was none
-// since a valid one came into force.
+// LastRefused returns the version that was refused last; nil if none was refused
+// since the version in force was applied.
 func (m *Manager) LastRefused() *RefusedVersion {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.lastRefused
 }
 
-// Validate checks a configuration as an edit would, and returns it.
+// Validate decodes a configuration (without envelope) and checks it as Edit does.
 func (m *Manager) Validate(config []byte) (*state.Config, error) {
 	c, err := parseConfig(config)
 	if err != nil {
@@ -214,8 +226,8 @@
 	return c, nil
 }
 
-// applyIfHigher puts a version in force if it is valid and higher than the present one.
-// from is empty for the platform.
+// applyIfHigher puts a version in force if it is valid and higher than the one in
+// force. from is the ID of the host that sent it; empty for the platform.
 func (m *Manager) applyIfHigher(v VersionedValue, from string) {
 	m.applyMu.Lock()
 	defer m.applyMu.Unlock()
@@ -245,7 +257,8 @@
 	}
 }
 
-// isCandidate reports whether a version of a source is worth looking at.
+// isCandidate reports whether a version is higher than the one in force and than the
+// highest refused from the same source.
 func (m *Manager) isCandidate(version uint64, from string) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -255,6 +268,8 @@
 	return version > m.inForce.Version && version > m.highestRefused[from]
 }
 
+// recordRefusal records an invalid version, so that it isn't checked again when the
+// same source sends it, and logs it.
 func (m *Manager) recordRefusal(version uint64, from string, err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -263,7 +278,7 @@
 	m.opts.Log.Warn("configuration refused", "version", version, "from", from, "error", err)
 }
 
-// withTimeout bounds a call by the manager's clock.
+// withTimeout returns a context that is canceled after d by the manager's clock.
 func (m *Manager) withTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(ctx)
 	go func() {
@@ -273,6 +288,8 @@
 	return ctx, cancel
 }
 
+// jitter returns a random duration from d/2 up to 3d/2, so that hosts don't retry at
+// the same time.
 func (m *Manager) jitter(d time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/coordination/rollout/status.go
+++ b/coordination/rollout/status.go
@@ -6,29 +6,33 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// HostReport is what one host's digest says of its configuration.
+// HostReport is the configuration version that one host reports in its digest.
 type HostReport struct {
 	Host    state.HostID
 	Version uint64
-	// Age is how old the statement is.
+	// Age is the time since the host made the report.
 	Age time.Duration
-	// Answers is false for a host that hasn't been heard lately.
+	// Answers is false if no recent message of the host has arrived.
 	Answers bool
 }
 
-// Status is the state of the rollout as one host sees it.
+// Status is the progress of the rollout over all hosts, as known to one of them.
 type Status struct {
 	// Highest is the highest version in force at any host.
 	Highest uint64
-	// Behind are the answering hosts with a lower version.
+	// Behind lists the hosts that answer and have a lower version than Highest.
 	Behind []state.HostID
-	// Silent are the hosts that don't answer, whose version isn't known for sure.
-	Silent      []state.HostID
-	Hosts       []HostReport
+	// Silent lists the hosts that don't answer; their reported version may be out of
+	// date.
+	Silent []state.HostID
+	// Hosts holds the reports of all hosts.
+	Hosts []HostReport
+	// LastRefused is the version that this host refused last; see
+	// Manager.LastRefused.
 	LastRefused *RefusedVersion
 }
 
-// Status sums up the hosts' reports, for thymectl config status.
+// Status summarizes the hosts' reports for thymectl config status.
 func (m *Manager) Status(hosts []HostReport) Status {
 	s := Status{Hosts: hosts, LastRefused: m.LastRefused(), Highest: m.Version()}
 	for _, h := range hosts {
