--- a/coordination/rollout/fuzz_test.go
+++ b/coordination/rollout/fuzz_test.go
@@ -8,17 +8,17 @@
 	"pgregory.net/rapid"
 )
 
-var actions = []string{
+var stepActions = []string{
 	"edit", "edit", "edit", "edit on what is in force", "race", "write an invalid value",
 	"platform down", "host platform down", "kill", "start", "start", "cut", "pause", "last platform",
 }
 
 var schedules = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 	return step{
-		After: rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, 4 * time.Second}).Draw(t, "after"),
-		For:   rapid.SampledFrom([]time.Duration{300 * time.Millisecond, 2 * time.Second, 6 * time.Second, 15 * time.Second}).Draw(t, "for"),
-		Do:    rapid.SampledFrom(actions).Draw(t, "do"),
-		Host:  rapid.IntRange(0, fuzzHosts-1).Draw(t, "host"),
+		Pause:         rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, 4 * time.Second}).Draw(t, "after"),
+		FaultDuration: rapid.SampledFrom([]time.Duration{300 * time.Millisecond, 2 * time.Second, 6 * time.Second, 15 * time.Second}).Draw(t, "for"),
+		Action:        rapid.SampledFrom(stepActions).Draw(t, "do"),
+		Host:          rapid.IntRange(0, fuzzHosts-1).Draw(t, "host"),
 	}
 }), 10, 25)
 
@@ -33,28 +33,28 @@
 		r := runSchedule(t, seed, steps, func(*rollout.Manager) {})
 		edits += r.edits
 		ops += len(r.ops)
-		if r.problem != nil {
-			rt.Fatal(r.problem)
+		if r.violation != nil {
+			rt.Fatal(r.violation)
 		}
 	})
 	t.Logf("%d runs: %d edits accepted, %d operations", seed, edits, ops)
 }
 
-func TestRolloutMutationsAreFound(t *testing.T) {
-	const atMost = 100
+func TestRolloutFaultsAreDetected(t *testing.T) {
+	const maxRuns = 100
 	for name, setup := range map[string]func(*rollout.Manager){
 		"apply any version":    func(m *rollout.Manager) { m.SetFault(rollout.FaultApplyAny) },
 		"assume edit was made": func(m *rollout.Manager) { m.SetFault(rollout.FaultAssumeCommitted) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			for n := 1; n <= atMost; n++ {
-				if r := runSchedule(t, uint64(n), schedules.Example(n), setup); r.problem != nil {
-					t.Logf("found after %d runs: %v", n, r.problem)
+			for n := 1; n <= maxRuns; n++ {
+				if r := runSchedule(t, uint64(n), schedules.Example(n), setup); r.violation != nil {
+					t.Logf("found after %d runs: %v", n, r.violation)
 					return
 				}
 			}
-			t.Fatalf("not found in %d runs", atMost)
+			t.Fatalf("not found in %d runs", maxRuns)
 		})
 	}
 }
--- a/coordination/rollout/history_test.go
+++ b/coordination/rollout/history_test.go
@@ -10,17 +10,17 @@
 
 // checkHistory compares what was said of the edits with the platform's own
 // history, and checks that the register is linearizable.
-func (r *run) checkHistory() {
-	made := map[int64]write{}
+func (r *simulation) checkHistory() {
+	committed := map[int64]storedVersion{}
 	for _, w := range r.history {
-		made[w.mark] = w
+		committed[w.mark] = w
 	}
 	for _, op := range r.ops {
 		in, out := op.Input.(input), op.Output.(output)
 		if in.read {
 			continue
 		}
-		w, ok := made[in.mark]
+		w, ok := committed[in.mark]
 		var unknown *rollout.EditUnknownError
 		switch {
 		case out.err == nil && (!ok || w.version != out.version || w.base != in.base):
@@ -29,48 +29,50 @@
 			r.fail("edit %d was reported as not made (%v); the platform has it as version %d", in.mark, out.err, w.version)
 		}
 	}
-	if r.problem == nil && !porcupine.CheckOperations(r.register(made), r.ops) {
+	if r.violation == nil && !porcupine.CheckOperations(r.registerModel(committed), r.ops) {
 		r.fail("the history of the register isn't linearizable")
 	}
 }
 
-// register is a register with conditional updates whose state is the version.
+// registerModel is a registerModel with conditional updates whose state is the version.
 // What became of an edit of unknown outcome is taken from the platform's history.
 // Invalid values are written past Edit and change the version at any time, so
 // versions of such writes are left out of what is compared.
-func (r *run) register(made map[int64]write) porcupine.Model {
-	after := map[uint64]uint64{} // version -> next version, for writes past Edit
+func (r *simulation) registerModel(committed map[int64]storedVersion) porcupine.Model {
+	bypassed := map[uint64]uint64{} // version -> next version, for writes past Edit
 	for i, w := range r.history {
-		if w.mark == invalid && i > 0 {
-			after[r.history[i-1].version] = w.version
+		if w.mark == invalidMark && i > 0 {
+			bypassed[r.history[i-1].version] = w.version
 		}
 	}
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{uint64(0)} },
-		Step: func(s, in, out any) []any { return stepRegister(s.(uint64), in.(input), out.(output), made, after) },
+		Step: func(s, in, out any) []any {
+			return stepRegister(s.(uint64), in.(input), out.(output), committed, bypassed)
+		},
 	}
 	return model.ToModel()
 }
 
-func stepRegister(s uint64, in input, out output, made map[int64]write, after map[uint64]uint64) []any {
-	var next []any
+func stepRegister(s uint64, in input, out output, committed map[int64]storedVersion, bypassed map[uint64]uint64) []any {
+	var states []any
 	for at := s; ; {
-		if ok, version := stepFrom(at, in, out, made); ok {
-			next = append(next, version)
+		if ok, version := stepFrom(at, in, out, committed); ok {
+			states = append(states, version)
 		}
-		then, more := after[at]
-		if !more {
-			return next
+		successor, ok := bypassed[at]
+		if !ok {
+			return states
 		}
-		at = then
+		at = successor
 	}
 }
 
-func stepFrom(at uint64, in input, out output, made map[int64]write) (bool, uint64) {
+func stepFrom(at uint64, in input, out output, committed map[int64]storedVersion) (bool, uint64) {
 	if in.read {
 		return out.version == at, at
 	}
-	w, ok := made[in.mark]
+	w, ok := committed[in.mark]
 	if ok {
 		return at == in.base, w.version
 	}
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -19,17 +19,17 @@
 
 func TestMain(m *testing.M) { fuzztest.Main(m, fuzztest.Defaults{Seed: 20260101, Checks: 15}) }
 
-// lone answers for peers that can't be reached.
-type lone struct{}
+// unreachablePeers answers for peers that can't be reached.
+type unreachablePeers struct{}
 
-func (lone) Config(context.Context, state.Member, rollout.Request) (rollout.VersionedValue, error) {
+func (unreachablePeers) Config(context.Context, state.Member, rollout.Request) (rollout.VersionedValue, error) {
 	return rollout.VersionedValue{}, errors.New("no peer")
 }
 
 func newManager(t *testing.T, s store.Store, name string) *rollout.Manager {
 	t.Helper()
 	m, err := rollout.New(rollout.Options{
-		Self: state.HostID{Name: name, Incarnation: "1"}, Store: s, Peers: lone{}, Clock: clocktest.Bubble{},
+		Self: state.HostID{Name: name, Incarnation: "1"}, Store: s, Peers: unreachablePeers{}, Clock: clocktest.Bubble{},
 		Check: func(c *state.Config) error {
 			if len(c.Policies) > 0 {
 				return &state.ConfigError{Where: "policies[0]", Problem: "doesn't compile", Remedy: "correct it"}
@@ -63,12 +63,12 @@
 	is.Equal(m.Version(), second)
 }
 
-// TestLostAnswerOfAnEdit loses the answer of an edit and lets other edits follow
+// TestEditWithLostAnswerIsReadBack loses the answer of an edit and lets other edits follow
 // before it is read back: the edit must be recognised as accepted, with the
 // version it made, or as refused if another came first.
-func TestLostAnswerOfAnEdit(t *testing.T) {
-	for _, overtaken := range []bool{false, true} {
-		t.Run(fmt.Sprintf("overtaken=%v", overtaken), func(t *testing.T) {
+func TestEditWithLostAnswerIsReadBack(t *testing.T) {
+	for _, conflicting := range []bool{false, true} {
+		t.Run(fmt.Sprintf("overtaken=%v", conflicting), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				p := storetest.NewPlatform(time.Second)
@@ -78,16 +78,16 @@
 				gets := 0
 				p.SetScript(func(c storetest.Call) storetest.Fault {
 					switch {
-					case c.Caller == "a" && c.Op == "put" && !overtaken:
+					case c.Caller == "a" && c.Op == "put" && !conflicting:
 						return storetest.LoseAnswer
 					case c.Caller == "a" && c.Op == "put":
 						_, err := b.Edit(t.Context(), base, config(2))
 						is.NoErr(err)
 						return storetest.LoseAnswer
 					case c.Caller == "a" && c.Op == "get":
-						if gets++; gets == 2 && !overtaken { // the first reading back
+						if gets++; gets == 2 && !conflicting { // the first reading back
 							for range 5 {
-								_, err := b.Edit(t.Context(), p0(p), config(2))
+								_, err := b.Edit(t.Context(), currentVersion(p), config(2))
 								is.NoErr(err)
 							}
 						}
@@ -95,7 +95,7 @@
 					return storetest.None
 				})
 				version, err := a.Edit(t.Context(), base, config(3))
-				if !overtaken {
+				if !conflicting {
 					is.NoErr(err)
 					is.Equal(version, base+1)
 					return
@@ -108,8 +108,8 @@
 	}
 }
 
-// p0 returns the present version of the shared object.
-func p0(p *storetest.Platform) uint64 {
+// currentVersion returns the present version of the shared object.
+func currentVersion(p *storetest.Platform) uint64 {
 	o, err := p.Client("test").Get(context.Background(), store.KindConfig, rollout.ObjectName)
 	if err != nil {
 		panic(err)
@@ -117,29 +117,29 @@
 	return o.Version
 }
 
-// forgetful is a peer that loses its first answers.
-type forgetful struct {
-	value rollout.VersionedValue
-	lose  int
+// lossyPeers is a peer that loses its first answers.
+type lossyPeers struct {
+	value    rollout.VersionedValue
+	failures int
 }
 
-func (f *forgetful) Config(context.Context, state.Member, rollout.Request) (rollout.VersionedValue, error) {
-	if f.lose > 0 {
-		f.lose--
+func (f *lossyPeers) Config(context.Context, state.Member, rollout.Request) (rollout.VersionedValue, error) {
+	if f.failures > 0 {
+		f.failures--
 		return rollout.VersionedValue{}, errors.New("lost by the test")
 	}
 	return f.value, nil
 }
 
-// TestLostFetchIsRepeated gives one hint only, with the platform down.
-func TestLostFetchIsRepeated(t *testing.T) {
+// TestFailedFetchIsRepeated gives one hint only, with the platform down.
+func TestFailedFetchIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
 		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.Refuse })
 		m, err := rollout.New(rollout.Options{
 			Self: state.HostID{Name: "a", Incarnation: "1"}, Store: p.Client("a"), Clock: clocktest.Bubble{},
-			Peers: &forgetful{value: rollout.VersionedValue{Version: 7, Value: config(1)}, lose: 2},
+			Peers: &lossyPeers{value: rollout.VersionedValue{Version: 7, Value: config(1)}, failures: 2},
 			Apply: func(*state.Config) bool { return true },
 		})
 		is.NoErr(err)
--- a/coordination/rollout/sim_test.go
+++ b/coordination/rollout/sim_test.go
@@ -20,22 +20,22 @@
 
 const (
 	fuzzHosts = 5
-	// within is how long an accepted edit may take to be in force everywhere.
-	within = 4 * time.Second
-	// invalid marks values that no host may put in force.
-	invalid = int64(-1)
+	// maxPropagation is how long an accepted edit may take to be in force everywhere.
+	maxPropagation = 4 * time.Second
+	// invalidMark marks values that no host may put in force.
+	invalidMark = int64(-1)
 )
 
 // step is one action of a schedule, on one host, after a pause. A fault that it
 // brings lasts for a while.
 type step struct {
-	After, For time.Duration
-	Do         string
-	Host       int
+	Pause, FaultDuration time.Duration
+	Action               string
+	Host                 int
 }
 
-// write is one version of the object as the platform's own history has it.
-type write struct {
+// storedVersion is one version of the object as the platform's own history has it.
+type storedVersion struct {
 	version, base uint64
 	mark          int64
 }
@@ -52,32 +52,32 @@
 	err     error
 }
 
-// run is one fuzzing run and its truth.
-type run struct {
+// simulation is one fuzzing simulation and its truth.
+type simulation struct {
 	*membertest.Fleet
 	ctx      context.Context
 	routines sync.WaitGroup
-	runs     int
+	starts   int
 
-	mu      sync.Mutex
-	history []write
-	ops     []porcupine.Operation
-	marks   int64
-	applied map[string]uint64
-	problem error
-	edits   int
-	began   time.Time
+	mu        sync.Mutex
+	history   []storedVersion
+	ops       []porcupine.Operation
+	lastMark  int64
+	applied   map[string]uint64
+	violation error
+	edits     int
+	startedAt time.Time
 }
 
 // runSchedule carries a schedule out and returns what it broke.
-func runSchedule(t *testing.T, seed uint64, steps []step, setup func(*rollout.Manager)) *run {
-	var r *run
+func runSchedule(t *testing.T, seed uint64, steps []step, setup func(*rollout.Manager)) *simulation {
+	var r *simulation
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(context.Background())
-		r = &run{ctx: ctx, applied: map[string]uint64{}, began: time.Now()}
+		r = &simulation{ctx: ctx, applied: map[string]uint64{}, startedAt: time.Now()}
 		r.Fleet = membertest.New(membertest.Options{
 			Seed: seed, LossShare: 0.1, DoubleShare: 0.1, MaxDelay: 300 * time.Millisecond,
-			LostAnswerShare: 0.1, Rollout: r.watchApplied,
+			LostAnswerShare: 0.1, Rollout: r.checkApplied,
 			Setup: func(h *membertest.Host) { setup(h.Rollout) },
 		})
 		r.routines.Go(r.observe)
@@ -86,10 +86,10 @@
 		}
 		time.Sleep(2 * time.Second)
 		for _, s := range steps {
-			time.Sleep(s.After)
-			r.do(s)
+			time.Sleep(s.Pause)
+			r.perform(s)
 		}
-		r.settle()
+		r.checkConvergence()
 		cancel()
 		r.Close()
 		r.routines.Wait()
@@ -98,16 +98,16 @@
 	return r
 }
 
-func (r *run) fail(format string, args ...any) {
+func (r *simulation) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.problem == nil {
-		r.problem = fmt.Errorf(format, args...)
+	if r.violation == nil {
+		r.violation = fmt.Errorf(format, args...)
 	}
 }
 
-// watchApplied checks every version that a run puts in force.
-func (r *run) watchApplied(o *rollout.Options) {
+// checkApplied checks every version that a run puts in force.
+func (r *simulation) checkApplied(o *rollout.Options) {
 	apply, self := o.Apply, o.Self.String()
 	o.Apply = func(c *state.Config) bool {
 		r.mu.Lock()
@@ -117,7 +117,7 @@
 		if c.Version <= last {
 			r.fail("%s went from version %d to %d", self, last, c.Version)
 		}
-		if w, ok := r.written(c.Version); ok && w.mark != c.Classes[0].DeadlineMillis {
+		if w, ok := r.findVersion(c.Version); ok && w.mark != c.Classes[0].DeadlineMillis {
 			r.fail("%s has another value in force as version %d than was written", self, c.Version)
 		}
 		return apply(c)
@@ -125,7 +125,7 @@
 }
 
 // observe keeps the platform's own history of the object.
-func (r *run) observe() {
+func (r *simulation) observe() {
 	client := r.Platform.Client(membertest.Observer)
 	var revision uint64
 	for {
@@ -136,22 +136,22 @@
 		revision = batch.Revision
 		r.mu.Lock()
 		for _, e := range batch.Events {
-			r.history = append(r.history, writeOf(e.Object))
+			r.history = append(r.history, parseObject(e.Object))
 		}
 		r.mu.Unlock()
 	}
 }
 
-func writeOf(o store.Object) write {
+func parseObject(o store.Object) storedVersion {
 	var e rollout.Envelope
 	var c state.Config
 	if json.Unmarshal(o.Value, &e) != nil || json.Unmarshal(e.Config, &c) != nil || len(c.Classes) == 0 {
-		return write{version: o.Version, mark: invalid}
+		return storedVersion{version: o.Version, mark: invalidMark}
 	}
-	return write{version: o.Version, base: e.Base, mark: c.Classes[0].DeadlineMillis}
+	return storedVersion{version: o.Version, base: e.Base, mark: c.Classes[0].DeadlineMillis}
 }
 
-func (r *run) written(version uint64) (write, bool) {
+func (r *simulation) findVersion(version uint64) (storedVersion, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, w := range r.history {
@@ -159,46 +159,46 @@
 			return w, true
 		}
 	}
-	return write{}, false
+	return storedVersion{}, false
 }
 
-func (r *run) start(i int) *membertest.Host {
-	r.runs++
-	return r.Start(membertest.Name(i), fmt.Sprintf("%04d", r.runs))
+func (r *simulation) start(i int) *membertest.Host {
+	r.starts++
+	return r.Start(membertest.Name(i), fmt.Sprintf("%04d", r.starts))
 }
 
-func (r *run) do(s step) {
+func (r *simulation) perform(s step) {
 	name := membertest.Name(s.Host)
 	h := r.Host(name)
-	switch s.Do {
+	switch s.Action {
 	case "platform down":
 		r.SetPlatform(true, membertest.Everyone)
-		r.later(s.For, func() { r.SetPlatform(false, membertest.Everyone) })
+		r.undoAfter(s.FaultDuration, func() { r.SetPlatform(false, membertest.Everyone) })
 	case "host platform down":
 		r.SetPlatform(true, name)
-		r.later(s.For, func() { r.SetPlatform(false, name) })
+		r.undoAfter(s.FaultDuration, func() { r.SetPlatform(false, name) })
 	case "cut":
 		r.SetGroup(s.Host+1, name)
-		r.later(s.For, func() { r.SetGroup(0, name) })
+		r.undoAfter(s.FaultDuration, func() { r.SetGroup(0, name) })
 	case "start":
 		if h == nil {
 			r.start(s.Host)
 		}
 	case "write an invalid value":
-		r.vandalise()
+		r.writeInvalid()
 	}
 	if h != nil {
-		r.doHost(s, h)
+		r.performOnHost(s, h)
 	}
 }
 
-func (r *run) doHost(s step, h *membertest.Host) {
-	switch s.Do {
+func (r *simulation) performOnHost(s step, h *membertest.Host) {
+	switch s.Action {
 	case "kill":
 		h.Kill()
 	case "pause":
 		h.Pause()
-		r.later(s.For, h.Resume)
+		r.undoAfter(s.FaultDuration, h.Resume)
 	case "edit":
 		r.routines.Go(func() { r.edit(h, r.read(h)) })
 	case "edit on what is in force":
@@ -208,11 +208,11 @@
 			r.routines.Go(func() { r.edit(other, r.read(other)) })
 		}
 	case "last platform":
-		r.checkSpread(h)
+		r.checkPropagation(h)
 	}
 }
 
-func (r *run) later(after time.Duration, undo func()) {
+func (r *simulation) undoAfter(after time.Duration, undo func()) {
 	r.routines.Go(func() {
 		if (clocktest.Bubble{}).Sleep(r.ctx, after) == nil {
 			undo()
@@ -220,8 +220,8 @@
 	})
 }
 
-// vandalise writes a value that isn't valid, past Edit.
-func (r *run) vandalise() {
+// writeInvalid writes a value that isn't valid, past Edit.
+func (r *simulation) writeInvalid() {
 	client := r.Platform.Client(membertest.Observer)
 	o, err := client.Get(r.ctx, store.KindConfig, rollout.ObjectName)
 	if err == nil {
@@ -230,7 +230,7 @@
 }
 
 // read reads the present version as an operator's tool would.
-func (r *run) read(h *membertest.Host) uint64 {
+func (r *simulation) read(h *membertest.Host) uint64 {
 	called := time.Now()
 	o, err := h.Store.Get(h.Context, store.KindConfig, rollout.ObjectName)
 	if err == nil || errors.Is(err, store.ErrNotFound) {
@@ -240,10 +240,10 @@
 }
 
 // edit makes one edit and notes what was said of it.
-func (r *run) edit(h *membertest.Host, base uint64) (uint64, error) {
+func (r *simulation) edit(h *membertest.Host, base uint64) (uint64, error) {
 	r.mu.Lock()
-	r.marks++
-	mark := r.marks
+	r.lastMark++
+	mark := r.lastMark
 	r.mu.Unlock()
 	called := time.Now()
 	version, err := h.Rollout.Edit(h.Context, base, config(mark))
@@ -251,12 +251,12 @@
 	return version, err
 }
 
-func (r *run) record(in input, out output, called time.Time) {
+func (r *simulation) record(in input, out output, called time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	op := porcupine.Operation{
 		ClientId: len(r.ops), Input: in, Output: out,
-		Call: called.Sub(r.began).Nanoseconds(), Return: time.Since(r.began).Nanoseconds(),
+		Call: called.Sub(r.startedAt).Nanoseconds(), Return: time.Since(r.startedAt).Nanoseconds(),
 	}
 	r.ops = append(r.ops, op)
 	if out.err == nil && !in.read {
@@ -264,12 +264,12 @@
 	}
 }
 
-// checkSpread takes the platform away from all hosts but one, which makes an
+// checkPropagation takes the platform away from all hosts but one, which makes an
 // edit: all others that run must have it in force in time. So must a host that
 // starts then.
-func (r *run) checkSpread(h *membertest.Host) {
-	r.heal()
-	defer r.heal()
+func (r *simulation) checkPropagation(h *membertest.Host) {
+	r.clearFaults()
+	defer r.clearFaults()
 	for i := range fuzzHosts {
 		r.SetPlatform(membertest.Name(i) != h.ID.Name, membertest.Name(i))
 	}
@@ -279,16 +279,16 @@
 		return // its answers were lost
 	}
 	late := r.start(fuzzHosts)
-	time.Sleep(within)
+	time.Sleep(maxPropagation)
 	for _, other := range r.Hosts() {
 		if other.Rollout.Version() < version {
-			r.fail("%v has version %d in force %v after version %d was accepted", other.ID, other.Rollout.Version(), within, version)
+			r.fail("%v has version %d in force %v after version %d was accepted", other.ID, other.Rollout.Version(), maxPropagation, version)
 		}
 	}
 	late.Kill()
 }
 
-func (r *run) heal() {
+func (r *simulation) clearFaults() {
 	r.SetPlatform(false, membertest.Everyone)
 	for i := range fuzzHosts {
 		r.SetPlatform(false, membertest.Name(i))
@@ -299,15 +299,15 @@
 	}
 }
 
-// settle lets all faults pass; then all hosts must have the highest valid version.
-func (r *run) settle() {
+// checkConvergence lets all faults pass; then all hosts must have the highest valid version.
+func (r *simulation) checkConvergence() {
 	time.Sleep(16 * time.Second)
-	r.heal()
+	r.clearFaults()
 	time.Sleep(10 * time.Second)
-	highest := write{}
+	highest := storedVersion{}
 	r.mu.Lock()
 	for _, w := range r.history {
-		if w.mark != invalid && w.version > highest.version {
+		if w.mark != invalidMark && w.version > highest.version {
 			highest = w
 		}
 	}
