--- a/coordination/rollout/follow.go
+++ b/coordination/rollout/follow.go
@@ -15,8 +15,8 @@
 	minRetryPause = 250 * time.Millisecond
 	maxRetryPause = 2 * time.Second
 	// peerFetchDelay is the delay before a higher version is fetched from a peer. It
-	// leaves time for the version to arrive through the platform's watch. A host that has
-	// no configuration yet fetches without it.
+	// leaves time for the version to arrive through the platform's watch. A host
+	// without a configuration fetches at once.
 	peerFetchDelay = 200 * time.Millisecond
 	// maxHintFetches bounds the fetches that one signal on hintSignal causes.
 	maxHintFetches = 5
--- a/coordination/rollout/fuzz_test.go
+++ b/coordination/rollout/fuzz_test.go
@@ -8,11 +8,13 @@
 	"pgregory.net/rapid"
 )
 
+// stepActions lists the actions of a step; a repeated one is drawn more often.
 var stepActions = []string{
 	"edit", "edit", "edit", "edit on what is in force", "race", "write an invalid value",
 	"platform down", "host platform down", "kill", "start", "start", "cut", "pause", "last platform",
 }
 
+// schedules generates random schedules of 10 to 25 steps.
 var schedules = rapid.SliceOfN(rapid.Custom(func(t *rapid.T) step {
 	return step{
 		Pause:         rapid.SampledFrom([]time.Duration{0, 50 * time.Millisecond, 500 * time.Millisecond, 2 * time.Second, 4 * time.Second}).Draw(t, "after"),
@@ -22,8 +24,10 @@
 	}
 }), 10, 25)
 
-// TestHoldsConfigNeverReverts runs schedules of racing edits, outages,
-// lost answers, restarts, cuts and pauses.
+// TestHoldsConfigNeverReverts runs random schedules of racing edits, platform
+// outages, lost answers, restarts, network partitions and paused hosts. It guards
+// against a host that returns to a lower version, an edit whose reported outcome is
+// wrong, a history that isn't linearizable and hosts that don't converge.
 func TestHoldsConfigNeverReverts(t *testing.T) {
 	var seed uint64
 	var edits, ops int
@@ -40,6 +44,8 @@
 	t.Logf("%d runs: %d edits accepted, %d operations", seed, edits, ops)
 }
 
+// TestRolloutFaultsAreDetected shows that the checks of the schedules detect faults
+// injected into the manager.
 func TestRolloutFaultsAreDetected(t *testing.T) {
 	const maxRuns = 100
 	for name, setup := range map[string]func(*rollout.Manager){
@@ -50,11 +56,11 @@
 			t.Parallel()
 			for n := 1; n <= maxRuns; n++ {
 				if r := runSchedule(t, uint64(n), schedules.Example(n), setup); r.violation != nil {
-					t.Logf("found after %d runs: %v", n, r.violation)
+					t.Logf("detected after %d runs: %v", n, r.violation)
 					return
 				}
 			}
-			t.Fatalf("not found in %d runs", maxRuns)
+			t.Fatalf("fault not detected in %d runs", maxRuns)
 		})
 	}
 }
--- a/coordination/rollout/history_test.go
+++ b/coordination/rollout/history_test.go
@@ -8,8 +8,8 @@
 	"github.com/thymerack/thymerack/coordination/rollout"
 )
 
-// checkHistory compares what was said of the edits with the platform's own
-// history, and checks that the register is linearizable.
+// checkHistory compares the reported outcome of each edit with the history of
+// writes at the platform, and checks that the history of operations is linearizable.
 func (r *simulation) checkHistory() {
 	committed := map[int64]storedVersion{}
 	for _, w := range r.history {
@@ -24,9 +24,9 @@
 		var unknown *rollout.EditUnknownError
 		switch {
 		case out.err == nil && (!ok || w.version != out.version || w.base != in.base):
-			r.fail("edit %d on %d was reported accepted as version %d; the platform has %+v", in.mark, in.base, out.version, w)
+			r.fail("edit %d on %d was reported as accepted with version %d; the platform has %+v", in.mark, in.base, out.version, w)
 		case out.err != nil && ok && !errors.As(out.err, &unknown) && !errors.Is(out.err, context.Canceled):
-			r.fail("edit %d was reported as not made (%v); the platform has it as version %d", in.mark, out.err, w.version)
+			r.fail("edit %d was reported as failed (%v); the platform has it as version %d", in.mark, out.err, w.version)
 		}
 	}
 	if r.violation == nil && !porcupine.CheckOperations(r.registerModel(committed), r.ops) {
@@ -34,12 +34,13 @@
 	}
 }
 
-// registerModel is a registerModel with conditional updates whose state is the version.
-// What became of an edit of unknown outcome is taken from the platform's history.
-// Invalid values are written past Edit and change the version at any time, so
-// versions of such writes are left out of what is compared.
+// registerModel models the configuration as a register with conditional updates
+// whose state is the version. The outcome of an edit that reported it as unknown is
+// taken from the platform's history. Invalid values are written directly to the
+// platform, not through Edit, and aren't recorded as operations. They can change the
+// version at any time, so the model allows them before every operation.
 func (r *simulation) registerModel(committed map[int64]storedVersion) porcupine.Model {
-	bypassed := map[uint64]uint64{} // version -> next version, for writes past Edit
+	bypassed := map[uint64]uint64{} // version -> next version, for writes not made through Edit
 	for i, w := range r.history {
 		if w.mark == invalidMark && i > 0 {
 			bypassed[r.history[i-1].version] = w.version
@@ -54,20 +55,24 @@
 	return model.ToModel()
 }
 
+// stepRegister returns the states that the register may have after an operation in
+// state s: the operation may follow any number of the writes that bypassed Edit.
 func stepRegister(s uint64, in input, out output, committed map[int64]storedVersion, bypassed map[uint64]uint64) []any {
 	var states []any
 	for at := s; ; {
 		if ok, version := stepFrom(at, in, out, committed); ok {
 			states = append(states, version)
 		}
-		successor, ok := bypassed[at]
-		if !ok {
+		successor, found := bypassed[at]
+		if !found {
 			return states
 		}
 		at = successor
 	}
 }
 
+// stepFrom reports whether an operation is possible at version at, and returns the
+// version after it.
 func stepFrom(at uint64, in input, out output, committed map[int64]storedVersion) (bool, uint64) {
 	if in.read {
 		return out.version == at, at
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -19,13 +19,15 @@
 
 func TestMain(m *testing.M) { fuzztest.Main(m, fuzztest.Defaults{Seed: 20260101, Checks: 15}) }
 
-// unreachablePeers answers for peers that can't be reached.
+// unreachablePeers implements rollout.Peers; every fetch fails.
 type unreachablePeers struct{}
 
 func (unreachablePeers) Config(context.Context, state.Member, rollout.Request) (rollout.VersionedValue, error) {
 	return rollout.VersionedValue{}, errors.New("no peer")
 }
 
+// newManager returns a manager without reachable peers whose Check refuses every
+// configuration that has policies.
 func newManager(t *testing.T, s store.Store, name string) *rollout.Manager {
 	t.Helper()
 	m, err := rollout.New(rollout.Options{
@@ -44,6 +46,8 @@
 	return m
 }
 
+// TestEditsOnAnOldVersionAreRefused guards against an edit that overwrites a version
+// its author hasn't read, and against one with a misspelt field.
 func TestEditsOnAnOldVersionAreRefused(t *testing.T) {
 	is := is.New(t)
 	p := storetest.NewPlatform(time.Second)
@@ -63,12 +67,13 @@
 	is.Equal(m.Version(), second)
 }
 
-// TestEditWithLostAnswerIsReadBack loses the answer of an edit and lets other edits follow
-// before it is read back: the edit must be recognised as accepted, with the
-// version it made, or as refused if another came first.
+// TestEditWithLostAnswerIsReadBack guards against a wrong result for an edit whose
+// answer is lost. If other edits follow before it is read back, it must be reported
+// as accepted with the version that it created. If another edit on the same base
+// came first, it must be reported as a conflict.
 func TestEditWithLostAnswerIsReadBack(t *testing.T) {
 	for _, conflicting := range []bool{false, true} {
-		t.Run(fmt.Sprintf("overtaken=%v", conflicting), func(t *testing.T) {
+		t.Run(fmt.Sprintf("conflicting=%v", conflicting), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				p := storetest.NewPlatform(time.Second)
@@ -85,7 +90,7 @@
 						is.NoErr(err)
 						return storetest.LoseAnswer
 					case c.Caller == "a" && c.Op == "get":
-						if gets++; gets == 2 && !conflicting { // the first reading back
+						if gets++; gets == 2 && !conflicting { // the first read after the write
 							for range 5 {
 								_, err := b.Edit(t.Context(), currentVersion(p), config(2))
 								is.NoErr(err)
@@ -108,7 +113,7 @@
 	}
 }
 
-// currentVersion returns the present version of the shared object.
+// currentVersion returns the version of the configuration object.
 func currentVersion(p *storetest.Platform) uint64 {
 	o, err := p.Client("test").Get(context.Background(), store.KindConfig, rollout.ObjectName)
 	if err != nil {
@@ -117,7 +122,8 @@
 	return o.Version
 }
 
-// lossyPeers is a peer that loses its first answers.
+// lossyPeers implements rollout.Peers. As many fetches as failures fail, and later
+// ones return value.
 type lossyPeers struct {
 	value    rollout.VersionedValue
 	failures int
@@ -131,7 +137,8 @@
 	return f.value, nil
 }
 
-// TestFailedFetchIsRepeated gives one hint only, with the platform down.
+// TestFailedFetchIsRepeated guards against a version that is never applied because
+// the fetch after its only hint failed while the platform was unavailable.
 func TestFailedFetchIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -157,6 +164,8 @@
 	})
 }
 
+// TestInvalidObjectIsRefusedAndReported guards against an invalid object that
+// replaces the version in force, isn't reported, or can't be replaced by an edit.
 func TestInvalidObjectIsRefusedAndReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/coordination/rollout/sim_test.go
+++ b/coordination/rollout/sim_test.go
@@ -20,39 +20,44 @@
 
 const (
 	fuzzHosts = 5
-	// maxPropagation is how long an accepted edit may take to be in force everywhere.
+	// maxPropagation is the longest time that an accepted edit may take to be in
+	// force on all running hosts.
 	maxPropagation = 4 * time.Second
-	// invalidMark marks values that no host may put in force.
+	// invalidMark is the mark of values that no host may put in force.
 	invalidMark = int64(-1)
 )
 
-// step is one action of a schedule, on one host, after a pause. A fault that it
-// brings lasts for a while.
+// step is one action of a schedule on one host. It is performed after Pause; a
+// fault that it injects is removed after FaultDuration.
 type step struct {
 	Pause, FaultDuration time.Duration
 	Action               string
 	Host                 int
 }
 
-// storedVersion is one version of the object as the platform's own history has it.
+// storedVersion is one version of the object in the platform's history. mark
+// identifies the configuration: each edit writes a different one.
 type storedVersion struct {
 	version, base uint64
 	mark          int64
 }
 
-// input and output are those of an operation on the configuration register.
+// input is the input of an operation on the configuration register: a read, or an
+// edit on base that writes the configuration with this mark.
 type input struct {
 	read bool
 	base uint64
 	mark int64
 }
 
+// output is the result of an operation on the configuration register.
 type output struct {
-	version uint64 // read, or made by an accepted edit
+	version uint64 // read, or created by an accepted edit
 	err     error
 }
 
-// simulation is one fuzzing simulation and its truth.
+// simulation is one run of a schedule. It records the operations and, independently
+// of the hosts, the platform's history of the object.
 type simulation struct {
 	*membertest.Fleet
 	ctx      context.Context
@@ -69,7 +74,8 @@
 	startedAt time.Time
 }
 
-// runSchedule carries a schedule out and returns what it broke.
+// runSchedule runs a schedule and checks it. The first violation is in the field
+// violation of the result.
 func runSchedule(t *testing.T, seed uint64, steps []step, setup func(*rollout.Manager)) *simulation {
 	var r *simulation
 	synctest.Test(t, func(t *testing.T) {
@@ -98,6 +104,7 @@
 	return r
 }
 
+// fail records the first violation.
 func (r *simulation) fail(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -106,7 +113,8 @@
 	}
 }
 
-// checkApplied checks every version that a run puts in force.
+// checkApplied wraps Apply to check that each host applies increasing versions, with
+// the values that were written.
 func (r *simulation) checkApplied(o *rollout.Options) {
 	apply, self := o.Apply, o.Self.String()
 	o.Apply = func(c *state.Config) bool {
@@ -115,16 +123,16 @@
 		r.applied[self] = c.Version
 		r.mu.Unlock()
 		if c.Version <= last {
-			r.fail("%s went from version %d to %d", self, last, c.Version)
+			r.fail("%s replaced version %d by version %d, which is not higher", self, last, c.Version)
 		}
 		if w, ok := r.findVersion(c.Version); ok && w.mark != c.Classes[0].DeadlineMillis {
-			r.fail("%s has another value in force as version %d than was written", self, c.Version)
+			r.fail("%s has a value in force as version %d that isn't the one written", self, c.Version)
 		}
 		return apply(c)
 	}
 }
 
-// observe keeps the platform's own history of the object.
+// observe records the platform's history of the object.
 func (r *simulation) observe() {
 	client := r.Platform.Client(membertest.Observer)
 	var revision uint64
@@ -142,6 +150,8 @@
 	}
 }
 
+// parseObject returns the version of a stored object, marked with invalidMark if it
+// has no valid envelope and configuration.
 func parseObject(o store.Object) storedVersion {
 	var e rollout.Envelope
 	var c state.Config
@@ -151,6 +161,8 @@
 	return storedVersion{version: o.Version, base: e.Base, mark: c.Classes[0].DeadlineMillis}
 }
 
+// findVersion returns a version from the platform's history, and false if it isn't
+// there yet.
 func (r *simulation) findVersion(version uint64) (storedVersion, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -162,11 +174,14 @@
 	return storedVersion{}, false
 }
 
+// start starts host i with a new incarnation.
 func (r *simulation) start(i int) *membertest.Host {
 	r.starts++
 	return r.Start(membertest.Name(i), fmt.Sprintf("%04d", r.starts))
 }
 
+// perform performs a step. An action that needs a running host is skipped if the
+// host isn't running.
 func (r *simulation) perform(s step) {
 	name := membertest.Name(s.Host)
 	h := r.Host(name)
@@ -192,6 +207,7 @@
 	}
 }
 
+// performOnHost performs the actions that need a running host.
 func (r *simulation) performOnHost(s step, h *membertest.Host) {
 	switch s.Action {
 	case "kill":
@@ -212,6 +228,7 @@
 	}
 }
 
+// undoAfter calls undo after a delay, unless the simulation ends first.
 func (r *simulation) undoAfter(after time.Duration, undo func()) {
 	r.routines.Go(func() {
 		if (clocktest.Bubble{}).Sleep(r.ctx, after) == nil {
@@ -220,7 +237,7 @@
 	})
 }
 
-// writeInvalid writes a value that isn't valid, past Edit.
+// writeInvalid writes an invalid value directly to the platform, not through Edit.
 func (r *simulation) writeInvalid() {
 	client := r.Platform.Client(membertest.Observer)
 	o, err := client.Get(r.ctx, store.KindConfig, rollout.ObjectName)
@@ -229,7 +246,8 @@
 	}
 }
 
-// read reads the present version as an operator's tool would.
+// read reads the current version through the host's store, as an operator's tool
+// would.
 func (r *simulation) read(h *membertest.Host) uint64 {
 	called := time.Now()
 	o, err := h.Store.Get(h.Context, store.KindConfig, rollout.ObjectName)
@@ -239,7 +257,7 @@
 	return o.Version
 }
 
-// edit makes one edit and notes what was said of it.
+// edit makes one edit and records its reported outcome.
 func (r *simulation) edit(h *membertest.Host, base uint64) (uint64, error) {
 	r.mu.Lock()
 	r.lastMark++
@@ -251,6 +269,7 @@
 	return version, err
 }
 
+// record adds an operation that began at called and ends now.
 func (r *simulation) record(in input, out output, called time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -264,9 +283,9 @@
 	}
 }
 
-// checkPropagation takes the platform away from all hosts but one, which makes an
-// edit: all others that run must have it in force in time. So must a host that
-// starts then.
+// checkPropagation makes an edit on the only host that can reach the platform. All
+// other running hosts must have it in force within maxPropagation, and so must a
+// host that starts after the edit.
 func (r *simulation) checkPropagation(h *membertest.Host) {
 	r.clearFaults()
 	defer r.clearFaults()
@@ -288,6 +307,7 @@
 	late.Kill()
 }
 
+// clearFaults removes all outages and partitions and resumes paused hosts.
 func (r *simulation) clearFaults() {
 	r.SetPlatform(false, membertest.Everyone)
 	for i := range fuzzHosts {
@@ -299,7 +319,8 @@
 	}
 }
 
-// checkConvergence lets all faults pass; then all hosts must have the highest valid version.
+// checkConvergence lets all faults end and then checks that all hosts have the
+// highest valid version in force.
 func (r *simulation) checkConvergence() {
 	time.Sleep(16 * time.Second)
 	r.clearFaults()
@@ -319,7 +340,8 @@
 	}
 }
 
-// config returns a valid configuration that is told apart by its class's deadline.
+// config returns a valid configuration that is identified by its mark, the deadline
+// of its class.
 func config(mark int64) []byte {
 	c := state.Config{
 		Services: []state.Service{{Name: "s", Kind: state.KindService}},
