--- a/coordination/rollout/doc.go
+++ b/coordination/rollout/doc.go
@@ -20,7 +20,7 @@
 // # Crashes
 //
 // If a host crashes between the write and its answer, the edit may be accepted
-// although its author gets no result. Hosts apply it like any other edit. The
-// applied version isn't kept across a restart: a restarted host has no
-// configuration until it applies the highest version that it finds.
+// although its author gets no result. Hosts apply it like any other edit. A
+// restarted host has no configuration in force until it applies the highest
+// version that it finds.
 package rollout
--- a/coordination/rollout/envelope.go
+++ b/coordination/rollout/envelope.go
@@ -23,8 +23,9 @@
 	// Author is the name of the host that wrote the edit.
 	Author string `json:"author"`
 	// PriorEdits lists up to maxPriorEdits earlier edits, the latest first.
-	PriorEdits []EditRecord    `json:"trail,omitempty"`
-	Config     json.RawMessage `json:"config"`
+	PriorEdits []EditRecord `json:"trail,omitempty"`
+	// Config is the configuration, an encoded state.Config.
+	Config json.RawMessage `json:"config"`
 }
 
 // EditRecord identifies a prior edit.
--- a/coordination/rollout/sim_test.go
+++ b/coordination/rollout/sim_test.go
@@ -123,7 +123,7 @@
 		r.applied[self] = c.Version
 		r.mu.Unlock()
 		if c.Version <= last {
-			r.fail("%s replaced version %d by version %d, which is not higher", self, last, c.Version)
+			r.fail("%s went from version %d to %d", self, last, c.Version)
 		}
 		if w, ok := r.findVersion(c.Version); ok && w.mark != c.Classes[0].DeadlineMillis {
 			r.fail("%s has a value in force as version %d that isn't the one written", self, c.Version)
