--- a/coordination/rollout/follow.go
+++ b/coordination/rollout/follow.go
@@ -10,35 +10,40 @@
 )
 
 const (
-	// retryMin and retryMax bound the pause after a failed platform call.
-	retryMin = 250 * time.Millisecond
-	retryMax = 2 * time.Second
-	// peerGrace is how long the platform's own watch is given before a peer that
-	// has a higher version is asked for it.
-	peerGrace = 200 * time.Millisecond
-	// fetchTries bounds the fetches that follow one hint.
-	fetchTries = 5
+	// minRetryPause and maxRetryPause bound the exponential backoff after a failed
+	// platform call.
+	minRetryPause = 250 * time.Millisecond
+	maxRetryPause = 2 * time.Second
+	// peerFetchDelay is the delay before a higher version is fetched from a peer. It
+	// leaves time for the version to arrive through the platform's watch. A host
+	// without a configuration fetches at once.
+	peerFetchDelay = 200 * time.Millisecond
+	// maxHintFetches bounds the fetches that one signal on hintSignal causes.
+	maxHintFetches = 5
 )
 
-var errGap = errors.New("the watch missed changes; list the kind again")
+var errWatchGap = errors.New("the watch missed changes; list the kind again")
 
-// watch follows the object at the platform until ctx ends.
+// watch keeps up with the object at the platform until ctx ends: it lists the kind,
+// then watches for changes, and lists again after a gap or an error.
 func (m *Manager) watch(ctx context.Context) {
-	pause := retryMin
+	pause := minRetryPause
 	for ctx.Err() == nil {
 		revision, err := m.list(ctx)
 		for err == nil {
-			pause = retryMin
+			pause = minRetryPause
 			revision, err = m.watchOnce(ctx, revision)
 		}
-		if errors.Is(err, errGap) {
+		if errors.Is(err, errWatchGap) {
 			continue
 		}
 		_ = m.opts.Clock.Sleep(ctx, m.jitter(pause))
-		pause = min(2*pause, retryMax)
+		pause = min(2*pause, maxRetryPause)
 	}
 }
 
+// list applies the platform's current object and returns the revision from which to
+// watch.
 func (m *Manager) list(ctx context.Context) (uint64, error) {
 	sent := m.opts.Clock.Now()
 	objects, revision, err := m.opts.Store.List(ctx, store.KindConfig)
@@ -47,11 +52,13 @@
 	}
 	m.opts.HeardPlatform(sent)
 	for _, o := range objects {
-		m.take(o)
+		m.applyObject(o)
 	}
 	return revision, nil
 }
 
+// watchOnce applies one batch of changes after a revision and returns the revision
+// of the batch. It returns errWatchGap if the platform no longer has all of them.
 func (m *Manager) watchOnce(ctx context.Context, after uint64) (uint64, error) {
 	sent := m.opts.Clock.Now()
 	batch, err := m.opts.Store.Watch(ctx, store.KindConfig, after)
@@ -60,26 +67,27 @@
 	}
 	m.opts.HeardPlatform(sent)
 	if batch.Gap {
-		return 0, errGap
+		return 0, errWatchGap
 	}
 	for _, e := range batch.Events {
 		if !e.Deleted {
-			m.take(e.Object)
+			m.applyObject(e.Object)
 		}
 	}
 	return batch.Revision, nil
 }
 
-// take offers the shared object. A deleted object changes nothing: the version in
-// force stays until a higher one is written.
-func (m *Manager) take(o store.Object) {
+// applyObject applies the configuration object if its version is higher, and ignores
+// other objects. Callers skip deletions: the version in force stays until a higher
+// one is written.
+func (m *Manager) applyObject(o store.Object) {
 	if o.Name == ObjectName {
-		m.offer(Versioned{Version: o.Version, Value: o.Value}, "")
+		m.applyIfHigher(VersionedValue{Version: o.Version, Value: o.Value}, "")
 	}
 }
 
-// Hint tells that a host has a version in force; one that is higher than the one
-// here is fetched. It never blocks.
+// Hint reports that another host has a version in force. If it is higher than the
+// local one, Run fetches it from that host. Hint never blocks.
 func (m *Manager) Hint(from state.Member, version uint64) {
 	m.mu.Lock()
 	if version > m.inForce.Version && version >= m.hint.version {
@@ -87,61 +95,64 @@
 	}
 	m.mu.Unlock()
 	select {
-	case m.hints <- struct{}{}:
+	case m.hintSignal <- struct{}{}:
 	default:
 	}
 }
 
-// fetchHints fetches the versions that are hinted at, until ctx ends.
+// fetchHints fetches the versions passed to Hint until ctx ends.
 func (m *Manager) fetchHints(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-m.hints:
-			m.chase(ctx)
+		case <-m.hintSignal:
+			m.fetchHinted(ctx)
 		}
 	}
 }
 
-// chase fetches the version hinted at. A fetch that fails is repeated, from the
-// host that gave the latest hint: hints come with changes of a host's entry only,
-// so the next one may be a second away.
-func (m *Manager) chase(ctx context.Context) {
-	for range fetchTries {
-		if !m.wantsHint(m.takeHint(false)) {
+// fetchHinted fetches the hinted version and applies it. A failed fetch is repeated
+// from the host of the latest hint, without waiting for another hint: hints come
+// only when a host's entry changes, so the next one may be a second away.
+func (m *Manager) fetchHinted(ctx context.Context) {
+	for range maxHintFetches {
+		if !m.isHintCandidate(m.pendingHint(false)) {
 			return
 		}
-		if m.Version() > 0 && m.opts.Clock.Sleep(ctx, m.jitter(peerGrace)) != nil {
+		if m.Version() > 0 && m.opts.Clock.Sleep(ctx, m.jitter(peerFetchDelay)) != nil {
 			return
 		}
-		m.fetch(ctx, m.takeHint(false))
+		m.fetch(ctx, m.pendingHint(false))
 	}
-	m.takeHint(true)
+	m.pendingHint(true)
 }
 
-// takeHint returns the hint and, if asked, forgets it.
-func (m *Manager) takeHint(forget bool) hint {
+// pendingHint returns the latest hint, and clears it if reset is set.
+func (m *Manager) pendingHint(reset bool) hint {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	h := m.hint
-	if forget {
+	if reset {
 		m.hint = hint{}
 	}
 	return h
 }
 
-func (m *Manager) wantsHint(h hint) bool { return m.wants(h.version, h.from.ID.String()) }
+// isHintCandidate reports whether the hinted version is to be fetched.
+func (m *Manager) isHintCandidate(h hint) bool { return m.isCandidate(h.version, h.from.ID.String()) }
 
+// fetch fetches the configuration from the host of the hint and applies it if its
+// version is higher than the one in force. A failed fetch has no effect.
 func (m *Manager) fetch(ctx context.Context, h hint) {
-	if !m.wantsHint(h) {
+	if !m.isHintCandidate(h) {
 		return
 	}
-	ctx, cancel := m.deadline(ctx, m.opts.FetchTimeout)
+	ctx, cancel := m.withTimeout(ctx, m.opts.FetchTimeout)
 	defer cancel()
 	v, err := m.opts.Peers.Config(ctx, h.from, Request{Above: m.Version()})
 	if err != nil || v.Version == 0 {
 		return
 	}
-	m.offer(v, h.from.ID.String())
+	m.applyIfHigher(v, h.from.ID.String())
 }
--- a/coordination/rollout/history_test.go
+++ b/coordination/rollout/history_test.go
@@ -8,75 +8,82 @@
 	"github.com/thymerack/thymerack/coordination/rollout"
 )
 
-// checkHistory compares what was said of the edits with the platform's own
-// history, and checks that the register is linearizable.
-func (r *run) checkHistory() {
-	made := map[int64]write{}
+// checkHistory compares the reported outcome of each edit with the history of
+// writes at the platform, and checks that the history of operations is linearizable.
+func (r *simulation) checkHistory() {
+	committed := map[int64]storedVersion{}
 	for _, w := range r.history {
-		made[w.mark] = w
+		committed[w.mark] = w
 	}
 	for _, op := range r.ops {
 		in, out := op.Input.(input), op.Output.(output)
 		if in.read {
 			continue
 		}
-		w, ok := made[in.mark]
+		w, ok := committed[in.mark]
 		var unknown *rollout.EditUnknownError
 		switch {
 		case out.err == nil && (!ok || w.version != out.version || w.base != in.base):
-			r.fail("edit %d on %d was reported accepted as version %d; the platform has %+v", in.mark, in.base, out.version, w)
+			r.fail("edit %d on %d was reported as accepted with version %d; the platform has %+v", in.mark, in.base, out.version, w)
 		case out.err != nil && ok && !errors.As(out.err, &unknown) && !errors.Is(out.err, context.Canceled):
-			r.fail("edit %d was reported as not made (%v); the platform has it as version %d", in.mark, out.err, w.version)
+			r.fail("edit %d was reported as failed (%v); the platform has it as version %d", in.mark, out.err, w.version)
 		}
 	}
-	if r.problem == nil && !porcupine.CheckOperations(r.register(made), r.ops) {
+	if r.violation == nil && !porcupine.CheckOperations(r.registerModel(committed), r.ops) {
 		r.fail("the history of the register isn't linearizable")
 	}
 }
 
-// register is a register with conditional updates whose state is the version.
-// What became of an edit of unknown outcome is taken from the platform's history.
-// Invalid values are written past Edit and change the version at any time, so
-// versions of such writes are left out of what is compared.
-func (r *run) register(made map[int64]write) porcupine.Model {
-	after := map[uint64]uint64{} // version -> next version, for writes past Edit
+// registerModel models the configuration as a register with conditional updates
+// whose state is the version. The outcome of an edit that reported it as unknown is
+// taken from the platform's history. Invalid values are written directly to the
+// platform, not through Edit, and aren't recorded as operations. They can change the
+// version at any time, so the model allows them before every operation.
+func (r *simulation) registerModel(committed map[int64]storedVersion) porcupine.Model {
+	bypassed := map[uint64]uint64{} // version -> next version, for writes not made through Edit
 	for i, w := range r.history {
-		if w.mark == invalid && i > 0 {
-			after[r.history[i-1].version] = w.version
+		if w.mark == invalidMark && i > 0 {
+			bypassed[r.history[i-1].version] = w.version
 		}
 	}
 	model := porcupine.NondeterministicModel{
 		Init: func() []any { return []any{uint64(0)} },
-		Step: func(s, in, out any) []any { return stepRegister(s.(uint64), in.(input), out.(output), made, after) },
+		Step: func(s, in, out any) []any {
+			return stepRegister(s.(uint64), in.(input), out.(output), committed, bypassed)
+		},
 	}
 	return model.ToModel()
 }
 
-func stepRegister(s uint64, in input, out output, made map[int64]write, after map[uint64]uint64) []any {
-	var next []any
+// stepRegister returns the states that the register may have after an operation in
+// state s: the operation may follow any number of the writes that bypassed Edit.
+func stepRegister(s uint64, in input, out output, committed map[int64]storedVersion, bypassed map[uint64]uint64) []any {
+	var states []any
 	for at := s; ; {
-		if ok, version := stepFrom(at, in, out, made); ok {
-			next = append(next, version)
+		if ok, version := stepFrom(at, in, out, committed); ok {
+			states = append(states, version)
 		}
-		then, more := after[at]
-		if !more {
-			return next
+		successor, found := bypassed[at]
+		if !found {
+			return states
 		}
-		at = then
+		at = successor
 	}
 }
 
-func stepFrom(at uint64, in input, out output, made map[int64]write) (bool, uint64) {
+// stepFrom reports whether an operation is possible at version at, and returns the
+// version after it.
+func stepFrom(at uint64, in input, out output, committed map[int64]storedVersion) (bool, uint64) {
 	if in.read {
 		return out.version == at, at
 	}
-	w, ok := made[in.mark]
+	w, ok := committed[in.mark]
 	if ok {
 		return at == in.base, w.version
 	}
 	var conflict *rollout.EditConflictError
 	if errors.As(out.err, &conflict) {
-		return at == conflict.Present && at != in.base, at
+		return at == conflict.Current && at != in.base, at
 	}
 	return true, at
 }
--- a/coordination/rollout/rollout_test.go
+++ b/coordination/rollout/rollout_test.go
@@ -19,17 +19,19 @@
 
 func TestMain(m *testing.M) { fuzztest.Main(m, fuzztest.Defaults{Seed: 20260101, Checks: 15}) }
 
-// lone answers for peers that can't be reached.
-type lone struct{}
+// unreachablePeers implements rollout.Peers; every fetch fails.
+type unreachablePeers struct{}
 
-func (lone) Config(context.Context, state.Member, rollout.Request) (rollout.Versioned, error) {
-	return rollout.Versioned{}, errors.New("no peer")
+func (unreachablePeers) Config(context.Context, state.Member, rollout.Request) (rollout.VersionedValue, error) {
+	return rollout.VersionedValue{}, errors.New("no peer")
 }
 
+// newManager returns a manager without reachable peers whose Check refuses every
+// configuration that has policies.
 func newManager(t *testing.T, s store.Store, name string) *rollout.Manager {
 	t.Helper()
 	m, err := rollout.New(rollout.Options{
-		Self: state.HostID{Name: name, Incarnation: "1"}, Store: s, Peers: lone{}, Clock: clocktest.Bubble{},
+		Self: state.HostID{Name: name, Incarnation: "1"}, Store: s, Peers: unreachablePeers{}, Clock: clocktest.Bubble{},
 		Check: func(c *state.Config) error {
 			if len(c.Policies) > 0 {
 				return &state.ConfigError{Where: "policies[0]", Problem: "doesn't compile", Remedy: "correct it"}
@@ -44,6 +46,8 @@
 	return m
 }
 
+// TestEditsOnAnOldVersionAreRefused guards against an edit that overwrites a version
+// its author hasn't read, and against one with a misspelt field.
 func TestEditsOnAnOldVersionAreRefused(t *testing.T) {
 	is := is.New(t)
 	p := storetest.NewPlatform(time.Second)
@@ -56,19 +60,20 @@
 	_, err = m.Edit(t.Context(), first, config(3))
 	var conflict *rollout.EditConflictError
 	is.True(errors.As(err, &conflict))
-	is.Equal(*conflict, rollout.EditConflictError{Base: first, Present: second})
+	is.Equal(*conflict, rollout.EditConflictError{Base: first, Current: second})
 	_, err = m.Edit(t.Context(), second, []byte(`{"services":[],"clases":[]}`))
 	var invalid *state.ConfigError
 	is.True(errors.As(err, &invalid))
 	is.Equal(m.Version(), second)
 }
 
-// TestLostAnswerOfAnEdit loses the answer of an edit and lets other edits follow
-// before it is read back: the edit must be recognised as accepted, with the
-// version it made, or as refused if another came first.
-func TestLostAnswerOfAnEdit(t *testing.T) {
-	for _, overtaken := range []bool{false, true} {
-		t.Run(fmt.Sprintf("overtaken=%v", overtaken), func(t *testing.T) {
+// TestEditWithLostAnswerIsReadBack guards against a wrong result for an edit whose
+// answer is lost. If other edits follow before it is read back, it must be reported
+// as accepted with the version that it created. If another edit on the same base
+// came first, it must be reported as a conflict.
+func TestEditWithLostAnswerIsReadBack(t *testing.T) {
+	for _, conflicting := range []bool{false, true} {
+		t.Run(fmt.Sprintf("conflicting=%v", conflicting), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				is := is.New(t)
 				p := storetest.NewPlatform(time.Second)
@@ -78,16 +83,16 @@
 				gets := 0
 				p.SetScript(func(c storetest.Call) storetest.Fault {
 					switch {
-					case c.Caller == "a" && c.Op == "put" && !overtaken:
+					case c.Caller == "a" && c.Op == "put" && !conflicting:
 						return storetest.LoseAnswer
 					case c.Caller == "a" && c.Op == "put":
 						_, err := b.Edit(t.Context(), base, config(2))
 						is.NoErr(err)
 						return storetest.LoseAnswer
 					case c.Caller == "a" && c.Op == "get":
-						if gets++; gets == 2 && !overtaken { // the first reading back
+						if gets++; gets == 2 && !conflicting { // the first read after the write
 							for range 5 {
-								_, err := b.Edit(t.Context(), p0(p), config(2))
+								_, err := b.Edit(t.Context(), currentVersion(p), config(2))
 								is.NoErr(err)
 							}
 						}
@@ -95,21 +100,21 @@
 					return storetest.None
 				})
 				version, err := a.Edit(t.Context(), base, config(3))
-				if !overtaken {
+				if !conflicting {
 					is.NoErr(err)
 					is.Equal(version, base+1)
 					return
 				}
 				var conflict *rollout.EditConflictError
 				is.True(errors.As(err, &conflict))
-				is.Equal(conflict.Present, base+1)
+				is.Equal(conflict.Current, base+1)
 			})
 		})
 	}
 }
 
-// p0 returns the present version of the shared object.
-func p0(p *storetest.Platform) uint64 {
+// currentVersion returns the version of the configuration object.
+func currentVersion(p *storetest.Platform) uint64 {
 	o, err := p.Client("test").Get(context.Background(), store.KindConfig, rollout.ObjectName)
 	if err != nil {
 		panic(err)
@@ -117,29 +122,31 @@
 	return o.Version
 }
 
-// forgetful is a peer that loses its first answers.
-type forgetful struct {
-	value rollout.Versioned
-	lose  int
+// lossyPeers implements rollout.Peers. As many fetches as failures fail, and later
+// ones return value.
+type lossyPeers struct {
+	value    rollout.VersionedValue
+	failures int
 }
 
-func (f *forgetful) Config(context.Context, state.Member, rollout.Request) (rollout.Versioned, error) {
-	if f.lose > 0 {
-		f.lose--
-		return rollout.Versioned{}, errors.New("lost by the test")
+func (f *lossyPeers) Config(context.Context, state.Member, rollout.Request) (rollout.VersionedValue, error) {
+	if f.failures > 0 {
+		f.failures--
+		return rollout.VersionedValue{}, errors.New("lost by the test")
 	}
 	return f.value, nil
 }
 
-// TestLostFetchIsRepeated gives one hint only, with the platform down.
-func TestLostFetchIsRepeated(t *testing.T) {
+// TestFailedFetchIsRepeated guards against a version that is never applied because
+// the fetch after its only hint failed while the platform was unavailable.
+func TestFailedFetchIsRepeated(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		p := storetest.NewPlatform(time.Second)
 		p.SetScript(func(storetest.Call) storetest.Fault { return storetest.Refuse })
 		m, err := rollout.New(rollout.Options{
 			Self: state.HostID{Name: "a", Incarnation: "1"}, Store: p.Client("a"), Clock: clocktest.Bubble{},
-			Peers: &forgetful{value: rollout.Versioned{Version: 7, Value: config(1)}, lose: 2},
+			Peers: &lossyPeers{value: rollout.VersionedValue{Version: 7, Value: config(1)}, failures: 2},
 			Apply: func(*state.Config) bool { return true },
 		})
 		is.NoErr(err)
@@ -157,6 +164,8 @@
 	})
 }
 
+// TestInvalidObjectIsRefusedAndReported guards against an invalid object that
+// replaces the version in force, isn't reported, or can't be replaced by an edit.
 func TestInvalidObjectIsRefusedAndReported(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -179,11 +188,11 @@
 		is.Equal(m.Version(), good)
 		bad := put(good, `{"services":[{"name":"s","kind":"service"}],"classes":[{"name":"c","deadline_ms":1}],"policies":[{"name":"p","hook":"admit","source":"("}]}`)
 		is.Equal(m.Version(), good)
-		is.Equal(m.LastProblem().Version, bad)
+		is.Equal(m.LastRefused().Version, bad)
 		next, err := m.Edit(ctx, bad, config(2))
 		is.NoErr(err)
 		is.Equal(m.Version(), next)
-		is.Equal(m.LastProblem(), nil)
+		is.Equal(m.LastRefused(), nil)
 		cancel()
 		<-done
 	})
