--- a/daemon/quarantine.go
+++ b/daemon/quarantine.go
@@ -81,7 +81,7 @@
 		go func() {
 			ctx, stop := context.WithTimeout(context.Background(), crashTold)
 			defer stop()
-			if err := quarantines.Tell(ctx, d.peers, m.PeerAddr, n); err != nil {
+			if err := quarantines.Send(ctx, d.peers, m.PeerAddr, n); err != nil {
 				d.log.Debug("crashes not told", "to", id.Name, "error", err)
 			}
 		}()
--- a/transport/advices/advices.go
+++ b/transport/advices/advices.go
@@ -22,13 +22,13 @@
 	Name    string  `msgpack:"n"`
 	Born    int64   `msgpack:"b,omitempty"`
 	Service string  `msgpack:"s"`
-	What    string  `msgpack:"w"`
+	Kind    string  `msgpack:"w"`
 	Limit   float64 `msgpack:"l,omitempty"`
 }
 
 // Publish tells all hosts. One that isn't reached learns of it by answers of its own.
-func Publish(ctx context.Context, n *fanout.Node, told backpressure.Notice) error {
-	body, err := msgpack.Marshal(notice{told.Instance.Name, told.Instance.Born, told.Service, string(told.Kind), told.Limit})
+func Publish(ctx context.Context, n *fanout.Node, msg backpressure.Notice) error {
+	body, err := msgpack.Marshal(notice{msg.Instance.Name, msg.Instance.Born, msg.Service, string(msg.Kind), msg.Limit})
 	if err != nil {
 		return err
 	}
@@ -37,13 +37,13 @@
 }
 
 // Subscribe takes the notices of all hosts, this one too.
-func Subscribe(n *fanout.Node, take func(backpressure.Notice), log *slog.Logger) {
+func Subscribe(n *fanout.Node, handle func(backpressure.Notice), log *slog.Logger) {
 	n.Subscribe(topic, func(body []byte) {
 		var m notice
 		if err := packed.Decode(body, &m); err != nil || !(m.Limit >= 0) {
 			log.Warn("notice of what a runner asks not readable; run the same version on all hosts", "limit", m.Limit, "cause", err)
 			return
 		}
-		take(backpressure.Notice{Instance: state.InstanceID{Name: m.Name, Born: m.Born}, Service: m.Service, Kind: backpressure.Kind(m.What), Limit: m.Limit})
+		handle(backpressure.Notice{Instance: state.InstanceID{Name: m.Name, Born: m.Born}, Service: m.Service, Kind: backpressure.Kind(m.Kind), Limit: m.Limit})
 	})
 }
--- a/transport/advices/advices_test.go
+++ b/transport/advices/advices_test.go
@@ -14,19 +14,19 @@
 )
 
 // A notice reaches its own host too, with the run that it names; what can't be one is dropped.
-func TestAdviceIsTold(t *testing.T) {
+func TestPublishDeliversNotice(t *testing.T) {
 	is := is.New(t)
 	n := fanouttest.NewNode(t)
 	want := backpressure.Notice{Instance: state.InstanceID{Name: "i", Born: 1_790_000_000_123}, Service: "s", Kind: backpressure.KindLimit, Limit: 8.4}
-	heard := 0
+	received := 0
 	Subscribe(n, func(got backpressure.Notice) {
-		heard++
+		received++
 		is.Equal(got, want)
 	}, slog.New(slog.DiscardHandler))
 	is.NoErr(Publish(t.Context(), n, want))
-	is.Equal(heard, 1)
+	is.Equal(received, 1)
 	want.Limit = math.NaN()
 	is.NoErr(Publish(t.Context(), n, want))
 	n.Deliver(fanout.Notice{Origin: "other", Number: 1, Topic: topic, Body: []byte("nonsense")})
-	is.Equal(heard, 1)
+	is.Equal(received, 1)
 }
--- a/transport/outliers/outliers.go
+++ b/transport/outliers/outliers.go
@@ -19,8 +19,8 @@
 // topic is that of the verdicts.
 const topic fanout.Topic = "outliers"
 
-// longest bounds a verdict of a peer, whatever it says.
-const longest = 10 * time.Second
+// maxVerdictTTL bounds a verdict of a peer, whatever it says.
+const maxVerdictTTL = 10 * time.Second
 
 // report says that a host hears nothing of a runner.
 type report struct {
@@ -28,22 +28,22 @@
 	Born int64  `msgpack:"b,omitempty"`
 }
 
-// noted answers a report.
-type noted struct{}
+// reportResponse answers a report.
+type reportResponse struct{}
 
 // verdict tells all hosts whether a runner is silent.
 type verdict struct {
 	Name   string `msgpack:"n"`
 	Born   int64  `msgpack:"b,omitempty"`
 	Silent bool   `msgpack:"s,omitempty"`
-	ForMS  int64  `msgpack:"f,omitempty"`
+	TTLMS  int64  `msgpack:"f,omitempty"`
 }
 
 // Register lets the server take the reports of peers.
-func Register(s *peer.Server, take func(state.InstanceID)) {
-	s.Handle(peerapi.KindReport, peer.HandleMsg(func(_ context.Context, _ state.HostID, m report) (noted, error) {
-		take(state.InstanceID(m))
-		return noted{}, nil
+func Register(s *peer.Server, handle func(state.InstanceID)) {
+	s.Handle(peerapi.KindReport, peer.HandleMsg(func(_ context.Context, _ state.HostID, m report) (reportResponse, error) {
+		handle(state.InstanceID(m))
+		return reportResponse{}, nil
 	}))
 }
 
@@ -54,13 +54,13 @@
 
 // Report implements outlier.Peers.
 func (p Peers) Report(ctx context.Context, addr string, id state.InstanceID) error {
-	_, err := peer.CallMsg[report, noted](ctx, p.Client, addr, peerapi.KindReport, report(id))
+	_, err := peer.CallMsg[report, reportResponse](ctx, p.Client, addr, peerapi.KindReport, report(id))
 	return err
 }
 
 // Publish tells all hosts.
 func Publish(ctx context.Context, n *fanout.Node, v outlier.Verdict) error {
-	body, err := msgpack.Marshal(verdict{Name: v.Instance.Name, Born: v.Instance.Born, Silent: v.Silent, ForMS: v.TTL.Milliseconds()})
+	body, err := msgpack.Marshal(verdict{Name: v.Instance.Name, Born: v.Instance.Born, Silent: v.Silent, TTLMS: v.TTL.Milliseconds()})
 	if err != nil {
 		return err
 	}
@@ -69,14 +69,14 @@
 }
 
 // Subscribe takes the verdicts of all hosts.
-func Subscribe(n *fanout.Node, take func(outlier.Verdict), log *slog.Logger) {
+func Subscribe(n *fanout.Node, handle func(outlier.Verdict), log *slog.Logger) {
 	n.Subscribe(topic, func(body []byte) {
 		var m verdict
 		if err := packed.Decode(body, &m); err != nil {
 			log.Warn("verdict on a runner not readable", "cause", err.Error())
 			return
 		}
-		span := time.Duration(min(max(0, m.ForMS), longest.Milliseconds())) * time.Millisecond
-		take(outlier.Verdict{Instance: state.InstanceID{Name: m.Name, Born: m.Born}, Silent: m.Silent, TTL: span})
+		ttl := time.Duration(min(max(0, m.TTLMS), maxVerdictTTL.Milliseconds())) * time.Millisecond
+		handle(outlier.Verdict{Instance: state.InstanceID{Name: m.Name, Born: m.Born}, Silent: m.Silent, TTL: ttl})
 	})
 }
--- a/transport/quarantines/fuzz_test.go
+++ b/transport/quarantines/fuzz_test.go
@@ -14,7 +14,7 @@
 		{},
 		{Answered: [][]byte{make([]byte, 16)}},
 		{Crashes: []crash{{Runner: "e", Born: 1, Host: "h", AtMS: 5, Suspects: []suspect{{Digest: make([]byte, 16), RequestID: "a", AgeMS: 80}}}}},
-		{Held: []held{{Digest: make([]byte, 16), Crashes: []crash{{Runner: "e"}}}}},
+		{Held: []heldRequest{{Digest: make([]byte, 16), Crashes: []crash{{Runner: "e"}}}}},
 	} {
 		body, err := msgpack.Marshal(n)
 		if err != nil {
--- a/transport/quarantines/quarantines.go
+++ b/transport/quarantines/quarantines.go
@@ -23,9 +23,9 @@
 
 // notice is a quarantine.Notice.
 type notice struct {
-	Crashes  []crash  `msgpack:"c,omitempty"`
-	Held     []held   `msgpack:"h,omitempty"`
-	Answered [][]byte `msgpack:"a,omitempty"`
+	Crashes  []crash       `msgpack:"c,omitempty"`
+	Held     []heldRequest `msgpack:"h,omitempty"`
+	Answered [][]byte      `msgpack:"a,omitempty"`
 }
 
 // crash is the end of one run of a runner.
@@ -42,19 +42,19 @@
 	Digest    []byte `msgpack:"d"`
 	RequestID string `msgpack:"i"`
 	// AgeMS is how long ago it was sent to the runner.
-	AgeMS   int64 `msgpack:"g,omitempty"`
-	Settled bool  `msgpack:"l,omitempty"`
-	Proven  bool  `msgpack:"p,omitempty"`
+	AgeMS          int64 `msgpack:"g,omitempty"`
+	LongRunning    bool  `msgpack:"l,omitempty"`
+	AnsweredBefore bool  `msgpack:"p,omitempty"`
 }
 
-// held is a request that is held, with the crashes that speak against it.
-type held struct {
+// heldRequest is a request that is heldRequest, with the crashes that speak against it.
+type heldRequest struct {
 	Digest  []byte  `msgpack:"d"`
 	Crashes []crash `msgpack:"c"`
 }
 
-// errDigest says that a digest has the wrong size.
-var errDigest = errors.New("quarantines: a digest of another size; run the same version on all hosts")
+// errDigestSize says that a digest has the wrong size.
+var errDigestSize = errors.New("quarantines: a digest of another size; run the same version on all hosts")
 
 // Publish tells all hosts.
 func Publish(ctx context.Context, n *fanout.Node, q quarantine.Notice) error {
@@ -67,7 +67,7 @@
 }
 
 // Subscribe takes what all hosts tell, this one too.
-func Subscribe(n *fanout.Node, take func(quarantine.Notice), log *slog.Logger) {
+func Subscribe(n *fanout.Node, handle func(quarantine.Notice), log *slog.Logger) {
 	n.Subscribe(topic, func(body []byte) {
 		var m notice
 		err := packed.Decode(body, &m)
@@ -79,28 +79,28 @@
 			log.Warn("notice of crashes not readable", "cause", err.Error())
 			return
 		}
-		take(q)
+		handle(q)
 	})
 }
 
-// told answers a notice that was sent to one host.
-type told struct{}
+// sendResponse answers a notice that was sent to one host.
+type sendResponse struct{}
 
 // Register lets the server take what peers tell by Tell.
-func Register(s *peer.Server, take func(quarantine.Notice)) {
-	s.Handle(peerapi.KindCrash, peer.HandleMsg(func(_ context.Context, _ state.HostID, m notice) (told, error) {
+func Register(s *peer.Server, handle func(quarantine.Notice)) {
+	s.Handle(peerapi.KindCrash, peer.HandleMsg(func(_ context.Context, _ state.HostID, m notice) (sendResponse, error) {
 		q, err := m.decode()
 		if err != nil {
-			return told{}, err
+			return sendResponse{}, err
 		}
-		take(q)
-		return told{}, nil
+		handle(q)
+		return sendResponse{}, nil
 	}))
 }
 
-// Tell tells the host at addr, where hosts have no notices for all.
-func Tell(ctx context.Context, c *peer.Client, addr string, q quarantine.Notice) error {
-	_, err := peer.CallMsg[notice, told](ctx, c, addr, peerapi.KindCrash, encode(q))
+// Send tells the host at addr, where hosts have no notices for all.
+func Send(ctx context.Context, c *peer.Client, addr string, q quarantine.Notice) error {
+	_, err := peer.CallMsg[notice, sendResponse](ctx, c, addr, peerapi.KindCrash, encode(q))
 	return err
 }
 
@@ -114,7 +114,7 @@
 		m.Crashes = append(m.Crashes, out)
 	}
 	for _, h := range q.Held {
-		out := held{Digest: h.Digest[:]}
+		out := heldRequest{Digest: h.Digest[:]}
 		for _, e := range h.Evidence {
 			out.Crashes = append(out.Crashes, crash{
 				Runner: e.Runner, Born: e.Born, Host: e.Host, AtMS: e.At.UnixMilli(),
@@ -134,23 +134,23 @@
 	for _, c := range m.Crashes {
 		out := quarantine.Crash{Run: state.InstanceID{Name: c.Runner, Born: c.Born}, Host: c.Host, At: time.UnixMilli(c.AtMS)}
 		for _, s := range c.Suspects {
-			d, err := digest(s.Digest)
+			d, err := decodeDigest(s.Digest)
 			if err != nil {
 				return q, err
 			}
-			out.Suspects = append(out.Suspects, quarantine.Suspect{Digest: d, RequestID: s.RequestID, SentAt: sentAt(s.AgeMS), LongRunning: s.Settled, AnsweredBefore: s.Proven})
+			out.Suspects = append(out.Suspects, quarantine.Suspect{Digest: d, RequestID: s.RequestID, SentAt: sendTime(s.AgeMS), LongRunning: s.LongRunning, AnsweredBefore: s.AnsweredBefore})
 		}
 		q.Crashes = append(q.Crashes, out)
 	}
 	for _, h := range m.Held {
-		d, err := digest(h.Digest)
+		d, err := decodeDigest(h.Digest)
 		if err != nil {
 			return q, err
 		}
 		q.Held = append(q.Held, quarantine.HeldRequest{Digest: d, Evidence: h.evidence()})
 	}
 	for _, raw := range m.Answered {
-		d, err := digest(raw)
+		d, err := decodeDigest(raw)
 		if err != nil {
 			return q, err
 		}
@@ -159,7 +159,7 @@
 	return q, nil
 }
 
-func (h held) evidence() []quarantine.Evidence {
+func (h heldRequest) evidence() []quarantine.Evidence {
 	var out []quarantine.Evidence
 	for _, c := range h.Crashes {
 		e := quarantine.Evidence{Runner: c.Runner, Born: c.Born, Host: c.Host, At: time.UnixMilli(c.AtMS)}
@@ -171,19 +171,19 @@
 	return out
 }
 
-// mostAge is above the age of every request that can have run at a crash.
-const mostAge = time.Hour
+// maxRequestAge is above the age of every request that can have run at a crash.
+const maxRequestAge = time.Hour
 
-// sentAt is when a request of that age was sent.
-func sentAt(ageMS int64) time.Time {
-	age := min(max(0, ageMS), mostAge.Milliseconds())
+// sendTime is when a request of that age was sent.
+func sendTime(ageMS int64) time.Time {
+	age := min(max(0, ageMS), maxRequestAge.Milliseconds())
 	return wallclock.Now().Add(-time.Duration(age) * time.Millisecond)
 }
 
-func digest(raw []byte) (quarantine.Digest, error) {
+func decodeDigest(raw []byte) (quarantine.Digest, error) {
 	var d quarantine.Digest
 	if len(raw) != len(d) {
-		return d, errDigest
+		return d, errDigestSize
 	}
 	return quarantine.Digest(raw), nil
 }
--- a/transport/quarantines/quarantines_test.go
+++ b/transport/quarantines/quarantines_test.go
@@ -15,13 +15,13 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-func TestNoticeArrivesAsItWasTold(t *testing.T) {
+func TestNoticeRoundTrip(t *testing.T) {
 	is := is.New(t)
 	n := fanouttest.NewNode(t)
 	at := time.UnixMilli(1_790_000_000_123)
 	d1, d2 := quarantine.DigestOf(quarantine.Content{URI: "1"}), quarantine.DigestOf(quarantine.Content{URI: "2"})
 	ages := []time.Duration{80 * time.Millisecond, 3 * time.Second}
-	told := quarantine.Notice{
+	sent := quarantine.Notice{
 		Crashes: []quarantine.Crash{{
 			Run: state.InstanceID{Name: "e1", Born: 7}, Host: "h1", At: at,
 			Suspects: []quarantine.Suspect{
@@ -32,20 +32,20 @@
 		Held:     []quarantine.HeldRequest{{Digest: d1, Evidence: []quarantine.Evidence{{Runner: "e1", Born: 7, RequestID: "a", Host: "h1", At: at}}}},
 		Answered: []quarantine.Digest{d2},
 	}
-	var heard []quarantine.Notice
-	Subscribe(n, func(q quarantine.Notice) { heard = append(heard, q) }, slog.New(slog.DiscardHandler))
-	is.NoErr(Publish(t.Context(), n, told))
-	for i, s := range heard[0].Crashes[0].Suspects {
+	var received []quarantine.Notice
+	Subscribe(n, func(q quarantine.Notice) { received = append(received, q) }, slog.New(slog.DiscardHandler))
+	is.NoErr(Publish(t.Context(), n, sent))
+	for i, s := range received[0].Crashes[0].Suspects {
 		is.True(wallclock.Since(s.SentAt) >= ages[i])
 		is.True(wallclock.Since(s.SentAt) < ages[i]+time.Minute)
-		heard[0].Crashes[0].Suspects[i].SentAt = told.Crashes[0].Suspects[i].SentAt
+		received[0].Crashes[0].Suspects[i].SentAt = sent.Crashes[0].Suspects[i].SentAt
 	}
-	is.Equal(heard, []quarantine.Notice{told})
+	is.Equal(received, []quarantine.Notice{sent})
 
 	short, err := msgpack.Marshal(notice{Answered: [][]byte{{1, 2, 3}}})
 	is.NoErr(err)
 	for number, body := range [][]byte{[]byte("nonsense"), short} {
 		n.Deliver(fanout.Notice{Origin: "other", Number: uint64(number + 1), Topic: topic, Body: body})
 	}
-	is.Equal(len(heard), 1)
+	is.Equal(len(received), 1)
 }
--- a/transport/roles/roles_test.go
+++ b/transport/roles/roles_test.go
@@ -13,19 +13,19 @@
 )
 
 // An announcement reaches its own host too, with the runs that it names.
-func TestChangeIsAnnounced(t *testing.T) {
+func TestAnnounceDeliversRoleChange(t *testing.T) {
 	is := is.New(t)
 	n := fanouttest.NewNode(t)
 	engines := []state.InstanceID{{Name: "e1"}, {Name: "e2", Born: 1_790_000_000_123}}
-	heard := 0
+	received := 0
 	Subscribe(n, func(got []state.InstanceID, role state.Role, within time.Duration) {
-		heard++
+		received++
 		is.Equal(got, engines)
 		is.Equal(role, state.RolePrefill)
 		is.Equal(within, 8*time.Second)
 	}, slog.New(slog.DiscardHandler))
 	is.NoErr(Announce(t.Context(), n, engines, state.RolePrefill, 8*time.Second))
-	is.Equal(heard, 1)
+	is.Equal(received, 1)
 	n.Deliver(fanout.Notice{Origin: "other", Number: 1, Topic: topic, Body: []byte("nonsense")})
-	is.Equal(heard, 1)
+	is.Equal(received, 1)
 }
