--- a/transport/usages/usages.go
+++ b/transport/usages/usages.go
@@ -60,16 +60,16 @@
 type pushRequest struct {
 	Tally  tally   `msgpack:"t"`
 	Others []tally `msgpack:"h,omitempty"`
-	// OwnUS is the host's own clock, in Unix microseconds.
-	OwnUS int64 `msgpack:"o"`
+	// OwnTimeUS is the host's own clock, in Unix microseconds.
+	OwnTimeUS int64 `msgpack:"o"`
 }
 
 // pushResponse is a usage.PushResponse; times are in Unix microseconds.
 type pushResponse struct {
-	Run      string `msgpack:"r"`
-	OwnUS    int64  `msgpack:"o"`
-	MiddleUS int64  `msgpack:"m"`
-	Of       int    `msgpack:"n"`
+	Run       string `msgpack:"r"`
+	OwnTimeUS int64  `msgpack:"o"`
+	MedianUS  int64  `msgpack:"m"`
+	Clocks    int    `msgpack:"n"`
 }
 
 // fetchRequest requests the tallies of a window.
@@ -85,8 +85,8 @@
 // Register lets the server answer hosts that tell their counts, and the one that asks for them.
 func Register(s *peer.Server, t *usage.Pusher, c *usage.Collector) {
 	s.Handle(peerapi.KindTellUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, m pushRequest) (pushResponse, error) {
-		h := t.HandlePush(usage.PushRequest{Tally: m.Tally.decode(), Others: decodeAll(m.Others), OwnTime: time.UnixMicro(m.OwnUS)})
-		return pushResponse{Run: h.Run, OwnUS: h.OwnTime.UnixMicro(), MiddleUS: h.Median.UnixMicro(), Of: h.Clocks}, nil
+		h := t.HandlePush(usage.PushRequest{Tally: m.Tally.decode(), Others: decodeAll(m.Others), OwnTime: time.UnixMicro(m.OwnTimeUS)})
+		return pushResponse{Run: h.Run, OwnTimeUS: h.OwnTime.UnixMicro(), MedianUS: h.Median.UnixMicro(), Clocks: h.Clocks}, nil
 	}))
 	s.Handle(peerapi.KindAskUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, q fetchRequest) (fetchResponse, error) {
 		return fetchResponse{encodeAll(c.Tallies(usage.Window(q.Window)))}, nil
@@ -100,11 +100,11 @@
 
 // Push implements usage.Peers.
 func (p Peers) Push(ctx context.Context, addr string, t usage.PushRequest) (usage.PushResponse, error) {
-	h, err := peer.CallMsg[pushRequest, pushResponse](ctx, p.Client, addr, peerapi.KindTellUsage, pushRequest{Tally: encode(t.Tally), Others: encodeAll(t.Others), OwnUS: t.OwnTime.UnixMicro()})
+	h, err := peer.CallMsg[pushRequest, pushResponse](ctx, p.Client, addr, peerapi.KindTellUsage, pushRequest{Tally: encode(t.Tally), Others: encodeAll(t.Others), OwnTimeUS: t.OwnTime.UnixMicro()})
 	if err != nil {
 		return usage.PushResponse{}, err
 	}
-	return usage.PushResponse{Run: h.Run, OwnTime: time.UnixMicro(h.OwnUS), Median: time.UnixMicro(h.MiddleUS), Clocks: h.Of}, nil
+	return usage.PushResponse{Run: h.Run, OwnTime: time.UnixMicro(h.OwnTimeUS), Median: time.UnixMicro(h.MedianUS), Clocks: h.Clocks}, nil
 }
 
 // Fetch implements usage.Peers.
--- a/transport/usages/usages_test.go
+++ b/transport/usages/usages_test.go
@@ -10,7 +10,7 @@
 	"github.com/thymerack/thymerack/coordination/usage"
 )
 
-func TestTalliesAreTheSameOnTheWire(t *testing.T) {
+func TestTalliesRoundTrip(t *testing.T) {
 	is := is.New(t)
 	sent := []usage.Tally{
 		{Run: "h1/1", Addr: "10.1.0.1:7", Through: time.UnixMicro(1_767_225_600_123_456), Windows: map[usage.Window]usage.Counts{7: {"depot": 3}, 8: {}}},
