--- a/transport/places/fuzz_test.go
+++ b/transport/places/fuzz_test.go
@@ -13,10 +13,10 @@
 
 // Whatever bytes a peer sends, an owner answers or refuses them, and its tracker stands.
 func FuzzEnter(f *testing.F) {
-	for _, q := range []Enter{
-		{Engine: "e", Most: 3, KeepMS: 1000},
-		{Engine: "e", KeepMS: -5, Reading: &Reading{Service: "s", Parts: []uint64{1, 2}, Tokens: []int{6000, 300}, Own: 3000, Memory: 1e6, LimitMS: 200, MaxWaitMS: 40, Warm: true}},
-		{Engine: "e", KeepMS: 1 << 62, Reading: &Reading{Own: 1 << 62, Tokens: []int{1 << 62}, Parts: []uint64{9}, Fetched: 1 << 62, FetchMS: 1e300, Late: true, MaxWaitMS: 1 << 62}},
+	for _, q := range []EnterRequest{
+		{Engine: "e", MaxInFlight: 3, TTLMS: 1000},
+		{Engine: "e", TTLMS: -5, Prefill: &Prefill{Service: "s", Parts: []uint64{1, 2}, Tokens: []int{6000, 300}, OwnTokens: 3000, MemoryTokens: 1e6, MaxFinishMS: 200, MaxWaitMS: 40, RequireCached: true}},
+		{Engine: "e", TTLMS: 1 << 62, Prefill: &Prefill{OwnTokens: 1 << 62, Tokens: []int{1 << 62}, Parts: []uint64{9}, FetchableTokens: 1 << 62, FetchMS: 1e300, AllowLate: true, MaxWaitMS: 1 << 62}},
 	} {
 		body, err := msgpack.Marshal(q)
 		if err != nil {
@@ -25,19 +25,19 @@
 		f.Add(body)
 	}
 	f.Fuzz(func(_ *testing.T, body []byte) {
-		var q Enter
+		var q EnterRequest
 		if packed.Decode(body, &q) != nil { // as the host does
 			return
 		}
-		a, err := q.ask()
+		a, err := q.decode()
 		if err != nil {
 			return
 		}
-		book := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler))
+		tracker := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler))
 		for range 2 {
-			got := entered(book.Enter(a)).answer()
-			book.Remaining(a.Engine, got.ID)
-			book.Leave(a.Engine, got.ID, true)
+			got := encodeResponse(tracker.Enter(a)).decode()
+			tracker.Remaining(a.Engine, got.ID)
+			tracker.Leave(a.Engine, got.ID, true)
 		}
 	})
 }
--- a/transport/places/places.go
+++ b/transport/places/places.go
@@ -13,69 +13,69 @@
 	"github.com/thymerack/thymerack/transport/peer"
 )
 
-// Enter asks for a place at an engine.
-type Enter struct {
-	Engine  string   `msgpack:"e"`
-	Born    int64    `msgpack:"b,omitempty"`
-	Most    int      `msgpack:"m,omitempty"`
-	KeepMS  int64    `msgpack:"k"`
-	Reading *Reading `msgpack:"r,omitempty"`
-}
-
-// Reading is the prompt of an Enter.
-type Reading struct {
-	Service   string   `msgpack:"s"`
-	Parts     []uint64 `msgpack:"p"`
-	Tokens    []int    `msgpack:"t"`
-	Own       int      `msgpack:"o"`
-	Fetched   int      `msgpack:"f,omitempty"`
-	FetchMS   float64  `msgpack:"fm,omitempty"`
-	Memory    int      `msgpack:"m"`
-	MaxWaitMS int64    `msgpack:"w"`
-	LimitMS   int64    `msgpack:"l"`
-	Late      bool     `msgpack:"b,omitempty"`
-	Warm      bool     `msgpack:"c,omitempty"`
-}
-
-// Entered answers an Enter; ID is 0 if no place was given.
-type Entered struct {
-	ID       uint64  `msgpack:"i"`
-	WaitMS   float64 `msgpack:"w,omitempty"`
-	FinishMS float64 `msgpack:"f,omitempty"`
-	Rank     int     `msgpack:"r,omitempty"`
-	Kept     int     `msgpack:"k,omitempty"`
-	Coming   int     `msgpack:"g,omitempty"`
-	ColdMS   float64 `msgpack:"c,omitempty"`
-	Error    float64 `msgpack:"e,omitempty"`
-	Known    bool    `msgpack:"n,omitempty"`
-}
-
-// Remain asks when the reading of a place ends.
-type Remain struct {
+// EnterRequest asks for a place at an engine.
+type EnterRequest struct {
+	Engine      string   `msgpack:"e"`
+	Born        int64    `msgpack:"b,omitempty"`
+	MaxInFlight int      `msgpack:"m,omitempty"`
+	TTLMS       int64    `msgpack:"k"`
+	Prefill     *Prefill `msgpack:"r,omitempty"`
+}
+
+// Prefill is the prompt of an Enter.
+type Prefill struct {
+	Service         string   `msgpack:"s"`
+	Parts           []uint64 `msgpack:"p"`
+	Tokens          []int    `msgpack:"t"`
+	OwnTokens       int      `msgpack:"o"`
+	FetchableTokens int      `msgpack:"f,omitempty"`
+	FetchMS         float64  `msgpack:"fm,omitempty"`
+	MemoryTokens    int      `msgpack:"m"`
+	MaxWaitMS       int64    `msgpack:"w"`
+	MaxFinishMS     int64    `msgpack:"l"`
+	AllowLate       bool     `msgpack:"b,omitempty"`
+	RequireCached   bool     `msgpack:"c,omitempty"`
+}
+
+// EnterResponse answers an Enter; ID is 0 if no place was given.
+type EnterResponse struct {
+	ID            uint64  `msgpack:"i"`
+	WaitMS        float64 `msgpack:"w,omitempty"`
+	FinishMS      float64 `msgpack:"f,omitempty"`
+	Rank          int     `msgpack:"r,omitempty"`
+	CachedTokens  int     `msgpack:"k,omitempty"`
+	CachedAtStart int     `msgpack:"g,omitempty"`
+	UncachedMS    float64 `msgpack:"c,omitempty"`
+	Error         float64 `msgpack:"e,omitempty"`
+	Reliable      bool    `msgpack:"n,omitempty"`
+}
+
+// RemainingRequest asks when the reading of a place ends.
+type RemainingRequest struct {
 	Engine string `msgpack:"e"`
 	Born   int64  `msgpack:"b,omitempty"`
 	ID     uint64 `msgpack:"i"`
 }
 
-// Remains answers a Remain.
-type Remains struct {
-	Progress int     `msgpack:"p"`
-	Forecast Entered `msgpack:"f"`
+// RemainingResponse answers a Remain.
+type RemainingResponse struct {
+	Progress int           `msgpack:"p"`
+	Forecast EnterResponse `msgpack:"f"`
 }
 
-// Leave ends a place.
-type Leave struct {
+// LeaveRequest ends a place.
+type LeaveRequest struct {
 	Engine string `msgpack:"e"`
 	Born   int64  `msgpack:"b,omitempty"`
 	ID     uint64 `msgpack:"i"`
 	Done   bool   `msgpack:"d"`
 }
 
-// Left answers a Leave.
-type Left struct{}
+// LeaveResponse answers a Leave.
+type LeaveResponse struct{}
 
-// Permit asks for a permit to send a request to a runner that names a limit.
-type Permit struct {
+// PermitRequest asks for a permit to send a request to a runner that names a limit.
+type PermitRequest struct {
 	Runner    string  `msgpack:"e"`
 	Born      int64   `msgpack:"b,omitempty"`
 	Rate      float64 `msgpack:"r"`
@@ -83,86 +83,86 @@
 	Rank      int     `msgpack:"k"`
 }
 
-// Permitted answers a Permit.
-type Permitted struct {
+// PermitResponse answers a Permit.
+type PermitResponse struct {
 	Granted bool    `msgpack:"g"`
 	WaitMS  float64 `msgpack:"w"`
 }
 
 // Register lets the server answer peers from the host's tracker, and from its gate for what it
 // owns of runners' limits.
-func Register(s *peer.Server, book *occupancy.Tracker, gate *occupancy.Gate) {
-	s.Handle(peerapi.KindPermit, peer.HandleMsg(func(_ context.Context, _ state.HostID, q Permit) (Permitted, error) {
-		if !(q.Rate >= 0) || !(q.MaxWaitMS >= 0 && q.MaxWaitMS < mostWaitMS) || q.Rank < 0 {
-			return Permitted{}, errPermit
+func Register(s *peer.Server, tracker *occupancy.Tracker, gate *occupancy.Gate) {
+	s.Handle(peerapi.KindPermit, peer.HandleMsg(func(_ context.Context, _ state.HostID, q PermitRequest) (PermitResponse, error) {
+		if !(q.Rate >= 0) || !(q.MaxWaitMS >= 0 && q.MaxWaitMS < maxWaitMS) || q.Rank < 0 {
+			return PermitResponse{}, errPermitRange
 		}
 		got := gate.Grant(occupancy.PermitRequest{Runner: state.InstanceID{Name: q.Runner, Born: q.Born}, Rate: q.Rate, MaxWait: state.Millis(q.MaxWaitMS), Rank: q.Rank})
-		return Permitted{got.Granted, state.InMillis(got.Wait)}, nil
+		return PermitResponse{got.Granted, state.InMillis(got.Wait)}, nil
 	}))
-	s.Handle(peerapi.KindEnter, peer.HandleMsg(func(_ context.Context, _ state.HostID, q Enter) (Entered, error) {
-		a, err := q.ask()
+	s.Handle(peerapi.KindEnter, peer.HandleMsg(func(_ context.Context, _ state.HostID, q EnterRequest) (EnterResponse, error) {
+		a, err := q.decode()
 		if err != nil {
-			return Entered{}, err
+			return EnterResponse{}, err
 		}
-		return entered(book.Enter(a)), nil
+		return encodeResponse(tracker.Enter(a)), nil
 	}))
-	s.Handle(peerapi.KindRemain, peer.HandleMsg(func(_ context.Context, _ state.HostID, q Remain) (Remains, error) {
-		f, progress := book.Remaining(state.InstanceID{Name: q.Engine, Born: q.Born}, q.ID)
-		out := entered(occupancy.Response{ID: q.ID, Forecast: f})
-		return Remains{Progress: int(progress), Forecast: out}, nil
+	s.Handle(peerapi.KindRemain, peer.HandleMsg(func(_ context.Context, _ state.HostID, q RemainingRequest) (RemainingResponse, error) {
+		f, progress := tracker.Remaining(state.InstanceID{Name: q.Engine, Born: q.Born}, q.ID)
+		out := encodeResponse(occupancy.Response{ID: q.ID, Forecast: f})
+		return RemainingResponse{Progress: int(progress), Forecast: out}, nil
 	}))
-	s.Handle(peerapi.KindLeave, peer.HandleMsg(func(_ context.Context, _ state.HostID, q Leave) (Left, error) {
-		book.Leave(state.InstanceID{Name: q.Engine, Born: q.Born}, q.ID, q.Done)
-		return Left{}, nil
+	s.Handle(peerapi.KindLeave, peer.HandleMsg(func(_ context.Context, _ state.HostID, q LeaveRequest) (LeaveResponse, error) {
+		tracker.Leave(state.InstanceID{Name: q.Engine, Born: q.Born}, q.ID, q.Done)
+		return LeaveResponse{}, nil
 	}))
 }
 
-// errPermit says that an ask for a permit can't be right.
-var errPermit = errors.New("places: an ask for a permit has a rate, wait or rank out of range; run the same version on all hosts")
+// errPermitRange says that an ask for a permit can't be right.
+var errPermitRange = errors.New("places: an ask for a permit has a rate, wait or rank out of range; run the same version on all hosts")
 
-// errParts says that a prompt's parts and their sizes can't be right.
-var errParts = errors.New("places: a prompt's parts have no sizes, or ones out of range; run the same version on all hosts")
+// errPromptParts says that a prompt's parts and their sizes can't be right.
+var errPromptParts = errors.New("places: a prompt's parts have no sizes, or ones out of range; run the same version on all hosts")
 
 const (
-	// mostTokens is above every engine's memory, in tokens.
-	mostTokens = 1 << 32
-	// mostFetchMS is above every time in which an engine fetches: it doesn't begin what
+	// maxTokens is above every engine's memory, in tokens.
+	maxTokens = 1 << 32
+	// maxFetchMS is above every time in which an engine fetches: it doesn't begin what
 	// would wait for more than two seconds.
-	mostFetchMS = 60_000
-	// mostWaitMS is above every wait for a permit: callers leave before.
-	mostWaitMS = 3_600_000
+	maxFetchMS = 60_000
+	// maxWaitMS is above every wait for a permit: callers leave before.
+	maxWaitMS = 3_600_000
 )
 
-func outOfRange(tokens int) bool { return tokens < 0 || tokens > mostTokens }
+func outOfRange(tokens int) bool { return tokens < 0 || tokens > maxTokens }
 
-func enter(a occupancy.Request) Enter {
-	q := Enter{Engine: a.Engine.Name, Born: a.Engine.Born, Most: a.MaxInFlight, KeepMS: a.TTL.Milliseconds()}
+func encodeRequest(a occupancy.Request) EnterRequest {
+	q := EnterRequest{Engine: a.Engine.Name, Born: a.Engine.Born, MaxInFlight: a.MaxInFlight, TTLMS: a.TTL.Milliseconds()}
 	if r := a.Prefill; r != nil {
-		q.Reading = &Reading{
-			Service: r.Service, Own: r.Prompt.OwnTokens, Fetched: r.Prompt.FetchableTokens, FetchMS: r.Prompt.FetchMS, Memory: r.MemoryTokens,
-			MaxWaitMS: r.MaxWait.Milliseconds(), LimitMS: r.MaxFinish.Milliseconds(), Late: r.AllowLate, Warm: r.RequireCached,
+		q.Prefill = &Prefill{
+			Service: r.Service, OwnTokens: r.Prompt.OwnTokens, FetchableTokens: r.Prompt.FetchableTokens, FetchMS: r.Prompt.FetchMS, MemoryTokens: r.MemoryTokens,
+			MaxWaitMS: r.MaxWait.Milliseconds(), MaxFinishMS: r.MaxFinish.Milliseconds(), AllowLate: r.AllowLate, RequireCached: r.RequireCached,
 		}
 		for _, p := range r.Prompt.Parts {
-			q.Reading.Parts = append(q.Reading.Parts, p.ID)
-			q.Reading.Tokens = append(q.Reading.Tokens, p.Tokens)
+			q.Prefill.Parts = append(q.Prefill.Parts, p.ID)
+			q.Prefill.Tokens = append(q.Prefill.Tokens, p.Tokens)
 		}
 	}
 	return q
 }
 
-func (q Enter) ask() (occupancy.Request, error) {
-	a := occupancy.Request{Engine: state.InstanceID{Name: q.Engine, Born: q.Born}, MaxInFlight: q.Most, TTL: state.Millis(float64(q.KeepMS))}
-	r := q.Reading
+func (q EnterRequest) decode() (occupancy.Request, error) {
+	a := occupancy.Request{Engine: state.InstanceID{Name: q.Engine, Born: q.Born}, MaxInFlight: q.MaxInFlight, TTL: state.Millis(float64(q.TTLMS))}
+	r := q.Prefill
 	if r == nil {
 		return a, nil
 	}
-	sizes := append([]int{r.Own, r.Fetched, r.Memory}, r.Tokens...)
-	if len(r.Parts) != len(r.Tokens) || slices.ContainsFunc(sizes, outOfRange) || !(r.FetchMS >= 0 && r.FetchMS < mostFetchMS) {
-		return a, errParts
+	sizes := append([]int{r.OwnTokens, r.FetchableTokens, r.MemoryTokens}, r.Tokens...)
+	if len(r.Parts) != len(r.Tokens) || slices.ContainsFunc(sizes, outOfRange) || !(r.FetchMS >= 0 && r.FetchMS < maxFetchMS) {
+		return a, errPromptParts
 	}
 	a.Prefill = &occupancy.Prefill{
-		Service: r.Service, Prompt: backlog.Prompt{OwnTokens: r.Own, FetchableTokens: r.Fetched, FetchMS: r.FetchMS}, MemoryTokens: r.Memory,
-		MaxWait: state.Millis(float64(r.MaxWaitMS)), MaxFinish: state.Millis(float64(r.LimitMS)), AllowLate: r.Late, RequireCached: r.Warm,
+		Service: r.Service, Prompt: backlog.Prompt{OwnTokens: r.OwnTokens, FetchableTokens: r.FetchableTokens, FetchMS: r.FetchMS}, MemoryTokens: r.MemoryTokens,
+		MaxWait: state.Millis(float64(r.MaxWaitMS)), MaxFinish: state.Millis(float64(r.MaxFinishMS)), AllowLate: r.AllowLate, RequireCached: r.RequireCached,
 	}
 	for i, id := range r.Parts {
 		a.Prefill.Prompt.Parts = append(a.Prefill.Prompt.Parts, backlog.Part{ID: id, Tokens: r.Tokens[i]})
@@ -170,14 +170,14 @@
 	return a, nil
 }
 
-func entered(a occupancy.Response) Entered {
+func encodeResponse(a occupancy.Response) EnterResponse {
 	f := a.Forecast
-	return Entered{ID: a.ID, WaitMS: state.InMillis(f.Wait), FinishMS: state.InMillis(f.Finish), Rank: f.Rank, Kept: f.CachedTokens, Coming: f.CachedAtStart, ColdMS: state.InMillis(f.UncachedTime), Error: f.Error, Known: f.Reliable}
+	return EnterResponse{ID: a.ID, WaitMS: state.InMillis(f.Wait), FinishMS: state.InMillis(f.Finish), Rank: f.Rank, CachedTokens: f.CachedTokens, CachedAtStart: f.CachedAtStart, UncachedMS: state.InMillis(f.UncachedTime), Error: f.Error, Reliable: f.Reliable}
 }
 
-func (e Entered) answer() occupancy.Response {
+func (e EnterResponse) decode() occupancy.Response {
 	return occupancy.Response{ID: e.ID, Forecast: backlog.Forecast{
-		Wait: state.Millis(e.WaitMS), Finish: state.Millis(e.FinishMS), Rank: e.Rank, CachedTokens: e.Kept, CachedAtStart: e.Coming, UncachedTime: state.Millis(e.ColdMS), Error: e.Error, Reliable: e.Known,
+		Wait: state.Millis(e.WaitMS), Finish: state.Millis(e.FinishMS), Rank: e.Rank, CachedTokens: e.CachedTokens, CachedAtStart: e.CachedAtStart, UncachedTime: state.Millis(e.UncachedMS), Error: e.Error, Reliable: e.Reliable,
 	}}
 }
 
@@ -188,25 +188,25 @@
 
 // Enter implements occupancy.Peers.
 func (p Peers) Enter(ctx context.Context, addr string, a occupancy.Request) (occupancy.Response, error) {
-	got, err := peer.CallMsg[Enter, Entered](ctx, p.Client, addr, peerapi.KindEnter, enter(a))
-	return got.answer(), err
+	got, err := peer.CallMsg[EnterRequest, EnterResponse](ctx, p.Client, addr, peerapi.KindEnter, encodeRequest(a))
+	return got.decode(), err
 }
 
 // Remaining implements occupancy.Peers.
 func (p Peers) Remaining(ctx context.Context, addr string, engine state.InstanceID, id uint64) (backlog.Forecast, backlog.Progress, error) {
-	got, err := peer.CallMsg[Remain, Remains](ctx, p.Client, addr, peerapi.KindRemain, Remain{engine.Name, engine.Born, id})
-	return got.Forecast.answer().Forecast, backlog.Progress(got.Progress), err
+	got, err := peer.CallMsg[RemainingRequest, RemainingResponse](ctx, p.Client, addr, peerapi.KindRemain, RemainingRequest{engine.Name, engine.Born, id})
+	return got.Forecast.decode().Forecast, backlog.Progress(got.Progress), err
 }
 
 // Leave implements occupancy.Peers.
 func (p Peers) Leave(ctx context.Context, addr string, engine state.InstanceID, id uint64, done bool) error {
-	_, err := peer.CallMsg[Leave, Left](ctx, p.Client, addr, peerapi.KindLeave, Leave{engine.Name, engine.Born, id, done})
+	_, err := peer.CallMsg[LeaveRequest, LeaveResponse](ctx, p.Client, addr, peerapi.KindLeave, LeaveRequest{engine.Name, engine.Born, id, done})
 	return err
 }
 
 // Permit implements occupancy.Peers.
 func (p Peers) Permit(ctx context.Context, addr string, a occupancy.PermitRequest) (occupancy.Permit, error) {
-	q := Permit{a.Runner.Name, a.Runner.Born, a.Rate, state.InMillis(a.MaxWait), a.Rank}
-	got, err := peer.CallMsg[Permit, Permitted](ctx, p.Client, addr, peerapi.KindPermit, q)
+	q := PermitRequest{a.Runner.Name, a.Runner.Born, a.Rate, state.InMillis(a.MaxWait), a.Rank}
+	got, err := peer.CallMsg[PermitRequest, PermitResponse](ctx, p.Client, addr, peerapi.KindPermit, q)
 	return occupancy.Permit{Granted: got.Granted, Wait: state.Millis(got.WaitMS)}, err
 }
--- a/transport/places/places_test.go
+++ b/transport/places/places_test.go
@@ -34,15 +34,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler))
+	tracker := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler))
 	gate, err := occupancy.NewGate(occupancy.GateOptions{
-		Tracker: book, Peers: Peers{}, Self: "self", Clock: wallclock.Clock{}, Log: slog.New(slog.DiscardHandler),
+		Tracker: tracker, Peers: Peers{}, Self: "self", Clock: wallclock.Clock{}, Log: slog.New(slog.DiscardHandler),
 		Hosts: func() []state.Peer { return []state.Peer{{Addr: "self"}} },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	Register(s, book, gate)
+	Register(s, tracker, gate)
 	c, err := peer.NewClient(peer.ClientOptions{Self: hostID("asks")})
 	if err != nil {
 		t.Fatal(err)
@@ -60,7 +60,7 @@
 	return ln.Addr().String(), Peers{Client: c}
 }
 
-func TestPlacesAreGivenAndEndedOverTheNetwork(t *testing.T) {
+func TestEnterAndLeaveOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
 	a := occupancy.Request{Engine: engine, MaxInFlight: 3, TTL: time.Hour}
@@ -81,7 +81,7 @@
 }
 
 // A owner far away answers for a reading what it would answer at home.
-func TestReadingsAreForecastOverTheNetwork(t *testing.T) {
+func TestPrefillForecastOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
 	a := occupancy.Request{Engine: engine, TTL: time.Hour, Prefill: &occupancy.Prefill{
@@ -107,15 +107,15 @@
 	is.Equal(progress, backlog.Unknown)
 }
 
-func TestReadingWithoutSizesIsRefused(t *testing.T) {
+func TestInvalidPromptPartsAreRefused(t *testing.T) {
 	is := is.New(t)
-	_, err := Enter{Engine: "e", Reading: &Reading{Parts: []uint64{1}}}.ask()
-	is.True(errors.Is(err, errParts))
-	_, err = Enter{Engine: "e", Reading: &Reading{Parts: []uint64{1}, Tokens: []int{-5}}}.ask()
-	is.True(errors.Is(err, errParts))
+	_, err := EnterRequest{Engine: "e", Prefill: &Prefill{Parts: []uint64{1}}}.decode()
+	is.True(errors.Is(err, errPromptParts))
+	_, err = EnterRequest{Engine: "e", Prefill: &Prefill{Parts: []uint64{1}, Tokens: []int{-5}}}.decode()
+	is.True(errors.Is(err, errPromptParts))
 }
 
-func TestOwnerOutOfReachIsAnError(t *testing.T) {
+func TestUnreachableOwnerIsError(t *testing.T) {
 	is := is.New(t)
 	_, peers := serve(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,7 +130,7 @@
 	is.Equal(progress, backlog.Unknown)
 }
 
-func TestPermitsAreGivenOverTheNetwork(t *testing.T) {
+func TestPermitOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
 	a := occupancy.PermitRequest{Runner: engine, Rate: 0.1}
