--- a/transport/relay/pack.go
+++ b/transport/relay/pack.go
@@ -10,9 +10,9 @@
 	"github.com/thymerack/thymerack/state/packed"
 )
 
-// packFrom is the size from which a response is compressed: the list of 3,000 instances
+// minCompressedBytes is the size from which a response is compressed: the list of 3,000 instances
 // has 1 MB of text that repeats itself, and a weak host's link carries 2.5 MB a second.
-const packFrom = 1 << 10
+const minCompressedBytes = 1 << 10
 
 // Packed is a Response as it is sent.
 type Packed struct {
@@ -29,7 +29,7 @@
 	if err != nil {
 		return Packed{}, err
 	}
-	if len(body) < packFrom {
+	if len(body) < minCompressedBytes {
 		return Packed{Plain: body}, nil
 	}
 	return Packed{S2: s2.EncodeBetter(nil, body)}, nil
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -18,8 +18,8 @@
 	// MaxBodyBytes bounds a call: a configuration of some hundred routes has about
 	// 100 KB, the list of 3,000 instances about 1 MB.
 	MaxBodyBytes = 8 << 20
-	// mostWait bounds how long a peer may let a call wait.
-	mostWait = 30 * time.Second
+	// maxWait bounds how long a peer may let a call wait.
+	maxWait = 30 * time.Second
 )
 
 // Request names the revisions that the asking host has, by kind.
@@ -27,7 +27,7 @@
 	From      string            `msgpack:"f"`
 	Revisions map[string]uint64 `msgpack:"r"`
 	WaitMS    int64             `msgpack:"w"`
-	Read      Cursor            `msgpack:"n"`
+	Cursor    Cursor            `msgpack:"n"`
 	Peek      bool              `msgpack:"p,omitempty"`
 }
 
@@ -45,8 +45,8 @@
 	Body   []byte `msgpack:"b"`
 }
 
-// Noted answers a Notice.
-type Noted struct{}
+// NoticeResponse answers a Notice.
+type NoticeResponse struct{}
 
 // Object is an object of the store; one that is gone has no value.
 type Object struct {
@@ -58,7 +58,7 @@
 // Delta is what changed in one kind.
 type Delta struct {
 	Revision uint64   `msgpack:"r"`
-	Whole    bool     `msgpack:"w,omitempty"`
+	Full     bool     `msgpack:"w,omitempty"`
 	Objects  []Object `msgpack:"o,omitempty"`
 	Deleted  []Object `msgpack:"d,omitempty"`
 	// AgeMS is how long ago the copy is known to have been the newest, rounded up; absent
@@ -68,23 +68,23 @@
 
 // Response is what the asking host lacks, by kind.
 type Response struct {
-	Lost bool `msgpack:"l,omitempty"`
-	// RegainedMS is how long ago the store answered again; absent if it always has.
-	RegainedMS *int64           `msgpack:"g,omitempty"`
-	Changes    map[string]Delta `msgpack:"c"`
-	Notices    []Notice         `msgpack:"n,omitempty"`
-	Read       Cursor           `msgpack:"d"`
+	Unavailable bool `msgpack:"l,omitempty"`
+	// RecoveredAgoMS is how long ago the store answered again; absent if it always has.
+	RecoveredAgoMS *int64           `msgpack:"g,omitempty"`
+	Changes        map[string]Delta `msgpack:"c"`
+	Notices        []Notice         `msgpack:"n,omitempty"`
+	Cursor         Cursor           `msgpack:"d"`
 }
 
 // Register lets the server answer hosts that follow this one.
 func Register(s *peer.Server, n *fanout.Node) {
 	s.Handle(peerapi.KindCopies, peer.HandleMsg(func(ctx context.Context, _ state.HostID, q Request) (Packed, error) {
-		wait := min(max(0, time.Duration(q.WaitMS)*time.Millisecond), mostWait)
-		return pack(encode(n.Serve(ctx, fanout.Request{From: q.From, Since: q.Revisions, Cursor: fanout.Cursor(q.Read), Wait: wait, Peek: q.Peek})))
+		wait := min(max(0, time.Duration(q.WaitMS)*time.Millisecond), maxWait)
+		return pack(encode(n.Serve(ctx, fanout.Request{From: q.From, Since: q.Revisions, Cursor: fanout.Cursor(q.Cursor), Wait: wait, Peek: q.Peek})))
 	}))
-	s.Handle(peerapi.KindNotice, peer.HandleMsg(func(_ context.Context, _ state.HostID, m Notice) (Noted, error) {
+	s.Handle(peerapi.KindNotice, peer.HandleMsg(func(_ context.Context, _ state.HostID, m Notice) (NoticeResponse, error) {
 		n.Deliver(m.decode())
-		return Noted{}, nil
+		return NoticeResponse{}, nil
 	}))
 }
 
@@ -95,7 +95,7 @@
 
 // Fetch implements fanout.Peers.
 func (p Peers) Fetch(ctx context.Context, addr string, q fanout.Request) (fanout.Response, error) {
-	m := Request{From: q.From, Revisions: q.Since, WaitMS: q.Wait.Milliseconds(), Read: Cursor(q.Cursor), Peek: q.Peek}
+	m := Request{From: q.From, Revisions: q.Since, WaitMS: q.Wait.Milliseconds(), Cursor: Cursor(q.Cursor), Peek: q.Peek}
 	a, err := peer.CallMsg[Request, Packed](ctx, p.Client, addr, peerapi.KindCopies, m)
 	if err != nil {
 		return fanout.Response{}, err
@@ -109,7 +109,7 @@
 
 // SendNotice implements fanout.Peers.
 func (p Peers) SendNotice(ctx context.Context, addr string, n fanout.Notice) error {
-	_, err := peer.CallMsg[Notice, Noted](ctx, p.Client, addr, peerapi.KindNotice, encodeNotice(n))
+	_, err := peer.CallMsg[Notice, NoticeResponse](ctx, p.Client, addr, peerapi.KindNotice, encodeNotice(n))
 	return err
 }
 
@@ -122,27 +122,27 @@
 }
 
 func encode(n fanout.Response) Response {
-	out := Response{Lost: n.Unavailable, Changes: map[string]Delta{}, Read: Cursor(n.Cursor)}
+	out := Response{Unavailable: n.Unavailable, Changes: map[string]Delta{}, Cursor: Cursor(n.Cursor)}
 	for _, notice := range n.Notices {
 		out.Notices = append(out.Notices, encodeNotice(notice))
 	}
 	if n.HadOutage {
 		ms := n.RecoveredAgo.Milliseconds()
-		out.RegainedMS = &ms
+		out.RecoveredAgoMS = &ms
 	}
 	for kind, d := range n.Changes {
-		out.Changes[kind] = Delta{Revision: d.Revision, Whole: d.Full, Objects: encodeObjects(d.Objects), Deleted: encodeObjects(d.Deleted), AgeMS: encodeAge(d)}
+		out.Changes[kind] = Delta{Revision: d.Revision, Full: d.Full, Objects: encodeObjects(d.Objects), Deleted: encodeObjects(d.Deleted), AgeMS: encodeAge(d)}
 	}
 	return out
 }
 
 func (r Response) decode() fanout.Response {
-	out := fanout.Response{Unavailable: r.Lost, Changes: map[string]follow.Delta{}, Cursor: fanout.Cursor(r.Read)}
+	out := fanout.Response{Unavailable: r.Unavailable, Changes: map[string]follow.Delta{}, Cursor: fanout.Cursor(r.Cursor)}
 	for _, m := range r.Notices {
 		out.Notices = append(out.Notices, m.decode())
 	}
-	if r.RegainedMS != nil {
-		out.HadOutage, out.RecoveredAgo = true, max(0, time.Duration(*r.RegainedMS)*time.Millisecond)
+	if r.RecoveredAgoMS != nil {
+		out.HadOutage, out.RecoveredAgo = true, max(0, time.Duration(*r.RecoveredAgoMS)*time.Millisecond)
 	}
 	for kind, d := range r.Changes {
 		out.Changes[kind] = d.decode(kind)
@@ -160,7 +160,7 @@
 }
 
 func (d Delta) decode(kind string) follow.Delta {
-	out := follow.Delta{Revision: d.Revision, Full: d.Whole, Objects: decodeObjects(kind, d.Objects), Deleted: decodeObjects(kind, d.Deleted)}
+	out := follow.Delta{Revision: d.Revision, Full: d.Full, Objects: decodeObjects(kind, d.Objects), Deleted: decodeObjects(kind, d.Deleted)}
 	if d.AgeMS != nil {
 		out.Proven, out.Age = true, max(0, time.Duration(*d.AgeMS)*time.Millisecond)
 	}
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -82,7 +82,7 @@
 	return ln.Addr().String()
 }
 
-func TestChangesAreToldOverTheNetwork(t *testing.T) {
+func TestFetchAndSendNoticeOverNetwork(t *testing.T) {
 	is := is.New(t)
 	p := storetest.NewPlatform(20 * time.Second)
 	c := p.Client("operator")
@@ -90,33 +90,33 @@
 	is.NoErr(err)
 	addr := serve(t, newNode(t, p))
 	peers := Peers{Client: newClient(t)}
-	news, err := peers.Fetch(t.Context(), addr, fanout.Request{Wait: time.Minute})
+	response, err := peers.Fetch(t.Context(), addr, fanout.Request{Wait: time.Minute})
 	is.NoErr(err)
-	is.True(!news.Unavailable && !news.HadOutage)
-	whole := news.Changes["a"]
-	is.True(whole.Full)
-	is.Equal(whole.Objects, []store.Object{{Kind: "a", Name: "x", Version: first, Value: []byte(`{"v":1}`)}})
-	told := make(chan fanout.Response, 1)
+	is.True(!response.Unavailable && !response.HadOutage)
+	full := response.Changes["a"]
+	is.True(full.Full)
+	is.Equal(full.Objects, []store.Object{{Kind: "a", Name: "x", Version: first, Value: []byte(`{"v":1}`)}})
+	responses := make(chan fanout.Response, 1)
 	go func() {
-		news, err := peers.Fetch(context.Background(), addr, fanout.Request{Since: fanout.Revisions{"a": whole.Revision}, Cursor: news.Cursor, Wait: time.Minute})
+		response, err := peers.Fetch(context.Background(), addr, fanout.Request{Since: fanout.Revisions{"a": full.Revision}, Cursor: response.Cursor, Wait: time.Minute})
 		if err != nil {
 			t.Error(err)
 		}
-		told <- news
+		responses <- response
 	}()
 	is.NoErr(c.Delete(t.Context(), "a", "x", first))
-	news = <-told
-	is.True(!news.Changes["a"].Full)
-	is.Equal(len(news.Changes["a"].Deleted), 1)
-	is.Equal(news.Changes["a"].Deleted[0].Name, "x")
+	response = <-responses
+	is.True(!response.Changes["a"].Full)
+	is.Equal(len(response.Changes["a"].Deleted), 1)
+	is.Equal(response.Changes["a"].Deleted[0].Name, "x")
 	notice := fanout.Notice{Origin: "h-1", Number: 3, Topic: "t", Body: []byte("body")}
 	is.NoErr(peers.SendNotice(t.Context(), addr, notice))
-	news, err = peers.Fetch(t.Context(), addr, fanout.Request{Since: fanout.Revisions{"a": news.Changes["a"].Revision}, Cursor: news.Cursor, Wait: time.Minute})
+	response, err = peers.Fetch(t.Context(), addr, fanout.Request{Since: fanout.Revisions{"a": response.Changes["a"].Revision}, Cursor: response.Cursor, Wait: time.Minute})
 	is.NoErr(err)
-	is.Equal(news.Notices, []fanout.Notice{notice})
+	is.Equal(response.Notices, []fanout.Notice{notice})
 }
 
-func TestPeerThatIsGoneIsAnError(t *testing.T) {
+func TestUnreachablePeerIsError(t *testing.T) {
 	is := is.New(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	is.NoErr(err)
@@ -131,8 +131,8 @@
 func FuzzResponse(f *testing.F) {
 	regained := int64(-5)
 	for _, r := range []Response{
-		{Lost: true},
-		{RegainedMS: &regained, Changes: map[string]Delta{"a": {Revision: 9, Whole: true, Objects: []Object{{"x", 8, []byte("{}")}}}}},
+		{Unavailable: true},
+		{RecoveredAgoMS: &regained, Changes: map[string]Delta{"a": {Revision: 9, Full: true, Objects: []Object{{"x", 8, []byte("{}")}}}}},
 		{Changes: map[string]Delta{"a": {Revision: 1 << 63, Deleted: []Object{{"", 1 << 63, nil}}}}},
 	} {
 		body, err := msgpack.Marshal(r)
@@ -146,13 +146,13 @@
 		if msgpack.Unmarshal(body, &r) != nil {
 			return
 		}
-		news := r.decode()
-		if news.RecoveredAgo < 0 {
-			t.Errorf("the store is regained in %s", -news.RecoveredAgo)
+		response := r.decode()
+		if response.RecoveredAgo < 0 {
+			t.Errorf("the store is regained in %s", -response.RecoveredAgo)
 		}
-		again := encode(news).decode()
-		if len(again.Changes) != len(news.Changes) || again.Unavailable != news.Unavailable || again.HadOutage != news.HadOutage {
-			t.Errorf("%v came back as %v", news, again)
+		again := encode(response).decode()
+		if len(again.Changes) != len(response.Changes) || again.Unavailable != response.Unavailable || again.HadOutage != response.HadOutage {
+			t.Errorf("%v came back as %v", response, again)
 		}
 	})
 }
@@ -160,7 +160,7 @@
 // A list of 3,000 instances goes over a weak host's link of 20 Mbit/s in some 50 ms.
 func TestListsAreCompressed(t *testing.T) {
 	is := is.New(t)
-	r := Response{Changes: map[string]Delta{"a": {Revision: 9, Whole: true}}}
+	r := Response{Changes: map[string]Delta{"a": {Revision: 9, Full: true}}}
 	d := r.Changes["a"]
 	for i := range 3000 {
 		entry := fmt.Sprintf(`{"service":"huvo11a","addr":"10.128.%d.%d:8080","zone":"hall-nord","version":"v1","slots":12,"state":"ready","cold-left-ms":0,"stage":"decode","models":[{"name":"m","version":1,"adapters":[]}],"seq":%d}`, i/250, i%250, i)
@@ -173,7 +173,7 @@
 	back, err := p.unpack()
 	is.NoErr(err)
 	is.Equal(back, r)
-	small, err := pack(Response{Lost: true})
+	small, err := pack(Response{Unavailable: true})
 	is.NoErr(err)
 	is.True(len(small.Plain) > 0 && len(small.S2) == 0)
 	for _, bad := range []Packed{{S2: []byte{0xff, 0xff, 0xff, 0xff, 0x0f}}, {S2: []byte{5, 1}}, {Plain: []byte{0xc1}}} {
