--- a/transport/advices/advices.go
+++ b/transport/advices/advices.go
@@ -1,5 +1,5 @@
-// Package advices carries what runners ask of all hosts from the host that hears it to the
-// others.
+// Package advices broadcasts backpressure notices: advice that one host receives from a runner
+// and that all hosts apply.
 package advices
 
 import (
@@ -14,10 +14,11 @@
 	"github.com/thymerack/thymerack/state/packed"
 )
 
-// topic is that of the notices.
+// topic is the fanout topic of the notices.
 const topic fanout.Topic = "advice"
 
-// notice is a backpressure.Notice.
+// notice is a backpressure.Notice on the wire. Born is when the run of the runner began, in Unix
+// milliseconds; Limit is in requests per second.
 type notice struct {
 	Name    string  `msgpack:"n"`
 	Born    int64   `msgpack:"b,omitempty"`
@@ -26,7 +27,8 @@
 	Limit   float64 `msgpack:"l,omitempty"`
 }
 
-// Publish tells all hosts. One that isn't reached learns of it by answers of its own.
+// Publish sends a notice to all hosts. A host that misses it gets the advice with the runner's
+// responses to its own requests.
 func Publish(ctx context.Context, n *fanout.Node, msg backpressure.Notice) error {
 	body, err := msgpack.Marshal(notice{msg.Instance.Name, msg.Instance.Born, msg.Service, string(msg.Kind), msg.Limit})
 	if err != nil {
@@ -36,12 +38,13 @@
 	return nil
 }
 
-// Subscribe takes the notices of all hosts, this one too.
+// Subscribe calls handle with the notices of all hosts, including this one. Notices that can't be
+// decoded or whose limit is negative or not a number are logged and dropped.
 func Subscribe(n *fanout.Node, handle func(backpressure.Notice), log *slog.Logger) {
 	n.Subscribe(topic, func(body []byte) {
 		var m notice
 		if err := packed.Decode(body, &m); err != nil || !(m.Limit >= 0) {
-			log.Warn("notice of what a runner asks not readable; run the same version on all hosts", "limit", m.Limit, "cause", err)
+			log.Warn("invalid backpressure notice; run the same version on all hosts", "limit", m.Limit, "cause", err)
 			return
 		}
 		handle(backpressure.Notice{Instance: state.InstanceID{Name: m.Name, Born: m.Born}, Service: m.Service, Kind: backpressure.Kind(m.Kind), Limit: m.Limit})
--- a/transport/advices/advices_test.go
+++ b/transport/advices/advices_test.go
@@ -13,7 +13,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// A notice reaches its own host too, with the run that it names; what can't be one is dropped.
+// A notice is also delivered on the host that publishes it, with the runner's run; invalid notices
+// are dropped.
 func TestPublishDeliversNotice(t *testing.T) {
 	is := is.New(t)
 	n := fanouttest.NewNode(t)
--- a/transport/outliers/outliers.go
+++ b/transport/outliers/outliers.go
@@ -1,4 +1,5 @@
-// Package outliers carries reports and verdicts of silent runners between hosts.
+// Package outliers carries the messages of outlier detection between hosts: reports of silent
+// runners to the runners' owners, and the owners' verdicts to all hosts.
 package outliers
 
 import (
@@ -16,22 +17,23 @@
 	"github.com/thymerack/thymerack/transport/peer"
 )
 
-// topic is that of the verdicts.
+// topic is the fanout topic of the verdicts.
 const topic fanout.Topic = "outliers"
 
-// maxVerdictTTL bounds a verdict of a peer, whatever it says.
+// maxVerdictTTL bounds the TTL of a verdict, whatever value a peer sends.
 const maxVerdictTTL = 10 * time.Second
 
-// report says that a host hears nothing of a runner.
+// report reports that a runner is silent for the sending host. Born is when the runner's run began,
+// in Unix milliseconds.
 type report struct {
 	Name string `msgpack:"n"`
 	Born int64  `msgpack:"b,omitempty"`
 }
 
-// reportResponse answers a report.
+// reportResponse is the empty response to a report.
 type reportResponse struct{}
 
-// verdict tells all hosts whether a runner is silent.
+// verdict is an outlier.Verdict on the wire. TTLMS is its TTL in milliseconds.
 type verdict struct {
 	Name   string `msgpack:"n"`
 	Born   int64  `msgpack:"b,omitempty"`
@@ -39,7 +41,7 @@
 	TTLMS  int64  `msgpack:"f,omitempty"`
 }
 
-// Register lets the server take the reports of peers.
+// Register makes s pass the reports of peers to handle.
 func Register(s *peer.Server, handle func(state.InstanceID)) {
 	s.Handle(peerapi.KindReport, peer.HandleMsg(func(_ context.Context, _ state.HostID, m report) (reportResponse, error) {
 		handle(state.InstanceID(m))
@@ -47,7 +49,7 @@
 	}))
 }
 
-// Peers reaches the owners of runners.
+// Peers implements outlier.Peers over calls between hosts.
 type Peers struct{ Client *peer.Client }
 
 var _ outlier.Peers = Peers{}
@@ -58,7 +60,7 @@
 	return err
 }
 
-// Publish tells all hosts.
+// Publish sends a verdict to all hosts.
 func Publish(ctx context.Context, n *fanout.Node, v outlier.Verdict) error {
 	body, err := msgpack.Marshal(verdict{Name: v.Instance.Name, Born: v.Instance.Born, Silent: v.Silent, TTLMS: v.TTL.Milliseconds()})
 	if err != nil {
@@ -68,12 +70,12 @@
 	return nil
 }
 
-// Subscribe takes the verdicts of all hosts.
+// Subscribe calls handle with the verdicts of all hosts, including this one.
 func Subscribe(n *fanout.Node, handle func(outlier.Verdict), log *slog.Logger) {
 	n.Subscribe(topic, func(body []byte) {
 		var m verdict
 		if err := packed.Decode(body, &m); err != nil {
-			log.Warn("verdict on a runner not readable", "cause", err.Error())
+			log.Warn("invalid outlier verdict", "cause", err.Error())
 			return
 		}
 		ttl := time.Duration(min(max(0, m.TTLMS), maxVerdictTTL.Milliseconds())) * time.Millisecond
--- a/transport/places/fuzz_test.go
+++ b/transport/places/fuzz_test.go
@@ -11,7 +11,7 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-// Whatever bytes a peer sends, an owner answers or refuses them, and its tracker stands.
+// An owner answers or refuses any bytes from a peer, and its tracker doesn't panic.
 func FuzzEnter(f *testing.F) {
 	for _, q := range []EnterRequest{
 		{Engine: "e", MaxInFlight: 3, TTLMS: 1000},
--- a/transport/places/places.go
+++ b/transport/places/places.go
@@ -1,4 +1,5 @@
-// Package places carries the calls for places at engines between hosts.
+// Package places carries the calls of package occupancy between hosts: admission to engines,
+// forecasts of prefills, and permits for rate-limited runners.
 package places
 
 import (
@@ -13,7 +14,8 @@
 	"github.com/thymerack/thymerack/transport/peer"
 )
 
-// EnterRequest asks for a place at an engine.
+// EnterRequest is an occupancy.Request on the wire: it asks for admission to an engine. Born is when
+// the engine's run began, in Unix milliseconds; TTLMS is the reservation's TTL in milliseconds.
 type EnterRequest struct {
 	Engine      string   `msgpack:"e"`
 	Born        int64    `msgpack:"b,omitempty"`
@@ -22,7 +24,8 @@
 	Prefill     *Prefill `msgpack:"r,omitempty"`
 }
 
-// Prefill is the prompt of an Enter.
+// Prefill is an occupancy.Prefill on the wire. Parts are the ids of the prompt's parts and Tokens
+// their sizes; both have the same length. Times are in milliseconds.
 type Prefill struct {
 	Service         string   `msgpack:"s"`
 	Parts           []uint64 `msgpack:"p"`
@@ -37,7 +40,8 @@
 	RequireCached   bool     `msgpack:"c,omitempty"`
 }
 
-// EnterResponse answers an Enter; ID is 0 if no place was given.
+// EnterResponse is the response to an EnterRequest; ID is 0 if the request wasn't admitted. The
+// other fields are those of a backlog.Forecast, with times in milliseconds.
 type EnterResponse struct {
 	ID            uint64  `msgpack:"i"`
 	WaitMS        float64 `msgpack:"w,omitempty"`
@@ -50,20 +54,20 @@
 	Reliable      bool    `msgpack:"n,omitempty"`
 }
 
-// RemainingRequest asks when the reading of a place ends.
+// RemainingRequest asks for the remaining time of the prefill of reservation ID.
 type RemainingRequest struct {
 	Engine string `msgpack:"e"`
 	Born   int64  `msgpack:"b,omitempty"`
 	ID     uint64 `msgpack:"i"`
 }
 
-// RemainingResponse answers a Remain.
+// RemainingResponse is the response to a RemainingRequest. Progress is a backlog.Progress.
 type RemainingResponse struct {
 	Progress int           `msgpack:"p"`
 	Forecast EnterResponse `msgpack:"f"`
 }
 
-// LeaveRequest ends a place.
+// LeaveRequest ends reservation ID. Done says that the work was completed.
 type LeaveRequest struct {
 	Engine string `msgpack:"e"`
 	Born   int64  `msgpack:"b,omitempty"`
@@ -71,10 +75,11 @@
 	Done   bool   `msgpack:"d"`
 }
 
-// LeaveResponse answers a Leave.
+// LeaveResponse is the empty response to a LeaveRequest.
 type LeaveResponse struct{}
 
-// PermitRequest asks for a permit to send a request to a runner that names a limit.
+// PermitRequest is an occupancy.PermitRequest on the wire: it asks for a permit to send a request to
+// a runner that has a rate limit. Rate is in requests per second.
 type PermitRequest struct {
 	Runner    string  `msgpack:"e"`
 	Born      int64   `msgpack:"b,omitempty"`
@@ -83,14 +88,14 @@
 	Rank      int     `msgpack:"k"`
 }
 
-// PermitResponse answers a Permit.
+// PermitResponse is the response to a PermitRequest. WaitMS is in milliseconds.
 type PermitResponse struct {
 	Granted bool    `msgpack:"g"`
 	WaitMS  float64 `msgpack:"w"`
 }
 
-// Register lets the server answer peers from the host's tracker, and from its gate for what it
-// owns of runners' limits.
+// Register makes s answer peers: permits by gate, from this host's share of runners' limits, and all
+// other calls by tracker.
 func Register(s *peer.Server, tracker *occupancy.Tracker, gate *occupancy.Gate) {
 	s.Handle(peerapi.KindPermit, peer.HandleMsg(func(_ context.Context, _ state.HostID, q PermitRequest) (PermitResponse, error) {
 		if !(q.Rate >= 0) || !(q.MaxWaitMS >= 0 && q.MaxWaitMS < maxWaitMS) || q.Rank < 0 {
@@ -117,19 +122,21 @@
 	}))
 }
 
-// errPermitRange says that an ask for a permit can't be right.
+// errPermitRange reports a PermitRequest with values out of range, as sent by a host of another
+// version.
 var errPermitRange = errors.New("places: an ask for a permit has a rate, wait or rank out of range; run the same version on all hosts")
 
-// errPromptParts says that a prompt's parts and their sizes can't be right.
+// errPromptParts reports a Prefill whose parts and sizes don't match or whose values are out of
+// range, as sent by a host of another version.
 var errPromptParts = errors.New("places: a prompt's parts have no sizes, or ones out of range; run the same version on all hosts")
 
 const (
-	// maxTokens is above every engine's memory, in tokens.
+	// maxTokens exceeds the memory of any engine, in tokens.
 	maxTokens = 1 << 32
-	// maxFetchMS is above every time in which an engine fetches: it doesn't begin what
-	// would wait for more than two seconds.
+	// maxFetchMS exceeds the duration of any fetch: engines don't start a fetch that would
+	// wait for more than two seconds.
 	maxFetchMS = 60_000
-	// maxWaitMS is above every wait for a permit: callers leave before.
+	// maxWaitMS exceeds any wait for a permit: callers disconnect earlier.
 	maxWaitMS = 3_600_000
 )
 
@@ -181,7 +188,7 @@
 	}}
 }
 
-// Peers calls the trackers of other hosts.
+// Peers implements occupancy.Peers over calls between hosts.
 type Peers struct{ Client *peer.Client }
 
 var _ occupancy.Peers = Peers{}
--- a/transport/places/places_test.go
+++ b/transport/places/places_test.go
@@ -20,10 +20,10 @@
 
 func hostID(name string) state.HostID { return state.HostID{Name: name, Incarnation: "1"} }
 
-// serve answers for a tracker and returns its address and calls to it.
-// engine is a run that has a start of its own.
+// engine is a run with a known start.
 var engine = state.InstanceID{Name: "e", Born: 1_790_000_000_123}
 
+// serve starts a server for a new tracker and returns its address and a client.
 func serve(t *testing.T) (string, Peers) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 	is.True(answer.ID != 0)
 }
 
-// A owner far away answers for a reading what it would answer at home.
+// A remote owner returns the same forecast for a prefill as a local tracker.
 func TestPrefillForecastOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
@@ -92,7 +92,7 @@
 	got, err := peers.Enter(t.Context(), addr, a)
 	is.NoErr(err)
 	is.Equal(got, want)
-	is.Equal(got.ID, uint64(0)) // 300 tokens aren't kept
+	is.Equal(got.ID, uint64(0)) // 300 tokens aren't cached
 	a.Prefill.RequireCached, a.Prefill.AllowLate, a.Prefill.MaxFinish = false, true, time.Millisecond
 	got, err = peers.Enter(t.Context(), addr, a)
 	is.NoErr(err)
--- a/transport/quarantines/fuzz_test.go
+++ b/transport/quarantines/fuzz_test.go
@@ -8,7 +8,7 @@
 	"github.com/thymerack/thymerack/state/packed"
 )
 
-// Whatever a peer sends is decoded or refused, and what is decoded goes on as it was.
+// Any message of a peer is either decoded or refused, and a decoded one survives encoding.
 func FuzzNotice(f *testing.F) {
 	for _, n := range []notice{
 		{},
--- a/transport/quarantines/quarantines.go
+++ b/transport/quarantines/quarantines.go
@@ -1,4 +1,5 @@
-// Package quarantines carries what hosts tell each other of requests that crash runners.
+// Package quarantines carries quarantine notices between hosts: crashes of runners and the requests
+// suspected of causing them.
 package quarantines
 
 import (
@@ -18,17 +19,18 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-// topic is that of the notices.
+// topic is the fanout topic of the notices.
 const topic fanout.Topic = "quarantine"
 
-// notice is a quarantine.Notice.
+// notice is a quarantine.Notice on the wire. Answered holds digests.
 type notice struct {
 	Crashes  []crash       `msgpack:"c,omitempty"`
 	Held     []heldRequest `msgpack:"h,omitempty"`
 	Answered [][]byte      `msgpack:"a,omitempty"`
 }
 
-// crash is the end of one run of a runner.
+// crash is a quarantine.Crash: the crash of one run of a runner, as noticed by Host. Born and AtMS
+// are the times of the run's start and of the crash, in Unix milliseconds.
 type crash struct {
 	Runner   string    `msgpack:"n"`
 	Born     int64     `msgpack:"b,omitempty"`
@@ -37,26 +39,27 @@
 	Suspects []suspect `msgpack:"s"`
 }
 
-// suspect is a request that ran there.
+// suspect is a request that was running on the runner when it crashed.
 type suspect struct {
 	Digest    []byte `msgpack:"d"`
 	RequestID string `msgpack:"i"`
-	// AgeMS is how long ago it was sent to the runner.
+	// AgeMS is how long ago the request was sent to the runner, in milliseconds. An age is sent
+	// because the clocks of hosts differ.
 	AgeMS          int64 `msgpack:"g,omitempty"`
 	LongRunning    bool  `msgpack:"l,omitempty"`
 	AnsweredBefore bool  `msgpack:"p,omitempty"`
 }
 
-// heldRequest is a request that is heldRequest, with the crashes that speak against it.
+// heldRequest is a quarantined request with the crashes counted against it.
 type heldRequest struct {
 	Digest  []byte  `msgpack:"d"`
 	Crashes []crash `msgpack:"c"`
 }
 
-// errDigestSize says that a digest has the wrong size.
+// errDigestSize reports a digest of the wrong size, as sent by a host of another version.
 var errDigestSize = errors.New("quarantines: a digest of another size; run the same version on all hosts")
 
-// Publish tells all hosts.
+// Publish sends a notice to all hosts.
 func Publish(ctx context.Context, n *fanout.Node, q quarantine.Notice) error {
 	body, err := msgpack.Marshal(encode(q))
 	if err != nil {
@@ -66,7 +69,7 @@
 	return nil
 }
 
-// Subscribe takes what all hosts tell, this one too.
+// Subscribe calls handle with the notices of all hosts, including this one.
 func Subscribe(n *fanout.Node, handle func(quarantine.Notice), log *slog.Logger) {
 	n.Subscribe(topic, func(body []byte) {
 		var m notice
@@ -76,17 +79,17 @@
 			q, err = m.decode()
 		}
 		if err != nil {
-			log.Warn("notice of crashes not readable", "cause", err.Error())
+			log.Warn("invalid quarantine notice", "cause", err.Error())
 			return
 		}
 		handle(q)
 	})
 }
 
-// sendResponse answers a notice that was sent to one host.
+// sendResponse is the empty response to a notice sent by Send.
 type sendResponse struct{}
 
-// Register lets the server take what peers tell by Tell.
+// Register makes s pass the notices that peers send by Send to handle.
 func Register(s *peer.Server, handle func(quarantine.Notice)) {
 	s.Handle(peerapi.KindCrash, peer.HandleMsg(func(_ context.Context, _ state.HostID, m notice) (sendResponse, error) {
 		q, err := m.decode()
@@ -98,7 +101,8 @@
 	}))
 }
 
-// Send tells the host at addr, where hosts have no notices for all.
+// Send sends a notice to the host at addr. It is for hosts without a fanout node, which can't
+// use Publish.
 func Send(ctx context.Context, c *peer.Client, addr string, q quarantine.Notice) error {
 	_, err := peer.CallMsg[notice, sendResponse](ctx, c, addr, peerapi.KindCrash, encode(q))
 	return err
@@ -171,10 +175,10 @@
 	return out
 }
 
-// maxRequestAge is above the age of every request that can have run at a crash.
+// maxRequestAge bounds the ages that peers report. No request runs for so long.
 const maxRequestAge = time.Hour
 
-// sendTime is when a request of that age was sent.
+// sendTime returns the time by this host's clock at which a request of the given age was sent.
 func sendTime(ageMS int64) time.Time {
 	age := min(max(0, ageMS), maxRequestAge.Milliseconds())
 	return wallclock.Now().Add(-time.Duration(age) * time.Millisecond)
--- a/transport/relay/pack.go
+++ b/transport/relay/pack.go
@@ -10,18 +10,19 @@
 	"github.com/thymerack/thymerack/state/packed"
 )
 
-// minCompressedBytes is the size from which a response is compressed: the list of 3,000 instances
-// has 1 MB of text that repeats itself, and a weak host's link carries 2.5 MB a second.
+// minCompressedBytes is the size from which a response is compressed. The list of 3,000 instances is
+// 1 MB of repetitive text, and a small host's link carries 2.5 MB/s.
 const minCompressedBytes = 1 << 10
 
-// Packed is a Response as it is sent.
+// Packed is an encoded Response, compressed if it is large.
 type Packed struct {
-	// Plain is the encoded response, or S2 the same compressed.
+	// Exactly one is set: Plain is the encoded response, S2 the same compressed with S2.
 	Plain []byte `msgpack:"p,omitempty"`
 	S2    []byte `msgpack:"s,omitempty"`
 }
 
-// errTooLarge says that a response would take more memory than any list needs.
+// errTooLarge reports a response whose decompressed size exceeds MaxBodyBytes. It bounds the memory
+// that a peer's response can take.
 var errTooLarge = errors.New("relay: a peer's response is larger than any list; bring both hosts to the same release")
 
 func pack(r Response) (Packed, error) {
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay carries what changed in the copies of the platform's store from hosts that
-// follow it to those that follow them, in one call between hosts that waits for a change.
+// Package relay carries changes of the platform's store and notices from the hosts that follow the
+// store to the hosts that follow those, by long polling.
 package relay
 
 import (
@@ -15,14 +15,15 @@
 )
 
 const (
-	// MaxBodyBytes bounds a call: a configuration of some hundred routes has about
+	// MaxBodyBytes bounds the body of a call. A configuration of some hundred routes has about
 	// 100 KB, the list of 3,000 instances about 1 MB.
 	MaxBodyBytes = 8 << 20
-	// maxWait bounds how long a peer may let a call wait.
+	// maxWait bounds how long a peer's request is held while there is nothing new.
 	maxWait = 30 * time.Second
 )
 
-// Request names the revisions that the asking host has, by kind.
+// Request is a fanout.Request on the wire. Revisions are those that the requesting host has, by kind;
+// WaitMS is in milliseconds.
 type Request struct {
 	From      string            `msgpack:"f"`
 	Revisions map[string]uint64 `msgpack:"r"`
@@ -31,13 +32,13 @@
 	Peek      bool              `msgpack:"p,omitempty"`
 }
 
-// Cursor is how far the asking host has read the relay's notices.
+// Cursor is the requesting host's position in the relay's notices.
 type Cursor struct {
 	Relay string `msgpack:"r,omitempty"`
 	Next  uint64 `msgpack:"n,omitempty"`
 }
 
-// Notice is a message for all hosts.
+// Notice is a fanout.Notice on the wire: a message to all hosts.
 type Notice struct {
 	Origin string `msgpack:"o"`
 	Number uint64 `msgpack:"n"`
@@ -45,38 +46,41 @@
 	Body   []byte `msgpack:"b"`
 }
 
-// NoticeResponse answers a Notice.
+// NoticeResponse is the empty response to a Notice.
 type NoticeResponse struct{}
 
-// Object is an object of the store; one that is gone has no value.
+// Object is an object of the store. A deleted object has no value.
 type Object struct {
 	Name    string `msgpack:"n"`
 	Version uint64 `msgpack:"v"`
 	Value   []byte `msgpack:"d,omitempty"`
 }
 
-// Delta is what changed in one kind.
+// Delta holds the changes of one kind of objects. If Full is set, Objects are all objects of the
+// kind.
 type Delta struct {
 	Revision uint64   `msgpack:"r"`
 	Full     bool     `msgpack:"w,omitempty"`
 	Objects  []Object `msgpack:"o,omitempty"`
 	Deleted  []Object `msgpack:"d,omitempty"`
-	// AgeMS is how long ago the copy is known to have been the newest, rounded up; absent
-	// if that isn't known.
+	// AgeMS is how long ago the copy was last known to be current, in milliseconds, rounded up;
+	// absent if unknown.
 	AgeMS *int64 `msgpack:"a,omitempty"`
 }
 
-// Response is what the asking host lacks, by kind.
+// Response is a fanout.Response on the wire. Changes are the changes after the revisions of the
+// request, by kind.
 type Response struct {
 	Unavailable bool `msgpack:"l,omitempty"`
-	// RecoveredAgoMS is how long ago the store answered again; absent if it always has.
+	// RecoveredAgoMS is how long ago the store became available again, in milliseconds; absent
+	// if there was no outage.
 	RecoveredAgoMS *int64           `msgpack:"g,omitempty"`
 	Changes        map[string]Delta `msgpack:"c"`
 	Notices        []Notice         `msgpack:"n,omitempty"`
 	Cursor         Cursor           `msgpack:"d"`
 }
 
-// Register lets the server answer hosts that follow this one.
+// Register makes s answer the hosts that follow this one, and deliver the notices of peers to n.
 func Register(s *peer.Server, n *fanout.Node) {
 	s.Handle(peerapi.KindCopies, peer.HandleMsg(func(ctx context.Context, _ state.HostID, q Request) (Packed, error) {
 		wait := min(max(0, time.Duration(q.WaitMS)*time.Millisecond), maxWait)
@@ -88,7 +92,7 @@
 	}))
 }
 
-// Peers reaches other hosts.
+// Peers implements fanout.Peers over calls between hosts.
 type Peers struct{ Client *peer.Client }
 
 var _ fanout.Peers = Peers{}
@@ -150,7 +154,7 @@
 	return out
 }
 
-// encodeAge rounds up: a proof may be taken for older than it is and never for younger.
+// encodeAge rounds up, because a copy must never be taken for more recent than it is.
 func encodeAge(d follow.Delta) *int64 {
 	if !d.Proven {
 		return nil
--- a/transport/relay/relay_test.go
+++ b/transport/relay/relay_test.go
@@ -33,7 +33,7 @@
 	return c
 }
 
-// newNode makes a host that follows a store.
+// newNode returns the fanout node of a host that follows the store of p.
 func newNode(t *testing.T, p *storetest.Platform) *fanout.Node {
 	t.Helper()
 	var n *fanout.Node
@@ -126,8 +126,8 @@
 	is.True(err != nil)
 }
 
-// Whatever bytes a peer answers with, they are decoded or refused, and what is decoded
-// survives the way back.
+// Any response bytes of a peer are either decoded or refused, and a decoded response survives
+// encoding.
 func FuzzResponse(f *testing.F) {
 	regained := int64(-5)
 	for _, r := range []Response{
@@ -148,16 +148,16 @@
 		}
 		response := r.decode()
 		if response.RecoveredAgo < 0 {
-			t.Errorf("the store is regained in %s", -response.RecoveredAgo)
+			t.Errorf("the store recovers in the future: %s", -response.RecoveredAgo)
 		}
 		again := encode(response).decode()
 		if len(again.Changes) != len(response.Changes) || again.Unavailable != response.Unavailable || again.HadOutage != response.HadOutage {
-			t.Errorf("%v came back as %v", response, again)
+			t.Errorf("%v was decoded as %v after encoding", response, again)
 		}
 	})
 }
 
-// A list of 3,000 instances goes over a weak host's link of 20 Mbit/s in some 50 ms.
+// The compressed list of 3,000 instances takes about 50 ms on a small host's link of 20 Mbit/s.
 func TestListsAreCompressed(t *testing.T) {
 	is := is.New(t)
 	r := Response{Changes: map[string]Delta{"a": {Revision: 9, Full: true}}}
--- a/transport/roles/roles.go
+++ b/transport/roles/roles.go
@@ -1,5 +1,5 @@
-// Package roles lets the host that orders engines tell the others which engines are
-// about to change their role, so that they send them nothing that would be refused.
+// Package roles broadcasts upcoming role changes of engines from the host that orders them, so that
+// other hosts don't send requests that the engines would refuse in their new role.
 package roles
 
 import (
@@ -14,32 +14,32 @@
 	"github.com/thymerack/thymerack/state/packed"
 )
 
-// topic is that of the notices.
+// topic is the fanout topic of the announcements.
 const topic fanout.Topic = "roles"
 
-// change says that engines are about to take a role.
+// change announces that engines are about to change to a role.
 type change struct {
 	Engines []engine `msgpack:"e"`
 	Role    string   `msgpack:"r"`
-	// WithinMS is how long the change may take to show in the list of instances.
+	// WithinMS is the longest time in milliseconds until the list of instances shows the change.
 	WithinMS int64 `msgpack:"w"`
 }
 
-// engine is one run of an engine.
+// engine is one run of an engine. Born is when it began, in Unix milliseconds.
 type engine struct {
 	Name string `msgpack:"n"`
 	Born int64  `msgpack:"b,omitempty"`
 }
 
-// Expect notes that engines are about to take a role, for so long at most.
+// Expect records that engines are about to change to a role. The expectation expires after within.
 type Expect func(engines []state.InstanceID, role state.Role, within time.Duration)
 
-// Subscribe takes the changes that hosts announce, this one too.
+// Subscribe calls expect with the changes that hosts announce, including this one.
 func Subscribe(n *fanout.Node, expect Expect, log *slog.Logger) {
 	n.Subscribe(topic, func(body []byte) {
 		var c change
 		if err := packed.Decode(body, &c); err != nil {
-			log.Warn("announcement of a role not readable", "cause", err.Error())
+			log.Warn("invalid role announcement", "cause", err.Error())
 			return
 		}
 		ids := make([]state.InstanceID, 0, len(c.Engines))
@@ -50,8 +50,8 @@
 	})
 }
 
-// Announce tells all hosts. One that isn't reached learns of the change by refusals and
-// the list.
+// Announce sends a role change to all hosts. A host that misses it learns of the change from the
+// engines' refusals and from the list of instances.
 func Announce(ctx context.Context, n *fanout.Node, engines []state.InstanceID, role state.Role, within time.Duration) error {
 	c := change{Role: string(role), WithinMS: within.Milliseconds()}
 	for _, id := range engines {
--- a/transport/roles/roles_test.go
+++ b/transport/roles/roles_test.go
@@ -12,7 +12,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// An announcement reaches its own host too, with the runs that it names.
+// An announcement is also delivered on the host that publishes it, with the engines' runs; invalid
+// ones are dropped.
 func TestAnnounceDeliversRoleChange(t *testing.T) {
 	is := is.New(t)
 	n := fanouttest.NewNode(t)
--- a/transport/usages/usages.go
+++ b/transport/usages/usages.go
@@ -1,5 +1,5 @@
-// Package usages carries the counts of requests from hosts to collectors, and from those to
-// the host that reports them.
+// Package usages carries request counts from hosts to collectors, and from collectors to the host
+// that reports the usage.
 package usages
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/thymerack/thymerack/transport/peer"
 )
 
-// tally is a usage.Tally.
+// tally is a usage.Tally on the wire.
 type tally struct {
 	Run  string `msgpack:"r"`
 	Addr string `msgpack:"a"`
-	// ThroughUS is the true time through which the windows are whole, in Unix microseconds.
+	// ThroughUS is the true time up to which Windows are complete, in Unix microseconds.
 	ThroughUS int64                        `msgpack:"t"`
 	Windows   map[uint64]map[string]uint64 `msgpack:"w,omitempty"`
 }
@@ -56,15 +56,15 @@
 	return out
 }
 
-// pushRequest is a usage.PushRequest.
+// pushRequest is a usage.PushRequest on the wire.
 type pushRequest struct {
 	Tally  tally   `msgpack:"t"`
 	Others []tally `msgpack:"h,omitempty"`
-	// OwnTimeUS is the host's own clock, in Unix microseconds.
+	// OwnTimeUS is the time by the host's own clock, in Unix microseconds.
 	OwnTimeUS int64 `msgpack:"o"`
 }
 
-// pushResponse is a usage.PushResponse; times are in Unix microseconds.
+// pushResponse is a usage.PushResponse on the wire; times are in Unix microseconds.
 type pushResponse struct {
 	Run       string `msgpack:"r"`
 	OwnTimeUS int64  `msgpack:"o"`
@@ -82,7 +82,7 @@
 	Tallies []tally `msgpack:"t"`
 }
 
-// Register lets the server answer hosts that tell their counts, and the one that asks for them.
+// Register makes s handle the hosts' pushes of counts by t, and fetches of a window's tallies by c.
 func Register(s *peer.Server, t *usage.Pusher, c *usage.Collector) {
 	s.Handle(peerapi.KindTellUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, m pushRequest) (pushResponse, error) {
 		h := t.HandlePush(usage.PushRequest{Tally: m.Tally.decode(), Others: decodeAll(m.Others), OwnTime: time.UnixMicro(m.OwnTimeUS)})
@@ -93,7 +93,7 @@
 	}))
 }
 
-// Peers reaches collectors.
+// Peers implements usage.Peers over calls between hosts.
 type Peers struct{ Client *peer.Client }
 
 var _ usage.Peers = Peers{}
