--- a/transport/places/places.go
+++ b/transport/places/places.go
@@ -142,9 +142,9 @@
 
 func outOfRange(tokens int) bool { return tokens < 0 || tokens > maxTokens }
 
-func encodeRequest(a occupancy.Request) EnterRequest {
-	q := EnterRequest{Engine: a.Engine.Name, Born: a.Engine.Born, MaxInFlight: a.MaxInFlight, TTLMS: a.TTL.Milliseconds()}
-	if r := a.Prefill; r != nil {
+func encodeRequest(req occupancy.Request) EnterRequest {
+	q := EnterRequest{Engine: req.Engine.Name, Born: req.Engine.Born, MaxInFlight: req.MaxInFlight, TTLMS: req.TTL.Milliseconds()}
+	if r := req.Prefill; r != nil {
 		q.Prefill = &Prefill{
 			Service: r.Service, OwnTokens: r.Prompt.OwnTokens, FetchableTokens: r.Prompt.FetchableTokens, FetchMS: r.Prompt.FetchMS, MemoryTokens: r.MemoryTokens,
 			MaxWaitMS: r.MaxWait.Milliseconds(), MaxFinishMS: r.MaxFinish.Milliseconds(), AllowLate: r.AllowLate, RequireCached: r.RequireCached,
@@ -177,9 +177,9 @@
 	return a, nil
 }
 
-func encodeResponse(a occupancy.Response) EnterResponse {
-	f := a.Forecast
-	return EnterResponse{ID: a.ID, WaitMS: state.InMillis(f.Wait), FinishMS: state.InMillis(f.Finish), Rank: f.Rank, CachedTokens: f.CachedTokens, CachedAtStart: f.CachedAtStart, UncachedMS: state.InMillis(f.UncachedTime), Error: f.Error, Reliable: f.Reliable}
+func encodeResponse(resp occupancy.Response) EnterResponse {
+	f := resp.Forecast
+	return EnterResponse{ID: resp.ID, WaitMS: state.InMillis(f.Wait), FinishMS: state.InMillis(f.Finish), Rank: f.Rank, CachedTokens: f.CachedTokens, CachedAtStart: f.CachedAtStart, UncachedMS: state.InMillis(f.UncachedTime), Error: f.Error, Reliable: f.Reliable}
 }
 
 func (e EnterResponse) decode() occupancy.Response {
--- a/transport/places/places_test.go
+++ b/transport/places/places_test.go
@@ -63,19 +63,19 @@
 func TestEnterAndLeaveOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
-	a := occupancy.Request{Engine: engine, MaxInFlight: 3, TTL: time.Hour}
+	req := occupancy.Request{Engine: engine, MaxInFlight: 3, TTL: time.Hour}
 	var ids []uint64
 	for {
-		answer, err := peers.Enter(t.Context(), addr, a)
+		answer, err := peers.Enter(t.Context(), addr, req)
 		is.NoErr(err)
 		if answer.ID == 0 {
 			break
 		}
 		ids = append(ids, answer.ID)
 	}
-	is.Equal(len(ids), a.MaxInFlight)
+	is.Equal(len(ids), req.MaxInFlight)
 	is.NoErr(peers.Leave(t.Context(), addr, engine, ids[0], false))
-	answer, err := peers.Enter(t.Context(), addr, a)
+	answer, err := peers.Enter(t.Context(), addr, req)
 	is.NoErr(err)
 	is.True(answer.ID != 0)
 }
@@ -84,17 +84,17 @@
 func TestPrefillForecastOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
-	a := occupancy.Request{Engine: engine, TTL: time.Hour, Prefill: &occupancy.Prefill{
+	req := occupancy.Request{Engine: engine, TTL: time.Hour, Prefill: &occupancy.Prefill{
 		Service: "s", MemoryTokens: 1e6, MaxWait: time.Hour, MaxFinish: time.Hour, RequireCached: true,
 		Prompt: backlog.Prompt{Parts: []backlog.Part{{ID: 1 << 63, Tokens: 6000}, {ID: 2, Tokens: 300}}, OwnTokens: 3000, FetchableTokens: 6000, FetchMS: 2.5},
 	}}
-	want := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler)).Enter(a)
-	got, err := peers.Enter(t.Context(), addr, a)
+	want := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler)).Enter(req)
+	got, err := peers.Enter(t.Context(), addr, req)
 	is.NoErr(err)
 	is.Equal(got, want)
 	is.Equal(got.ID, uint64(0)) // 300 tokens aren't cached
-	a.Prefill.RequireCached, a.Prefill.AllowLate, a.Prefill.MaxFinish = false, true, time.Millisecond
-	got, err = peers.Enter(t.Context(), addr, a)
+	req.Prefill.RequireCached, req.Prefill.AllowLate, req.Prefill.MaxFinish = false, true, time.Millisecond
+	got, err = peers.Enter(t.Context(), addr, req)
 	is.NoErr(err)
 	is.True(got.ID != 0)
 	is.True(got.Forecast.Rank >= backlog.Classes)
--- a/transport/usages/usages.go
+++ b/transport/usages/usages.go
@@ -82,14 +82,15 @@
 	Tallies []tally `msgpack:"t"`
 }
 
-// Register makes s handle the hosts' pushes of counts by t, and fetches of a window's tallies by c.
-func Register(s *peer.Server, t *usage.Pusher, c *usage.Collector) {
-	s.Handle(peerapi.KindTellUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, m pushRequest) (pushResponse, error) {
-		h := t.HandlePush(usage.PushRequest{Tally: m.Tally.decode(), Others: decodeAll(m.Others), OwnTime: time.UnixMicro(m.OwnTimeUS)})
-		return pushResponse{Run: h.Run, OwnTimeUS: h.OwnTime.UnixMicro(), MedianUS: h.Median.UnixMicro(), Clocks: h.Clocks}, nil
+// Register makes s handle the hosts' pushes of counts by pusher, and fetches of a window's tallies by
+// collector.
+func Register(s *peer.Server, pusher *usage.Pusher, collector *usage.Collector) {
+	s.Handle(peerapi.KindTellUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, req pushRequest) (pushResponse, error) {
+		resp := pusher.HandlePush(usage.PushRequest{Tally: req.Tally.decode(), Others: decodeAll(req.Others), OwnTime: time.UnixMicro(req.OwnTimeUS)})
+		return pushResponse{Run: resp.Run, OwnTimeUS: resp.OwnTime.UnixMicro(), MedianUS: resp.Median.UnixMicro(), Clocks: resp.Clocks}, nil
 	}))
-	s.Handle(peerapi.KindAskUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, q fetchRequest) (fetchResponse, error) {
-		return fetchResponse{encodeAll(c.Tallies(usage.Window(q.Window)))}, nil
+	s.Handle(peerapi.KindAskUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, req fetchRequest) (fetchResponse, error) {
+		return fetchResponse{encodeAll(collector.Tallies(usage.Window(req.Window)))}, nil
 	}))
 }
 
@@ -99,19 +100,19 @@
 var _ usage.Peers = Peers{}
 
 // Push implements usage.Peers.
-func (p Peers) Push(ctx context.Context, addr string, t usage.PushRequest) (usage.PushResponse, error) {
-	h, err := peer.CallMsg[pushRequest, pushResponse](ctx, p.Client, addr, peerapi.KindTellUsage, pushRequest{Tally: encode(t.Tally), Others: encodeAll(t.Others), OwnTimeUS: t.OwnTime.UnixMicro()})
+func (p Peers) Push(ctx context.Context, addr string, req usage.PushRequest) (usage.PushResponse, error) {
+	resp, err := peer.CallMsg[pushRequest, pushResponse](ctx, p.Client, addr, peerapi.KindTellUsage, pushRequest{Tally: encode(req.Tally), Others: encodeAll(req.Others), OwnTimeUS: req.OwnTime.UnixMicro()})
 	if err != nil {
 		return usage.PushResponse{}, err
 	}
-	return usage.PushResponse{Run: h.Run, OwnTime: time.UnixMicro(h.OwnTimeUS), Median: time.UnixMicro(h.MedianUS), Clocks: h.Clocks}, nil
+	return usage.PushResponse{Run: resp.Run, OwnTime: time.UnixMicro(resp.OwnTimeUS), Median: time.UnixMicro(resp.MedianUS), Clocks: resp.Clocks}, nil
 }
 
 // Fetch implements usage.Peers.
 func (p Peers) Fetch(ctx context.Context, addr string, w usage.Window) ([]usage.Tally, error) {
-	a, err := peer.CallMsg[fetchRequest, fetchResponse](ctx, p.Client, addr, peerapi.KindAskUsage, fetchRequest{uint64(w)})
+	resp, err := peer.CallMsg[fetchRequest, fetchResponse](ctx, p.Client, addr, peerapi.KindAskUsage, fetchRequest{uint64(w)})
 	if err != nil {
 		return nil, err
 	}
-	return decodeAll(a.Tallies), nil
+	return decodeAll(resp.Tallies), nil
 }
