--- a/transport/usages/usages.go
+++ b/transport/usages/usages.go
@@ -89,8 +89,8 @@
 		resp := pusher.HandlePush(usage.PushRequest{Tally: req.Tally.decode(), Others: decodeAll(req.Others), OwnTime: time.UnixMicro(req.OwnTimeUS)})
 		return pushResponse{Run: resp.Run, OwnTimeUS: resp.OwnTime.UnixMicro(), MedianUS: resp.Median.UnixMicro(), Clocks: resp.Clocks}, nil
 	}))
-	s.Handle(peerapi.KindAskUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, req fetchRequest) (fetchResponse, error) {
-		return fetchResponse{encodeAll(collector.Tallies(usage.Window(req.Window)))}, nil
+	s.Handle(peerapi.KindAskUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, q fetchRequest) (fetchResponse, error) {
+		return fetchResponse{encodeAll(collector.Tallies(usage.Window(q.Window)))}, nil
 	}))
 }
 
