--- a/transport/places/places.go
+++ b/transport/places/places.go
@@ -105,11 +105,11 @@
 		return PermitResponse{got.Granted, state.InMillis(got.Wait)}, nil
 	}))
 	s.Handle(peerapi.KindEnter, peer.HandleMsg(func(_ context.Context, _ state.HostID, q EnterRequest) (EnterResponse, error) {
-		a, err := q.decode()
+		req, err := q.decode()
 		if err != nil {
 			return EnterResponse{}, err
 		}
-		return encodeResponse(tracker.Enter(a)), nil
+		return encodeResponse(tracker.Enter(req)), nil
 	}))
 	s.Handle(peerapi.KindRemain, peer.HandleMsg(func(_ context.Context, _ state.HostID, q RemainingRequest) (RemainingResponse, error) {
 		f, progress := tracker.Remaining(state.InstanceID{Name: q.Engine, Born: q.Born}, q.ID)
@@ -158,23 +158,23 @@
 }
 
 func (q EnterRequest) decode() (occupancy.Request, error) {
-	a := occupancy.Request{Engine: state.InstanceID{Name: q.Engine, Born: q.Born}, MaxInFlight: q.MaxInFlight, TTL: state.Millis(float64(q.TTLMS))}
+	req := occupancy.Request{Engine: state.InstanceID{Name: q.Engine, Born: q.Born}, MaxInFlight: q.MaxInFlight, TTL: state.Millis(float64(q.TTLMS))}
 	r := q.Prefill
 	if r == nil {
-		return a, nil
+		return req, nil
 	}
 	sizes := append([]int{r.OwnTokens, r.FetchableTokens, r.MemoryTokens}, r.Tokens...)
 	if len(r.Parts) != len(r.Tokens) || slices.ContainsFunc(sizes, outOfRange) || !(r.FetchMS >= 0 && r.FetchMS < maxFetchMS) {
-		return a, errPromptParts
+		return req, errPromptParts
 	}
-	a.Prefill = &occupancy.Prefill{
+	req.Prefill = &occupancy.Prefill{
 		Service: r.Service, Prompt: backlog.Prompt{OwnTokens: r.OwnTokens, FetchableTokens: r.FetchableTokens, FetchMS: r.FetchMS}, MemoryTokens: r.MemoryTokens,
 		MaxWait: state.Millis(float64(r.MaxWaitMS)), MaxFinish: state.Millis(float64(r.MaxFinishMS)), AllowLate: r.AllowLate, RequireCached: r.RequireCached,
 	}
 	for i, id := range r.Parts {
-		a.Prefill.Prompt.Parts = append(a.Prefill.Prompt.Parts, backlog.Part{ID: id, Tokens: r.Tokens[i]})
+		req.Prefill.Prompt.Parts = append(req.Prefill.Prompt.Parts, backlog.Part{ID: id, Tokens: r.Tokens[i]})
 	}
-	return a, nil
+	return req, nil
 }
 
 func encodeResponse(resp occupancy.Response) EnterResponse {
@@ -194,8 +194,8 @@
 var _ occupancy.Peers = Peers{}
 
 // Enter implements occupancy.Peers.
-func (p Peers) Enter(ctx context.Context, addr string, a occupancy.Request) (occupancy.Response, error) {
-	got, err := peer.CallMsg[EnterRequest, EnterResponse](ctx, p.Client, addr, peerapi.KindEnter, encodeRequest(a))
+func (p Peers) Enter(ctx context.Context, addr string, req occupancy.Request) (occupancy.Response, error) {
+	got, err := peer.CallMsg[EnterRequest, EnterResponse](ctx, p.Client, addr, peerapi.KindEnter, encodeRequest(req))
 	return got.decode(), err
 }
 
@@ -212,8 +212,8 @@
 }
 
 // Permit implements occupancy.Peers.
-func (p Peers) Permit(ctx context.Context, addr string, a occupancy.PermitRequest) (occupancy.Permit, error) {
-	q := PermitRequest{a.Runner.Name, a.Runner.Born, a.Rate, state.InMillis(a.MaxWait), a.Rank}
+func (p Peers) Permit(ctx context.Context, addr string, req occupancy.PermitRequest) (occupancy.Permit, error) {
+	q := PermitRequest{req.Runner.Name, req.Runner.Born, req.Rate, state.InMillis(req.MaxWait), req.Rank}
 	got, err := peer.CallMsg[PermitRequest, PermitResponse](ctx, p.Client, addr, peerapi.KindPermit, q)
 	return occupancy.Permit{Granted: got.Granted, Wait: state.Millis(got.WaitMS)}, err
 }
--- a/transport/places/places_test.go
+++ b/transport/places/places_test.go
@@ -133,15 +133,15 @@
 func TestPermitOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
-	a := occupancy.PermitRequest{Runner: engine, Rate: 0.1}
-	p, err := peers.Permit(t.Context(), addr, a)
+	req := occupancy.PermitRequest{Runner: engine, Rate: 0.1}
+	p, err := peers.Permit(t.Context(), addr, req)
 	is.NoErr(err)
 	is.True(p.Granted)
-	p, err = peers.Permit(t.Context(), addr, a)
+	p, err = peers.Permit(t.Context(), addr, req)
 	is.NoErr(err)
 	is.True(!p.Granted)
 	is.True(p.Wait > 9*time.Second)
-	a.Rate = math.NaN()
-	_, err = peers.Permit(t.Context(), addr, a)
+	req.Rate = math.NaN()
+	_, err = peers.Permit(t.Context(), addr, req)
 	is.True(err != nil)
 }
