--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -15,10 +15,10 @@
 	"github.com/thymerack/thymerack/platform"
 	"github.com/thymerack/thymerack/state"
 	"github.com/thymerack/thymerack/transport/advices"
+	"github.com/thymerack/thymerack/transport/occupancies"
 	"github.com/thymerack/thymerack/transport/outliers"
 	"github.com/thymerack/thymerack/transport/peer"
 	"github.com/thymerack/thymerack/transport/pings"
-	"github.com/thymerack/thymerack/transport/places"
 	"github.com/thymerack/thymerack/transport/quarantines"
 	"github.com/thymerack/thymerack/transport/relay"
 	"github.com/thymerack/thymerack/transport/roles"
@@ -73,13 +73,13 @@
 	advices.Subscribe(h.fanout, h.advice.HandleNotice, h.log)
 	var err error
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
-		Tracker: book, Peers: places.Peers{Client: h.peers}, Self: h.members.addr(h.s.IP), Hosts: h.members.All,
+		Tracker: book, Peers: occupancies.Peers{Client: h.peers}, Self: h.members.addr(h.s.IP), Hosts: h.members.All,
 		Clock: h.clock, Log: h.log,
 	})
 	if err != nil {
 		return err
 	}
-	places.Register(h.peerServer, book, h.gate)
+	occupancies.Register(h.peerServer, book, h.gate)
 	return h.buildOutliers()
 }
 
--- a/transport/places/fuzz_test.go
+++ b/transport/occupancies/fuzz_test.go
@@ -1,4 +1,4 @@
-package places
+package occupancies
 
 import (
 	"log/slog"
--- a/transport/places/places.go
+++ b/transport/occupancies/occupancies.go
@@ -1,6 +1,6 @@
-// Package places carries the calls of package occupancy between hosts: admission to engines,
+// Package occupancies carries the calls of package occupancy between hosts: admission to engines,
 // forecasts of prefills, and permits for rate-limited runners.
-package places
+package occupancies
 
 import (
 	"context"
