--- a/transport/places/places_test.go
+++ b/transport/occupancies/occupancies_test.go
@@ -1,4 +1,4 @@
-package places
+package occupancies
 
 import (
 	"context"
@@ -20,10 +20,10 @@
 
 func hostID(name string) state.HostID { return state.HostID{Name: name, Incarnation: "1"} }
 
-// serve answers for a tracker and returns its address and calls to it.
-// engine is a run that has a start of its own.
+// engine is a run with a known start.
 var engine = state.InstanceID{Name: "e", Born: 1_790_000_000_123}
 
+// serve starts a server for a new tracker and returns its address and a client.
 func serve(t *testing.T) (string, Peers) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -34,15 +34,15 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	book := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler))
+	tracker := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler))
 	gate, err := occupancy.NewGate(occupancy.GateOptions{
-		Tracker: book, Peers: Peers{}, Self: "self", Clock: wallclock.Clock{}, Log: slog.New(slog.DiscardHandler),
+		Tracker: tracker, Peers: Peers{}, Self: "self", Clock: wallclock.Clock{}, Log: slog.New(slog.DiscardHandler),
 		Hosts: func() []state.Peer { return []state.Peer{{Addr: "self"}} },
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	Register(s, book, gate)
+	Register(s, tracker, gate)
 	c, err := peer.NewClient(peer.ClientOptions{Self: hostID("asks")})
 	if err != nil {
 		t.Fatal(err)
@@ -60,41 +60,41 @@
 	return ln.Addr().String(), Peers{Client: c}
 }
 
-func TestPlacesAreGivenAndEndedOverTheNetwork(t *testing.T) {
+func TestEnterAndLeaveOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
-	a := occupancy.Request{Engine: engine, MaxInFlight: 3, TTL: time.Hour}
+	req := occupancy.Request{Engine: engine, MaxInFlight: 3, TTL: time.Hour}
 	var ids []uint64
 	for {
-		answer, err := peers.Enter(t.Context(), addr, a)
+		answer, err := peers.Enter(t.Context(), addr, req)
 		is.NoErr(err)
 		if answer.ID == 0 {
 			break
 		}
 		ids = append(ids, answer.ID)
 	}
-	is.Equal(len(ids), a.MaxInFlight)
+	is.Equal(len(ids), req.MaxInFlight)
 	is.NoErr(peers.Leave(t.Context(), addr, engine, ids[0], false))
-	answer, err := peers.Enter(t.Context(), addr, a)
+	answer, err := peers.Enter(t.Context(), addr, req)
 	is.NoErr(err)
 	is.True(answer.ID != 0)
 }
 
-// A owner far away answers for a reading what it would answer at home.
-func TestReadingsAreForecastOverTheNetwork(t *testing.T) {
+// A remote owner returns the same forecast for a prefill as a local tracker.
+func TestPrefillForecastOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
-	a := occupancy.Request{Engine: engine, TTL: time.Hour, Prefill: &occupancy.Prefill{
+	req := occupancy.Request{Engine: engine, TTL: time.Hour, Prefill: &occupancy.Prefill{
 		Service: "s", MemoryTokens: 1e6, MaxWait: time.Hour, MaxFinish: time.Hour, RequireCached: true,
 		Prompt: backlog.Prompt{Parts: []backlog.Part{{ID: 1 << 63, Tokens: 6000}, {ID: 2, Tokens: 300}}, OwnTokens: 3000, FetchableTokens: 6000, FetchMS: 2.5},
 	}}
-	want := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler)).Enter(a)
-	got, err := peers.Enter(t.Context(), addr, a)
+	want := occupancy.NewTracker(wallclock.Clock{}, slog.New(slog.DiscardHandler)).Enter(req)
+	got, err := peers.Enter(t.Context(), addr, req)
 	is.NoErr(err)
 	is.Equal(got, want)
-	is.Equal(got.ID, uint64(0)) // 300 tokens aren't kept
-	a.Prefill.RequireCached, a.Prefill.AllowLate, a.Prefill.MaxFinish = false, true, time.Millisecond
-	got, err = peers.Enter(t.Context(), addr, a)
+	is.Equal(got.ID, uint64(0)) // 300 tokens aren't cached
+	req.Prefill.RequireCached, req.Prefill.AllowLate, req.Prefill.MaxFinish = false, true, time.Millisecond
+	got, err = peers.Enter(t.Context(), addr, req)
 	is.NoErr(err)
 	is.True(got.ID != 0)
 	is.True(got.Forecast.Rank >= backlog.Classes)
@@ -107,15 +107,15 @@
 	is.Equal(progress, backlog.Unknown)
 }
 
-func TestReadingWithoutSizesIsRefused(t *testing.T) {
+func TestInvalidPromptPartsAreRefused(t *testing.T) {
 	is := is.New(t)
-	_, err := Enter{Engine: "e", Reading: &Reading{Parts: []uint64{1}}}.ask()
-	is.True(errors.Is(err, errParts))
-	_, err = Enter{Engine: "e", Reading: &Reading{Parts: []uint64{1}, Tokens: []int{-5}}}.ask()
-	is.True(errors.Is(err, errParts))
+	_, err := EnterRequest{Engine: "e", Prefill: &Prefill{Parts: []uint64{1}}}.decode()
+	is.True(errors.Is(err, errPromptParts))
+	_, err = EnterRequest{Engine: "e", Prefill: &Prefill{Parts: []uint64{1}, Tokens: []int{-5}}}.decode()
+	is.True(errors.Is(err, errPromptParts))
 }
 
-func TestOwnerOutOfReachIsAnError(t *testing.T) {
+func TestUnreachableOwnerIsError(t *testing.T) {
 	is := is.New(t)
 	_, peers := serve(t)
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -130,18 +130,18 @@
 	is.Equal(progress, backlog.Unknown)
 }
 
-func TestPermitsAreGivenOverTheNetwork(t *testing.T) {
+func TestPermitOverNetwork(t *testing.T) {
 	is := is.New(t)
 	addr, peers := serve(t)
-	a := occupancy.PermitRequest{Runner: engine, Rate: 0.1}
-	p, err := peers.Permit(t.Context(), addr, a)
+	req := occupancy.PermitRequest{Runner: engine, Rate: 0.1}
+	p, err := peers.Permit(t.Context(), addr, req)
 	is.NoErr(err)
 	is.True(p.Granted)
-	p, err = peers.Permit(t.Context(), addr, a)
+	p, err = peers.Permit(t.Context(), addr, req)
 	is.NoErr(err)
 	is.True(!p.Granted)
 	is.True(p.Wait > 9*time.Second)
-	a.Rate = math.NaN()
-	_, err = peers.Permit(t.Context(), addr, a)
+	req.Rate = math.NaN()
+	_, err = peers.Permit(t.Context(), addr, req)
 	is.True(err != nil)
 }
--- a/transport/quarantines/fuzz_test.go
+++ b/transport/quarantines/fuzz_test.go
@@ -8,13 +8,13 @@
 	"github.com/thymerack/thymerack/state/packed"
 )
 
-// Whatever a peer sends is decoded or refused, and what is decoded goes on as it was.
+// Any message of a peer is either decoded or refused, and a decoded one survives encoding.
 func FuzzNotice(f *testing.F) {
 	for _, n := range []notice{
 		{},
 		{Answered: [][]byte{make([]byte, 16)}},
 		{Crashes: []crash{{Runner: "e", Born: 1, Host: "h", AtMS: 5, Suspects: []suspect{{Digest: make([]byte, 16), RequestID: "a", AgeMS: 80}}}}},
-		{Held: []held{{Digest: make([]byte, 16), Crashes: []crash{{Runner: "e"}}}}},
+		{Held: []heldRequest{{Digest: make([]byte, 16), Crashes: []crash{{Runner: "e"}}}}},
 	} {
 		body, err := msgpack.Marshal(n)
 		if err != nil {
--- a/transport/quarantines/quarantines.go
+++ b/transport/quarantines/quarantines.go
@@ -1,4 +1,5 @@
-// Package quarantines carries what hosts tell each other of requests that crash runners.
+// Package quarantines carries quarantine notices between hosts: crashes of runners and the requests
+// suspected of causing them.
 package quarantines
 
 import (
@@ -18,17 +19,18 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-// topic is that of the notices.
+// topic is the fanout topic of the notices.
 const topic fanout.Topic = "quarantine"
 
-// notice is a quarantine.Notice.
+// notice is a quarantine.Notice on the wire. Answered holds digests.
 type notice struct {
-	Crashes  []crash  `msgpack:"c,omitempty"`
-	Held     []held   `msgpack:"h,omitempty"`
-	Answered [][]byte `msgpack:"a,omitempty"`
+	Crashes  []crash       `msgpack:"c,omitempty"`
+	Held     []heldRequest `msgpack:"h,omitempty"`
+	Answered [][]byte      `msgpack:"a,omitempty"`
 }
 
-// crash is the end of one run of a runner.
+// crash is a quarantine.Crash: the crash of one run of a runner, as noticed by Host. Born and AtMS
+// are the times of the run's start and of the crash, in Unix milliseconds.
 type crash struct {
 	Runner   string    `msgpack:"n"`
 	Born     int64     `msgpack:"b,omitempty"`
@@ -37,26 +39,27 @@
 	Suspects []suspect `msgpack:"s"`
 }
 
-// suspect is a request that ran there.
+// suspect is a request that was running on the runner when it crashed.
 type suspect struct {
 	Digest    []byte `msgpack:"d"`
 	RequestID string `msgpack:"i"`
-	// AgeMS is how long ago it was sent to the runner.
-	AgeMS   int64 `msgpack:"g,omitempty"`
-	Settled bool  `msgpack:"l,omitempty"`
-	Proven  bool  `msgpack:"p,omitempty"`
+	// AgeMS is how long ago the request was sent to the runner, in milliseconds. An age is sent
+	// because the clocks of hosts differ.
+	AgeMS          int64 `msgpack:"g,omitempty"`
+	LongRunning    bool  `msgpack:"l,omitempty"`
+	AnsweredBefore bool  `msgpack:"p,omitempty"`
 }
 
-// held is a request that is held, with the crashes that speak against it.
-type held struct {
+// heldRequest is a quarantined request with the crashes counted against it.
+type heldRequest struct {
 	Digest  []byte  `msgpack:"d"`
 	Crashes []crash `msgpack:"c"`
 }
 
-// errDigest says that a digest has the wrong size.
-var errDigest = errors.New("quarantines: a digest of another size; run the same version on all hosts")
+// errDigestSize reports a digest of the wrong size, as sent by a host of another version.
+var errDigestSize = errors.New("quarantines: a digest of another size; run the same version on all hosts")
 
-// Publish tells all hosts.
+// Publish sends a notice to all hosts.
 func Publish(ctx context.Context, n *fanout.Node, q quarantine.Notice) error {
 	body, err := msgpack.Marshal(encode(q))
 	if err != nil {
@@ -66,8 +69,8 @@
 	return nil
 }
 
-// Subscribe takes what all hosts tell, this one too.
-func Subscribe(n *fanout.Node, take func(quarantine.Notice), log *slog.Logger) {
+// Subscribe calls handle with the notices of all hosts, including this one.
+func Subscribe(n *fanout.Node, handle func(quarantine.Notice), log *slog.Logger) {
 	n.Subscribe(topic, func(body []byte) {
 		var m notice
 		err := packed.Decode(body, &m)
@@ -76,31 +79,32 @@
 			q, err = m.decode()
 		}
 		if err != nil {
-			log.Warn("notice of crashes not readable", "cause", err.Error())
+			log.Warn("invalid quarantine notice", "cause", err.Error())
 			return
 		}
-		take(q)
+		handle(q)
 	})
 }
 
-// told answers a notice that was sent to one host.
-type told struct{}
+// sendResponse is the empty response to a notice sent by Send.
+type sendResponse struct{}
 
-// Register lets the server take what peers tell by Tell.
-func Register(s *peer.Server, take func(quarantine.Notice)) {
-	s.Handle(peerapi.KindCrash, peer.HandleMsg(func(_ context.Context, _ state.HostID, m notice) (told, error) {
+// Register makes s pass the notices that peers send by Send to handle.
+func Register(s *peer.Server, handle func(quarantine.Notice)) {
+	s.Handle(peerapi.KindCrash, peer.HandleMsg(func(_ context.Context, _ state.HostID, m notice) (sendResponse, error) {
 		q, err := m.decode()
 		if err != nil {
-			return told{}, err
+			return sendResponse{}, err
 		}
-		take(q)
-		return told{}, nil
+		handle(q)
+		return sendResponse{}, nil
 	}))
 }
 
-// Tell tells the host at addr, where hosts have no notices for all.
-func Tell(ctx context.Context, c *peer.Client, addr string, q quarantine.Notice) error {
-	_, err := peer.CallMsg[notice, told](ctx, c, addr, peerapi.KindCrash, encode(q))
+// Send sends a notice to the host at addr. It is for hosts without a fanout node, which can't
+// use Publish.
+func Send(ctx context.Context, c *peer.Client, addr string, q quarantine.Notice) error {
+	_, err := peer.CallMsg[notice, sendResponse](ctx, c, addr, peerapi.KindCrash, encode(q))
 	return err
 }
 
@@ -114,7 +118,7 @@
 		m.Crashes = append(m.Crashes, out)
 	}
 	for _, h := range q.Held {
-		out := held{Digest: h.Digest[:]}
+		out := heldRequest{Digest: h.Digest[:]}
 		for _, e := range h.Evidence {
 			out.Crashes = append(out.Crashes, crash{
 				Runner: e.Runner, Born: e.Born, Host: e.Host, AtMS: e.At.UnixMilli(),
@@ -134,23 +138,23 @@
 	for _, c := range m.Crashes {
 		out := quarantine.Crash{Run: state.InstanceID{Name: c.Runner, Born: c.Born}, Host: c.Host, At: time.UnixMilli(c.AtMS)}
 		for _, s := range c.Suspects {
-			d, err := digest(s.Digest)
+			d, err := decodeDigest(s.Digest)
 			if err != nil {
 				return q, err
 			}
-			out.Suspects = append(out.Suspects, quarantine.Suspect{Digest: d, RequestID: s.RequestID, SentAt: sentAt(s.AgeMS), LongRunning: s.Settled, AnsweredBefore: s.Proven})
+			out.Suspects = append(out.Suspects, quarantine.Suspect{Digest: d, RequestID: s.RequestID, SentAt: sendTime(s.AgeMS), LongRunning: s.LongRunning, AnsweredBefore: s.AnsweredBefore})
 		}
 		q.Crashes = append(q.Crashes, out)
 	}
 	for _, h := range m.Held {
-		d, err := digest(h.Digest)
+		d, err := decodeDigest(h.Digest)
 		if err != nil {
 			return q, err
 		}
 		q.Held = append(q.Held, quarantine.HeldRequest{Digest: d, Evidence: h.evidence()})
 	}
 	for _, raw := range m.Answered {
-		d, err := digest(raw)
+		d, err := decodeDigest(raw)
 		if err != nil {
 			return q, err
 		}
@@ -159,7 +163,7 @@
 	return q, nil
 }
 
-func (h held) evidence() []quarantine.Evidence {
+func (h heldRequest) evidence() []quarantine.Evidence {
 	var out []quarantine.Evidence
 	for _, c := range h.Crashes {
 		e := quarantine.Evidence{Runner: c.Runner, Born: c.Born, Host: c.Host, At: time.UnixMilli(c.AtMS)}
@@ -171,19 +175,19 @@
 	return out
 }
 
-// mostAge is above the age of every request that can have run at a crash.
-const mostAge = time.Hour
+// maxRequestAge bounds the ages that peers report. No request runs for so long.
+const maxRequestAge = time.Hour
 
-// sentAt is when a request of that age was sent.
-func sentAt(ageMS int64) time.Time {
-	age := min(max(0, ageMS), mostAge.Milliseconds())
+// sendTime returns the time by this host's clock at which a request of the given age was sent.
+func sendTime(ageMS int64) time.Time {
+	age := min(max(0, ageMS), maxRequestAge.Milliseconds())
 	return wallclock.Now().Add(-time.Duration(age) * time.Millisecond)
 }
 
-func digest(raw []byte) (quarantine.Digest, error) {
+func decodeDigest(raw []byte) (quarantine.Digest, error) {
 	var d quarantine.Digest
 	if len(raw) != len(d) {
-		return d, errDigest
+		return d, errDigestSize
 	}
 	return quarantine.Digest(raw), nil
 }
--- a/transport/relay/relay.go
+++ b/transport/relay/relay.go
@@ -1,5 +1,5 @@
-// Package relay carries what changed in the copies of the platform's store from hosts that
-// follow it to those that follow them, in one call between hosts that waits for a change.
+// Package relay carries changes of the platform's store and notices from the hosts that follow the
+// store to the hosts that follow those, by long polling.
 package relay
 
 import (
@@ -15,29 +15,30 @@
 )
 
 const (
-	// MaxBodyBytes bounds a call: a configuration of some hundred routes has about
+	// MaxBodyBytes bounds the body of a call. A configuration of some hundred routes has about
 	// 100 KB, the list of 3,000 instances about 1 MB.
 	MaxBodyBytes = 8 << 20
-	// mostWait bounds how long a peer may let a call wait.
-	mostWait = 30 * time.Second
+	// maxWait bounds how long a peer's request is held while there is nothing new.
+	maxWait = 30 * time.Second
 )
 
-// Request names the revisions that the asking host has, by kind.
+// Request is a fanout.Request on the wire. Revisions are those that the requesting host has, by kind;
+// WaitMS is in milliseconds.
 type Request struct {
 	From      string            `msgpack:"f"`
 	Revisions map[string]uint64 `msgpack:"r"`
 	WaitMS    int64             `msgpack:"w"`
-	Read      Cursor            `msgpack:"n"`
+	Cursor    Cursor            `msgpack:"n"`
 	Peek      bool              `msgpack:"p,omitempty"`
 }
 
-// Cursor is how far the asking host has read the relay's notices.
+// Cursor is the requesting host's position in the relay's notices.
 type Cursor struct {
 	Relay string `msgpack:"r,omitempty"`
 	Next  uint64 `msgpack:"n,omitempty"`
 }
 
-// Notice is a message for all hosts.
+// Notice is a fanout.Notice on the wire: a message to all hosts.
 type Notice struct {
 	Origin string `msgpack:"o"`
 	Number uint64 `msgpack:"n"`
@@ -45,57 +46,60 @@
 	Body   []byte `msgpack:"b"`
 }
 
-// Noted answers a Notice.
-type Noted struct{}
+// NoticeResponse is the empty response to a Notice.
+type NoticeResponse struct{}
 
-// Object is an object of the store; one that is gone has no value.
+// Object is an object of the store. A deleted object has no value.
 type Object struct {
 	Name    string `msgpack:"n"`
 	Version uint64 `msgpack:"v"`
 	Value   []byte `msgpack:"d,omitempty"`
 }
 
-// Delta is what changed in one kind.
+// Delta holds the changes of one kind of objects. If Full is set, Objects are all objects of the
+// kind.
 type Delta struct {
 	Revision uint64   `msgpack:"r"`
-	Whole    bool     `msgpack:"w,omitempty"`
+	Full     bool     `msgpack:"w,omitempty"`
 	Objects  []Object `msgpack:"o,omitempty"`
 	Deleted  []Object `msgpack:"d,omitempty"`
-	// AgeMS is how long ago the copy is known to have been the newest, rounded up; absent
-	// if that isn't known.
+	// AgeMS is how long ago the copy was last known to be current, in milliseconds, rounded up;
+	// absent if unknown.
 	AgeMS *int64 `msgpack:"a,omitempty"`
 }
 
-// Response is what the asking host lacks, by kind.
+// Response is a fanout.Response on the wire. Changes are the changes after the revisions of the
+// request, by kind.
 type Response struct {
-	Lost bool `msgpack:"l,omitempty"`
-	// RegainedMS is how long ago the store answered again; absent if it always has.
-	RegainedMS *int64           `msgpack:"g,omitempty"`
-	Changes    map[string]Delta `msgpack:"c"`
-	Notices    []Notice         `msgpack:"n,omitempty"`
-	Read       Cursor           `msgpack:"d"`
+	Unavailable bool `msgpack:"l,omitempty"`
+	// RecoveredAgoMS is how long ago the store became available again, in milliseconds; absent
+	// if there was no outage.
+	RecoveredAgoMS *int64           `msgpack:"g,omitempty"`
+	Changes        map[string]Delta `msgpack:"c"`
+	Notices        []Notice         `msgpack:"n,omitempty"`
+	Cursor         Cursor           `msgpack:"d"`
 }
 
-// Register lets the server answer hosts that follow this one.
+// Register makes s answer the hosts that follow this one, and deliver the notices of peers to n.
 func Register(s *peer.Server, n *fanout.Node) {
 	s.Handle(peerapi.KindCopies, peer.HandleMsg(func(ctx context.Context, _ state.HostID, q Request) (Packed, error) {
-		wait := min(max(0, time.Duration(q.WaitMS)*time.Millisecond), mostWait)
-		return pack(encode(n.Serve(ctx, fanout.Request{From: q.From, Since: q.Revisions, Cursor: fanout.Cursor(q.Read), Wait: wait, Peek: q.Peek})))
+		wait := min(max(0, time.Duration(q.WaitMS)*time.Millisecond), maxWait)
+		return pack(encode(n.Serve(ctx, fanout.Request{From: q.From, Since: q.Revisions, Cursor: fanout.Cursor(q.Cursor), Wait: wait, Peek: q.Peek})))
 	}))
-	s.Handle(peerapi.KindNotice, peer.HandleMsg(func(_ context.Context, _ state.HostID, m Notice) (Noted, error) {
+	s.Handle(peerapi.KindNotice, peer.HandleMsg(func(_ context.Context, _ state.HostID, m Notice) (NoticeResponse, error) {
 		n.Deliver(m.decode())
-		return Noted{}, nil
+		return NoticeResponse{}, nil
 	}))
 }
 
-// Peers reaches other hosts.
+// Peers implements fanout.Peers over calls between hosts.
 type Peers struct{ Client *peer.Client }
 
 var _ fanout.Peers = Peers{}
 
 // Fetch implements fanout.Peers.
 func (p Peers) Fetch(ctx context.Context, addr string, q fanout.Request) (fanout.Response, error) {
-	m := Request{From: q.From, Revisions: q.Since, WaitMS: q.Wait.Milliseconds(), Read: Cursor(q.Cursor), Peek: q.Peek}
+	m := Request{From: q.From, Revisions: q.Since, WaitMS: q.Wait.Milliseconds(), Cursor: Cursor(q.Cursor), Peek: q.Peek}
 	a, err := peer.CallMsg[Request, Packed](ctx, p.Client, addr, peerapi.KindCopies, m)
 	if err != nil {
 		return fanout.Response{}, err
@@ -109,7 +113,7 @@
 
 // SendNotice implements fanout.Peers.
 func (p Peers) SendNotice(ctx context.Context, addr string, n fanout.Notice) error {
-	_, err := peer.CallMsg[Notice, Noted](ctx, p.Client, addr, peerapi.KindNotice, encodeNotice(n))
+	_, err := peer.CallMsg[Notice, NoticeResponse](ctx, p.Client, addr, peerapi.KindNotice, encodeNotice(n))
 	return err
 }
 
@@ -122,27 +126,27 @@
 }
 
 func encode(n fanout.Response) Response {
-	out := Response{Lost: n.Unavailable, Changes: map[string]Delta{}, Read: Cursor(n.Cursor)}
+	out := Response{Unavailable: n.Unavailable, Changes: map[string]Delta{}, Cursor: Cursor(n.Cursor)}
 	for _, notice := range n.Notices {
 		out.Notices = append(out.Notices, encodeNotice(notice))
 	}
 	if n.HadOutage {
 		ms := n.RecoveredAgo.Milliseconds()
-		out.RegainedMS = &ms
+		out.RecoveredAgoMS = &ms
 	}
 	for kind, d := range n.Changes {
-		out.Changes[kind] = Delta{Revision: d.Revision, Whole: d.Full, Objects: encodeObjects(d.Objects), Deleted: encodeObjects(d.Deleted), AgeMS: encodeAge(d)}
+		out.Changes[kind] = Delta{Revision: d.Revision, Full: d.Full, Objects: encodeObjects(d.Objects), Deleted: encodeObjects(d.Deleted), AgeMS: encodeAge(d)}
 	}
 	return out
 }
 
 func (r Response) decode() fanout.Response {
-	out := fanout.Response{Unavailable: r.Lost, Changes: map[string]follow.Delta{}, Cursor: fanout.Cursor(r.Read)}
+	out := fanout.Response{Unavailable: r.Unavailable, Changes: map[string]follow.Delta{}, Cursor: fanout.Cursor(r.Cursor)}
 	for _, m := range r.Notices {
 		out.Notices = append(out.Notices, m.decode())
 	}
-	if r.RegainedMS != nil {
-		out.HadOutage, out.RecoveredAgo = true, max(0, time.Duration(*r.RegainedMS)*time.Millisecond)
+	if r.RecoveredAgoMS != nil {
+		out.HadOutage, out.RecoveredAgo = true, max(0, time.Duration(*r.RecoveredAgoMS)*time.Millisecond)
 	}
 	for kind, d := range r.Changes {
 		out.Changes[kind] = d.decode(kind)
@@ -150,7 +154,7 @@
 	return out
 }
 
-// encodeAge rounds up: a proof may be taken for older than it is and never for younger.
+// encodeAge rounds up, because a copy must never be taken for more recent than it is.
 func encodeAge(d follow.Delta) *int64 {
 	if !d.Proven {
 		return nil
@@ -160,7 +164,7 @@
 }
 
 func (d Delta) decode(kind string) follow.Delta {
-	out := follow.Delta{Revision: d.Revision, Full: d.Whole, Objects: decodeObjects(kind, d.Objects), Deleted: decodeObjects(kind, d.Deleted)}
+	out := follow.Delta{Revision: d.Revision, Full: d.Full, Objects: decodeObjects(kind, d.Objects), Deleted: decodeObjects(kind, d.Deleted)}
 	if d.AgeMS != nil {
 		out.Proven, out.Age = true, max(0, time.Duration(*d.AgeMS)*time.Millisecond)
 	}
--- a/transport/usages/usages.go
+++ b/transport/usages/usages.go
@@ -1,5 +1,5 @@
-// Package usages carries the counts of requests from hosts to collectors, and from those to
-// the host that reports them.
+// Package usages carries request counts from hosts to collectors, and from collectors to the host
+// that reports the usage.
 package usages
 
 import (
@@ -12,11 +12,11 @@
 	"github.com/thymerack/thymerack/transport/peer"
 )
 
-// tally is a usage.Tally.
+// tally is a usage.Tally on the wire.
 type tally struct {
 	Run  string `msgpack:"r"`
 	Addr string `msgpack:"a"`
-	// ThroughUS is the true time through which the windows are whole, in Unix microseconds.
+	// ThroughUS is the true time up to which Windows are complete, in Unix microseconds.
 	ThroughUS int64                        `msgpack:"t"`
 	Windows   map[uint64]map[string]uint64 `msgpack:"w,omitempty"`
 }
@@ -56,20 +56,20 @@
 	return out
 }
 
-// pushRequest is a usage.PushRequest.
+// pushRequest is a usage.PushRequest on the wire.
 type pushRequest struct {
 	Tally  tally   `msgpack:"t"`
 	Others []tally `msgpack:"h,omitempty"`
-	// OwnUS is the host's own clock, in Unix microseconds.
-	OwnUS int64 `msgpack:"o"`
+	// OwnTimeUS is the time by the host's own clock, in Unix microseconds.
+	OwnTimeUS int64 `msgpack:"o"`
 }
 
-// pushResponse is a usage.PushResponse; times are in Unix microseconds.
+// pushResponse is a usage.PushResponse on the wire; times are in Unix microseconds.
 type pushResponse struct {
-	Run      string `msgpack:"r"`
-	OwnUS    int64  `msgpack:"o"`
-	MiddleUS int64  `msgpack:"m"`
-	Of       int    `msgpack:"n"`
+	Run       string `msgpack:"r"`
+	OwnTimeUS int64  `msgpack:"o"`
+	MedianUS  int64  `msgpack:"m"`
+	Clocks    int    `msgpack:"n"`
 }
 
 // fetchRequest requests the tallies of a window.
@@ -82,36 +82,37 @@
 	Tallies []tally `msgpack:"t"`
 }
 
-// Register lets the server answer hosts that tell their counts, and the one that asks for them.
-func Register(s *peer.Server, t *usage.Pusher, c *usage.Collector) {
-	s.Handle(peerapi.KindTellUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, m pushRequest) (pushResponse, error) {
-		h := t.HandlePush(usage.PushRequest{Tally: m.Tally.decode(), Others: decodeAll(m.Others), OwnTime: time.UnixMicro(m.OwnUS)})
-		return pushResponse{Run: h.Run, OwnUS: h.OwnTime.UnixMicro(), MiddleUS: h.Median.UnixMicro(), Of: h.Clocks}, nil
+// Register makes s handle the hosts' pushes of counts by pusher, and fetches of a window's tallies by
+// collector.
+func Register(s *peer.Server, pusher *usage.Pusher, collector *usage.Collector) {
+	s.Handle(peerapi.KindTellUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, req pushRequest) (pushResponse, error) {
+		resp := pusher.HandlePush(usage.PushRequest{Tally: req.Tally.decode(), Others: decodeAll(req.Others), OwnTime: time.UnixMicro(req.OwnTimeUS)})
+		return pushResponse{Run: resp.Run, OwnTimeUS: resp.OwnTime.UnixMicro(), MedianUS: resp.Median.UnixMicro(), Clocks: resp.Clocks}, nil
 	}))
 	s.Handle(peerapi.KindAskUsage, peer.HandleMsg(func(_ context.Context, _ state.HostID, q fetchRequest) (fetchResponse, error) {
-		return fetchResponse{encodeAll(c.Tallies(usage.Window(q.Window)))}, nil
+		return fetchResponse{encodeAll(collector.Tallies(usage.Window(q.Window)))}, nil
 	}))
 }
 
-// Peers reaches collectors.
+// Peers implements usage.Peers over calls between hosts.
 type Peers struct{ Client *peer.Client }
 
 var _ usage.Peers = Peers{}
 
 // Push implements usage.Peers.
-func (p Peers) Push(ctx context.Context, addr string, t usage.PushRequest) (usage.PushResponse, error) {
-	h, err := peer.CallMsg[pushRequest, pushResponse](ctx, p.Client, addr, peerapi.KindTellUsage, pushRequest{Tally: encode(t.Tally), Others: encodeAll(t.Others), OwnUS: t.OwnTime.UnixMicro()})
+func (p Peers) Push(ctx context.Context, addr string, req usage.PushRequest) (usage.PushResponse, error) {
+	resp, err := peer.CallMsg[pushRequest, pushResponse](ctx, p.Client, addr, peerapi.KindTellUsage, pushRequest{Tally: encode(req.Tally), Others: encodeAll(req.Others), OwnTimeUS: req.OwnTime.UnixMicro()})
 	if err != nil {
 		return usage.PushResponse{}, err
 	}
-	return usage.PushResponse{Run: h.Run, OwnTime: time.UnixMicro(h.OwnUS), Median: time.UnixMicro(h.MiddleUS), Clocks: h.Of}, nil
+	return usage.PushResponse{Run: resp.Run, OwnTime: time.UnixMicro(resp.OwnTimeUS), Median: time.UnixMicro(resp.MedianUS), Clocks: resp.Clocks}, nil
 }
 
 // Fetch implements usage.Peers.
 func (p Peers) Fetch(ctx context.Context, addr string, w usage.Window) ([]usage.Tally, error) {
-	a, err := peer.CallMsg[fetchRequest, fetchResponse](ctx, p.Client, addr, peerapi.KindAskUsage, fetchRequest{uint64(w)})
+	resp, err := peer.CallMsg[fetchRequest, fetchResponse](ctx, p.Client, addr, peerapi.KindAskUsage, fetchRequest{uint64(w)})
 	if err != nil {
 		return nil, err
 	}
-	return decodeAll(a.Tallies), nil
+	return decodeAll(resp.Tallies), nil
 }
