--- a/cmd/thymerackd/main.go
+++ b/cmd/thymerackd/main.go
@@ -98,7 +98,7 @@
 		return err
 	}
 	h, err := routed.New(routed.Options{
-		Settings: s, Log: log, MetricsPort: f.MetricsPort, PrefillShare: f.PrefillShare, SplitTokens: f.SplitTokens, RunnerNeed: f.RunnerNeed, FirstTraffic: f.FirstTraffic,
+		Settings: s, Log: log, MetricsPort: f.MetricsPort, PrefillShare: f.PrefillShare, SplitTokens: f.SplitTokens, RequiredRunnerShare: f.RunnerNeed, FirstTraffic: f.FirstTraffic,
 		LinesDropped: out.Dropped,
 	})
 	if err != nil {
--- a/daemon/routed/departure.go
+++ b/daemon/routed/departure.go
@@ -7,8 +7,8 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// departure is the end of a host's serving.
-type departure struct {
+// drainer is the end of a host's serving.
+type drainer struct {
 	clock state.Clock
 	// end is when it must be over, from its beginning.
 	end time.Duration
@@ -16,26 +16,26 @@
 	active func() int64
 	// closeUnused closes connections without a request, so that their callers go elsewhere.
 	closeUnused func()
-	// last is what remains to be done before the host may be gone; it may take a moment.
-	last func()
+	// flush is what remains to be done before the host may be gone; it may take a moment.
+	flush func()
 }
 
 // wait goes on until nobody is answered any more and the last things are done, or the end has
 // come, and returns how long that took. Requests that arrive while the last things are done are
 // answered too: callers may have connected before the balancer turned away.
-func (d departure) wait() time.Duration {
+func (d drainer) wait() time.Duration {
 	began := d.clock.Now()
 	for {
 		_ = d.clock.Sleep(context.Background(), drainPoll) // never ends early
 		waited := d.clock.Now().Sub(began)
-		if waited >= turnedAway {
+		if waited >= balancerRemovalDelay {
 			d.closeUnused()
 		}
 		over := waited >= d.end
-		if !over && (d.active() > 0 || waited < unreadyFor) {
+		if !over && (d.active() > 0 || waited < minUnreadyTime) {
 			continue
 		}
-		d.last()
+		d.flush()
 		if over || d.active() == 0 {
 			return waited
 		}
--- a/daemon/routed/departure_test.go
+++ b/daemon/routed/departure_test.go
@@ -15,14 +15,14 @@
 // more, and was gone when it had: a request that had come meanwhile, over a connection from
 // before, was passed on and its connection closed without an answer (once in a day in which 51
 // hosts were restarted).
-func TestRequestThatComesWithTheLastThingsIsAnswered(t *testing.T) {
+func TestRequestArrivingDuringFlushIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var active atomic.Int64
 		told := 0
-		d := departure{
+		d := drainer{
 			clock: clocktest.Bubble{}, end: 7 * time.Second, active: active.Load, closeUnused: func() {},
-			last: func() {
+			flush: func() {
 				told++
 				if told > 1 {
 					return
@@ -34,18 +34,18 @@
 		}
 		waited := d.wait()
 		is.Equal(active.Load(), int64(0))
-		is.True(waited >= unreadyFor+300*time.Millisecond)
+		is.True(waited >= minUnreadyTime+300*time.Millisecond)
 		is.True(waited < d.end)
 		is.Equal(told, 2)
 	})
 }
 
 // What is still being answered at the end of the grace is left, and the last things are done.
-func TestDepartureEndsInTime(t *testing.T) {
+func TestDrainEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		told := 0
-		d := departure{clock: clocktest.Bubble{}, end: 7 * time.Second, active: func() int64 { return 1 }, closeUnused: func() {}, last: func() { told++ }}
+		d := drainer{clock: clocktest.Bubble{}, end: 7 * time.Second, active: func() int64 { return 1 }, closeUnused: func() {}, flush: func() { told++ }}
 		is.True(d.wait() < 7*time.Second+2*drainPoll)
 		is.Equal(told, 1)
 	})
--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -24,10 +24,10 @@
 // buildLease makes the lease of the duties that one host at a time has.
 func (h *Host) buildLease() error {
 	var err error
-	h.lessor, err = lease.New(lease.Options{
+	h.lease, err = lease.New(lease.Options{
 		Store: h.store, Clock: h.clock, Rand: newRand(),
 		Name: leaseName, Holder: h.id, Machine: h.s.Host + "@" + h.s.IP,
-		TTL: leaseTTL, PollInterval: h.lookEvery, Log: h.log,
+		TTL: leaseTTL, PollInterval: h.leasePollInterval, Log: h.log,
 		CallGap: h.s.Bounds.LeaseTime + h.s.Bounds.ThawTime, MaxCallTime: dutyCallTime, MayBeLost: h.leaseMayBeLost,
 	})
 	return err
@@ -61,16 +61,16 @@
 	}
 	var err error
 	h.scaler, err = scale.New(scale.Options{
-		Platform: h.duties, Lease: h.lessor, InitialCounts: scale.InitialCounts{Store: h.store}, Clock: h.clock, Log: h.log,
-		Services: h.scalableServices, Instances: h.fleet.Instances, RequiredShare: h.o.RunnerNeed,
-		NoTrafficUntil: h.quietUntil(),
+		Platform: h.duties, Lease: h.lease, InitialCounts: scale.InitialCounts{Store: h.store}, Clock: h.clock, Log: h.log,
+		Services: h.scalableServices, Instances: h.fleet.Instances, RequiredShare: h.o.RequiredRunnerShare,
+		NoTrafficUntil: h.noTrafficUntil(),
 	})
 	return err
 }
 
-// quietUntil is before when no caller comes: some time after the first start of the whole
+// noTrafficUntil is before when no caller comes: some time after the first start of the whole
 // deployment, as the operator says. Later starts find callers.
-func (h *Host) quietUntil() time.Time {
+func (h *Host) noTrafficUntil() time.Time {
 	if !h.s.FirstStart || h.o.FirstTraffic <= 0 {
 		return time.Time{}
 	}
@@ -113,7 +113,7 @@
 	}
 	usages.Register(h.peerServer, h.pusher, collector)
 	h.reporter, err = usage.NewReporter(usage.Options{
-		WindowLength: window, MaxError: h.s.Bounds.UsageOff, Lease: h.lessor, Store: h.store, Receiver: h.duties, Peers: peers, Collector: collector,
+		WindowLength: window, MaxError: h.s.Bounds.UsageOff, Lease: h.lease, Store: h.store, Receiver: h.duties, Peers: peers, Collector: collector,
 		Self: h.members.self(), Run: h.id.String(), Hosts: h.members.All, Time: clock, Clock: h.clock, Log: h.log,
 	})
 	return err
@@ -130,8 +130,8 @@
 	return platform.NewDuties(platform.DutiesOptions{Client: client, Addr: h.s.DutiesAddr, Host: h.s.Host, Timeout: dutyCallTime}), nil
 }
 
-// holdDuties carries out what one host at a time does, for one term of the lease.
-func (h *Host) holdDuties(ctx context.Context) error {
+// runDuties carries out what one host at a time does, for one term of the lease.
+func (h *Host) runDuties(ctx context.Context) error {
 	var group conc.WaitGroup
 	defer group.Wait()
 	group.Go(func() { h.manager.Hold(ctx) })
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -48,23 +48,23 @@
 	store *platform.Store
 	// epochs knows how often the store was restored.
 	epochs *platform.Epochs
-	// bound is the store with watches short enough for what must be in force in time, and
+	// boundedStore is the store with watches short enough for what must be in force in time, and
 	// proving with those short enough to prove that keys hold.
-	bound     *platform.Store
-	proving   *platform.Store
-	keys      *auth.Checker
-	members   *members
-	config    *follow.Config
-	configs   *follow.Mirror
-	instances *follow.Instances
-	listed    *follow.Mirror
-	fleet     *placement.Fleet
-	pool      *runners.Pool
+	boundedStore *platform.Store
+	proofStore   *platform.Store
+	keys         *auth.Checker
+	members      *members
+	config       *follow.Config
+	configs      *follow.Mirror
+	instances    *follow.Instances
+	listed       *follow.Mirror
+	fleet        *placement.Fleet
+	pool         *runners.Pool
 	// advice is what runners ask of hosts.
 	advice  *backpressure.Registry
 	gateway *gateway.Server
-	// lessor holds the lease of the duties that one host at a time has.
-	lessor  *lease.Lease
+	// lease holds the lease of the duties that one host at a time has.
+	lease   *lease.Lease
 	manager *stages.Manager
 	// pusher pushes the counts of this host to collectors, and reporter reports those of all hosts;
 	// nil where usage isn't reported.
@@ -73,20 +73,20 @@
 	// scaler orders numbers of runners; nil where that isn't asked for.
 	scaler  *scale.Manager
 	duties  platform.Duties
-	metrics *measures
+	metrics *hostMetrics
 	ready   *readiness
 	// peers calls other hosts, peerServer answers them.
 	peers      *peer.Client
 	peerServer *peer.Server
 	// fanout brings the copies of the store up to date, from the store or from peers.
 	fanout *fanout.Node
-	// looker takes hosts that are gone out of the list.
-	looker *liveness.Monitor
+	// monitor takes hosts that are gone out of the list.
+	monitor *liveness.Monitor
 	// outliers finds runners that don't answer, until ended.
 	outliers *outlier.Detector
 	// crashes finds runners that crashed, until ended.
-	crashes *crash.Detector
-	ended   context.CancelFunc
+	crashes       *crash.Detector
+	stopDetectors context.CancelFunc
 	// quarantine keeps requests that crash runners from them, and held is this host's copy
 	// of what the store has of them.
 	quarantine *quarantine.Registry
@@ -100,7 +100,7 @@
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	h := &Host{o: o, s: o.Settings, log: o.Log.With("host", o.Settings.Host), metrics: newMeasures()}
+	h := &Host{o: o, s: o.Settings, log: o.Log.With("host", o.Settings.Host), metrics: newHostMetrics()}
 	h.id = state.HostID{Name: h.s.Host, Incarnation: uuid.Must(uuid.NewV7()).String()}
 	for _, build := range []func() error{h.buildStore, h.buildLists, h.buildPeers, h.buildPool, h.buildKeys, h.buildGateway, h.buildLease, h.buildManager, h.buildDuties} {
 		if err := build(); err != nil {
@@ -114,7 +114,7 @@
 
 // buildGauges adds what is read when the metrics are.
 func (h *Host) buildGauges() {
-	for kind, m := range map[string]*follow.Mirror{platform.KindConfig: h.configs, platform.KindInstances: h.listed, kindHosts: h.members.copy, quarantine.Kind: h.held} {
+	for kind, m := range map[string]*follow.Mirror{platform.KindConfig: h.configs, platform.KindInstances: h.listed, kindHosts: h.members.mirror, quarantine.Kind: h.held} {
 		h.buildCopyGauges(kind, m)
 	}
 	h.metrics.gauge("thymerack_store_epoch", func() float64 { return float64(h.epochs.Known()) })
@@ -176,20 +176,20 @@
 		Client: client, Host: h.s.StoreAddr, Epochs: h.epochs, Timeout: storeTimeout, ListTimeout: listTimeout, WatchWait: watchWait,
 	}
 	h.store = platform.NewStore(o)
-	o.WatchWait = h.boundWatch()
-	h.bound = platform.NewStore(o)
-	o.WatchWait = h.provingWatch()
-	h.proving = platform.NewStore(o)
+	o.WatchWait = h.boundedWatchWait()
+	h.boundedStore = platform.NewStore(o)
+	o.WatchWait = h.proofWatchWait()
+	h.proofStore = platform.NewStore(o)
 	h.members = newMembers(h.store, h.s, h.log)
 	return nil
 }
 
-// boundWatch is how long a watch for configurations or instances waits. A store that is
+// boundedWatchWait is how long a watch for configurations or instances waits. A store that is
 // silent for a while may forget the watches that wait, and keep their connections: such a
 // watch hears nothing until its own end, and what it missed must be known when the bounds
 // apply again.
-func (h *Host) boundWatch() time.Duration {
-	return min(watchWait, max(leastWatch, h.s.Bounds.Contact+h.shortestBound()-storeTimeout-gatherInstances-watchMargin))
+func (h *Host) boundedWatchWait() time.Duration {
+	return min(watchWait, max(minWatchWait, h.s.Bounds.Contact+h.shortestBound()-storeTimeout-instancesCoalesceDelay-watchMargin))
 }
 
 // shortestBound is the shortest time in which a change must be in force.
@@ -203,32 +203,32 @@
 
 func (h *Host) buildLists() error {
 	var err error
-	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Broadcast: h.tellAdvice, OnLeaving: func() { h.instances.Republish() }})
+	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Broadcast: h.broadcastAdvice, OnLeaving: func() { h.instances.Republish() }})
 	if err != nil {
 		return err
 	}
 	h.fleet = placement.NewFleet(placement.Options{Clock: h.clock, FailureDomain: h.s.FailureDomain, Advice: h.advice})
 	h.config = follow.NewConfig(platform.ConfigName, platform.DecodeConfig, h.log)
 	h.instances = follow.NewInstances(follow.InstancesOptions{
-		Clock: h.clock, Log: h.log, Decode: platform.DecodeInstance, Publish: h.publish, OnUnusable: h.metrics.unusableEntry,
-		EntriesMayBeMissing: func() bool { return h.listed.UnavailableWithin(outageWindow) },
+		Clock: h.clock, Log: h.log, Decode: platform.DecodeInstance, Publish: h.publish, OnUnusable: h.metrics.countUnusableEntry,
+		EntriesMayBeMissing: func() bool { return h.listed.UnavailableWithin(storeRecoveryTime) },
 		HoldFor:             holdFor, Leaving: h.advice.Leaving, HeartbeatTimeout: heartbeatsMissed*cmp.Or(h.s.Heartbeat, defaultHeartbeat) + heartbeatSlack,
 	})
-	outage := &follow.RetryGroup{}
-	h.configs, err = follow.New(follow.Options{RetryGroup: outage, Store: h.proving, Clock: h.clock, Log: h.log, Kind: platform.KindConfig, OnChange: h.config.Update, CoalesceDelay: gatherConfig, RecoveryTime: outageWindow, Newer: newerConfig, Notify: h.notifyFollowers})
+	retryGroup := &follow.RetryGroup{}
+	h.configs, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.proofStore, Clock: h.clock, Log: h.log, Kind: platform.KindConfig, OnChange: h.config.Update, CoalesceDelay: configCoalesceDelay, RecoveryTime: storeRecoveryTime, Newer: newerConfig, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
-	h.listed, err = follow.New(follow.Options{RetryGroup: outage, Store: h.bound, Clock: h.clock, Log: h.log, Kind: platform.KindInstances, OnChange: h.instances.Update, CoalesceDelay: gatherInstances, Notify: h.notifyFollowers})
+	h.listed, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.boundedStore, Clock: h.clock, Log: h.log, Kind: platform.KindInstances, OnChange: h.instances.Update, CoalesceDelay: instancesCoalesceDelay, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
-	h.members.copy, err = follow.New(follow.Options{RetryGroup: outage, Store: h.store, Clock: h.clock, Log: h.log, Kind: kindHosts, OnChange: h.members.changed, CoalesceDelay: gatherHosts, Notify: h.notifyFollowers})
+	h.members.mirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.store, Clock: h.clock, Log: h.log, Kind: kindHosts, OnChange: h.members.applyCopy, CoalesceDelay: hostsCoalesceDelay, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
 	// Notices tell of a held request at once, so that a long watch is enough.
-	h.held, err = follow.New(follow.Options{RetryGroup: outage, Store: h.store, Clock: h.clock, Log: h.log, Kind: quarantine.Kind, OnChange: h.changedHolds, CoalesceDelay: gatherHolds, Notify: h.notifyFollowers})
+	h.held, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.store, Clock: h.clock, Log: h.log, Kind: quarantine.Kind, OnChange: h.applyHeldRequests, CoalesceDelay: holdsCoalesceDelay, Notify: h.notifyFollowers})
 	return err
 }
 
@@ -243,14 +243,14 @@
 	return err != nil || first.Version > second.Version
 }
 
-// changedHolds takes a new copy of the requests that are held.
-func (h *Host) changedHolds(c follow.Copy) { h.quarantine.ApplyCopy(c) }
+// applyHeldRequests takes a new copy of the requests that are held.
+func (h *Host) applyHeldRequests(c follow.Copy) { h.quarantine.ApplyCopy(c) }
 
 // notifyFollowers wakes the hosts that wait for news of this one.
 func (h *Host) notifyFollowers() { h.fanout.WakeFollowers() }
 
-// tellAdvice tells all hosts what a runner asks of them.
-func (h *Host) tellAdvice(n backpressure.Notice) {
+// broadcastAdvice tells all hosts what a runner asks of them.
+func (h *Host) broadcastAdvice(n backpressure.Notice) {
 	if err := advices.Publish(context.Background(), h.fanout, n); err != nil {
 		h.log.Error("what a runner asks not told", "instance", n.Instance, "what", string(n.Kind), "cause", err.Error())
 	}
@@ -283,7 +283,7 @@
 }
 
 func (h *Host) buildGateway() error {
-	budget, err := h.newRepeats()
+	budget, err := h.newRetryLimiter()
 	if err != nil {
 		return err
 	}
@@ -305,7 +305,7 @@
 func (h *Host) buildManager() error {
 	var err error
 	h.manager, err = stages.New(stages.Options{
-		Engines: platform.Engines{Caller: h.pool, Timeout: dutyCallTime}, Lease: h.lessor, Shares: stages.PrefillShares{Store: h.store}, Clock: h.clock, Log: h.log, Host: h.s.Host,
+		Engines: platform.Engines{Caller: h.pool, Timeout: dutyCallTime}, Lease: h.lease, Shares: stages.PrefillShares{Store: h.store}, Clock: h.clock, Log: h.log, Host: h.s.Host,
 		Services: h.engineServices, Instances: h.engines,
 		Resizing:            h.resizing,
 		Announce:            h.announce,
@@ -330,14 +330,14 @@
 	}
 }
 
-// lookEvery is how often this host looks whether the engines' lease is free. A few
+// leasePollInterval is how often this host looks whether the engines' lease is free. A few
 // hosts look often; the settings' seeds don't say which, as they are empty where no
 // role serves peers of the platform's own kind.
-func (h *Host) lookEvery() time.Duration {
-	if h.gate.IsAmongFirst(lookers) {
-		return lookOften
+func (h *Host) leasePollInterval() time.Duration {
+	if h.gate.IsAmongFirst(frequentPollers) {
+		return frequentPollInterval
 	}
-	return lookSeldom
+	return infrequentPollInterval
 }
 
 func (h *Host) engineServices() []string {
@@ -365,7 +365,7 @@
 // Reload takes changed settings. Seeds and shared limits change at once; addresses
 // and resources are the process's own and hold until its end.
 func (h *Host) Reload(s platform.Settings) {
-	h.members.reload(s.Seeds)
+	h.members.setSeeds(s.Seeds)
 	h.log.Info("settings reloaded", "seeds", s.Seeds)
 }
 
--- a/daemon/routed/host_test.go
+++ b/daemon/routed/host_test.go
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	return Options{
-		Settings: s, Log: slog.New(slog.DiscardHandler), PrefillShare: 0.68, SplitTokens: 600, RunnerNeed: 1,
+		Settings: s, Log: slog.New(slog.DiscardHandler), PrefillShare: 0.68, SplitTokens: 600, RequiredRunnerShare: 1,
 		LinesDropped: func() uint64 { return 0 },
 	}
 }
@@ -106,7 +106,7 @@
 
 // A store that is silent for some seconds may forget waiting watches without a sign: they
 // end by themselves before the bounds apply again, at any size of the bounds.
-func TestForgottenWatchEndsBeforeTheBoundsApply(t *testing.T) {
+func TestDroppedWatchEndsBeforeBoundsApply(t *testing.T) {
 	for name, b := range map[string]platform.Bounds{
 		"small":   {Contact: 3 * time.Second, Drain: 2 * time.Second, ConfigInForce: 2 * time.Second},
 		"grown":   {Contact: 4 * time.Second, Drain: 3 * time.Second, ConfigInForce: 3 * time.Second},
@@ -117,25 +117,25 @@
 			is := is.New(t)
 			h := newHost(t)
 			h.s.Bounds = b
-			is.True(h.boundWatch() >= leastWatch)
-			is.True(h.boundWatch()+storeTimeout+gatherInstances < b.Contact+min(b.Drain, b.ConfigInForce))
+			is.True(h.boundedWatchWait() >= minWatchWait)
+			is.True(h.boundedWatchWait()+storeTimeout+instancesCoalesceDelay < b.Contact+min(b.Drain, b.ConfigInForce))
 		})
 	}
 }
 
-func TestFewHostsLookForTheLeaseOften(t *testing.T) {
+func TestFewHostsPollLeaseFrequently(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
-	is.Equal(h.lookEvery(), lookSeldom) // the list of hosts isn't read yet
+	is.Equal(h.leasePollInterval(), infrequentPollInterval) // the list of hosts isn't read yet
 	alone := []state.Peer{{Addr: h.members.addr(h.s.IP)}}
 	h.members.listed.Store(&alone)
-	is.Equal(h.lookEvery(), lookOften) // whether or not the settings name it as a seed
+	is.Equal(h.leasePollInterval(), frequentPollInterval) // whether or not the settings name it as a seed
 	many := slices.Clone(alone)
-	for i := range lookers {
+	for i := range frequentPollers {
 		many = append(many, state.Peer{Addr: fmt.Sprint("stronger-", i), Class: 1})
 	}
 	h.members.listed.Store(&many)
-	is.Equal(h.lookEvery(), lookSeldom)
+	is.Equal(h.leasePollInterval(), infrequentPollInterval)
 }
 
 func TestPeersAreTheSeedsUntilTheListIsRead(t *testing.T) {
@@ -153,7 +153,7 @@
 	is := is.New(t)
 	small := platform.Limits{Cores: 0.192, LinkBits: 10e6}
 	big := platform.Limits{Cores: 0.8, LinkBits: 200e6}
-	is.True(classOf(big) > classOf(small))
-	is.Equal(classOf(small), classOf(platform.Limits{Cores: 0.2, LinkBits: 12e6})) // small differences don't count
-	is.Equal(classOf(platform.Limits{}), 0)                                        // nothing is known
+	is.True(capacityClass(big) > capacityClass(small))
+	is.Equal(capacityClass(small), capacityClass(platform.Limits{Cores: 0.2, LinkBits: 12e6})) // small differences don't count
+	is.Equal(capacityClass(platform.Limits{}), 0)                                              // nothing is known
 }
--- a/daemon/routed/keys.go
+++ b/daemon/routed/keys.go
@@ -13,7 +13,7 @@
 func (h *Host) buildKeys() error {
 	var err error
 	h.keys, err = auth.New(auth.Options{
-		Clock: h.clock, Log: h.log, Table: h.config.Table, ProvenAt: h.configProven, Prove: h.askConfig, Observer: h.metrics,
+		Clock: h.clock, Log: h.log, Table: h.config.Table, ProvenAt: h.configProven, Prove: h.proveConfig, Observer: h.metrics,
 		Strict: h.s.Bounds.Revoke > 0, RevokeWithin: h.s.Bounds.Revoke, InForceWithin: cmp.Or(h.s.Bounds.ConfigInForce, defaultInForce),
 	})
 	return err
@@ -22,9 +22,9 @@
 // errStoreLost says that the store isn't asked, since others ask it already.
 var errStoreLost = errors.New("the store is lost to this host and its relays, which ask it until it answers")
 
-// askConfig asks the store for a newer configuration, but for one that doesn't answer: whoever
+// proveConfig asks the store for a newer configuration, but for one that doesn't answer: whoever
 // follows it asks it again each second, and that each host does so too would cost a call each.
-func (h *Host) askConfig(ctx context.Context) error {
+func (h *Host) proveConfig(ctx context.Context) error {
 	if h.configs.Lost() {
 		return errStoreLost
 	}
@@ -40,12 +40,12 @@
 	return proven
 }
 
-// provingWatch is how long a watch for configurations waits. Where revocations are strict the
+// proofWatchWait is how long a watch for configurations waits. Where revocations are strict the
 // age of the last answered question bounds which keys may be served: a fifth of that bound
 // leaves room for two relays in a row that are lost.
-func (h *Host) provingWatch() time.Duration {
+func (h *Host) proofWatchWait() time.Duration {
 	if h.s.Bounds.Revoke <= 0 {
-		return h.boundWatch()
+		return h.boundedWatchWait()
 	}
-	return min(h.boundWatch(), h.s.Bounds.Revoke/5)
+	return min(h.boundedWatchWait(), h.s.Bounds.Revoke/5)
 }
--- a/daemon/routed/measures.go
+++ b/daemon/routed/measures.go
@@ -16,8 +16,8 @@
 	"github.com/thymerack/thymerack/transport/measure"
 )
 
-// measures are the host's counters and histograms.
-type measures struct {
+// hostMetrics are the host's counters and histograms.
+type hostMetrics struct {
 	set *metrics.Set
 	// answers holds the *answerMeasures of each answered, so that a request doesn't
 	// make their names.
@@ -31,23 +31,23 @@
 	usage *usage.Counter
 }
 
-// mostCustomers have a histogram of their own: some hundred kilobytes, of the 184 MB of the
+// maxCustomerHistograms have a histogram of their own: some hundred kilobytes, of the 184 MB of the
 // smallest hosts.
-const mostCustomers = 200
+const maxCustomerHistograms = 200
 
-// answered is what answers are counted by.
-type answered struct {
+// answerKey is what answers are counted by.
+type answerKey struct {
 	class  forward.Class
 	status int
 }
 
-type answerMeasures struct {
+type answerMetrics struct {
 	count *metrics.Counter
 	took  *metrics.Histogram
 }
 
-func newMeasures() *measures {
-	m := &measures{set: metrics.NewSet(), customers: measure.NewCustomers(mostCustomers), checked: map[auth.Outcome]*metrics.Counter{}}
+func newHostMetrics() *hostMetrics {
+	m := &hostMetrics{set: metrics.NewSet(), customers: measure.NewCustomers(maxCustomerHistograms), checked: map[auth.Outcome]*metrics.Counter{}}
 	for _, o := range []auth.Outcome{auth.OutcomeServed, auth.OutcomeUnknown, auth.OutcomeUnproven} {
 		m.checked[o] = m.set.NewCounter(fmt.Sprintf(`thymerack_keys_checked_total{outcome=%q}`, o))
 	}
@@ -55,22 +55,22 @@
 }
 
 // Answered implements gateway.Observer.
-func (m *measures) Answered(r *forward.Request, status int, took time.Duration) {
-	by := answered{r.Class(), status}
+func (m *hostMetrics) Answered(r *forward.Request, status int, took time.Duration) {
+	by := answerKey{r.Class(), status}
 	known, ok := m.answers.Load(by)
 	if !ok {
-		known, _ = m.answers.LoadOrStore(by, m.answerMeasures(by))
+		known, _ = m.answers.LoadOrStore(by, m.newAnswerMetrics(by))
 	}
-	a := known.(*answerMeasures)
+	a := known.(*answerMetrics)
 	a.count.Inc()
 	a.took.Update(took.Seconds())
 	if r.Customer != nil {
-		m.ofCustomer(r.Customer.Name).Update(took.Seconds())
+		m.customerHistogram(r.Customer.Name).Update(took.Seconds())
 	}
 }
 
-// ofCustomer is the histogram of a customer's answers.
-func (m *measures) ofCustomer(name string) *metrics.Histogram {
+// customerHistogram is the histogram of a customer's answers.
+func (m *hostMetrics) customerHistogram(name string) *metrics.Histogram {
 	label := m.customers.Label(name)
 	known, ok := m.byCustomer.Load(label)
 	if !ok {
@@ -80,58 +80,58 @@
 	return known.(*metrics.Histogram)
 }
 
-func (m *measures) answerMeasures(by answered) *answerMeasures {
+func (m *hostMetrics) newAnswerMetrics(by answerKey) *answerMetrics {
 	class := fmt.Sprintf(`service=%q,kind=%q,priority="%d"`, by.class.Service, by.class.Kind, by.class.Priority)
-	return &answerMeasures{
+	return &answerMetrics{
 		count: m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_answers_total{%s,status="%d"}`, class, by.status)),
 		took:  m.set.GetOrCreateHistogram(fmt.Sprintf(`thymerack_answer_seconds{%s}`, class)),
 	}
 }
 
 // Rejected implements gateway.Observer.
-func (m *measures) Rejected(reason string) {
+func (m *hostMetrics) Rejected(reason string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_rejected_total{reason=%q}`, reason)).Inc()
 }
 
 // ObserveCheck implements auth.Observer.
-func (m *measures) ObserveCheck(o auth.Outcome, _ time.Duration) { m.checked[o].Inc() }
+func (m *hostMetrics) ObserveCheck(o auth.Outcome, _ time.Duration) { m.checked[o].Inc() }
 
 // Admitted implements forward.Observer.
-func (m *measures) Admitted(w forward.Phase, t forward.ReservationKind) {
+func (m *hostMetrics) Admitted(w forward.Phase, t forward.ReservationKind) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_turns_total{work=%q,turn=%q}`, w, t)).Inc()
 }
 
 // PrefillDone implements forward.Observer.
-func (m *measures) PrefillDone(service string, predicted, took time.Duration) {
+func (m *hostMetrics) PrefillDone(service string, predicted, took time.Duration) {
 	if predicted > 0 {
 		m.set.GetOrCreateHistogram(fmt.Sprintf(`thymerack_reading_ratio{service=%q}`, service)).Update(took.Seconds() / predicted.Seconds())
 	}
 }
 
 // RequestHeld implements forward.Observer.
-func (m *measures) RequestHeld(service string) {
+func (m *hostMetrics) RequestHeld(service string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_held_total{service=%q}`, service)).Inc()
 }
 
 // RequestStarted implements forward.Observer.
-func (m *measures) RequestStarted(customer string, at time.Time) {
+func (m *hostMetrics) RequestStarted(customer string, at time.Time) {
 	if m.usage != nil {
 		m.usage.Inc(customer, at)
 	}
 }
 
-// unusableEntry counts versions of entries in the list of instances that name none.
-func (m *measures) unusableEntry() {
+// countUnusableEntry counts versions of entries in the list of instances that name none.
+func (m *hostMetrics) countUnusableEntry() {
 	m.set.GetOrCreateCounter("thymerack_unusable_entries_total").Inc()
 }
 
 // ObserveAdvice implements backpressure.Observer.
-func (m *measures) ObserveAdvice(service string, k backpressure.Kind) {
+func (m *hostMetrics) ObserveAdvice(service string, k backpressure.Kind) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_runner_advice_total{service=%q,kind=%q}`, service, k)).Inc()
 }
 
-// crashed counts a runner that crashed, and what this host had there.
-func (m *measures) crashed(r crash.Report) {
+// countCrash counts a runner that countCrash, and what this host had there.
+func (m *hostMetrics) countCrash(r crash.Report) {
 	if !r.Late {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_runners_crashed_total{service=%q}`, r.Instance.Service)).Inc()
 	}
@@ -139,10 +139,10 @@
 }
 
 // gauge reports a value that is read when the metrics are.
-func (m *measures) gauge(name string, read func() float64) { m.set.NewGauge(name, read) }
+func (m *hostMetrics) gauge(name string, read func() float64) { m.set.NewGauge(name, read) }
 
 // server serves the metrics as text.
-func (m *measures) server() *fasthttp.Server {
+func (m *hostMetrics) server() *fasthttp.Server {
 	return &fasthttp.Server{
 		NoDefaultServerHeader: true,
 		Handler: func(ctx *fasthttp.RequestCtx) {
--- a/daemon/routed/measures_test.go
+++ b/daemon/routed/measures_test.go
@@ -17,7 +17,7 @@
 // rank, and have a histogram each.
 func TestAnswersAreMeasuredByClass(t *testing.T) {
 	is := is.New(t)
-	m := newMeasures()
+	m := newHostMetrics()
 	request := func(priority int) *forward.Request {
 		return &forward.Request{Service: "llm", Route: &state.Route{Kind: state.RouteStream, Priority: priority}}
 	}
@@ -46,7 +46,7 @@
 // Each customer has a histogram of its own, up to a bound that holds for 1,700 of them.
 func TestAnswersAreMeasuredByCustomer(t *testing.T) {
 	is := is.New(t)
-	m := newMeasures()
+	m := newHostMetrics()
 	route := &state.Route{Kind: state.RouteSafe}
 	for i := range 1700 {
 		r := &forward.Request{Service: "app", Route: route, Customer: &state.Customer{Name: fmt.Sprint("c", i)}}
@@ -57,6 +57,6 @@
 	var out strings.Builder
 	m.set.WritePrometheus(&out)
 	is.True(strings.Contains(out.String(), `thymerack_customer_answer_seconds_count{customer="c0"} 2`+"\n"))
-	is.True(strings.Contains(out.String(), fmt.Sprintf("thymerack_customer_answer_seconds_count{customer=%q} %d\n", measure.OtherCustomer, 2*(1700-mostCustomers))))
-	is.Equal(strings.Count(out.String(), "thymerack_customer_answer_seconds_count"), mostCustomers+1)
+	is.True(strings.Contains(out.String(), fmt.Sprintf("thymerack_customer_answer_seconds_count{customer=%q} %d\n", measure.OtherCustomer, 2*(1700-maxCustomerHistograms))))
+	is.Equal(strings.Count(out.String(), "thymerack_customer_answer_seconds_count"), maxCustomerHistograms+1)
 }
--- a/daemon/routed/members.go
+++ b/daemon/routed/members.go
@@ -36,8 +36,8 @@
 	s     platform.Settings
 	log   *slog.Logger
 	clock wallclock.Clock
-	// copy is this host's copy of the list.
-	copy *follow.Mirror
+	// mirror is this host's mirror of the list.
+	mirror *follow.Mirror
 	// seeds and listed are replaced whole.
 	seeds  atomic.Pointer[[]string]
 	listed atomic.Pointer[[]state.Peer]
@@ -55,17 +55,17 @@
 	m := &members{store: s, s: settings, log: log, unreadable: map[string]uint64{}}
 	m.listed.Store(&[]state.Peer{})
 	m.entries.Store(&[]liveness.Entry{})
-	m.reload(settings.Seeds)
+	m.setSeeds(settings.Seeds)
 	return m
 }
 
 // self is this host's own entry.
 func (m *members) self() state.Peer {
-	return state.Peer{Addr: m.addr(m.s.IP), Class: classOf(m.s.Limits), FailureDomain: m.s.FailureDomain}
+	return state.Peer{Addr: m.addr(m.s.IP), Class: capacityClass(m.s.Limits), FailureDomain: m.s.FailureDomain}
 }
 
-// reload takes changed seeds.
-func (m *members) reload(seeds []string) { m.seeds.Store(&seeds) }
+// setSeeds takes changed seeds.
+func (m *members) setSeeds(seeds []string) { m.seeds.Store(&seeds) }
 
 // Hosts is the number of hosts that share the limits.
 func (m *members) Hosts() int {
@@ -107,7 +107,7 @@
 func (m *members) Join(ctx context.Context) {
 	if !m.s.FirstStart {
 		// An earlier run's entry mostly holds; it is written again otherwise.
-		m.registered.Store(m.read(ctx) && m.lists(m.self()))
+		m.registered.Store(m.read(ctx) && m.contains(m.self()))
 	}
 	if !m.registered.Load() {
 		m.register(ctx)
@@ -120,8 +120,8 @@
 	}
 }
 
-// lists reports whether the list has the host as it is.
-func (m *members) lists(h state.Peer) bool { return slices.Contains(m.All(), h) }
+// contains reports whether the list has the host as it is.
+func (m *members) contains(h state.Peer) bool { return slices.Contains(m.All(), h) }
 
 // Run keeps this host's entry in the list until ctx ends.
 func (m *members) Run(ctx context.Context) {
@@ -178,12 +178,12 @@
 		m.log.Warn("list of hosts not read", "cause", err.Error())
 		return false
 	}
-	m.copy.Adopt(follow.Copy{Revision: revision, Objects: objects}, "the store's stale copy")
+	m.mirror.Adopt(follow.Copy{Revision: revision, Objects: objects}, "the store's stale copy")
 	return true
 }
 
-// changed takes a new copy of the list.
-func (m *members) changed(c follow.Copy) {
+// applyCopy takes a new copy of the list.
+func (m *members) applyCopy(c follow.Copy) {
 	hosts, entries := []state.Peer{}, []liveness.Entry{}
 	found := false
 	for _, o := range c.Objects {
@@ -214,9 +214,9 @@
 	}
 }
 
-// classOf orders hosts by processor time and link; each doubling of either is a
+// capacityClass orders hosts by processor time and link; each doubling of either is a
 // class.
-func classOf(l platform.Limits) int { return doublings(l.Cores*100) + doublings(l.LinkBits/1e6) }
+func capacityClass(l platform.Limits) int { return doublings(l.Cores*100) + doublings(l.LinkBits/1e6) }
 
 func doublings(x float64) int {
 	if x < 1 {
--- a/daemon/routed/members_test.go
+++ b/daemon/routed/members_test.go
@@ -32,7 +32,7 @@
 	f.Add([]byte(`{"addr":"","class":1e99}`))
 	f.Fuzz(func(t *testing.T, other []byte) {
 		m := newTestMembers(t)
-		m.changed(follow.Copy{Revision: 3, Objects: []store.Object{
+		m.applyCopy(follow.Copy{Revision: 3, Objects: []store.Object{
 			{Name: "other", Version: 2, Value: other}, {Name: "good", Version: 1, Value: []byte(goodEntry)},
 		}})
 		found := false
@@ -54,11 +54,11 @@
 	m := newTestMembers(t)
 	m.registered.Store(true)
 	m.writtenAt.Store(9)
-	m.changed(follow.Copy{Revision: 8, Objects: []store.Object{{Name: "good", Version: 1, Value: []byte(goodEntry)}}})
+	m.applyCopy(follow.Copy{Revision: 8, Objects: []store.Object{{Name: "good", Version: 1, Value: []byte(goodEntry)}}})
 	is.True(m.registered.Load())
-	m.changed(follow.Copy{Revision: 10, Objects: []store.Object{{Name: "good", Version: 1, Value: []byte(goodEntry)}}})
+	m.applyCopy(follow.Copy{Revision: 10, Objects: []store.Object{{Name: "good", Version: 1, Value: []byte(goodEntry)}}})
 	is.True(!m.registered.Load())
-	is.True(!m.lists(m.self()))
+	is.True(!m.contains(m.self()))
 }
 
 // Guards against a host that isn't listed any more, since a restored store lost its entry.
@@ -67,8 +67,8 @@
 	m := newHost(t).members
 	m.registered.Store(true)
 	m.writtenAt.Store(store.MakeVersion(1, 30))
-	m.changed(follow.Copy{Revision: store.MakeVersion(1, 29)}) // a copy of before its entry
+	m.applyCopy(follow.Copy{Revision: store.MakeVersion(1, 29)}) // a copy of before its entry
 	is.True(m.registered.Load())
-	m.changed(follow.Copy{Revision: store.MakeVersion(2, 12)})
+	m.applyCopy(follow.Copy{Revision: store.MakeVersion(2, 12)})
 	is.True(!m.registered.Load())
 }
--- a/daemon/routed/options.go
+++ b/daemon/routed/options.go
@@ -18,9 +18,9 @@
 	MetricsPort int
 	// PrefillShare is the share of a service's engines that read prompts.
 	PrefillShare float64
-	// RunnerNeed is the number of runners that carry the load, as a share of those that the
+	// RequiredRunnerShare is the number of runners that carry the load, as a share of those that the
 	// deployment starts with; used where numbers of runners may be ordered.
-	RunnerNeed float64
+	RequiredRunnerShare float64
 	// FirstTraffic is how long after the first start of a deployment no caller comes; 0 if
 	// callers may come at once.
 	FirstTraffic time.Duration
@@ -38,7 +38,7 @@
 	if o.PrefillShare <= 0 || o.PrefillShare >= 1 {
 		return errors.New("routed: PrefillShare is outside 0 to 1; use the share of prefill in the work, for example 0.7")
 	}
-	if o.RunnerNeed <= 0 {
+	if o.RequiredRunnerShare <= 0 {
 		return errors.New("routed: RunnerNeed isn't positive; use the share of the present runners that carries the load, for example 1")
 	}
 	return nil
@@ -54,10 +54,10 @@
 	listTimeout = 8 * time.Second
 	// watchWait is how long a watch waits at the store; the platform allows 30 s.
 	watchWait = 20 * time.Second
-	// leastWatch is the shortest wait, and watchMargin what is left of the bounds for the
+	// minWatchWait is the shortest wait, and watchMargin what is left of the bounds for the
 	// way to other hosts.
-	leastWatch  = time.Second
-	watchMargin = 500 * time.Millisecond
+	minWatchWait = time.Second
+	watchMargin  = 500 * time.Millisecond
 	// defaultInForce is how soon a new key is known where the service agreement doesn't say:
 	// the shortest bound of the deployments so far.
 	defaultInForce = 2 * time.Second
@@ -72,18 +72,18 @@
 	storeConns          = 8
 	storeIdle           = 20 * time.Second
 	storeHeaderBytes    = 4 << 10
-	// gatherConfig and gatherInstances let changes in quick succession cost one
+	// configCoalesceDelay and gatherInstances let changes in quick succession cost one
 	// call; the shortest bound on either change is 2 s.
-	gatherConfig    = 800 * time.Millisecond
-	gatherInstances = time.Second
-	gatherHosts     = time.Second
-	gatherHolds     = time.Second
-	// outageWindow is how long after the store's return entries of living runners
+	configCoalesceDelay    = 800 * time.Millisecond
+	instancesCoalesceDelay = time.Second
+	hostsCoalesceDelay     = time.Second
+	holdsCoalesceDelay     = time.Second
+	// storeRecoveryTime is how long after the store's return entries of living runners
 	// may be missing: "about two seconds", by the platform's pages. holdFor bounds
 	// the trust in one while the store is still away: a leaving runner may be sent
 	// to for 2 s, and a peer's word of it may be a moment old.
-	outageWindow = 2100 * time.Millisecond
-	holdFor      = 1800 * time.Millisecond
+	storeRecoveryTime = 2100 * time.Millisecond
+	holdFor           = 1800 * time.Millisecond
 	// heartbeatsMissed is how many heartbeats of a runner the store waits for before it drops its
 	// entry, defaultHeartbeat is theirs where the settings don't say, and heartbeatSlack is for
 	// the store's look and the way of its answer.
@@ -94,10 +94,10 @@
 	// look every lookOften and all others every lookSeldom, so that the calls for it
 	// don't grow with the fleet. A lost holder is replaced, and its successor's silence
 	// over, within eight seconds: a report of usage is due ten seconds after its window.
-	leaseTTL   = 6 * time.Second
-	lookers    = 3
-	lookOften  = time.Second
-	lookSeldom = 30 * time.Second
+	leaseTTL               = 6 * time.Second
+	frequentPollers        = 3
+	frequentPollInterval   = time.Second
+	infrequentPollInterval = 30 * time.Second
 	// dutyCallTime bounds a call under the lease: twenty answers of a sound platform, five
 	// of one that is slow.
 	dutyCallTime = time.Second
@@ -119,17 +119,17 @@
 	assumedHosts = 400
 	// limitShare keeps room below the shared limits for hosts not listed yet.
 	limitShare = 0.8
-	// moveShare is the part of the repeats up to which runs go on elsewhere. Repeats wait for
+	// windowBudgetShare is the part of the repeats up to which runs go on elsewhere. Repeats wait for
 	// places, so that more arrive in some window than are allowed in it: in an overload a third
 	// more.
-	moveShare = 0.6
+	windowBudgetShare = 0.6
 	// minConns is the least number of connections to a runner.
 	minConns = 4
-	// turnedAway is when the balancer has turned away from a leaving host, after
+	// balancerRemovalDelay is when the balancer has turned away from a leaving host, after
 	// two checks a second apart: callers whose connections are closed then come
 	// back at other hosts. unreadyFor is how long it goes on before it may end.
-	turnedAway = 2100 * time.Millisecond
-	unreadyFor = 2500 * time.Millisecond
+	balancerRemovalDelay = 2100 * time.Millisecond
+	minUnreadyTime       = 2500 * time.Millisecond
 	// graceMargin ends a leaving host before it is killed.
 	graceMargin = 500 * time.Millisecond
 	drainPoll   = 50 * time.Millisecond
--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -43,7 +43,7 @@
 	}
 	h.fanout, err = fanout.New(fanout.Options{
 		Self: h.members.self(), RunID: h.id.String(), Hosts: h.members.All, Peers: relay.Peers{Client: h.peers}, Clock: h.clock, Rand: newRand(), Log: h.log, FetchWait: h.relayWait(),
-		Copies: map[string]*follow.Mirror{platform.KindConfig: h.configs, platform.KindInstances: h.listed, kindHosts: h.members.copy, quarantine.Kind: h.held},
+		Copies: map[string]*follow.Mirror{platform.KindConfig: h.configs, platform.KindInstances: h.listed, kindHosts: h.members.mirror, quarantine.Kind: h.held},
 	})
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 	relay.Register(h.peerServer, h.fanout)
 	pingers := pings.Peers{Client: h.peers}
 	pings.Register(h.peerServer, pingers)
-	h.looker, err = liveness.New(liveness.Options{
+	h.monitor, err = liveness.New(liveness.Options{
 		Self: h.members.self(), Hosts: func() []liveness.Entry { return *h.members.entries.Load() },
 		Monitors: h.fanout.Monitors, LastContact: h.fanout.LastFetchFrom, Peers: pingers, Remove: h.members.remove, Clock: h.clock, Log: h.log,
 	})
@@ -68,25 +68,25 @@
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
 func (h *Host) buildGate() error {
-	book := occupancy.NewTracker(h.clock, h.log)
+	tracker := occupancy.NewTracker(h.clock, h.log)
 	roles.Subscribe(h.fanout, h.fleet.ExpectRole, h.log)
 	advices.Subscribe(h.fanout, h.advice.HandleNotice, h.log)
 	var err error
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
-		Tracker: book, Peers: places.Peers{Client: h.peers}, Self: h.members.addr(h.s.IP), Hosts: h.members.All,
+		Tracker: tracker, Peers: places.Peers{Client: h.peers}, Self: h.members.addr(h.s.IP), Hosts: h.members.All,
 		Clock: h.clock, Log: h.log,
 	})
 	if err != nil {
 		return err
 	}
-	places.Register(h.peerServer, book, h.gate)
+	places.Register(h.peerServer, tracker, h.gate)
 	return h.buildOutliers()
 }
 
 // buildOutliers has silent runners told to all hosts.
 func (h *Host) buildOutliers() error {
 	ctx, cancel := context.WithCancel(context.Background())
-	h.ended = cancel
+	h.stopDetectors = cancel
 	var err error
 	h.outliers, err = outlier.New(ctx, outlier.Options{
 		Self: h.members.addr(h.s.IP), Owner: h.gate.Owner, Peers: outliers.Peers{Client: h.peers}, Clock: h.clock, Log: h.log,
@@ -135,7 +135,7 @@
 		Listed:   func(i *state.Instance) bool { return h.fleet.Accepts(i.ID) },
 		Replaced: h.fleet.Replaced,
 		OnCrash: func(r crash.Report) {
-			h.metrics.crashed(r)
+			h.metrics.countCrash(r)
 			h.quarantine.ReportCrash(r.Instance.ID, h.clock.Now(), r.Suspects)
 		},
 		Clock: h.clock, Log: h.log,
--- a/daemon/routed/repeats.go
+++ b/daemon/routed/repeats.go
@@ -2,8 +2,8 @@
 
 import "github.com/thymerack/thymerack/coordination/retry"
 
-// newRepeats makes this host's share of the repeats that all hosts may send.
-func (h *Host) newRepeats() (*retry.Limiter, error) {
+// newRetryLimiter makes this host's share of the repeats that all hosts may send.
+func (h *Host) newRetryLimiter() (*retry.Limiter, error) {
 	share := limitShare * h.s.Bounds.RetryRatio
 	steady, err := retry.NewBudget(retry.BudgetOptions{
 		Clock: h.clock, Share: func(string) float64 { return share }, DefaultShare: share,
@@ -13,7 +13,7 @@
 		return nil, err
 	}
 	window, err := retry.NewWindowBudget(retry.WindowOptions{
-		Clock: h.clock, Window: h.s.Bounds.RetryWindow, Share: moveShare * share, Slack: func() float64 { return moveShare * h.retrySlack() },
+		Clock: h.clock, Window: h.s.Bounds.RetryWindow, Share: windowBudgetShare * share, Slack: func() float64 { return windowBudgetShare * h.retrySlack() },
 	})
 	if err != nil {
 		return nil, err
--- a/daemon/routed/run.go
+++ b/daemon/routed/run.go
@@ -27,7 +27,7 @@
 	})
 	group.Go(func() { h.instances.Run(work) })
 	group.Go(func() { h.members.Run(work) })
-	group.Go(func() { h.looker.Run(work) })
+	group.Go(func() { h.monitor.Run(work) })
 	group.Go(func() { h.quarantine.Run(work) })
 	group.Go(func() { wallclock.Watch(work) })
 	if h.pusher != nil {
@@ -35,16 +35,16 @@
 	}
 	managing, resign := context.WithCancel(work)
 	group.Go(func() {
-		if err := h.lessor.Run(managing, h.holdDuties); err != nil {
+		if err := h.lease.Run(managing, h.runDuties); err != nil {
 			h.log.Error("duties ended", "cause", err.Error())
 		}
 	})
 	h.serve(work, listeners)
 	<-stop.Done()
 	resign()
-	h.leave(work)
+	h.drain(work)
 	end()
-	h.ended()
+	h.stopDetectors()
 	h.peers.Close()
 	listeners.close()
 	group.Wait()
@@ -52,25 +52,25 @@
 	return nil
 }
 
-// leave goes on serving until the balancer has turned away and every request is
+// drain goes on serving until the balancer has turned away and every request is
 // answered.
-func (h *Host) leave(work context.Context) {
+func (h *Host) drain(work context.Context) {
 	h.log.Info("leaving", "grace", h.s.Bounds.Grace)
 	h.ready.leave()
 	h.fanout.Leave()
 	began := h.clock.Now()
 	end := h.s.Bounds.Grace - graceMargin
-	h.gateway.Leave(gateway.Departure{TurnedAway: began.Add(turnedAway), End: began.Add(end)})
-	d := departure{
+	h.gateway.Leave(gateway.Departure{TurnedAway: began.Add(balancerRemovalDelay), End: began.Add(end)})
+	d := drainer{
 		clock: h.clock, end: end, active: h.gateway.Active, closeUnused: h.gateway.CloseUnused,
-		last: func() { h.tellLast(work) },
+		flush: func() { h.flushUsage(work) },
 	}
 	waited := d.wait()
 	h.log.Info("left", "waited", waited, "open", h.gateway.Active())
 }
 
-// tellLast tells the others what this host has counted until its end.
-func (h *Host) tellLast(ctx context.Context) {
+// flushUsage tells the others what this host has counted until its end.
+func (h *Host) flushUsage(ctx context.Context) {
 	if h.pusher == nil {
 		return
 	}
