--- a/cmd/thymerackd/main.go
+++ b/cmd/thymerackd/main.go
@@ -98,8 +98,8 @@
 		return err
 	}
 	h, err := routed.New(routed.Options{
-		Settings: s, Log: log, MetricsPort: f.MetricsPort, PrefillShare: f.PrefillShare, SplitTokens: f.SplitTokens, RequiredRunnerShare: f.RunnerNeed, FirstTraffic: f.FirstTraffic,
-		LinesDropped: out.Dropped,
+		Settings: s, Log: log, MetricsPort: f.MetricsPort, PrefillShare: f.PrefillShare, SplitTokens: f.SplitTokens, RequiredRunnerShare: f.RunnerNeed, FirstTrafficDelay: f.FirstTraffic,
+		LogLinesDropped: out.Dropped,
 	})
 	if err != nil {
 		return err
--- a/daemon/routed/departure.go
+++ b/daemon/routed/departure.go
@@ -10,8 +10,8 @@
 // drainer is the end of a host's serving.
 type drainer struct {
 	clock state.Clock
-	// end is when it must be over, from its beginning.
-	end time.Duration
+	// timeout is when it must be over, from its beginning.
+	timeout time.Duration
 	// active is the number of requests that are being answered.
 	active func() int64
 	// closeUnused closes connections without a request, so that their callers go elsewhere.
@@ -31,7 +31,7 @@
 		if waited >= balancerRemovalDelay {
 			d.closeUnused()
 		}
-		over := waited >= d.end
+		over := waited >= d.timeout
 		if !over && (d.active() > 0 || waited < minUnreadyTime) {
 			continue
 		}
--- a/daemon/routed/departure_test.go
+++ b/daemon/routed/departure_test.go
@@ -19,12 +19,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		var active atomic.Int64
-		told := 0
+		flushes := 0
 		d := drainer{
-			clock: clocktest.Bubble{}, end: 7 * time.Second, active: active.Load, closeUnused: func() {},
+			clock: clocktest.Bubble{}, timeout: 7 * time.Second, active: active.Load, closeUnused: func() {},
 			flush: func() {
-				told++
-				if told > 1 {
+				flushes++
+				if flushes > 1 {
 					return
 				}
 				active.Add(1) // a request arrives and is answered some time later
@@ -35,8 +35,8 @@
 		waited := d.wait()
 		is.Equal(active.Load(), int64(0))
 		is.True(waited >= minUnreadyTime+300*time.Millisecond)
-		is.True(waited < d.end)
-		is.Equal(told, 2)
+		is.True(waited < d.timeout)
+		is.Equal(flushes, 2)
 	})
 }
 
@@ -44,9 +44,9 @@
 func TestDrainEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
-		told := 0
-		d := drainer{clock: clocktest.Bubble{}, end: 7 * time.Second, active: func() int64 { return 1 }, closeUnused: func() {}, flush: func() { told++ }}
+		flushes := 0
+		d := drainer{clock: clocktest.Bubble{}, timeout: 7 * time.Second, active: func() int64 { return 1 }, closeUnused: func() {}, flush: func() { flushes++ }}
 		is.True(d.wait() < 7*time.Second+2*drainPoll)
-		is.Equal(told, 1)
+		is.Equal(flushes, 1)
 	})
 }
--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -26,9 +26,9 @@
 	var err error
 	h.lease, err = lease.New(lease.Options{
 		Store: h.store, Clock: h.clock, Rand: newRand(),
-		Name: leaseName, Holder: h.id, Machine: h.s.Host + "@" + h.s.IP,
+		Name: leaseName, Holder: h.id, Machine: h.settings.Host + "@" + h.settings.IP,
 		TTL: leaseTTL, PollInterval: h.leasePollInterval, Log: h.log,
-		CallGap: h.s.Bounds.LeaseTime + h.s.Bounds.ThawTime, MaxCallTime: dutyCallTime, MayBeLost: h.leaseMayBeLost,
+		CallGap: h.settings.Bounds.LeaseTime + h.settings.Bounds.ThawTime, MaxCallTime: dutyCallTimeout, MayBeLost: h.leaseMayBeLost,
 	})
 	return err
 }
@@ -36,16 +36,16 @@
 // leaseMayBeLost reports whether the store may have lost the lease's object: it loses what it has
 // acknowledged, and this isn't the first start of the fleet.
 func (h *Host) leaseMayBeLost() bool {
-	return h.epochs.MayLose() && (!h.s.FirstStart || h.epochs.Restored())
+	return h.epochs.MayLose() && (!h.settings.FirstStart || h.epochs.Restored())
 }
 
 // buildDuties makes what carries them out, those that are asked for.
 func (h *Host) buildDuties() error {
-	if h.s.DutiesAddr == "" {
+	if h.settings.DutiesAddr == "" {
 		return nil
 	}
 	var err error
-	if h.duties, err = h.newDuties(); err != nil {
+	if h.duties, err = h.newDutiesClient(); err != nil {
 		return err
 	}
 	if err := h.buildUsage(); err != nil {
@@ -56,13 +56,13 @@
 
 // buildScaler orders numbers of runners, where that is asked for.
 func (h *Host) buildScaler() error {
-	if !h.s.ScalesRunners {
+	if !h.settings.ScalesRunners {
 		return nil
 	}
 	var err error
 	h.scaler, err = scale.New(scale.Options{
 		Platform: h.duties, Lease: h.lease, InitialCounts: scale.InitialCounts{Store: h.store}, Clock: h.clock, Log: h.log,
-		Services: h.scalableServices, Instances: h.fleet.Instances, RequiredShare: h.o.RequiredRunnerShare,
+		Services: h.scalableServices, Instances: h.fleet.Instances, RequiredShare: h.options.RequiredRunnerShare,
 		NoTrafficUntil: h.noTrafficUntil(),
 	})
 	return err
@@ -71,17 +71,17 @@
 // noTrafficUntil is before when no caller comes: some time after the first start of the whole
 // deployment, as the operator says. Later starts find callers.
 func (h *Host) noTrafficUntil() time.Time {
-	if !h.s.FirstStart || h.o.FirstTraffic <= 0 {
+	if !h.settings.FirstStart || h.options.FirstTrafficDelay <= 0 {
 		return time.Time{}
 	}
-	return h.clock.Now().Add(h.o.FirstTraffic)
+	return h.clock.Now().Add(h.options.FirstTrafficDelay)
 }
 
 // scalableServices are the services whose number of runners may be ordered; none while the
 // list of runners isn't kept up to date.
 func (h *Host) scalableServices() []state.ServiceSpec {
 	table := h.config.Table()
-	if table == nil || h.listed.Lost() {
+	if table == nil || h.instanceMirror.Lost() {
 		return nil
 	}
 	var out []state.ServiceSpec
@@ -95,10 +95,10 @@
 
 // buildUsage counts requests by customer and reports them, where that is asked for.
 func (h *Host) buildUsage() error {
-	if !h.s.ReportsUsage {
+	if !h.settings.ReportsUsage {
 		return nil
 	}
-	window := h.s.Bounds.UsageWindow
+	window := h.settings.Bounds.UsageWindow
 	clock := fleetclock.New(h.clock)
 	h.metrics.usage = usage.NewCounter(window, clock.At)
 	collector := usage.NewCollector(window)
@@ -113,21 +113,21 @@
 	}
 	usages.Register(h.peerServer, h.pusher, collector)
 	h.reporter, err = usage.NewReporter(usage.Options{
-		WindowLength: window, MaxError: h.s.Bounds.UsageOff, Lease: h.lease, Store: h.store, Receiver: h.duties, Peers: peers, Collector: collector,
+		WindowLength: window, MaxError: h.settings.Bounds.UsageOff, Lease: h.lease, Store: h.store, Receiver: h.duties, Peers: peers, Collector: collector,
 		Self: h.members.self(), Run: h.id.String(), Hosts: h.members.All, Time: clock, Clock: h.clock, Log: h.log,
 	})
 	return err
 }
 
-func (h *Host) newDuties() (platform.Duties, error) {
+func (h *Host) newDutiesClient() (platform.Duties, error) {
 	client, err := httpclient.New(httpclient.Options{
-		Addr: h.s.DutiesAddr, DialTimeout: dutyCallTime, WriteTimeout: dutyCallTime, UserTimeout: dutyCallTime,
-		MaxConns: dutyConns, MaxIdle: storeIdle, MaxHeaderBytes: storeHeaderBytes,
+		Addr: h.settings.DutiesAddr, DialTimeout: dutyCallTimeout, WriteTimeout: dutyCallTimeout, UserTimeout: dutyCallTimeout,
+		MaxConns: dutyMaxConns, MaxIdle: storeMaxIdle, MaxHeaderBytes: storeMaxHeaderBytes,
 	})
 	if err != nil {
 		return platform.Duties{}, err
 	}
-	return platform.NewDuties(platform.DutiesOptions{Client: client, Addr: h.s.DutiesAddr, Host: h.s.Host, Timeout: dutyCallTime}), nil
+	return platform.NewDuties(platform.DutiesOptions{Client: client, Addr: h.settings.DutiesAddr, Host: h.settings.Host, Timeout: dutyCallTimeout}), nil
 }
 
 // runDuties carries out what one host at a time does, for one term of the lease.
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -38,8 +38,8 @@
 
 // Host is one host. Create it with New.
 type Host struct {
-	o Options
-	s platform.Settings
+	options  Options
+	settings platform.Settings
 	// id names this run of the host to its peers and in the lease.
 	id    state.HostID
 	log   *slog.Logger
@@ -50,16 +50,16 @@
 	epochs *platform.Epochs
 	// boundedStore is the store with watches short enough for what must be in force in time, and
 	// proving with those short enough to prove that keys hold.
-	boundedStore *platform.Store
-	proofStore   *platform.Store
-	keys         *auth.Checker
-	members      *members
-	config       *follow.Config
-	configs      *follow.Mirror
-	instances    *follow.Instances
-	listed       *follow.Mirror
-	fleet        *placement.Fleet
-	pool         *runners.Pool
+	boundedStore   *platform.Store
+	proofStore     *platform.Store
+	keys           *auth.Checker
+	members        *members
+	config         *follow.Config
+	configMirror   *follow.Mirror
+	instances      *follow.Instances
+	instanceMirror *follow.Mirror
+	fleet          *placement.Fleet
+	pool           *runners.Pool
 	// advice is what runners ask of hosts.
 	advice  *backpressure.Registry
 	gateway *gateway.Server
@@ -90,7 +90,7 @@
 	// quarantine keeps requests that crash runners from them, and held is this host's copy
 	// of what the store has of them.
 	quarantine *quarantine.Registry
-	held       *follow.Mirror
+	heldMirror *follow.Mirror
 	// gate counts prompts over all hosts.
 	gate *occupancy.Gate
 }
@@ -100,9 +100,9 @@
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	h := &Host{o: o, s: o.Settings, log: o.Log.With("host", o.Settings.Host), metrics: newHostMetrics()}
-	h.id = state.HostID{Name: h.s.Host, Incarnation: uuid.Must(uuid.NewV7()).String()}
-	for _, build := range []func() error{h.buildStore, h.buildLists, h.buildPeers, h.buildPool, h.buildKeys, h.buildGateway, h.buildLease, h.buildManager, h.buildDuties} {
+	h := &Host{options: o, settings: o.Settings, log: o.Log.With("host", o.Settings.Host), metrics: newHostMetrics()}
+	h.id = state.HostID{Name: h.settings.Host, Incarnation: uuid.Must(uuid.NewV7()).String()}
+	for _, build := range []func() error{h.buildStore, h.buildMirrors, h.buildPeers, h.buildPool, h.buildKeys, h.buildGateway, h.buildLease, h.buildManager, h.buildDuties} {
 		if err := build(); err != nil {
 			return nil, err
 		}
@@ -114,8 +114,8 @@
 
 // buildGauges adds what is read when the metrics are.
 func (h *Host) buildGauges() {
-	for kind, m := range map[string]*follow.Mirror{platform.KindConfig: h.configs, platform.KindInstances: h.listed, kindHosts: h.members.mirror, quarantine.Kind: h.held} {
-		h.buildCopyGauges(kind, m)
+	for kind, m := range map[string]*follow.Mirror{platform.KindConfig: h.configMirror, platform.KindInstances: h.instanceMirror, kindHosts: h.members.mirror, quarantine.Kind: h.heldMirror} {
+		h.buildMirrorGauges(kind, m)
 	}
 	h.metrics.gauge("thymerack_store_epoch", func() float64 { return float64(h.epochs.Known()) })
 	h.metrics.gauge("thymerack_config_version", h.configVersion)
@@ -125,17 +125,17 @@
 		}
 		return 0
 	})
-	h.metrics.gauge("thymerack_key_proof_age_seconds", func() float64 { return h.clock.Now().Sub(h.configProven()).Seconds() })
+	h.metrics.gauge("thymerack_key_proof_age_seconds", func() float64 { return h.clock.Now().Sub(h.configProvenAt()).Seconds() })
 	h.metrics.gauge("thymerack_hosts", func() float64 { return float64(h.members.Hosts()) })
 	h.metrics.gauge("thymerack_quarantined", func() float64 { return float64(h.quarantine.Size()) })
 	h.metrics.gauge(`thymerack_runners_asking{what="limit"}`, func() float64 { return float64(h.advice.Count().Limited) })
 	h.metrics.gauge(`thymerack_runners_asking{what="leaving"}`, func() float64 { return float64(h.advice.Count().Leaving) })
 	h.metrics.gauge(`thymerack_runners_asking{what="rest"}`, func() float64 { return float64(h.advice.Count().BackingOff) })
-	h.metrics.gauge("thymerack_log_lines_dropped_total", func() float64 { return float64(h.o.LinesDropped()) })
+	h.metrics.gauge("thymerack_log_lines_dropped_total", func() float64 { return float64(h.options.LogLinesDropped()) })
 }
 
-// buildCopyGauges adds what is known of the copy of one kind.
-func (h *Host) buildCopyGauges(kind string, m *follow.Mirror) {
+// buildMirrorGauges adds what is known of the copy of one kind.
+func (h *Host) buildMirrorGauges(kind string, m *follow.Mirror) {
 	h.metrics.gauge(fmt.Sprintf(`thymerack_store_lost{kind=%q}`, kind), func() float64 {
 		if m.Lost() {
 			return 1
@@ -164,23 +164,23 @@
 
 func (h *Host) buildStore() error {
 	client, err := httpclient.New(httpclient.Options{
-		Addr: h.s.StoreAddr, DialTimeout: storeTimeout, WriteTimeout: storeTimeout,
+		Addr: h.settings.StoreAddr, DialTimeout: storeTimeout, WriteTimeout: storeTimeout,
 		UserTimeout: storeUserTimeout, KeepAlive: storeKeepAlive, KeepAliveCount: storeKeepAliveCount,
-		MaxConns: storeConns, MaxIdle: storeIdle, MaxHeaderBytes: storeHeaderBytes,
+		MaxConns: storeMaxConns, MaxIdle: storeMaxIdle, MaxHeaderBytes: storeMaxHeaderBytes,
 	})
 	if err != nil {
 		return err
 	}
 	h.epochs = platform.NewEpochs(h.clock, h.log)
 	o := platform.StoreOptions{
-		Client: client, Host: h.s.StoreAddr, Epochs: h.epochs, Timeout: storeTimeout, ListTimeout: listTimeout, WatchWait: watchWait,
+		Client: client, Host: h.settings.StoreAddr, Epochs: h.epochs, Timeout: storeTimeout, ListTimeout: listTimeout, WatchWait: watchWait,
 	}
 	h.store = platform.NewStore(o)
 	o.WatchWait = h.boundedWatchWait()
 	h.boundedStore = platform.NewStore(o)
 	o.WatchWait = h.proofWatchWait()
 	h.proofStore = platform.NewStore(o)
-	h.members = newMembers(h.store, h.s, h.log)
+	h.members = newMembers(h.store, h.settings, h.log)
 	return nil
 }
 
@@ -189,37 +189,37 @@
 // watch hears nothing until its own end, and what it missed must be known when the bounds
 // apply again.
 func (h *Host) boundedWatchWait() time.Duration {
-	return min(watchWait, max(minWatchWait, h.s.Bounds.Contact+h.shortestBound()-storeTimeout-instancesCoalesceDelay-watchMargin))
+	return min(watchWait, max(minWatchWait, h.settings.Bounds.Contact+h.shortestBound()-storeTimeout-instancesCoalesceDelay-watchMargin))
 }
 
 // shortestBound is the shortest time in which a change must be in force.
 func (h *Host) shortestBound() time.Duration {
-	bound := h.s.Bounds.Drain
-	if config := h.s.Bounds.ConfigInForce; config > 0 {
+	bound := h.settings.Bounds.Drain
+	if config := h.settings.Bounds.ConfigInForce; config > 0 {
 		bound = min(bound, config)
 	}
 	return bound
 }
 
-func (h *Host) buildLists() error {
+func (h *Host) buildMirrors() error {
 	var err error
 	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Broadcast: h.broadcastAdvice, OnLeaving: func() { h.instances.Republish() }})
 	if err != nil {
 		return err
 	}
-	h.fleet = placement.NewFleet(placement.Options{Clock: h.clock, FailureDomain: h.s.FailureDomain, Advice: h.advice})
+	h.fleet = placement.NewFleet(placement.Options{Clock: h.clock, FailureDomain: h.settings.FailureDomain, Advice: h.advice})
 	h.config = follow.NewConfig(platform.ConfigName, platform.DecodeConfig, h.log)
 	h.instances = follow.NewInstances(follow.InstancesOptions{
 		Clock: h.clock, Log: h.log, Decode: platform.DecodeInstance, Publish: h.publish, OnUnusable: h.metrics.countUnusableEntry,
-		EntriesMayBeMissing: func() bool { return h.listed.UnavailableWithin(storeRecoveryTime) },
-		HoldFor:             holdFor, Leaving: h.advice.Leaving, HeartbeatTimeout: heartbeatsMissed*cmp.Or(h.s.Heartbeat, defaultHeartbeat) + heartbeatSlack,
+		EntriesMayBeMissing: func() bool { return h.instanceMirror.UnavailableWithin(storeRecoveryTime) },
+		HoldFor:             missingEntryHoldTime, Leaving: h.advice.Leaving, HeartbeatTimeout: missedHeartbeats*cmp.Or(h.settings.Heartbeat, defaultHeartbeat) + heartbeatSlack,
 	})
 	retryGroup := &follow.RetryGroup{}
-	h.configs, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.proofStore, Clock: h.clock, Log: h.log, Kind: platform.KindConfig, OnChange: h.config.Update, CoalesceDelay: configCoalesceDelay, RecoveryTime: storeRecoveryTime, Newer: newerConfig, Notify: h.notifyFollowers})
+	h.configMirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.proofStore, Clock: h.clock, Log: h.log, Kind: platform.KindConfig, OnChange: h.config.Update, CoalesceDelay: configCoalesceDelay, RecoveryTime: storeRecoveryTime, Newer: newerConfig, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
-	h.listed, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.boundedStore, Clock: h.clock, Log: h.log, Kind: platform.KindInstances, OnChange: h.instances.Update, CoalesceDelay: instancesCoalesceDelay, Notify: h.notifyFollowers})
+	h.instanceMirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.boundedStore, Clock: h.clock, Log: h.log, Kind: platform.KindInstances, OnChange: h.instances.Update, CoalesceDelay: instancesCoalesceDelay, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
@@ -228,7 +228,7 @@
 		return err
 	}
 	// Notices tell of a held request at once, so that a long watch is enough.
-	h.held, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.store, Clock: h.clock, Log: h.log, Kind: quarantine.Kind, OnChange: h.applyHeldRequests, CoalesceDelay: holdsCoalesceDelay, Notify: h.notifyFollowers})
+	h.heldMirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.store, Clock: h.clock, Log: h.log, Kind: quarantine.Kind, OnChange: h.applyHeldRequests, CoalesceDelay: holdsCoalesceDelay, Notify: h.notifyFollowers})
 	return err
 }
 
@@ -288,7 +288,7 @@
 		return err
 	}
 	dispatcher, err := forward.New(forward.Options{
-		Upstream: h.pool, Placer: h.fleet, Gate: h.gate, Budget: budget, Clock: h.clock, Log: h.log, SplitTokens: h.o.SplitTokens,
+		Upstream: h.pool, Placer: h.fleet, Gate: h.gate, Budget: budget, Clock: h.clock, Log: h.log, SplitTokens: h.options.SplitTokens,
 		Observer: h.metrics, Outliers: h.outliers, Crashes: h.crashes, Quarantine: h.quarantine, Advice: h.advice,
 	})
 	if err != nil {
@@ -297,7 +297,7 @@
 	h.gateway, err = gateway.New(gateway.Options{
 		Codec: platform.Codec{}, Dispatcher: dispatcher, Keys: h.keys, Table: h.config.Table, Observer: h.metrics, Log: h.log,
 		MaxBodyBytes: maxBodyBytes, MaxHeaderBytes: maxHeaderBytes,
-		MaxConnections: max(h.s.Limits.Descriptors-reservedFDs, reservedFDs),
+		MaxConnections: max(h.settings.Limits.Descriptors-reservedFDs, reservedFDs),
 	})
 	return err
 }
@@ -305,11 +305,11 @@
 func (h *Host) buildManager() error {
 	var err error
 	h.manager, err = stages.New(stages.Options{
-		Engines: platform.Engines{Caller: h.pool, Timeout: dutyCallTime}, Lease: h.lease, Shares: stages.PrefillShares{Store: h.store}, Clock: h.clock, Log: h.log, Host: h.s.Host,
+		Engines: platform.Engines{Caller: h.pool, Timeout: dutyCallTimeout}, Lease: h.lease, Shares: stages.PrefillShares{Store: h.store}, Clock: h.clock, Log: h.log, Host: h.settings.Host,
 		Services: h.engineServices, Instances: h.engines,
 		Resizing:            h.resizing,
 		Announce:            h.announce,
-		InitialPrefillShare: h.o.PrefillShare,
+		InitialPrefillShare: h.options.PrefillShare,
 	})
 	return err
 }
@@ -342,7 +342,7 @@
 
 func (h *Host) engineServices() []string {
 	table := h.config.Table()
-	if table == nil || h.listed.Lost() {
+	if table == nil || h.instanceMirror.Lost() {
 		return nil
 	}
 	var out []string
@@ -370,4 +370,4 @@
 }
 
 // isReady reports whether the host knows routes and runners.
-func (h *Host) isReady() bool { return h.config.Table() != nil && h.listed.Revision() > 0 }
+func (h *Host) isReady() bool { return h.config.Table() != nil && h.instanceMirror.Revision() > 0 }
--- a/daemon/routed/host_test.go
+++ b/daemon/routed/host_test.go
@@ -28,7 +28,7 @@
 	}
 	return Options{
 		Settings: s, Log: slog.New(slog.DiscardHandler), PrefillShare: 0.68, SplitTokens: 600, RequiredRunnerShare: 1,
-		LinesDropped: func() uint64 { return 0 },
+		LogLinesDropped: func() uint64 { return 0 },
 	}
 }
 
@@ -51,7 +51,7 @@
 	h.config.Update(follow.Copy{Revision: 1, Objects: []store.Object{{Name: platform.ConfigName, Value: value}}})
 }
 
-func TestWrongOptionsNameTheRemedy(t *testing.T) {
+func TestInvalidOptionsNameRemedy(t *testing.T) {
 	for remedy, change := range map[string]func(*Options){
 		"pass both":                    func(o *Options) { o.Log = nil },
 		"share of prefill in the work": func(o *Options) { o.PrefillShare = 1 },
@@ -65,17 +65,17 @@
 	}
 }
 
-func TestHostIsReadyOnceItKnowsRoutesAndRunners(t *testing.T) {
+func TestHostIsReadyWithConfigAndRunnerList(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
 	is.True(!h.isReady())
 	configure(t, h)
 	is.True(!h.isReady())
-	is.True(h.listed.Adopt(follow.Copy{Revision: 2}, "peer"))
+	is.True(h.instanceMirror.Adopt(follow.Copy{Revision: 2}, "peer"))
 	is.True(h.isReady())
 }
 
-func TestSharedLimitsAreDividedByTheHosts(t *testing.T) {
+func TestSharedLimitsAreDividedAmongHosts(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
 	is.Equal(h.members.Hosts(), assumedHosts)                  // as if the fleet were large, until the list is read
@@ -89,13 +89,13 @@
 	is.Equal(h.connLimit(platformtest.ServicePlain), 24) // of 300, with a fifth left free
 	is.Equal(h.connLimit("unknown"), minConns)
 	total := h.retrySlack() * float64(len(hosts))
-	is.True(total < h.s.Bounds.RetrySlack)
+	is.True(total < h.settings.Bounds.RetrySlack)
 }
 
 // A host counts as in touch with the store again 3 s after a cut. A watch that waits
 // through a cut is sent its changes again 0.2, 0.6, 1.4, 3.0 and 6.2 s after they were
 // lost, so that cuts longer than 3 s must be noticed by silence.
-func TestCutFromTheStoreIsNoticedInTime(t *testing.T) {
+func TestStoreConnectionLossIsDetectedInTime(t *testing.T) {
 	is := is.New(t)
 	const secondLastRetransmission = 3 * time.Second
 	silence := storeKeepAlive * (1 + storeKeepAliveCount)
@@ -116,7 +116,7 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			h := newHost(t)
-			h.s.Bounds = b
+			h.settings.Bounds = b
 			is.True(h.boundedWatchWait() >= minWatchWait)
 			is.True(h.boundedWatchWait()+storeTimeout+instancesCoalesceDelay < b.Contact+min(b.Drain, b.ConfigInForce))
 		})
@@ -127,7 +127,7 @@
 	is := is.New(t)
 	h := newHost(t)
 	is.Equal(h.leasePollInterval(), infrequentPollInterval) // the list of hosts isn't read yet
-	alone := []state.Peer{{Addr: h.members.addr(h.s.IP)}}
+	alone := []state.Peer{{Addr: h.members.addr(h.settings.IP)}}
 	h.members.listed.Store(&alone)
 	is.Equal(h.leasePollInterval(), frequentPollInterval) // whether or not the settings name it as a seed
 	many := slices.Clone(alone)
@@ -149,7 +149,7 @@
 	is.Equal(h.members.Peers(), []string{"127.0.0.5:17660"})
 }
 
-func TestStrongerHostsAreOfAHigherClass(t *testing.T) {
+func TestCapacityClassGrowsWithResources(t *testing.T) {
 	is := is.New(t)
 	small := platform.Limits{Cores: 0.192, LinkBits: 10e6}
 	big := platform.Limits{Cores: 0.8, LinkBits: 200e6}
--- a/daemon/routed/listen.go
+++ b/daemon/routed/listen.go
@@ -22,16 +22,16 @@
 		addr string
 		use  string
 	}{
-		{&l.callers, h.s.CallerAddr, "callers"},
-		{&l.ready, h.s.ReadyAddr, "readiness checks"},
-		{&l.peers, net.JoinHostPort(h.s.IP, strconv.Itoa(h.s.PeerPort)), "peers"},
+		{&l.callers, h.settings.CallerAddr, "callers"},
+		{&l.ready, h.settings.ReadyAddr, "readiness checks"},
+		{&l.peers, net.JoinHostPort(h.settings.IP, strconv.Itoa(h.settings.PeerPort)), "peers"},
 	}
-	if h.o.MetricsPort > 0 {
+	if h.options.MetricsPort > 0 {
 		ports = append(ports, struct {
 			into *net.Listener
 			addr string
 			use  string
-		}{&l.metrics, net.JoinHostPort(h.s.IP, strconv.Itoa(h.o.MetricsPort)), "metrics"})
+		}{&l.metrics, net.JoinHostPort(h.settings.IP, strconv.Itoa(h.options.MetricsPort)), "metrics"})
 	}
 	for _, p := range ports {
 		ln, err := net.Listen("tcp4", p.addr)
@@ -91,4 +91,4 @@
 	return r
 }
 
-func (r *readiness) leave() { r.leaving.Store(true) }
+func (r *readiness) setLeaving() { r.leaving.Store(true) }
--- a/daemon/routed/measures.go
+++ b/daemon/routed/measures.go
@@ -25,8 +25,8 @@
 	// byCustomer holds the histograms of customers by their labels.
 	customers  *measure.Customers
 	byCustomer sync.Map
-	// checked are the checks of keys by their outcome.
-	checked map[auth.Outcome]*metrics.Counter
+	// keyChecks are the checks of keys by their outcome.
+	keyChecks map[auth.Outcome]*metrics.Counter
 	// usage counts requests by customer; nil where usage isn't reported.
 	usage *usage.Counter
 }
@@ -47,19 +47,19 @@
 }
 
 func newHostMetrics() *hostMetrics {
-	m := &hostMetrics{set: metrics.NewSet(), customers: measure.NewCustomers(maxCustomerHistograms), checked: map[auth.Outcome]*metrics.Counter{}}
+	m := &hostMetrics{set: metrics.NewSet(), customers: measure.NewCustomers(maxCustomerHistograms), keyChecks: map[auth.Outcome]*metrics.Counter{}}
 	for _, o := range []auth.Outcome{auth.OutcomeServed, auth.OutcomeUnknown, auth.OutcomeUnproven} {
-		m.checked[o] = m.set.NewCounter(fmt.Sprintf(`thymerack_keys_checked_total{outcome=%q}`, o))
+		m.keyChecks[o] = m.set.NewCounter(fmt.Sprintf(`thymerack_keys_checked_total{outcome=%q}`, o))
 	}
 	return m
 }
 
 // Answered implements gateway.Observer.
 func (m *hostMetrics) Answered(r *forward.Request, status int, took time.Duration) {
-	by := answerKey{r.Class(), status}
-	known, ok := m.answers.Load(by)
+	key := answerKey{r.Class(), status}
+	known, ok := m.answers.Load(key)
 	if !ok {
-		known, _ = m.answers.LoadOrStore(by, m.newAnswerMetrics(by))
+		known, _ = m.answers.LoadOrStore(key, m.newAnswerMetrics(key))
 	}
 	a := known.(*answerMetrics)
 	a.count.Inc()
@@ -80,10 +80,10 @@
 	return known.(*metrics.Histogram)
 }
 
-func (m *hostMetrics) newAnswerMetrics(by answerKey) *answerMetrics {
-	class := fmt.Sprintf(`service=%q,kind=%q,priority="%d"`, by.class.Service, by.class.Kind, by.class.Priority)
+func (m *hostMetrics) newAnswerMetrics(key answerKey) *answerMetrics {
+	class := fmt.Sprintf(`service=%q,kind=%q,priority="%d"`, key.class.Service, key.class.Kind, key.class.Priority)
 	return &answerMetrics{
-		count: m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_answers_total{%s,status="%d"}`, class, by.status)),
+		count: m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_answers_total{%s,status="%d"}`, class, key.status)),
 		took:  m.set.GetOrCreateHistogram(fmt.Sprintf(`thymerack_answer_seconds{%s}`, class)),
 	}
 }
@@ -94,7 +94,7 @@
 }
 
 // ObserveCheck implements auth.Observer.
-func (m *hostMetrics) ObserveCheck(o auth.Outcome, _ time.Duration) { m.checked[o].Inc() }
+func (m *hostMetrics) ObserveCheck(o auth.Outcome, _ time.Duration) { m.keyChecks[o].Inc() }
 
 // Admitted implements forward.Observer.
 func (m *hostMetrics) Admitted(w forward.Phase, t forward.ReservationKind) {
--- a/daemon/routed/measures_test.go
+++ b/daemon/routed/measures_test.go
@@ -15,7 +15,7 @@
 
 // Long prompts and short questions of one service differ in their routes' kind and
 // rank, and have a histogram each.
-func TestAnswersAreMeasuredByClass(t *testing.T) {
+func TestAnswerMetricsByClass(t *testing.T) {
 	is := is.New(t)
 	m := newHostMetrics()
 	request := func(priority int) *forward.Request {
@@ -44,7 +44,7 @@
 }
 
 // Each customer has a histogram of its own, up to a bound that holds for 1,700 of them.
-func TestAnswersAreMeasuredByCustomer(t *testing.T) {
+func TestAnswerMetricsByCustomer(t *testing.T) {
 	is := is.New(t)
 	m := newHostMetrics()
 	route := &state.Route{Kind: state.RouteSafe}
--- a/daemon/routed/members.go
+++ b/daemon/routed/members.go
@@ -32,10 +32,10 @@
 // members is the list of hosts: where peers are and how many share the limits.
 // Each host writes itself once, and again if its entry is gone.
 type members struct {
-	store *platform.Store
-	s     platform.Settings
-	log   *slog.Logger
-	clock wallclock.Clock
+	store    *platform.Store
+	settings platform.Settings
+	log      *slog.Logger
+	clock    wallclock.Clock
 	// mirror is this host's mirror of the list.
 	mirror *follow.Mirror
 	// seeds and listed are replaced whole.
@@ -45,14 +45,14 @@
 	entries atomic.Pointer[[]liveness.Entry]
 	// registered is set while this host's entry is believed to be in the list.
 	registered atomic.Bool
-	// writtenAt is the store's revision from which on the list must have the entry.
-	writtenAt atomic.Uint64
-	// unreadable are the versions of entries that were logged; changed alone uses it.
-	unreadable map[string]uint64
+	// minRevision is the store's revision from which on the list must have the entry.
+	minRevision atomic.Uint64
+	// unreadableVersions are the versions of entries that were logged; changed alone uses it.
+	unreadableVersions map[string]uint64
 }
 
 func newMembers(s *platform.Store, settings platform.Settings, log *slog.Logger) *members {
-	m := &members{store: s, s: settings, log: log, unreadable: map[string]uint64{}}
+	m := &members{store: s, settings: settings, log: log, unreadableVersions: map[string]uint64{}}
 	m.listed.Store(&[]state.Peer{})
 	m.entries.Store(&[]liveness.Entry{})
 	m.setSeeds(settings.Seeds)
@@ -61,7 +61,7 @@
 
 // self is this host's own entry.
 func (m *members) self() state.Peer {
-	return state.Peer{Addr: m.addr(m.s.IP), Class: capacityClass(m.s.Limits), FailureDomain: m.s.FailureDomain}
+	return state.Peer{Addr: m.addr(m.settings.IP), Class: capacityClass(m.settings.Limits), FailureDomain: m.settings.FailureDomain}
 }
 
 // setSeeds takes changed seeds.
@@ -80,7 +80,7 @@
 
 // Peers are the other hosts' addresses, the seeds before the list is read.
 func (m *members) Peers() []string {
-	own := m.addr(m.s.IP)
+	own := m.addr(m.settings.IP)
 	var out []string
 	for _, h := range m.All() {
 		if h.Addr != own {
@@ -92,28 +92,30 @@
 	}
 	for _, seed := range *m.seeds.Load() {
 		ip, _, err := net.SplitHostPort(seed)
-		if err == nil && ip != m.s.IP {
+		if err == nil && ip != m.settings.IP {
 			out = append(out, m.addr(ip))
 		}
 	}
 	return out
 }
 
-func (m *members) addr(ip string) string { return net.JoinHostPort(ip, strconv.Itoa(m.s.PeerPort)) }
+func (m *members) addr(ip string) string {
+	return net.JoinHostPort(ip, strconv.Itoa(m.settings.PeerPort))
+}
 
 // Join lists this host and reads the list for the first time, from a copy that may be
 // some seconds old: it is enough to know whom to ask for a newer one. A host that finds
 // itself alone, as when the whole fleet starts for the first time, waits for the others.
 func (m *members) Join(ctx context.Context) {
-	if !m.s.FirstStart {
+	if !m.settings.FirstStart {
 		// An earlier run's entry mostly holds; it is written again otherwise.
 		m.registered.Store(m.read(ctx) && m.contains(m.self()))
 	}
 	if !m.registered.Load() {
 		m.register(ctx)
 	}
-	for range joinReads {
-		if len(m.All()) > 1 || m.clock.Sleep(ctx, membersSettle) != nil {
+	for range maxJoinReads {
+		if len(m.All()) > 1 || m.clock.Sleep(ctx, joinReadInterval) != nil {
 			return
 		}
 		m.read(ctx)
@@ -125,7 +127,7 @@
 
 // Run keeps this host's entry in the list until ctx ends.
 func (m *members) Run(ctx context.Context) {
-	for m.clock.Sleep(ctx, registerEvery) == nil {
+	for m.clock.Sleep(ctx, registerInterval) == nil {
 		if !m.registered.Load() {
 			m.register(ctx)
 		}
@@ -139,7 +141,7 @@
 		m.log.Error("host not listed", "cause", err.Error())
 		return
 	}
-	version, err := m.store.Put(ctx, kindHosts, m.s.Host, store.Absent, value)
+	version, err := m.store.Put(ctx, kindHosts, m.settings.Host, store.Absent, value)
 	if store.IsConflict(err) {
 		version, err = m.replace(ctx, value)
 	}
@@ -147,14 +149,14 @@
 		m.log.Warn("host not listed", "cause", err.Error())
 		return
 	}
-	m.writtenAt.Store(version)
+	m.minRevision.Store(version)
 	m.registered.Store(true)
-	m.log.Info("host listed", "addr", m.addr(m.s.IP), "version", store.FormatVersion(version))
+	m.log.Info("host listed", "addr", m.addr(m.settings.IP), "version", store.FormatVersion(version))
 }
 
 // replace brings an entry of this host's name up to date.
 func (m *members) replace(ctx context.Context, value []byte) (version uint64, err error) {
-	present, err := m.store.Get(ctx, kindHosts, m.s.Host)
+	present, err := m.store.Get(ctx, kindHosts, m.settings.Host)
 	if err != nil {
 		return 0, err
 	}
@@ -162,7 +164,7 @@
 	if json.Unmarshal(present.Value, &e) == nil && state.Peer(e) == m.self() {
 		return present.Version, nil
 	}
-	return m.store.Put(ctx, kindHosts, m.s.Host, present.Version, value)
+	return m.store.Put(ctx, kindHosts, m.settings.Host, present.Version, value)
 }
 
 // remove takes the entry of a host that is gone out of the list, unless it was written
@@ -189,10 +191,10 @@
 	for _, o := range c.Objects {
 		var e member
 		if err := json.Unmarshal(o.Value, &e); err != nil || e.Addr == "" {
-			m.noteUnreadable(o)
+			m.logUnreadable(o)
 			continue
 		}
-		found = found || o.Name == m.s.Host
+		found = found || o.Name == m.settings.Host
 		hosts = append(hosts, state.Peer(e))
 		entries = append(entries, liveness.Entry{Peer: state.Peer(e), Name: o.Name, Version: o.Version})
 	}
@@ -202,14 +204,14 @@
 	if before != len(hosts) {
 		m.log.Info("hosts listed", "hosts", len(hosts), "before", before, "revision", store.FormatVersion(c.Revision))
 	}
-	if !found && c.Revision >= m.writtenAt.Load() {
+	if !found && c.Revision >= m.minRevision.Load() {
 		m.registered.Store(false)
 	}
 }
 
-func (m *members) noteUnreadable(o store.Object) {
-	if m.unreadable[o.Name] != o.Version {
-		m.unreadable[o.Name] = o.Version
+func (m *members) logUnreadable(o store.Object) {
+	if m.unreadableVersions[o.Name] != o.Version {
+		m.unreadableVersions[o.Name] = o.Version
 		m.log.Warn("entry of a host not readable", "host", o.Name, "version", store.FormatVersion(o.Version))
 	}
 }
--- a/daemon/routed/members_test.go
+++ b/daemon/routed/members_test.go
@@ -49,11 +49,11 @@
 }
 
 // A host whose entry is gone lists itself again, but not for a list older than its entry.
-func TestHostWhoseEntryIsGoneListsItselfAgain(t *testing.T) {
+func TestHostReregistersMissingEntry(t *testing.T) {
 	is := is.New(t)
 	m := newTestMembers(t)
 	m.registered.Store(true)
-	m.writtenAt.Store(9)
+	m.minRevision.Store(9)
 	m.applyCopy(follow.Copy{Revision: 8, Objects: []store.Object{{Name: "good", Version: 1, Value: []byte(goodEntry)}}})
 	is.True(m.registered.Load())
 	m.applyCopy(follow.Copy{Revision: 10, Objects: []store.Object{{Name: "good", Version: 1, Value: []byte(goodEntry)}}})
@@ -62,11 +62,11 @@
 }
 
 // Guards against a host that isn't listed any more, since a restored store lost its entry.
-func TestHostListsItselfAgainWhenARestoredStoreLostIt(t *testing.T) {
+func TestHostReregistersAfterStoreRestore(t *testing.T) {
 	is := is.New(t)
 	m := newHost(t).members
 	m.registered.Store(true)
-	m.writtenAt.Store(store.MakeVersion(1, 30))
+	m.minRevision.Store(store.MakeVersion(1, 30))
 	m.applyCopy(follow.Copy{Revision: store.MakeVersion(1, 29)}) // a copy of before its entry
 	is.True(m.registered.Load())
 	m.applyCopy(follow.Copy{Revision: store.MakeVersion(2, 12)})
--- a/daemon/routed/options.go
+++ b/daemon/routed/options.go
@@ -21,18 +21,18 @@
 	// RequiredRunnerShare is the number of runners that carry the load, as a share of those that the
 	// deployment starts with; used where numbers of runners may be ordered.
 	RequiredRunnerShare float64
-	// FirstTraffic is how long after the first start of a deployment no caller comes; 0 if
+	// FirstTrafficDelay is how long after the first start of a deployment no caller comes; 0 if
 	// callers may come at once.
-	FirstTraffic time.Duration
+	FirstTrafficDelay time.Duration
 	// SplitTokens is the prompt size from which a prompt is read at a prefill
 	// engine of its own.
 	SplitTokens int
-	// LinesDropped is the number of log lines that were lost.
-	LinesDropped func() uint64
+	// LogLinesDropped is the number of log lines that were lost.
+	LogLinesDropped func() uint64
 }
 
 func (o Options) validate() error {
-	if o.Log == nil || o.LinesDropped == nil {
+	if o.Log == nil || o.LogLinesDropped == nil {
 		return errors.New("routed: Options.Log or LinesDropped is nil; pass both")
 	}
 	if o.PrefillShare <= 0 || o.PrefillShare >= 1 {
@@ -58,9 +58,9 @@
 	// way to other hosts.
 	minWatchWait = time.Second
 	watchMargin  = 500 * time.Millisecond
-	// defaultInForce is how soon a new key is known where the service agreement doesn't say:
+	// defaultConfigInForce is how soon a new key is known where the service agreement doesn't say:
 	// the shortest bound of the deployments so far.
-	defaultInForce = 2 * time.Second
+	defaultConfigInForce = 2 * time.Second
 	// storeUserTimeout and storeKeepAlive find a store that is cut off while a watch
 	// waits there, 3 s after its last sign. The kernel counts keepalives in whole
 	// seconds. Of a cut that isn't noticed the watch learns by the store's next
@@ -69,9 +69,9 @@
 	storeUserTimeout    = 2500 * time.Millisecond
 	storeKeepAlive      = time.Second
 	storeKeepAliveCount = 2
-	storeConns          = 8
-	storeIdle           = 20 * time.Second
-	storeHeaderBytes    = 4 << 10
+	storeMaxConns       = 8
+	storeMaxIdle        = 20 * time.Second
+	storeMaxHeaderBytes = 4 << 10
 	// configCoalesceDelay and gatherInstances let changes in quick succession cost one
 	// call; the shortest bound on either change is 2 s.
 	configCoalesceDelay    = 800 * time.Millisecond
@@ -82,12 +82,12 @@
 	// may be missing: "about two seconds", by the platform's pages. holdFor bounds
 	// the trust in one while the store is still away: a leaving runner may be sent
 	// to for 2 s, and a peer's word of it may be a moment old.
-	storeRecoveryTime = 2100 * time.Millisecond
-	holdFor           = 1800 * time.Millisecond
-	// heartbeatsMissed is how many heartbeats of a runner the store waits for before it drops its
+	storeRecoveryTime    = 2100 * time.Millisecond
+	missingEntryHoldTime = 1800 * time.Millisecond
+	// missedHeartbeats is how many heartbeats of a runner the store waits for before it drops its
 	// entry, defaultHeartbeat is theirs where the settings don't say, and heartbeatSlack is for
 	// the store's look and the way of its answer.
-	heartbeatsMissed = 3
+	missedHeartbeats = 3
 	defaultHeartbeat = 1200 * time.Millisecond
 	heartbeatSlack   = time.Second
 	// leaseTTL is how long a holder of the duties' lease may be silent. lookers hosts
@@ -98,31 +98,31 @@
 	frequentPollers        = 3
 	frequentPollInterval   = time.Second
 	infrequentPollInterval = 30 * time.Second
-	// dutyCallTime bounds a call under the lease: twenty answers of a sound platform, five
+	// dutyCallTimeout bounds a call under the lease: twenty answers of a sound platform, five
 	// of one that is slow.
-	dutyCallTime = time.Second
-	// dutyConns are enough for one call of each duty at a time.
-	dutyConns = 4
+	dutyCallTimeout = time.Second
+	// dutyMaxConns are enough for one call of each duty at a time.
+	dutyMaxConns = 4
 	// peerDialTimeout bounds the making of a connection to a peer, which takes two
 	// round trips between failure domains (2.8 ms); peerSilence is how long nothing
 	// may be heard on one before it counts as silent, with three pings in it.
-	peerDialTimeout = time.Second
-	peerSilence     = 6 * time.Second
-	// membersSettle lets hosts that start together list themselves first; a stale copy
+	peerDialTimeout    = time.Second
+	peerSilenceTimeout = 6 * time.Second
+	// joinReadInterval lets hosts that start together list themselves first; a stale copy
 	// of the list may lag behind by some seconds, so that it is read joinReads times.
-	membersSettle = 1500 * time.Millisecond
-	joinReads     = 3
-	// registerEvery is how often a host whose entry isn't listed writes it.
-	registerEvery = time.Second
+	joinReadInterval = 1500 * time.Millisecond
+	maxJoinReads     = 3
+	// registerInterval is how often a host whose entry isn't listed writes it.
+	registerInterval = time.Second
 	// assumedHosts divides the shared limits until the list of hosts is read: above the
 	// size of the largest deployment's fleet with its spares.
 	assumedHosts = 400
 	// limitShare keeps room below the shared limits for hosts not listed yet.
 	limitShare = 0.8
-	// windowBudgetShare is the part of the repeats up to which runs go on elsewhere. Repeats wait for
+	// moveShare is the part of the repeats up to which runs go on elsewhere. Repeats wait for
 	// places, so that more arrive in some window than are allowed in it: in an overload a third
 	// more.
-	windowBudgetShare = 0.6
+	moveShare = 0.6
 	// minConns is the least number of connections to a runner.
 	minConns = 4
 	// balancerRemovalDelay is when the balancer has turned away from a leaving host, after
--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -30,20 +30,20 @@
 	var err error
 	h.peers, err = peer.NewClient(peer.ClientOptions{
 		Self: h.id, MaxBodyBytes: relay.MaxBodyBytes, Log: h.log,
-		DialTimeout: peerDialTimeout, GreetTimeout: peerDialTimeout, SilenceTimeout: peerSilence,
+		DialTimeout: peerDialTimeout, GreetTimeout: peerDialTimeout, SilenceTimeout: peerSilenceTimeout,
 	})
 	if err != nil {
 		return err
 	}
 	h.peerServer, err = peer.NewServer(peer.ServerOptions{
-		Self: h.id, MaxBodyBytes: relay.MaxBodyBytes, Log: h.log, GreetTimeout: peerDialTimeout, SilenceTimeout: peerSilence,
+		Self: h.id, MaxBodyBytes: relay.MaxBodyBytes, Log: h.log, GreetTimeout: peerDialTimeout, SilenceTimeout: peerSilenceTimeout,
 	})
 	if err != nil {
 		return err
 	}
 	h.fanout, err = fanout.New(fanout.Options{
-		Self: h.members.self(), RunID: h.id.String(), Hosts: h.members.All, Peers: relay.Peers{Client: h.peers}, Clock: h.clock, Rand: newRand(), Log: h.log, FetchWait: h.relayWait(),
-		Copies: map[string]*follow.Mirror{platform.KindConfig: h.configs, platform.KindInstances: h.listed, kindHosts: h.members.mirror, quarantine.Kind: h.held},
+		Self: h.members.self(), RunID: h.id.String(), Hosts: h.members.All, Peers: relay.Peers{Client: h.peers}, Clock: h.clock, Rand: newRand(), Log: h.log, FetchWait: h.relayFetchWait(),
+		Copies: map[string]*follow.Mirror{platform.KindConfig: h.configMirror, platform.KindInstances: h.instanceMirror, kindHosts: h.members.mirror, quarantine.Kind: h.heldMirror},
 	})
 	if err != nil {
 		return err
@@ -61,9 +61,9 @@
 	return h.buildGate()
 }
 
-// relayWait is how long a question waits at a relay: a quarter of the shortest time in
+// relayFetchWait is how long a question waits at a relay: a quarter of the shortest time in
 // which a change must be in force.
-func (h *Host) relayWait() time.Duration { return h.shortestBound() / 4 }
+func (h *Host) relayFetchWait() time.Duration { return h.shortestBound() / 4 }
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
@@ -73,7 +73,7 @@
 	advices.Subscribe(h.fanout, h.advice.HandleNotice, h.log)
 	var err error
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
-		Tracker: tracker, Peers: places.Peers{Client: h.peers}, Self: h.members.addr(h.s.IP), Hosts: h.members.All,
+		Tracker: tracker, Peers: places.Peers{Client: h.peers}, Self: h.members.addr(h.settings.IP), Hosts: h.members.All,
 		Clock: h.clock, Log: h.log,
 	})
 	if err != nil {
@@ -89,7 +89,7 @@
 	h.stopDetectors = cancel
 	var err error
 	h.outliers, err = outlier.New(ctx, outlier.Options{
-		Self: h.members.addr(h.s.IP), Owner: h.gate.Owner, Peers: outliers.Peers{Client: h.peers}, Clock: h.clock, Log: h.log,
+		Self: h.members.addr(h.settings.IP), Owner: h.gate.Owner, Peers: outliers.Peers{Client: h.peers}, Clock: h.clock, Log: h.log,
 		Siblings: h.fleet.ServiceSize,
 		Alive: func(ctx context.Context, id state.InstanceID) bool {
 			r := h.fleet.Runner(id)
@@ -105,7 +105,7 @@
 		return err
 	}
 	outliers.Register(h.peerServer, h.outliers.HandleReport)
-	outliers.Subscribe(h.fanout, h.judge, h.log)
+	outliers.Subscribe(h.fanout, h.applyVerdict, h.log)
 	return h.buildQuarantine(ctx)
 }
 
@@ -113,7 +113,7 @@
 func (h *Host) buildQuarantine(ctx context.Context) error {
 	var err error
 	h.quarantine, err = quarantine.New(quarantine.Options{
-		Host: h.s.Host, Table: quarantine.NewTable(h.clock), Store: h.store, FollowsStore: h.fanout.FollowsStore, Clock: h.clock, Log: h.log,
+		Host: h.settings.Host, Table: quarantine.NewTable(h.clock), Store: h.store, FollowsStore: h.fanout.FollowsStore, Clock: h.clock, Log: h.log,
 		Publish: func(n quarantine.Notice) {
 			if err := quarantines.Publish(ctx, h.fanout, n); err != nil {
 				h.log.Error("crashes not told", "crashes", len(n.Crashes), "held", len(n.Held), "cause", err.Error())
@@ -143,8 +143,8 @@
 	return err
 }
 
-// judge takes the word of the hosts on a runner.
-func (h *Host) judge(v outlier.Verdict) {
+// applyVerdict takes the word of the hosts on a runner.
+func (h *Host) applyVerdict(v outlier.Verdict) {
 	if v.Silent {
 		h.fleet.ApplyReport(v.Instance, v.TTL)
 		return
--- a/daemon/routed/run.go
+++ b/daemon/routed/run.go
@@ -13,37 +13,37 @@
 // Run serves until stop ends, then leaves: unready at once, every request
 // answered, ended before the grace is over.
 func (h *Host) Run(stop context.Context) error {
-	debug.SetMemoryLimit(int64(memoryShare * float64(h.s.Limits.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryShare * float64(h.settings.Limits.MemoryBytes)))
 	listeners, err := h.listen()
 	if err != nil {
 		return err
 	}
-	h.log.Info("started", "callers", h.s.CallerAddr, "failure_domain", h.s.FailureDomain, "memory_bytes", h.s.Limits.MemoryBytes)
-	work, end := context.WithCancel(context.Background())
+	h.log.Info("started", "callers", h.settings.CallerAddr, "failure_domain", h.settings.FailureDomain, "memory_bytes", h.settings.Limits.MemoryBytes)
+	workCtx, endWork := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() {
-		h.members.Join(work)
-		h.fanout.Run(work)
+		h.members.Join(workCtx)
+		h.fanout.Run(workCtx)
 	})
-	group.Go(func() { h.instances.Run(work) })
-	group.Go(func() { h.members.Run(work) })
-	group.Go(func() { h.monitor.Run(work) })
-	group.Go(func() { h.quarantine.Run(work) })
-	group.Go(func() { wallclock.Watch(work) })
+	group.Go(func() { h.instances.Run(workCtx) })
+	group.Go(func() { h.members.Run(workCtx) })
+	group.Go(func() { h.monitor.Run(workCtx) })
+	group.Go(func() { h.quarantine.Run(workCtx) })
+	group.Go(func() { wallclock.Watch(workCtx) })
 	if h.pusher != nil {
-		group.Go(func() { h.pusher.Run(work) })
+		group.Go(func() { h.pusher.Run(workCtx) })
 	}
-	managing, resign := context.WithCancel(work)
+	dutiesCtx, endDuties := context.WithCancel(workCtx)
 	group.Go(func() {
-		if err := h.lease.Run(managing, h.runDuties); err != nil {
+		if err := h.lease.Run(dutiesCtx, h.runDuties); err != nil {
 			h.log.Error("duties ended", "cause", err.Error())
 		}
 	})
-	h.serve(work, listeners)
+	h.serve(workCtx, listeners)
 	<-stop.Done()
-	resign()
-	h.drain(work)
-	end()
+	endDuties()
+	h.drain(workCtx)
+	endWork()
 	h.stopDetectors()
 	h.peers.Close()
 	listeners.close()
@@ -55,14 +55,14 @@
 // drain goes on serving until the balancer has turned away and every request is
 // answered.
 func (h *Host) drain(work context.Context) {
-	h.log.Info("leaving", "grace", h.s.Bounds.Grace)
-	h.ready.leave()
+	h.log.Info("leaving", "grace", h.settings.Bounds.Grace)
+	h.ready.setLeaving()
 	h.fanout.Leave()
 	began := h.clock.Now()
-	end := h.s.Bounds.Grace - graceMargin
+	end := h.settings.Bounds.Grace - graceMargin
 	h.gateway.Leave(gateway.Departure{TurnedAway: began.Add(balancerRemovalDelay), End: began.Add(end)})
 	d := drainer{
-		clock: h.clock, end: end, active: h.gateway.Active, closeUnused: h.gateway.CloseUnused,
+		clock: h.clock, timeout: end, active: h.gateway.Active, closeUnused: h.gateway.CloseUnused,
 		flush: func() { h.flushUsage(work) },
 	}
 	waited := d.wait()
