--- a/daemon/routed/departure.go
+++ b/daemon/routed/departure.go
@@ -7,26 +7,27 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// drainer is the end of a host's serving.
+// drainer waits at shutdown until the remaining requests are answered.
 type drainer struct {
 	clock state.Clock
-	// timeout is when it must be over, from its beginning.
+	// timeout bounds the whole drain.
 	timeout time.Duration
-	// active is the number of requests that are being answered.
+	// active returns the number of requests in progress.
 	active func() int64
-	// closeUnused closes connections without a request, so that their callers go elsewhere.
+	// closeUnused closes idle connections, so that their callers reconnect to other hosts.
 	closeUnused func()
-	// flush is what remains to be done before the host may be gone; it may take a moment.
+	// flush performs the remaining work before the host ends, such as sending its last counts. It
+	// may block for a short time.
 	flush func()
 }
 
-// wait goes on until nobody is answered any more and the last things are done, or the end has
-// come, and returns how long that took. Requests that arrive while the last things are done are
-// answered too: callers may have connected before the balancer turned away.
+// wait blocks until no request is in progress and flush has returned, or until the timeout, and
+// returns how long that took. Requests that arrive during flush are answered too: callers may
+// have connected before the load balancer stopped sending connections.
 func (d drainer) wait() time.Duration {
 	began := d.clock.Now()
 	for {
-		_ = d.clock.Sleep(context.Background(), drainPoll) // never ends early
+		_ = d.clock.Sleep(context.Background(), drainPoll) // the background context never ends it early
 		waited := d.clock.Now().Sub(began)
 		if waited >= balancerRemovalDelay {
 			d.closeUnused()
--- a/daemon/routed/departure_test.go
+++ b/daemon/routed/departure_test.go
@@ -11,10 +11,9 @@
 	"github.com/thymerack/thymerack/coordination/clocktest"
 )
 
-// A host of a fleet that is restarted in turn told its counts once nobody was answered any
-// more, and was gone when it had: a request that had come meanwhile, over a connection from
-// before, was passed on and its connection closed without an answer (once in a day in which 51
-// hosts were restarted).
+// Guards against a request that arrives during the flush, over a connection opened earlier, and
+// is forwarded but never answered, because the host ends right after the flush. This
+// occurred once in a day in which 51 hosts were restarted in turn.
 func TestRequestArrivingDuringFlushIsAnswered(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
@@ -40,7 +39,7 @@
 	})
 }
 
-// What is still being answered at the end of the grace is left, and the last things are done.
+// At the timeout the drain ends although a request is still in progress, and flush is called.
 func TestDrainEndsInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -16,12 +16,12 @@
 	"github.com/thymerack/thymerack/transport/usages"
 )
 
-// leaseName is the lease of the host that has the duties: orders to engines, the number of
-// runners, reports of usage. One lease costs its looks and renewals once; its name is that of
-// the first duty, so that hosts of earlier versions take turns with this one.
+// leaseName is the name of the lease of the host that performs the duties: setting the roles of
+// engines, scaling runners and reporting usage. A single lease keeps polls and renewals to one
+// set. Its name is that of the first duty, so that it also excludes hosts of earlier versions.
 const leaseName = "engine-roles"
 
-// buildLease makes the lease of the duties that one host at a time has.
+// buildLease creates the lease of the duties that one host at a time performs.
 func (h *Host) buildLease() error {
 	var err error
 	h.lease, err = lease.New(lease.Options{
@@ -33,13 +33,14 @@
 	return err
 }
 
-// leaseMayBeLost reports whether the store may have lost the lease's object: it loses what it has
-// acknowledged, and this isn't the first start of the fleet.
+// leaseMayBeLost reports whether the store may have lost the lease's object: it can lose
+// acknowledged writes, and either this isn't the first start of the fleet or the store was
+// restored.
 func (h *Host) leaseMayBeLost() bool {
 	return h.epochs.MayLose() && (!h.settings.FirstStart || h.epochs.Restored())
 }
 
-// buildDuties makes what carries them out, those that are asked for.
+// buildDuties creates the components of the optional duties that the settings enable.
 func (h *Host) buildDuties() error {
 	if h.settings.DutiesAddr == "" {
 		return nil
@@ -54,7 +55,7 @@
 	return h.buildScaler()
 }
 
-// buildScaler orders numbers of runners, where that is asked for.
+// buildScaler creates the manager that scales runners, if the settings enable it.
 func (h *Host) buildScaler() error {
 	if !h.settings.ScalesRunners {
 		return nil
@@ -68,8 +69,8 @@
 	return err
 }
 
-// noTrafficUntil is before when no caller comes: some time after the first start of the whole
-// deployment, as the operator says. Later starts find callers.
+// noTrafficUntil returns the time before which no requests arrive: FirstTrafficDelay after the
+// first start of the deployment. It is zero at later starts, when callers are already there.
 func (h *Host) noTrafficUntil() time.Time {
 	if !h.settings.FirstStart || h.options.FirstTrafficDelay <= 0 {
 		return time.Time{}
@@ -77,8 +78,8 @@
 	return h.clock.Now().Add(h.options.FirstTrafficDelay)
 }
 
-// scalableServices are the services whose number of runners may be ordered; none while the
-// list of runners isn't kept up to date.
+// scalableServices returns the services whose number of runners may be changed; none while the
+// list of runners isn't up to date.
 func (h *Host) scalableServices() []state.ServiceSpec {
 	table := h.config.Table()
 	if table == nil || h.instanceMirror.Lost() {
@@ -93,7 +94,8 @@
 	return out
 }
 
-// buildUsage counts requests by customer and reports them, where that is asked for.
+// buildUsage creates the components that count requests by customer and report them, if the
+// settings enable it.
 func (h *Host) buildUsage() error {
 	if !h.settings.ReportsUsage {
 		return nil
@@ -119,6 +121,7 @@
 	return err
 }
 
+// newDutiesClient returns a client for the platform's interface for duties.
 func (h *Host) newDutiesClient() (platform.Duties, error) {
 	client, err := httpclient.New(httpclient.Options{
 		Addr: h.settings.DutiesAddr, DialTimeout: dutyCallTimeout, WriteTimeout: dutyCallTimeout, UserTimeout: dutyCallTimeout,
@@ -130,7 +133,7 @@
 	return platform.NewDuties(platform.DutiesOptions{Client: client, Addr: h.settings.DutiesAddr, Host: h.settings.Host, Timeout: dutyCallTimeout}), nil
 }
 
-// runDuties carries out what one host at a time does, for one term of the lease.
+// runDuties performs the duties of the lease holder until ctx ends with the term of the lease.
 func (h *Host) runDuties(ctx context.Context) error {
 	var group conc.WaitGroup
 	defer group.Wait()
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -36,20 +36,20 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-// Host is one host. Create it with New.
+// Host is one serving host with all its components. Create it with New and start it with Run.
 type Host struct {
 	options  Options
 	settings platform.Settings
-	// id names this run of the host to its peers and in the lease.
+	// id identifies this run of the host to its peers and in the lease.
 	id    state.HostID
 	log   *slog.Logger
 	clock wallclock.Clock
 
 	store *platform.Store
-	// epochs knows how often the store was restored.
+	// epochs tracks how often the store was restored.
 	epochs *platform.Epochs
-	// boundedStore is the store with watches short enough for what must be in force in time, and
-	// proving with those short enough to prove that keys hold.
+	// boundedStore is the store with watches short enough to keep the bounds on changes, and
+	// proofStore with watches short enough to prove in time that keys are still valid.
 	boundedStore   *platform.Store
 	proofStore     *platform.Store
 	keys           *auth.Checker
@@ -60,17 +60,17 @@
 	instanceMirror *follow.Mirror
 	fleet          *placement.Fleet
 	pool           *runners.Pool
-	// advice is what runners ask of hosts.
+	// advice holds the backpressure signals of runners: limits, backoff and leaving.
 	advice  *backpressure.Registry
 	gateway *gateway.Server
-	// lease holds the lease of the duties that one host at a time has.
+	// lease is the lease of the duties that one host at a time performs.
 	lease   *lease.Lease
 	manager *stages.Manager
-	// pusher pushes the counts of this host to collectors, and reporter reports those of all hosts;
-	// nil where usage isn't reported.
+	// pusher pushes the usage counts of this host to collectors, and reporter reports those of all
+	// hosts. Both are nil if usage isn't reported.
 	pusher   *usage.Pusher
 	reporter *usage.Reporter
-	// scaler orders numbers of runners; nil where that isn't asked for.
+	// scaler sets the number of runners of each service; nil if the settings don't enable it.
 	scaler  *scale.Manager
 	duties  platform.Duties
 	metrics *hostMetrics
@@ -78,24 +78,25 @@
 	// peers calls other hosts, peerServer answers them.
 	peers      *peer.Client
 	peerServer *peer.Server
-	// fanout brings the copies of the store up to date, from the store or from peers.
+	// fanout updates the mirrors of the store, from the store or from peers.
 	fanout *fanout.Node
-	// monitor takes hosts that are gone out of the list.
+	// monitor removes failed hosts from the list of hosts.
 	monitor *liveness.Monitor
-	// outliers finds runners that don't answer, until ended.
+	// outliers detects runners that don't answer, until stopDetectors is called.
 	outliers *outlier.Detector
-	// crashes finds runners that crashed, until ended.
+	// crashes detects runners that crashed, until stopDetectors is called.
 	crashes       *crash.Detector
 	stopDetectors context.CancelFunc
-	// quarantine keeps requests that crash runners from them, and held is this host's copy
-	// of what the store has of them.
+	// quarantine blocks requests that crash runners, and heldMirror mirrors the store's list of
+	// these held requests.
 	quarantine *quarantine.Registry
 	heldMirror *follow.Mirror
-	// gate counts prompts over all hosts.
+	// gate requests admission of prompts from the owners of engines, which count them over all hosts.
 	gate *occupancy.Gate
 }
 
-// New wires a host; nothing is started.
+// New creates a host and wires its components; nothing is started. It returns an error if an
+// option is invalid.
 func New(o Options) (*Host, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -112,7 +113,7 @@
 	return h, nil
 }
 
-// buildGauges adds what is read when the metrics are.
+// buildGauges registers the gauges, whose values are read when the metrics are scraped.
 func (h *Host) buildGauges() {
 	for kind, m := range map[string]*follow.Mirror{platform.KindConfig: h.configMirror, platform.KindInstances: h.instanceMirror, kindHosts: h.members.mirror, quarantine.Kind: h.heldMirror} {
 		h.buildMirrorGauges(kind, m)
@@ -134,7 +135,7 @@
 	h.metrics.gauge("thymerack_log_lines_dropped_total", func() float64 { return float64(h.options.LogLinesDropped()) })
 }
 
-// buildMirrorGauges adds what is known of the copy of one kind.
+// buildMirrorGauges registers the gauges of the mirror of one kind of object.
 func (h *Host) buildMirrorGauges(kind string, m *follow.Mirror) {
 	h.metrics.gauge(fmt.Sprintf(`thymerack_store_lost{kind=%q}`, kind), func() float64 {
 		if m.Lost() {
@@ -153,7 +154,7 @@
 	}
 }
 
-// configVersion is the version of the configuration in force; 0 before the first.
+// configVersion returns the version of the configuration in force; 0 if there is none yet.
 func (h *Host) configVersion() float64 {
 	table := h.config.Table()
 	if table == nil {
@@ -162,6 +163,7 @@
 	return float64(table.Version)
 }
 
+// buildStore creates the clients of the store and the list of hosts.
 func (h *Host) buildStore() error {
 	client, err := httpclient.New(httpclient.Options{
 		Addr: h.settings.StoreAddr, DialTimeout: storeTimeout, WriteTimeout: storeTimeout,
@@ -184,15 +186,15 @@
 	return nil
 }
 
-// boundedWatchWait is how long a watch for configurations or instances waits. A store that is
-// silent for a while may forget the watches that wait, and keep their connections: such a
-// watch hears nothing until its own end, and what it missed must be known when the bounds
-// apply again.
+// boundedWatchWait returns how long a watch for configurations or instances waits. After an
+// outage the store may have dropped waiting watches but kept their connections open: such a
+// watch receives no changes until it times out, and the missed changes must be known when the
+// bounds apply again.
 func (h *Host) boundedWatchWait() time.Duration {
 	return min(watchWait, max(minWatchWait, h.settings.Bounds.Contact+h.shortestBound()-storeTimeout-instancesCoalesceDelay-watchMargin))
 }
 
-// shortestBound is the shortest time in which a change must be in force.
+// shortestBound returns the shortest time within which a change must be in force.
 func (h *Host) shortestBound() time.Duration {
 	bound := h.settings.Bounds.Drain
 	if config := h.settings.Bounds.ConfigInForce; config > 0 {
@@ -201,6 +203,7 @@
 	return bound
 }
 
+// buildMirrors creates the mirrors of the store and the components that they update.
 func (h *Host) buildMirrors() error {
 	var err error
 	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Broadcast: h.broadcastAdvice, OnLeaving: func() { h.instances.Republish() }})
@@ -227,13 +230,13 @@
 	if err != nil {
 		return err
 	}
-	// Notices tell of a held request at once, so that a long watch is enough.
+	// Held requests are broadcast to all hosts at once, so a long watch suffices.
 	h.heldMirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.store, Clock: h.clock, Log: h.log, Kind: quarantine.Kind, OnChange: h.applyHeldRequests, CoalesceDelay: holdsCoalesceDelay, Notify: h.notifyFollowers})
 	return err
 }
 
-// newerConfig reports whether a configuration has a higher version than another; one that can't be read
-// is never the newer.
+// newerConfig reports whether configuration a has a higher version than b. A configuration that
+// can't be decoded is never newer.
 func newerConfig(a, b store.Object) bool {
 	first, err := platform.DecodeConfig(a.Value)
 	if err != nil {
@@ -243,33 +246,35 @@
 	return err != nil || first.Version > second.Version
 }
 
-// applyHeldRequests takes a new copy of the requests that are held.
+// applyHeldRequests passes a new copy of the held requests to the quarantine.
 func (h *Host) applyHeldRequests(c follow.Copy) { h.quarantine.ApplyCopy(c) }
 
-// notifyFollowers wakes the hosts that wait for news of this one.
+// notifyFollowers wakes the hosts that wait for changes from this host.
 func (h *Host) notifyFollowers() { h.fanout.WakeFollowers() }
 
-// broadcastAdvice tells all hosts what a runner asks of them.
+// broadcastAdvice sends a runner's backpressure notice to all hosts.
 func (h *Host) broadcastAdvice(n backpressure.Notice) {
 	if err := advices.Publish(context.Background(), h.fanout, n); err != nil {
-		h.log.Error("what a runner asks not told", "instance", n.Instance, "what", string(n.Kind), "cause", err.Error())
+		h.log.Error("backpressure notice not broadcast", "instance", n.Instance, "what", string(n.Kind), "cause", err.Error())
 	}
 }
 
-// publish puts a new list of instances in force.
+// publish applies a new list of instances to the fleet, the connection pool and the backpressure
+// registry.
 func (h *Host) publish(instances []state.Instance) {
 	h.fleet.Update(instances)
 	h.pool.Retain(h.fleet.Accepts)
 	h.advice.UpdateListed(instances)
 }
 
+// buildPool creates the pool of connections to runners.
 func (h *Host) buildPool() error {
 	var err error
 	h.pool, err = runners.New(runners.Options{Codec: platform.Codec{}, ConnLimit: h.connLimit, MaxHeaderBytes: maxHeaderBytes, Heard: h.advice.Record})
 	return err
 }
 
-// connLimit is this host's share of a runner's connections.
+// connLimit returns this host's share of the connections that a runner of the service accepts.
 func (h *Host) connLimit(service string) int {
 	table := h.config.Table()
 	if table == nil {
@@ -282,6 +287,7 @@
 	return max(minConns, int(limitShare*float64(spec.MaxConns)/float64(h.members.Hosts())))
 }
 
+// buildGateway creates the server for callers and the dispatcher of their requests.
 func (h *Host) buildGateway() error {
 	budget, err := h.newRetryLimiter()
 	if err != nil {
@@ -302,6 +308,7 @@
 	return err
 }
 
+// buildManager creates the manager that sets the roles of engines.
 func (h *Host) buildManager() error {
 	var err error
 	h.manager, err = stages.New(stages.Options{
@@ -314,10 +321,10 @@
 	return err
 }
 
-// resizing reports whether the number of a service's engines is about to change.
+// resizing reports whether the number of engines of a service is about to change.
 func (h *Host) resizing(service string) bool { return h.scaler != nil && h.scaler.Resizing(service) }
 
-// announce tells all hosts, this one too, which engines are about to change their role.
+// announce announces to all hosts, including this one, which engines are about to change role.
 func (h *Host) announce(ctx context.Context, changes []stages.RoleChange) {
 	byRole := map[state.Role][]state.InstanceID{}
 	for _, c := range changes {
@@ -330,9 +337,9 @@
 	}
 }
 
-// leasePollInterval is how often this host looks whether the engines' lease is free. A few
-// hosts look often; the settings' seeds don't say which, as they are empty where no
-// role serves peers of the platform's own kind.
+// leasePollInterval returns the interval at which this host checks whether the lease of the
+// duties is free. A few hosts poll frequently. The seeds in the settings can't select them, since
+// they are empty if no role serves peers of the platform's own kind.
 func (h *Host) leasePollInterval() time.Duration {
 	if h.gate.IsAmongFirst(frequentPollers) {
 		return frequentPollInterval
@@ -340,6 +347,8 @@
 	return infrequentPollInterval
 }
 
+// engineServices returns the names of the services that engines serve; none while the list of
+// instances isn't up to date.
 func (h *Host) engineServices() []string {
 	table := h.config.Table()
 	if table == nil || h.instanceMirror.Lost() {
@@ -354,6 +363,7 @@
 	return out
 }
 
+// engines returns copies of the listed engines of a service.
 func (h *Host) engines(service string) []state.Instance {
 	var out []state.Instance
 	for _, r := range h.fleet.Runners(service) {
@@ -362,12 +372,12 @@
 	return out
 }
 
-// Reload takes changed settings. Seeds and shared limits change at once; addresses
-// and resources are the process's own and hold until its end.
+// Reload applies changed settings. Seeds change at once; addresses and resources of the process
+// stay as they were at its start.
 func (h *Host) Reload(s platform.Settings) {
 	h.members.setSeeds(s.Seeds)
 	h.log.Info("settings reloaded", "seeds", s.Seeds)
 }
 
-// isReady reports whether the host knows routes and runners.
+// isReady reports whether the host has a configuration and a list of runners.
 func (h *Host) isReady() bool { return h.config.Table() != nil && h.instanceMirror.Revision() > 0 }
--- a/daemon/routed/host_test.go
+++ b/daemon/routed/host_test.go
@@ -18,6 +18,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
+// testOptions returns valid options for a host whose store doesn't exist.
 func testOptions(t *testing.T) Options {
 	t.Helper()
 	s, err := platform.DecodeSettings(platformtest.SettingsFile(platformtest.HostAddrs{
@@ -32,6 +33,7 @@
 	}
 }
 
+// newHost returns a host that isn't started.
 func newHost(t *testing.T) *Host {
 	t.Helper()
 	h, err := New(testOptions(t))
@@ -41,7 +43,7 @@
 	return h
 }
 
-// configure puts the test deployment's first configuration in force.
+// configure applies the first configuration of the test deployment.
 func configure(t *testing.T, h *Host) {
 	t.Helper()
 	value, err := json.Marshal(platformtest.Config(1))
@@ -78,7 +80,7 @@
 func TestSharedLimitsAreDividedAmongHosts(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
-	is.Equal(h.members.Hosts(), assumedHosts)                  // as if the fleet were large, until the list is read
+	is.Equal(h.members.Hosts(), assumedHosts)                  // a large fleet is assumed until the list is read
 	is.Equal(h.connLimit(platformtest.ServicePlain), minConns) // no configuration yet
 	configure(t, h)
 	var hosts []state.Peer
@@ -86,15 +88,15 @@
 		hosts = append(hosts, state.Peer{Addr: fmt.Sprintf("127.0.0.%d:17660", i)})
 	}
 	h.members.listed.Store(&hosts)
-	is.Equal(h.connLimit(platformtest.ServicePlain), 24) // of 300, with a fifth left free
+	is.Equal(h.connLimit(platformtest.ServicePlain), 24) // 300 divided by 10 hosts, less the reserved fifth
 	is.Equal(h.connLimit("unknown"), minConns)
 	total := h.retrySlack() * float64(len(hosts))
 	is.True(total < h.settings.Bounds.RetrySlack)
 }
 
-// A host counts as in touch with the store again 3 s after a cut. A watch that waits
-// through a cut is sent its changes again 0.2, 0.6, 1.4, 3.0 and 6.2 s after they were
-// lost, so that cuts longer than 3 s must be noticed by silence.
+// The bounds apply to a host again 3 s after a partition from the store. The kernel retransmits
+// the changes for a watch that waits during a partition 0.2, 0.6, 1.4, 3.0 and 6.2 s after they
+// were lost, so partitions longer than 3 s must be detected by keepalives.
 func TestStoreConnectionLossIsDetectedInTime(t *testing.T) {
 	is := is.New(t)
 	const secondLastRetransmission = 3 * time.Second
@@ -104,8 +106,8 @@
 	is.Equal(storeKeepAlive%time.Second, time.Duration(0)) // the kernel rounds up
 }
 
-// A store that is silent for some seconds may forget waiting watches without a sign: they
-// end by themselves before the bounds apply again, at any size of the bounds.
+// A store that doesn't answer for some seconds may drop waiting watches without closing their
+// connections: such watches must time out before the bounds apply again, whatever the bounds.
 func TestDroppedWatchEndsBeforeBoundsApply(t *testing.T) {
 	for name, b := range map[string]platform.Bounds{
 		"small":   {Contact: 3 * time.Second, Drain: 2 * time.Second, ConfigInForce: 2 * time.Second},
@@ -126,10 +128,10 @@
 func TestFewHostsPollLeaseFrequently(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
-	is.Equal(h.leasePollInterval(), infrequentPollInterval) // the list of hosts isn't read yet
+	is.Equal(h.leasePollInterval(), infrequentPollInterval) // the list of hosts hasn't been read yet
 	alone := []state.Peer{{Addr: h.members.addr(h.settings.IP)}}
 	h.members.listed.Store(&alone)
-	is.Equal(h.leasePollInterval(), frequentPollInterval) // whether or not the settings name it as a seed
+	is.Equal(h.leasePollInterval(), frequentPollInterval) // whether or not the settings list it as a seed
 	many := slices.Clone(alone)
 	for i := range frequentPollers {
 		many = append(many, state.Peer{Addr: fmt.Sprint("stronger-", i), Class: 1})
@@ -141,7 +143,7 @@
 func TestPeersAreTheSeedsUntilTheListIsRead(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
-	is.Equal(h.members.Peers(), []string{"127.0.0.8:17660"}) // never itself
+	is.Equal(h.members.Peers(), []string{"127.0.0.8:17660"}) // without the host itself
 	h.Reload(platform.Settings{Seeds: []string{"127.0.0.7:1"}})
 	is.Equal(h.members.Peers(), []string{"127.0.0.7:17660"})
 	listed := []state.Peer{{Addr: "127.0.0.9:17660"}, {Addr: "127.0.0.5:17660"}}
@@ -154,6 +156,6 @@
 	small := platform.Limits{Cores: 0.192, LinkBits: 10e6}
 	big := platform.Limits{Cores: 0.8, LinkBits: 200e6}
 	is.True(capacityClass(big) > capacityClass(small))
-	is.Equal(capacityClass(small), capacityClass(platform.Limits{Cores: 0.2, LinkBits: 12e6})) // small differences don't count
-	is.Equal(capacityClass(platform.Limits{}), 0)                                              // nothing is known
+	is.Equal(capacityClass(small), capacityClass(platform.Limits{Cores: 0.2, LinkBits: 12e6})) // small differences don't change the class
+	is.Equal(capacityClass(platform.Limits{}), 0)                                              // limits unknown
 }
--- a/daemon/routed/keys.go
+++ b/daemon/routed/keys.go
@@ -9,7 +9,7 @@
 	"github.com/thymerack/thymerack/coordination/auth"
 )
 
-// buildKeys makes what knows whose key a caller shows.
+// buildKeys creates the checker that maps a caller's key to its customer.
 func (h *Host) buildKeys() error {
 	var err error
 	h.keys, err = auth.New(auth.Options{
@@ -19,11 +19,13 @@
 	return err
 }
 
-// errStoreUnavailable says that the store isn't asked, since others ask it already.
+// errStoreUnavailable is returned instead of calling an unavailable store: the hosts that follow
+// the store already poll it.
 var errStoreUnavailable = errors.New("the store is lost to this host and its relays, which ask it until it answers")
 
-// proveConfig asks the store for a newer configuration, but for one that doesn't answer: whoever
-// follows it asks it again each second, and that each host does so too would cost a call each.
+// proveConfig checks with the store that the configuration is the newest. It returns
+// errStoreUnavailable if the store doesn't answer: the hosts that follow the store retry each
+// second, and a retry of every host would add one call per host.
 func (h *Host) proveConfig(ctx context.Context) error {
 	if h.configMirror.Lost() {
 		return errStoreUnavailable
@@ -31,7 +33,8 @@
 	return h.configMirror.Prove(ctx)
 }
 
-// configProvenAt is when the configuration in force was known to be the newest.
+// configProvenAt returns the last time at which the configuration in force was known to be the
+// newest, or the zero time if the newest one can't be decoded.
 func (h *Host) configProvenAt() time.Time {
 	proven := h.configMirror.ProvenAt()
 	if h.config.Unreadable() {
@@ -40,9 +43,9 @@
 	return proven
 }
 
-// proofWatchWait is how long a watch for configurations waits. Where revocations are strict the
-// age of the last answered question bounds which keys may be served: a fifth of that bound
-// leaves room for two relays in a row that are lost.
+// proofWatchWait returns how long a watch for configurations waits. If revocations are strict, keys
+// are accepted only while the last answered watch is younger than a bound: a fifth of that bound
+// tolerates the loss of two relays in a row.
 func (h *Host) proofWatchWait() time.Duration {
 	if h.settings.Bounds.Revoke <= 0 {
 		return h.boundedWatchWait()
--- a/daemon/routed/listen.go
+++ b/daemon/routed/listen.go
@@ -10,11 +10,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-// listeners are a host's open ports.
+// listeners holds the listeners of a host's ports; metrics is nil if they aren't served.
 type listeners struct {
 	callers, ready, peers, metrics net.Listener
 }
 
+// listen opens all ports of the host, or none if one of them fails.
 func (h *Host) listen() (*listeners, error) {
 	l := &listeners{}
 	ports := []struct {
@@ -52,8 +53,8 @@
 	}
 }
 
-// serve answers all ports, each in a goroutine that ends with its listener; that of
-// peers ends with serving.
+// serve serves all ports, each in a goroutine that ends when its listener is closed; that of
+// peers ends when the serving context is done.
 func (h *Host) serve(serving context.Context, l *listeners) {
 	run := func(use string, serve func() error) {
 		go func() {
@@ -70,7 +71,7 @@
 	}
 }
 
-// readiness answers the balancer's checks.
+// readiness answers the readiness checks of the load balancer: 200 if ready, 503 otherwise.
 type readiness struct {
 	server  *fasthttp.Server
 	leaving atomic.Bool
--- a/daemon/routed/measures.go
+++ b/daemon/routed/measures.go
@@ -16,31 +16,32 @@
 	"github.com/thymerack/thymerack/transport/measure"
 )
 
-// hostMetrics are the host's counters and histograms.
+// hostMetrics holds the host's counters and histograms. It is safe for concurrent use.
 type hostMetrics struct {
 	set *metrics.Set
-	// answers holds the *answerMeasures of each answered, so that a request doesn't
-	// make their names.
+	// answers maps each answerKey to its *answerMetrics, so that a request doesn't format
+	// metric names.
 	answers sync.Map
-	// byCustomer holds the histograms of customers by their labels.
+	// byCustomer maps the label of a customer to its histogram.
 	customers  *measure.Customers
 	byCustomer sync.Map
-	// keyChecks are the checks of keys by their outcome.
+	// keyChecks counts the key checks by outcome.
 	keyChecks map[auth.Outcome]*metrics.Counter
-	// usage counts requests by customer; nil where usage isn't reported.
+	// usage counts requests by customer; nil if usage isn't reported.
 	usage *usage.Counter
 }
 
-// maxCustomerHistograms have a histogram of their own: some hundred kilobytes, of the 184 MB of the
-// smallest hosts.
+// maxCustomerHistograms bounds the number of customers with their own histogram. These use some
+// hundred kilobytes; the smallest hosts have 184 MB of memory.
 const maxCustomerHistograms = 200
 
-// answerKey is what answers are counted by.
+// answerKey is the key by which answers are counted.
 type answerKey struct {
 	class  forward.Class
 	status int
 }
 
+// answerMetrics are the metrics of one answerKey; took is in seconds.
 type answerMetrics struct {
 	count *metrics.Counter
 	took  *metrics.Histogram
@@ -69,7 +70,7 @@
 	}
 }
 
-// customerHistogram is the histogram of a customer's answers.
+// customerHistogram returns the histogram of the answer times of a customer.
 func (m *hostMetrics) customerHistogram(name string) *metrics.Histogram {
 	label := m.customers.Label(name)
 	known, ok := m.byCustomer.Load(label)
@@ -80,6 +81,7 @@
 	return known.(*metrics.Histogram)
 }
 
+// newAnswerMetrics registers the metrics of a key. The histogram covers all statuses of its class.
 func (m *hostMetrics) newAnswerMetrics(key answerKey) *answerMetrics {
 	class := fmt.Sprintf(`service=%q,kind=%q,priority="%d"`, key.class.Service, key.class.Kind, key.class.Priority)
 	return &answerMetrics{
@@ -120,7 +122,7 @@
 	}
 }
 
-// countUnusableEntry counts versions of entries in the list of instances that name none.
+// countUnusableEntry counts a version of an entry in the list of instances that can't be decoded.
 func (m *hostMetrics) countUnusableEntry() {
 	m.set.GetOrCreateCounter("thymerack_unusable_entries_total").Inc()
 }
@@ -130,7 +132,8 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_runner_advice_total{service=%q,kind=%q}`, service, k)).Inc()
 }
 
-// countCrash counts a runner that countCrash, and what this host had there.
+// countCrash counts a crashed runner and the requests that this host had in progress there. A late
+// report only adds requests to a crash that is already counted.
 func (m *hostMetrics) countCrash(r crash.Report) {
 	if !r.Late {
 		m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_runners_crashed_total{service=%q}`, r.Instance.Service)).Inc()
@@ -138,10 +141,10 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf(`thymerack_crashed_requests_total{service=%q}`, r.Instance.Service)).Add(len(r.Suspects))
 }
 
-// gauge reports a value that is read when the metrics are.
+// gauge registers a gauge whose value is read when the metrics are scraped.
 func (m *hostMetrics) gauge(name string, read func() float64) { m.set.NewGauge(name, read) }
 
-// server serves the metrics as text.
+// server returns a server of the metrics in the Prometheus text format.
 func (m *hostMetrics) server() *fasthttp.Server {
 	return &fasthttp.Server{
 		NoDefaultServerHeader: true,
--- a/daemon/routed/measures_test.go
+++ b/daemon/routed/measures_test.go
@@ -13,8 +13,8 @@
 	"github.com/thymerack/thymerack/transport/measure"
 )
 
-// Long prompts and short questions of one service differ in their routes' kind and
-// rank, and have a histogram each.
+// Long prompts and short questions of one service use routes of different kind or priority, and
+// each class has its own histogram.
 func TestAnswerMetricsByClass(t *testing.T) {
 	is := is.New(t)
 	m := newHostMetrics()
@@ -27,7 +27,7 @@
 	m.Answered(urgent, 503, time.Millisecond)
 	m.Answered(question, 200, 3*time.Second)
 	m.PrefillDone("llm", 500*time.Millisecond, time.Second)
-	m.PrefillDone("llm", 0, time.Second) // nothing was predicted
+	m.PrefillDone("llm", 0, time.Second) // no prediction, not counted
 	var out strings.Builder
 	m.set.WritePrometheus(&out)
 	for _, line := range []string{
@@ -39,11 +39,11 @@
 		`thymerack_reading_ratio_sum{service="llm"} 2`,
 		`thymerack_reading_ratio_count{service="llm"} 1`,
 	} {
-		is.True(strings.Contains(out.String(), line+"\n")) // the class's measure
+		is.True(strings.Contains(out.String(), line+"\n")) // the metric of the class
 	}
 }
 
-// Each customer has a histogram of its own, up to a bound that holds for 1,700 of them.
+// Each customer has its own histogram up to a maximum number, tested with 1,700 customers.
 func TestAnswerMetricsByCustomer(t *testing.T) {
 	is := is.New(t)
 	m := newHostMetrics()
@@ -53,7 +53,7 @@
 		m.Answered(r, 200, 10*time.Millisecond)
 		m.Answered(r, 200, 10*time.Millisecond)
 	}
-	m.Answered(&forward.Request{Service: "app", Route: route}, 200, time.Millisecond) // of a public route
+	m.Answered(&forward.Request{Service: "app", Route: route}, 200, time.Millisecond) // a public route has no customer
 	var out strings.Builder
 	m.set.WritePrometheus(&out)
 	is.True(strings.Contains(out.String(), `thymerack_customer_answer_seconds_count{customer="c0"} 2`+"\n"))
--- a/daemon/routed/members.go
+++ b/daemon/routed/members.go
@@ -18,36 +18,37 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-// kindHosts is the kind under which hosts list themselves.
+// kindHosts is the kind of the store's objects under which hosts register.
 const kindHosts = "thymerack-hosts"
 
-// member is a host's own entry.
+// member is the stored entry of a host.
 type member struct {
 	Addr string `json:"addr"`
-	// Class is higher for stronger hosts.
+	// Class is higher for hosts with more resources; see capacityClass.
 	Class         int    `json:"class"`
 	FailureDomain string `json:"failure_domain"`
 }
 
-// members is the list of hosts: where peers are and how many share the limits.
-// Each host writes itself once, and again if its entry is gone.
+// members maintains the list of hosts: the addresses of peers and the number of hosts that share
+// the limits. Each host registers its entry once, and again if the entry is missing.
 type members struct {
 	store    *platform.Store
 	settings platform.Settings
 	log      *slog.Logger
 	clock    wallclock.Clock
-	// mirror is this host's mirror of the list.
+	// mirror is this host's copy of the list.
 	mirror *follow.Mirror
-	// seeds and listed are replaced whole.
+	// seeds and listed are replaced as a whole, never modified.
 	seeds  atomic.Pointer[[]string]
 	listed atomic.Pointer[[]state.Peer]
-	// entries are the same hosts with their entries' names and versions.
+	// entries holds the same hosts as listed, with the names and versions of their entries.
 	entries atomic.Pointer[[]liveness.Entry]
 	// registered is set while this host's entry is believed to be in the list.
 	registered atomic.Bool
-	// minRevision is the store's revision from which on the list must have the entry.
+	// minRevision is the store's revision from which on the list must contain this host's entry.
 	minRevision atomic.Uint64
-	// unreadableVersions are the versions of entries that were logged; changed alone uses it.
+	// unreadableVersions maps the name of each unreadable entry to the version that was logged. Only
+	// applyCopy uses it, so it needs no lock.
 	unreadableVersions map[string]uint64
 }
 
@@ -59,15 +60,15 @@
 	return m
 }
 
-// self is this host's own entry.
+// self returns this host as a peer.
 func (m *members) self() state.Peer {
 	return state.Peer{Addr: m.addr(m.settings.IP), Class: capacityClass(m.settings.Limits), FailureDomain: m.settings.FailureDomain}
 }
 
-// setSeeds takes changed seeds.
+// setSeeds replaces the seeds.
 func (m *members) setSeeds(seeds []string) { m.seeds.Store(&seeds) }
 
-// Hosts is the number of hosts that share the limits.
+// Hosts returns the number of hosts that share the limits; assumedHosts until the list is read.
 func (m *members) Hosts() int {
 	if n := len(m.All()); n > 0 {
 		return n
@@ -75,10 +76,10 @@
 	return assumedHosts
 }
 
-// All are the listed hosts, this one among them.
+// All returns the listed hosts, including this one.
 func (m *members) All() []state.Peer { return *m.listed.Load() }
 
-// Peers are the other hosts' addresses, the seeds before the list is read.
+// Peers returns the addresses of the other hosts; those of the seeds until the list is read.
 func (m *members) Peers() []string {
 	own := m.addr(m.settings.IP)
 	var out []string
@@ -103,12 +104,12 @@
 	return net.JoinHostPort(ip, strconv.Itoa(m.settings.PeerPort))
 }
 
-// Join lists this host and reads the list for the first time, from a copy that may be
-// some seconds old: it is enough to know whom to ask for a newer one. A host that finds
-// itself alone, as when the whole fleet starts for the first time, waits for the others.
+// Join registers this host and reads the list for the first time, from a copy that may be some
+// seconds old: it suffices to find a host from which to fetch a newer one. A host that is listed
+// alone, as at the first start of the whole fleet, waits for the others.
 func (m *members) Join(ctx context.Context) {
 	if !m.settings.FirstStart {
-		// An earlier run's entry mostly holds; it is written again otherwise.
+		// The entry of an earlier run is usually still valid; otherwise it is rewritten.
 		m.registered.Store(m.read(ctx) && m.contains(m.self()))
 	}
 	if !m.registered.Load() {
@@ -122,10 +123,10 @@
 	}
 }
 
-// contains reports whether the list has the host as it is.
+// contains reports whether the list contains the host with exactly these fields.
 func (m *members) contains(h state.Peer) bool { return slices.Contains(m.All(), h) }
 
-// Run keeps this host's entry in the list until ctx ends.
+// Run registers this host again whenever its entry is missing, until ctx ends.
 func (m *members) Run(ctx context.Context) {
 	for m.clock.Sleep(ctx, registerInterval) == nil {
 		if !m.registered.Load() {
@@ -134,11 +135,11 @@
 	}
 }
 
-// register writes this host's entry, in place of one that an earlier run left.
+// register writes this host's entry and replaces one that an earlier run left.
 func (m *members) register(ctx context.Context) {
 	value, err := json.Marshal(member(m.self()))
 	if err != nil {
-		m.log.Error("host not listed", "cause", err.Error())
+		m.log.Error("host not registered", "cause", err.Error())
 		return
 	}
 	version, err := m.store.Put(ctx, kindHosts, m.settings.Host, store.Absent, value)
@@ -146,15 +147,16 @@
 		version, err = m.replace(ctx, value)
 	}
 	if err != nil {
-		m.log.Warn("host not listed", "cause", err.Error())
+		m.log.Warn("host not registered", "cause", err.Error())
 		return
 	}
 	m.minRevision.Store(version)
 	m.registered.Store(true)
-	m.log.Info("host listed", "addr", m.addr(m.settings.IP), "version", store.FormatVersion(version))
+	m.log.Info("host registered", "addr", m.addr(m.settings.IP), "version", store.FormatVersion(version))
 }
 
-// replace brings an entry of this host's name up to date.
+// replace updates the existing entry of this host's name and returns its version. An entry that is
+// up to date isn't written.
 func (m *members) replace(ctx context.Context, value []byte) (version uint64, err error) {
 	present, err := m.store.Get(ctx, kindHosts, m.settings.Host)
 	if err != nil {
@@ -167,24 +169,23 @@
 	return m.store.Put(ctx, kindHosts, m.settings.Host, present.Version, value)
 }
 
-// remove takes the entry of a host that is gone out of the list, unless it was written
-// again since.
+// remove deletes the entry of a failed host, unless the entry was rewritten since.
 func (m *members) remove(ctx context.Context, h liveness.Entry) error {
 	return m.store.Delete(ctx, kindHosts, h.Name, h.Version)
 }
 
-// read takes the list as a stale copy of the store has it.
+// read reads the list from a stale copy of the store and reports whether that succeeded.
 func (m *members) read(ctx context.Context) bool {
 	objects, revision, err := m.store.ListStale(ctx, kindHosts)
 	if err != nil {
-		m.log.Warn("list of hosts not read", "cause", err.Error())
+		m.log.Warn("list of hosts can't be read", "cause", err.Error())
 		return false
 	}
 	m.mirror.Adopt(follow.Copy{Revision: revision, Objects: objects}, "the store's stale copy")
 	return true
 }
 
-// applyCopy takes a new copy of the list.
+// applyCopy applies a new copy of the list.
 func (m *members) applyCopy(c follow.Copy) {
 	hosts, entries := []state.Peer{}, []liveness.Entry{}
 	found := false
@@ -202,24 +203,26 @@
 	m.listed.Store(&hosts)
 	m.entries.Store(&entries)
 	if before != len(hosts) {
-		m.log.Info("hosts listed", "hosts", len(hosts), "before", before, "revision", store.FormatVersion(c.Revision))
+		m.log.Info("list of hosts changed", "hosts", len(hosts), "before", before, "revision", store.FormatVersion(c.Revision))
 	}
 	if !found && c.Revision >= m.minRevision.Load() {
 		m.registered.Store(false)
 	}
 }
 
+// logUnreadable logs an entry that can't be decoded, once per version.
 func (m *members) logUnreadable(o store.Object) {
 	if m.unreadableVersions[o.Name] != o.Version {
 		m.unreadableVersions[o.Name] = o.Version
-		m.log.Warn("entry of a host not readable", "host", o.Name, "version", store.FormatVersion(o.Version))
+		m.log.Warn("host entry can't be decoded", "host", o.Name, "version", store.FormatVersion(o.Version))
 	}
 }
 
-// capacityClass orders hosts by processor time and link; each doubling of either is a
-// class.
+// capacityClass ranks a host by its processor cores and its link bandwidth; each doubling of
+// either adds one class.
 func capacityClass(l platform.Limits) int { return doublings(l.Cores*100) + doublings(l.LinkBits/1e6) }
 
+// doublings returns how often 1 can be doubled without exceeding x.
 func doublings(x float64) int {
 	if x < 1 {
 		return 0
--- a/daemon/routed/members_test.go
+++ b/daemon/routed/members_test.go
@@ -12,7 +12,7 @@
 	"github.com/thymerack/thymerack/platform/platformtest"
 )
 
-// newTestMembers is a list of hosts without a store.
+// newTestMembers returns a list of hosts without a store.
 func newTestMembers(tb testing.TB) *members {
 	tb.Helper()
 	s, err := platform.DecodeSettings(platformtest.SettingsFile(platformtest.HostAddrs{Name: "h", IP: "127.0.0.9", Domain: "d", Store: "127.0.0.1:1"}))
@@ -24,7 +24,7 @@
 
 const goodEntry = `{"addr":"127.0.0.5:17660","class":3,"failure_domain":"d"}`
 
-// Whatever others leave in the list of hosts, the entries of hosts hold.
+// Invalid entries in the list of hosts must not affect the valid ones.
 func FuzzHostEntries(f *testing.F) {
 	f.Add([]byte(`{"addr":7}`))
 	f.Add([]byte(`null`))
@@ -38,17 +38,17 @@
 		found := false
 		for _, h := range m.All() {
 			if h.Addr == "" {
-				t.Errorf("a host without an address was taken from %q", other)
+				t.Errorf("a host without an address was accepted from %q", other)
 			}
 			found = found || (h.Addr == "127.0.0.5:17660" && h.Class == 3 && h.FailureDomain == "d")
 		}
 		if !found {
-			t.Errorf("the good entry is missing beside %q", other)
+			t.Errorf("the valid entry is missing next to %q", other)
 		}
 	})
 }
 
-// A host whose entry is gone lists itself again, but not for a list older than its entry.
+// A host whose entry is missing registers again, unless the list is older than its entry.
 func TestHostReregistersMissingEntry(t *testing.T) {
 	is := is.New(t)
 	m := newTestMembers(t)
@@ -61,13 +61,13 @@
 	is.True(!m.contains(m.self()))
 }
 
-// Guards against a host that isn't listed any more, since a restored store lost its entry.
+// Guards against a host that stays unlisted because a restored store lost its entry.
 func TestHostReregistersAfterStoreRestore(t *testing.T) {
 	is := is.New(t)
 	m := newHost(t).members
 	m.registered.Store(true)
 	m.minRevision.Store(store.MakeVersion(1, 30))
-	m.applyCopy(follow.Copy{Revision: store.MakeVersion(1, 29)}) // a copy of before its entry
+	m.applyCopy(follow.Copy{Revision: store.MakeVersion(1, 29)}) // a copy that is older than its entry
 	is.True(m.registered.Load())
 	m.applyCopy(follow.Copy{Revision: store.MakeVersion(2, 12)})
 	is.True(!m.registered.Load())
--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -24,8 +24,8 @@
 	"github.com/thymerack/thymerack/transport/roles"
 )
 
-// buildPeers makes the calls between hosts. Hosts know each other by their entries
-// in the store; the settings have no key for them to share.
+// buildPeers creates the components for calls between hosts. Hosts identify each other by their
+// entries in the store; the settings provide no shared key.
 func (h *Host) buildPeers() error {
 	var err error
 	h.peers, err = peer.NewClient(peer.ClientOptions{
@@ -61,12 +61,14 @@
 	return h.buildGate()
 }
 
-// relayFetchWait is how long a question waits at a relay: a quarter of the shortest time in
+// relayFetchWait returns how long a fetch waits at a relay: a quarter of the shortest time within
 // which a change must be in force.
 func (h *Host) relayFetchWait() time.Duration { return h.shortestBound() / 4 }
 
+// newRand returns a randomly seeded generator.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
+// buildGate creates the gate that requests admission from the owners of engines.
 func (h *Host) buildGate() error {
 	tracker := occupancy.NewTracker(h.clock, h.log)
 	roles.Subscribe(h.fanout, h.fleet.ExpectRole, h.log)
@@ -83,7 +85,7 @@
 	return h.buildOutliers()
 }
 
-// buildOutliers has silent runners told to all hosts.
+// buildOutliers creates the detector of silent runners, whose verdicts are broadcast to all hosts.
 func (h *Host) buildOutliers() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	h.stopDetectors = cancel
@@ -97,7 +99,7 @@
 		},
 		Publish: func(v outlier.Verdict) {
 			if err := outliers.Publish(ctx, h.fanout, v); err != nil {
-				h.log.Error("silent runner not told", "instance", v.Instance, "cause", err.Error())
+				h.log.Error("verdict on silent runner not broadcast", "instance", v.Instance, "cause", err.Error())
 			}
 		},
 	})
@@ -109,14 +111,14 @@
 	return h.buildQuarantine(ctx)
 }
 
-// buildQuarantine keeps requests that crash runners from them, until ctx ends.
+// buildQuarantine creates the quarantine that blocks requests that crash runners, until ctx ends.
 func (h *Host) buildQuarantine(ctx context.Context) error {
 	var err error
 	h.quarantine, err = quarantine.New(quarantine.Options{
 		Host: h.settings.Host, Table: quarantine.NewTable(h.clock), Store: h.store, FollowsStore: h.fanout.FollowsStore, Clock: h.clock, Log: h.log,
 		Publish: func(n quarantine.Notice) {
 			if err := quarantines.Publish(ctx, h.fanout, n); err != nil {
-				h.log.Error("crashes not told", "crashes", len(n.Crashes), "held", len(n.Held), "cause", err.Error())
+				h.log.Error("crashes not broadcast", "crashes", len(n.Crashes), "held", len(n.Held), "cause", err.Error())
 			}
 		},
 	})
@@ -127,7 +129,7 @@
 	return h.buildCrashes(ctx)
 }
 
-// buildCrashes notes the runners that crash, until ctx ends.
+// buildCrashes creates the detector of crashed runners, which runs until ctx ends.
 func (h *Host) buildCrashes(ctx context.Context) error {
 	var err error
 	h.crashes, err = crash.New(ctx, crash.Options{
@@ -143,7 +145,7 @@
 	return err
 }
 
-// applyVerdict takes the word of the hosts on a runner.
+// applyVerdict applies the fleet's verdict on whether a runner is silent.
 func (h *Host) applyVerdict(v outlier.Verdict) {
 	if v.Silent {
 		h.fleet.ApplyReport(v.Instance, v.TTL)
--- a/daemon/routed/repeats.go
+++ b/daemon/routed/repeats.go
@@ -2,7 +2,8 @@
 
 import "github.com/thymerack/thymerack/coordination/retry"
 
-// newRetryLimiter makes this host's share of the repeats that all hosts may send.
+// newRetryLimiter returns a limiter for this host's share of the retries that all hosts together
+// may send.
 func (h *Host) newRetryLimiter() (*retry.Limiter, error) {
 	share := limitShare * h.settings.Bounds.RetryRatio
 	steady, err := retry.NewBudget(retry.BudgetOptions{
@@ -21,8 +22,8 @@
 	return retry.NewLimiter(steady, window), nil
 }
 
-// retrySlack is this host's share of the repeats that all hosts may send in a
-// window whatever their traffic.
+// retrySlack returns this host's share of the retries per window that all hosts together may send
+// independently of their traffic.
 func (h *Host) retrySlack() float64 {
 	return limitShare * h.settings.Bounds.RetrySlack / float64(h.members.Hosts())
 }
--- a/daemon/routed/run.go
+++ b/daemon/routed/run.go
@@ -10,8 +10,9 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-// Run serves until stop ends, then leaves: unready at once, every request
-// answered, ended before the grace is over.
+// Run serves until stop is done, then shuts down gracefully: the host is unready at once, answers
+// every request and returns before the grace period ends. It returns an error if a port can't be
+// opened.
 func (h *Host) Run(stop context.Context) error {
 	debug.SetMemoryLimit(int64(memoryShare * float64(h.settings.Limits.MemoryBytes)))
 	listeners, err := h.listen()
@@ -52,10 +53,10 @@
 	return nil
 }
 
-// drain goes on serving until the balancer has turned away and every request is
-// answered.
+// drain keeps serving until the load balancer has stopped sending connections and every request
+// is answered, or until shortly before the end of the grace period.
 func (h *Host) drain(work context.Context) {
-	h.log.Info("leaving", "grace", h.settings.Bounds.Grace)
+	h.log.Info("draining", "grace", h.settings.Bounds.Grace)
 	h.ready.setLeaving()
 	h.fanout.Leave()
 	began := h.clock.Now()
@@ -66,10 +67,10 @@
 		flush: func() { h.flushUsage(work) },
 	}
 	waited := d.wait()
-	h.log.Info("left", "waited", waited, "open", h.gateway.Active())
+	h.log.Info("drained", "waited", waited, "open", h.gateway.Active())
 }
 
-// flushUsage tells the others what this host has counted until its end.
+// flushUsage pushes the final usage counts of this host to collectors.
 func (h *Host) flushUsage(ctx context.Context) {
 	if h.pusher == nil {
 		return
