--- a/daemon/routed/departure.go
+++ b/daemon/routed/departure.go
@@ -27,7 +27,7 @@
 func (d drainer) wait() time.Duration {
 	began := d.clock.Now()
 	for {
-		_ = d.clock.Sleep(context.Background(), drainPoll) // the background context never ends it early
+		_ = d.clock.Sleep(context.Background(), drainPollInterval) // the background context never ends it early
 		waited := d.clock.Now().Sub(began)
 		if waited >= balancerRemovalDelay {
 			d.closeUnused()
--- a/daemon/routed/departure_test.go
+++ b/daemon/routed/departure_test.go
@@ -45,7 +45,7 @@
 		is := is.New(t)
 		flushes := 0
 		d := drainer{clock: clocktest.Bubble{}, timeout: 7 * time.Second, active: func() int64 { return 1 }, closeUnused: func() {}, flush: func() { flushes++ }}
-		is.True(d.wait() < 7*time.Second+2*drainPoll)
+		is.True(d.wait() < 7*time.Second+2*drainPollInterval)
 		is.Equal(flushes, 1)
 	})
 }
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -215,7 +215,7 @@
 	h.instances = follow.NewInstances(follow.InstancesOptions{
 		Clock: h.clock, Log: h.log, Decode: platform.DecodeInstance, Publish: h.publish, OnUnusable: h.metrics.countUnusableEntry,
 		EntriesMayBeMissing: func() bool { return h.instanceMirror.UnavailableWithin(storeRecoveryTime) },
-		HoldFor:             missingEntryHoldTime, Leaving: h.advice.Leaving, HeartbeatTimeout: missedHeartbeats*cmp.Or(h.settings.Heartbeat, defaultHeartbeat) + heartbeatSlack,
+		HoldFor:             missingEntryHoldTime, Leaving: h.advice.Leaving, HeartbeatTimeout: missedHeartbeats*cmp.Or(h.settings.Heartbeat, defaultHeartbeatInterval) + heartbeatSlack,
 	})
 	retryGroup := &follow.RetryGroup{}
 	h.configMirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.proofStore, Clock: h.clock, Log: h.log, Kind: platform.KindConfig, OnChange: h.config.Update, CoalesceDelay: configCoalesceDelay, RecoveryTime: storeRecoveryTime, Newer: newerConfig, Notify: h.notifyFollowers})
--- a/daemon/routed/host_test.go
+++ b/daemon/routed/host_test.go
@@ -43,8 +43,8 @@
 	return h
 }
 
-// configure applies the first configuration of the test deployment.
-func configure(t *testing.T, h *Host) {
+// applyConfig applies the first configuration of the test deployment.
+func applyConfig(t *testing.T, h *Host) {
 	t.Helper()
 	value, err := json.Marshal(platformtest.Config(1))
 	if err != nil {
@@ -71,7 +71,7 @@
 	is := is.New(t)
 	h := newHost(t)
 	is.True(!h.isReady())
-	configure(t, h)
+	applyConfig(t, h)
 	is.True(!h.isReady())
 	is.True(h.instanceMirror.Adopt(follow.Copy{Revision: 2}, "peer"))
 	is.True(h.isReady())
@@ -82,7 +82,7 @@
 	h := newHost(t)
 	is.Equal(h.members.Hosts(), assumedHosts)                  // a large fleet is assumed until the list is read
 	is.Equal(h.connLimit(platformtest.ServicePlain), minConns) // no configuration yet
-	configure(t, h)
+	applyConfig(t, h)
 	var hosts []state.Peer
 	for i := range 10 {
 		hosts = append(hosts, state.Peer{Addr: fmt.Sprintf("127.0.0.%d:17660", i)})
--- a/daemon/routed/keys.go
+++ b/daemon/routed/keys.go
@@ -14,7 +14,7 @@
 	var err error
 	h.keys, err = auth.New(auth.Options{
 		Clock: h.clock, Log: h.log, Table: h.config.Table, ProvenAt: h.configProvenAt, Prove: h.proveConfig, Observer: h.metrics,
-		Strict: h.settings.Bounds.Revoke > 0, RevokeWithin: h.settings.Bounds.Revoke, InForceWithin: cmp.Or(h.settings.Bounds.ConfigInForce, defaultConfigInForce),
+		Strict: h.settings.Bounds.Revoke > 0, RevokeWithin: h.settings.Bounds.Revoke, InForceWithin: cmp.Or(h.settings.Bounds.ConfigInForce, defaultConfigBound),
 	})
 	return err
 }
--- a/daemon/routed/options.go
+++ b/daemon/routed/options.go
@@ -59,9 +59,9 @@
 	// is reserved for relaying a change to other hosts.
 	minWatchWait = time.Second
 	watchMargin  = 500 * time.Millisecond
-	// defaultConfigInForce is the time within which a new key must be accepted if the settings
+	// defaultConfigBound is the time within which a new key must be accepted if the settings
 	// give no bound: the shortest bound of all known deployments.
-	defaultConfigInForce = 2 * time.Second
+	defaultConfigBound = 2 * time.Second
 	// storeUserTimeout and the store's keepalive settings detect, while a watch waits, that the
 	// store is unreachable: 3 s after the last packet from it. The kernel counts keepalives in
 	// whole seconds. After a partition that isn't detected, the watch receives its changes only
@@ -89,9 +89,9 @@
 	// missedHeartbeats is the number of missed heartbeats after which the store drops a runner's
 	// entry. defaultHeartbeat is the heartbeat interval if the settings give none. heartbeatSlack
 	// allows for the interval of the store's checks and for the latency of its answer.
-	missedHeartbeats = 3
-	defaultHeartbeat = 1200 * time.Millisecond
-	heartbeatSlack   = time.Second
+	missedHeartbeats         = 3
+	defaultHeartbeatInterval = 1200 * time.Millisecond
+	heartbeatSlack           = time.Second
 	// leaseTTL is how long the lease of the duties is valid without a renewal. frequentPollers
 	// hosts poll it every frequentPollInterval and all others every infrequentPollInterval, so
 	// that the number of calls doesn't grow with the fleet. After the loss of a holder its
@@ -137,8 +137,8 @@
 	minUnreadyTime       = 2500 * time.Millisecond
 	// graceMargin is the time before the end of the grace period at which a leaving host ends,
 	// so that it isn't killed.
-	graceMargin = 500 * time.Millisecond
-	drainPoll   = 50 * time.Millisecond
+	graceMargin       = 500 * time.Millisecond
+	drainPollInterval = 50 * time.Millisecond
 	// memoryShare is the share of the machine's memory that is set as the Go runtime's memory
 	// limit; the rest is for the runtime, stacks and socket buffers.
 	memoryShare = 0.6
--- a/daemon/routed/run.go
+++ b/daemon/routed/run.go
@@ -55,7 +55,7 @@
 
 // drain keeps serving until the load balancer has stopped sending connections and every request
 // is answered, or until shortly before the end of the grace period.
-func (h *Host) drain(work context.Context) {
+func (h *Host) drain(ctx context.Context) {
 	h.log.Info("draining", "grace", h.settings.Bounds.Grace)
 	h.ready.setLeaving()
 	h.fanout.Leave()
@@ -64,7 +64,7 @@
 	h.gateway.Leave(gateway.Departure{TurnedAway: began.Add(balancerRemovalDelay), End: began.Add(end)})
 	d := drainer{
 		clock: h.clock, timeout: end, active: h.gateway.Active, closeUnused: h.gateway.CloseUnused,
-		flush: func() { h.flushUsage(work) },
+		flush: func() { h.flushUsage(ctx) },
 	}
 	waited := d.wait()
 	h.log.Info("drained", "waited", waited, "open", h.gateway.Active())
