--- a/daemon/routed/keys.go
+++ b/daemon/routed/keys.go
@@ -21,7 +21,7 @@
 
 // errStoreUnavailable is returned instead of calling an unavailable store: the hosts that follow
 // the store already poll it.
-var errStoreUnavailable = errors.New("the store is lost to this host and its relays, which ask it until it answers")
+var errStoreUnavailable = errors.New("the store is unavailable to this host and its relays, which poll it until it answers")
 
 // proveConfig checks with the store that the configuration is the newest. It returns
 // errStoreUnavailable if the store doesn't answer: the hosts that follow the store retry each
--- a/daemon/routed/options.go
+++ b/daemon/routed/options.go
@@ -87,7 +87,7 @@
 	storeRecoveryTime    = 2100 * time.Millisecond
 	missingEntryHoldTime = 1800 * time.Millisecond
 	// missedHeartbeats is the number of missed heartbeats after which the store drops a runner's
-	// entry. defaultHeartbeat is the heartbeat interval if the settings give none. heartbeatSlack
+	// entry. defaultHeartbeatInterval is used if the settings give no interval. heartbeatSlack
 	// allows for the interval of the store's checks and for the latency of its answer.
 	missedHeartbeats         = 3
 	defaultHeartbeatInterval = 1200 * time.Millisecond
--- a/daemon/routed/run.go
+++ b/daemon/routed/run.go
@@ -56,7 +56,7 @@
 // drain keeps serving until the load balancer has stopped sending connections and every request
 // is answered, or until shortly before the end of the grace period.
 func (h *Host) drain(ctx context.Context) {
-	h.log.Info("draining", "grace", h.settings.Bounds.Grace)
+	h.log.Info("leaving", "grace", h.settings.Bounds.Grace)
 	h.ready.setLeaving()
 	h.fanout.Leave()
 	began := h.clock.Now()
@@ -67,7 +67,7 @@
 		flush: func() { h.flushUsage(ctx) },
 	}
 	waited := d.wait()
-	h.log.Info("drained", "waited", waited, "open", h.gateway.Active())
+	h.log.Info("left", "waited", waited, "open", h.gateway.Active())
 }
 
 // flushUsage pushes the final usage counts of this host to collectors.
