--- a/daemon/routed/duties.go
+++ b/daemon/routed/duties.go
@@ -16,36 +16,37 @@
 	"github.com/thymerack/thymerack/transport/usages"
 )
 
-// leaseName is the lease of the host that has the duties: orders to engines, the number of
-// runners, reports of usage. One lease costs its looks and renewals once; its name is that of
-// the first duty, so that hosts of earlier versions take turns with this one.
+// leaseName is the name of the lease of the host that performs the duties: setting the roles of
+// engines, scaling runners and reporting usage. A single lease keeps polls and renewals to one
+// set. Its name is that of the first duty, so that it also excludes hosts of earlier versions.
 const leaseName = "engine-roles"
 
-// buildLease makes the lease of the duties that one host at a time has.
+// buildLease creates the lease of the duties that one host at a time performs.
 func (h *Host) buildLease() error {
 	var err error
-	h.lessor, err = lease.New(lease.Options{
+	h.lease, err = lease.New(lease.Options{
 		Store: h.store, Clock: h.clock, Rand: newRand(),
-		Name: leaseName, Holder: h.id, Machine: h.s.Host + "@" + h.s.IP,
-		TTL: leaseTTL, PollInterval: h.lookEvery, Log: h.log,
-		CallGap: h.s.Bounds.LeaseTime + h.s.Bounds.ThawTime, MaxCallTime: dutyCallTime, MayBeLost: h.leaseMayBeLost,
+		Name: leaseName, Holder: h.id, Machine: h.settings.Host + "@" + h.settings.IP,
+		TTL: leaseTTL, PollInterval: h.leasePollInterval, Log: h.log,
+		CallGap: h.settings.Bounds.LeaseTime + h.settings.Bounds.ThawTime, MaxCallTime: dutyCallTimeout, MayBeLost: h.leaseMayBeLost,
 	})
 	return err
 }
 
-// leaseMayBeLost reports whether the store may have lost the lease's object: it loses what it has
-// acknowledged, and this isn't the first start of the fleet.
+// leaseMayBeLost reports whether the store may have lost the lease's object: it can lose
+// acknowledged writes, and either this isn't the first start of the fleet or the store was
+// restored.
 func (h *Host) leaseMayBeLost() bool {
-	return h.epochs.MayLose() && (!h.s.FirstStart || h.epochs.Restored())
+	return h.epochs.MayLose() && (!h.settings.FirstStart || h.epochs.Restored())
 }
 
-// buildDuties makes what carries them out, those that are asked for.
+// buildDuties creates the components of the optional duties that the settings enable.
 func (h *Host) buildDuties() error {
-	if h.s.DutiesAddr == "" {
+	if h.settings.DutiesAddr == "" {
 		return nil
 	}
 	var err error
-	if h.duties, err = h.newDuties(); err != nil {
+	if h.duties, err = h.newDutiesClient(); err != nil {
 		return err
 	}
 	if err := h.buildUsage(); err != nil {
@@ -54,34 +55,34 @@
 	return h.buildScaler()
 }
 
-// buildScaler orders numbers of runners, where that is asked for.
+// buildScaler creates the manager that scales runners, if the settings enable it.
 func (h *Host) buildScaler() error {
-	if !h.s.ScalesRunners {
+	if !h.settings.ScalesRunners {
 		return nil
 	}
 	var err error
 	h.scaler, err = scale.New(scale.Options{
-		Platform: h.duties, Lease: h.lessor, InitialCounts: scale.InitialCounts{Store: h.store}, Clock: h.clock, Log: h.log,
-		Services: h.scalableServices, Instances: h.fleet.Instances, RequiredShare: h.o.RunnerNeed,
-		NoTrafficUntil: h.quietUntil(),
+		Platform: h.duties, Lease: h.lease, InitialCounts: scale.InitialCounts{Store: h.store}, Clock: h.clock, Log: h.log,
+		Services: h.scalableServices, Instances: h.fleet.Instances, RequiredShare: h.options.RequiredRunnerShare,
+		NoTrafficUntil: h.noTrafficUntil(),
 	})
 	return err
 }
 
-// quietUntil is before when no caller comes: some time after the first start of the whole
-// deployment, as the operator says. Later starts find callers.
-func (h *Host) quietUntil() time.Time {
-	if !h.s.FirstStart || h.o.FirstTraffic <= 0 {
+// noTrafficUntil returns the time before which no requests arrive: FirstTrafficDelay after the
+// first start of the deployment. It is zero at later starts, when callers are already there.
+func (h *Host) noTrafficUntil() time.Time {
+	if !h.settings.FirstStart || h.options.FirstTrafficDelay <= 0 {
 		return time.Time{}
 	}
-	return h.clock.Now().Add(h.o.FirstTraffic)
+	return h.clock.Now().Add(h.options.FirstTrafficDelay)
 }
 
-// scalableServices are the services whose number of runners may be ordered; none while the
-// list of runners isn't kept up to date.
+// scalableServices returns the services whose number of runners may be changed; none while the
+// list of runners isn't up to date.
 func (h *Host) scalableServices() []state.ServiceSpec {
 	table := h.config.Table()
-	if table == nil || h.listed.Lost() {
+	if table == nil || h.instanceMirror.Lost() {
 		return nil
 	}
 	var out []state.ServiceSpec
@@ -93,12 +94,13 @@
 	return out
 }
 
-// buildUsage counts requests by customer and reports them, where that is asked for.
+// buildUsage creates the components that count requests by customer and report them, if the
+// settings enable it.
 func (h *Host) buildUsage() error {
-	if !h.s.ReportsUsage {
+	if !h.settings.ReportsUsage {
 		return nil
 	}
-	window := h.s.Bounds.UsageWindow
+	window := h.settings.Bounds.UsageWindow
 	clock := fleetclock.New(h.clock)
 	h.metrics.usage = usage.NewCounter(window, clock.At)
 	collector := usage.NewCollector(window)
@@ -113,25 +115,26 @@
 	}
 	usages.Register(h.peerServer, h.pusher, collector)
 	h.reporter, err = usage.NewReporter(usage.Options{
-		WindowLength: window, MaxError: h.s.Bounds.UsageOff, Lease: h.lessor, Store: h.store, Receiver: h.duties, Peers: peers, Collector: collector,
+		WindowLength: window, MaxError: h.settings.Bounds.UsageOff, Lease: h.lease, Store: h.store, Receiver: h.duties, Peers: peers, Collector: collector,
 		Self: h.members.self(), Run: h.id.String(), Hosts: h.members.All, Time: clock, Clock: h.clock, Log: h.log,
 	})
 	return err
 }
 
-func (h *Host) newDuties() (platform.Duties, error) {
+// newDutiesClient returns a client for the platform's interface for duties.
+func (h *Host) newDutiesClient() (platform.Duties, error) {
 	client, err := httpclient.New(httpclient.Options{
-		Addr: h.s.DutiesAddr, DialTimeout: dutyCallTime, WriteTimeout: dutyCallTime, UserTimeout: dutyCallTime,
-		MaxConns: dutyConns, MaxIdle: storeIdle, MaxHeaderBytes: storeHeaderBytes,
+		Addr: h.settings.DutiesAddr, DialTimeout: dutyCallTimeout, WriteTimeout: dutyCallTimeout, UserTimeout: dutyCallTimeout,
+		MaxConns: dutyMaxConns, MaxIdle: storeMaxIdle, MaxHeaderBytes: storeMaxHeaderBytes,
 	})
 	if err != nil {
 		return platform.Duties{}, err
 	}
-	return platform.NewDuties(platform.DutiesOptions{Client: client, Addr: h.s.DutiesAddr, Host: h.s.Host, Timeout: dutyCallTime}), nil
+	return platform.NewDuties(platform.DutiesOptions{Client: client, Addr: h.settings.DutiesAddr, Host: h.settings.Host, Timeout: dutyCallTimeout}), nil
 }
 
-// holdDuties carries out what one host at a time does, for one term of the lease.
-func (h *Host) holdDuties(ctx context.Context) error {
+// runDuties performs the duties of the lease holder until ctx ends with the term of the lease.
+func (h *Host) runDuties(ctx context.Context) error {
 	var group conc.WaitGroup
 	defer group.Wait()
 	group.Go(func() { h.manager.Hold(ctx) })
--- a/daemon/routed/host.go
+++ b/daemon/routed/host.go
@@ -36,73 +36,74 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-// Host is one host. Create it with New.
+// Host is one serving host with all its components. Create it with New and start it with Run.
 type Host struct {
-	o Options
-	s platform.Settings
-	// id names this run of the host to its peers and in the lease.
+	options  Options
+	settings platform.Settings
+	// id identifies this run of the host to its peers and in the lease.
 	id    state.HostID
 	log   *slog.Logger
 	clock wallclock.Clock
 
 	store *platform.Store
-	// epochs knows how often the store was restored.
+	// epochs tracks how often the store was restored.
 	epochs *platform.Epochs
-	// bound is the store with watches short enough for what must be in force in time, and
-	// proving with those short enough to prove that keys hold.
-	bound     *platform.Store
-	proving   *platform.Store
-	keys      *auth.Checker
-	members   *members
-	config    *follow.Config
-	configs   *follow.Mirror
-	instances *follow.Instances
-	listed    *follow.Mirror
-	fleet     *placement.Fleet
-	pool      *runners.Pool
-	// advice is what runners ask of hosts.
+	// boundedStore is the store with watches short enough to keep the bounds on changes, and
+	// proofStore with watches short enough to prove in time that keys are still valid.
+	boundedStore   *platform.Store
+	proofStore     *platform.Store
+	keys           *auth.Checker
+	members        *members
+	config         *follow.Config
+	configMirror   *follow.Mirror
+	instances      *follow.Instances
+	instanceMirror *follow.Mirror
+	fleet          *placement.Fleet
+	pool           *runners.Pool
+	// advice holds the backpressure signals of runners: limits, backoff and leaving.
 	advice  *backpressure.Registry
 	gateway *gateway.Server
-	// lessor holds the lease of the duties that one host at a time has.
-	lessor  *lease.Lease
+	// lease is the lease of the duties that one host at a time performs.
+	lease   *lease.Lease
 	manager *stages.Manager
-	// pusher pushes the counts of this host to collectors, and reporter reports those of all hosts;
-	// nil where usage isn't reported.
+	// pusher pushes the usage counts of this host to collectors, and reporter reports those of all
+	// hosts. Both are nil if usage isn't reported.
 	pusher   *usage.Pusher
 	reporter *usage.Reporter
-	// scaler orders numbers of runners; nil where that isn't asked for.
+	// scaler sets the number of runners of each service; nil if the settings don't enable it.
 	scaler  *scale.Manager
 	duties  platform.Duties
-	metrics *measures
+	metrics *hostMetrics
 	ready   *readiness
 	// peers calls other hosts, peerServer answers them.
 	peers      *peer.Client
 	peerServer *peer.Server
-	// fanout brings the copies of the store up to date, from the store or from peers.
+	// fanout updates the mirrors of the store, from the store or from peers.
 	fanout *fanout.Node
-	// looker takes hosts that are gone out of the list.
-	looker *liveness.Monitor
-	// outliers finds runners that don't answer, until ended.
+	// monitor removes failed hosts from the list of hosts.
+	monitor *liveness.Monitor
+	// outliers detects runners that don't answer, until stopDetectors is called.
 	outliers *outlier.Detector
-	// crashes finds runners that crashed, until ended.
-	crashes *crash.Detector
-	ended   context.CancelFunc
-	// quarantine keeps requests that crash runners from them, and held is this host's copy
-	// of what the store has of them.
+	// crashes detects runners that crashed, until stopDetectors is called.
+	crashes       *crash.Detector
+	stopDetectors context.CancelFunc
+	// quarantine blocks requests that crash runners, and heldMirror mirrors the store's list of
+	// these held requests.
 	quarantine *quarantine.Registry
-	held       *follow.Mirror
-	// gate counts prompts over all hosts.
+	heldMirror *follow.Mirror
+	// gate requests admission of prompts from the owners of engines, which count them over all hosts.
 	gate *occupancy.Gate
 }
 
-// New wires a host; nothing is started.
+// New creates a host and wires its components; nothing is started. It returns an error if an
+// option is invalid.
 func New(o Options) (*Host, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
 	}
-	h := &Host{o: o, s: o.Settings, log: o.Log.With("host", o.Settings.Host), metrics: newMeasures()}
-	h.id = state.HostID{Name: h.s.Host, Incarnation: uuid.Must(uuid.NewV7()).String()}
-	for _, build := range []func() error{h.buildStore, h.buildLists, h.buildPeers, h.buildPool, h.buildKeys, h.buildGateway, h.buildLease, h.buildManager, h.buildDuties} {
+	h := &Host{options: o, settings: o.Settings, log: o.Log.With("host", o.Settings.Host), metrics: newHostMetrics()}
+	h.id = state.HostID{Name: h.settings.Host, Incarnation: uuid.Must(uuid.NewV7()).String()}
+	for _, build := range []func() error{h.buildStore, h.buildMirrors, h.buildPeers, h.buildPool, h.buildKeys, h.buildGateway, h.buildLease, h.buildManager, h.buildDuties} {
 		if err := build(); err != nil {
 			return nil, err
 		}
@@ -112,10 +113,10 @@
 	return h, nil
 }
 
-// buildGauges adds what is read when the metrics are.
+// buildGauges registers the gauges, whose values are read when the metrics are scraped.
 func (h *Host) buildGauges() {
-	for kind, m := range map[string]*follow.Mirror{platform.KindConfig: h.configs, platform.KindInstances: h.listed, kindHosts: h.members.copy, quarantine.Kind: h.held} {
-		h.buildCopyGauges(kind, m)
+	for kind, m := range map[string]*follow.Mirror{platform.KindConfig: h.configMirror, platform.KindInstances: h.instanceMirror, kindHosts: h.members.mirror, quarantine.Kind: h.heldMirror} {
+		h.buildMirrorGauges(kind, m)
 	}
 	h.metrics.gauge("thymerack_store_epoch", func() float64 { return float64(h.epochs.Known()) })
 	h.metrics.gauge("thymerack_config_version", h.configVersion)
@@ -125,17 +126,17 @@
 		}
 		return 0
 	})
-	h.metrics.gauge("thymerack_key_proof_age_seconds", func() float64 { return h.clock.Now().Sub(h.configProven()).Seconds() })
+	h.metrics.gauge("thymerack_key_proof_age_seconds", func() float64 { return h.clock.Now().Sub(h.configProvenAt()).Seconds() })
 	h.metrics.gauge("thymerack_hosts", func() float64 { return float64(h.members.Hosts()) })
 	h.metrics.gauge("thymerack_quarantined", func() float64 { return float64(h.quarantine.Size()) })
 	h.metrics.gauge(`thymerack_runners_asking{what="limit"}`, func() float64 { return float64(h.advice.Count().Limited) })
 	h.metrics.gauge(`thymerack_runners_asking{what="leaving"}`, func() float64 { return float64(h.advice.Count().Leaving) })
 	h.metrics.gauge(`thymerack_runners_asking{what="rest"}`, func() float64 { return float64(h.advice.Count().BackingOff) })
-	h.metrics.gauge("thymerack_log_lines_dropped_total", func() float64 { return float64(h.o.LinesDropped()) })
+	h.metrics.gauge("thymerack_log_lines_dropped_total", func() float64 { return float64(h.options.LogLinesDropped()) })
 }
 
-// buildCopyGauges adds what is known of the copy of one kind.
-func (h *Host) buildCopyGauges(kind string, m *follow.Mirror) {
+// buildMirrorGauges registers the gauges of the mirror of one kind of object.
+func (h *Host) buildMirrorGauges(kind string, m *follow.Mirror) {
 	h.metrics.gauge(fmt.Sprintf(`thymerack_store_lost{kind=%q}`, kind), func() float64 {
 		if m.Lost() {
 			return 1
@@ -153,7 +154,7 @@
 	}
 }
 
-// configVersion is the version of the configuration in force; 0 before the first.
+// configVersion returns the version of the configuration in force; 0 if there is none yet.
 func (h *Host) configVersion() float64 {
 	table := h.config.Table()
 	if table == nil {
@@ -162,78 +163,80 @@
 	return float64(table.Version)
 }
 
+// buildStore creates the clients of the store and the list of hosts.
 func (h *Host) buildStore() error {
 	client, err := httpclient.New(httpclient.Options{
-		Addr: h.s.StoreAddr, DialTimeout: storeTimeout, WriteTimeout: storeTimeout,
+		Addr: h.settings.StoreAddr, DialTimeout: storeTimeout, WriteTimeout: storeTimeout,
 		UserTimeout: storeUserTimeout, KeepAlive: storeKeepAlive, KeepAliveCount: storeKeepAliveCount,
-		MaxConns: storeConns, MaxIdle: storeIdle, MaxHeaderBytes: storeHeaderBytes,
+		MaxConns: storeMaxConns, MaxIdle: storeMaxIdle, MaxHeaderBytes: storeMaxHeaderBytes,
 	})
 	if err != nil {
 		return err
 	}
 	h.epochs = platform.NewEpochs(h.clock, h.log)
 	o := platform.StoreOptions{
-		Client: client, Host: h.s.StoreAddr, Epochs: h.epochs, Timeout: storeTimeout, ListTimeout: listTimeout, WatchWait: watchWait,
+		Client: client, Host: h.settings.StoreAddr, Epochs: h.epochs, Timeout: storeTimeout, ListTimeout: listTimeout, WatchWait: watchWait,
 	}
 	h.store = platform.NewStore(o)
-	o.WatchWait = h.boundWatch()
-	h.bound = platform.NewStore(o)
-	o.WatchWait = h.provingWatch()
-	h.proving = platform.NewStore(o)
-	h.members = newMembers(h.store, h.s, h.log)
+	o.WatchWait = h.boundedWatchWait()
+	h.boundedStore = platform.NewStore(o)
+	o.WatchWait = h.proofWatchWait()
+	h.proofStore = platform.NewStore(o)
+	h.members = newMembers(h.store, h.settings, h.log)
 	return nil
 }
 
-// boundWatch is how long a watch for configurations or instances waits. A store that is
-// silent for a while may forget the watches that wait, and keep their connections: such a
-// watch hears nothing until its own end, and what it missed must be known when the bounds
-// apply again.
-func (h *Host) boundWatch() time.Duration {
-	return min(watchWait, max(leastWatch, h.s.Bounds.Contact+h.shortestBound()-storeTimeout-gatherInstances-watchMargin))
+// boundedWatchWait returns how long a watch for configurations or instances waits. After an
+// outage the store may have dropped waiting watches but kept their connections open: such a
+// watch receives no changes until it times out, and the missed changes must be known when the
+// bounds apply again.
+func (h *Host) boundedWatchWait() time.Duration {
+	return min(watchWait, max(minWatchWait, h.settings.Bounds.Contact+h.shortestBound()-storeTimeout-instancesCoalesceDelay-watchMargin))
 }
 
-// shortestBound is the shortest time in which a change must be in force.
+// shortestBound returns the shortest time within which a change must be in force.
 func (h *Host) shortestBound() time.Duration {
-	bound := h.s.Bounds.Drain
-	if config := h.s.Bounds.ConfigInForce; config > 0 {
+	bound := h.settings.Bounds.Drain
+	if config := h.settings.Bounds.ConfigInForce; config > 0 {
 		bound = min(bound, config)
 	}
 	return bound
 }
 
-func (h *Host) buildLists() error {
+// buildMirrors creates the mirrors of the store and the components that they update.
+func (h *Host) buildMirrors() error {
 	var err error
-	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Broadcast: h.tellAdvice, OnLeaving: func() { h.instances.Republish() }})
+	h.advice, err = backpressure.New(backpressure.Options{Clock: h.clock, Log: h.log, Observer: h.metrics, Broadcast: h.broadcastAdvice, OnLeaving: func() { h.instances.Republish() }})
 	if err != nil {
 		return err
 	}
-	h.fleet = placement.NewFleet(placement.Options{Clock: h.clock, FailureDomain: h.s.FailureDomain, Advice: h.advice})
+	h.fleet = placement.NewFleet(placement.Options{Clock: h.clock, FailureDomain: h.settings.FailureDomain, Advice: h.advice})
 	h.config = follow.NewConfig(platform.ConfigName, platform.DecodeConfig, h.log)
 	h.instances = follow.NewInstances(follow.InstancesOptions{
-		Clock: h.clock, Log: h.log, Decode: platform.DecodeInstance, Publish: h.publish, OnUnusable: h.metrics.unusableEntry,
-		EntriesMayBeMissing: func() bool { return h.listed.UnavailableWithin(outageWindow) },
-		HoldFor:             holdFor, Leaving: h.advice.Leaving, HeartbeatTimeout: heartbeatsMissed*cmp.Or(h.s.Heartbeat, defaultHeartbeat) + heartbeatSlack,
+		Clock: h.clock, Log: h.log, Decode: platform.DecodeInstance, Publish: h.publish, OnUnusable: h.metrics.countUnusableEntry,
+		EntriesMayBeMissing: func() bool { return h.instanceMirror.UnavailableWithin(storeRecoveryTime) },
+		HoldFor:             missingEntryHoldTime, Leaving: h.advice.Leaving, HeartbeatTimeout: missedHeartbeats*cmp.Or(h.settings.Heartbeat, defaultHeartbeatInterval) + heartbeatSlack,
 	})
-	outage := &follow.RetryGroup{}
-	h.configs, err = follow.New(follow.Options{RetryGroup: outage, Store: h.proving, Clock: h.clock, Log: h.log, Kind: platform.KindConfig, OnChange: h.config.Update, CoalesceDelay: gatherConfig, RecoveryTime: outageWindow, Newer: newerConfig, Notify: h.notifyFollowers})
+	retryGroup := &follow.RetryGroup{}
+	h.configMirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.proofStore, Clock: h.clock, Log: h.log, Kind: platform.KindConfig, OnChange: h.config.Update, CoalesceDelay: configCoalesceDelay, RecoveryTime: storeRecoveryTime, Newer: newerConfig, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
-	h.listed, err = follow.New(follow.Options{RetryGroup: outage, Store: h.bound, Clock: h.clock, Log: h.log, Kind: platform.KindInstances, OnChange: h.instances.Update, CoalesceDelay: gatherInstances, Notify: h.notifyFollowers})
+	h.instanceMirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.boundedStore, Clock: h.clock, Log: h.log, Kind: platform.KindInstances, OnChange: h.instances.Update, CoalesceDelay: instancesCoalesceDelay, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
-	h.members.copy, err = follow.New(follow.Options{RetryGroup: outage, Store: h.store, Clock: h.clock, Log: h.log, Kind: kindHosts, OnChange: h.members.changed, CoalesceDelay: gatherHosts, Notify: h.notifyFollowers})
+	h.members.mirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.store, Clock: h.clock, Log: h.log, Kind: kindHosts, OnChange: h.members.applyCopy, CoalesceDelay: hostsCoalesceDelay, Notify: h.notifyFollowers})
 	if err != nil {
 		return err
 	}
-	// Notices tell of a held request at once, so that a long watch is enough.
-	h.held, err = follow.New(follow.Options{RetryGroup: outage, Store: h.store, Clock: h.clock, Log: h.log, Kind: quarantine.Kind, OnChange: h.changedHolds, CoalesceDelay: gatherHolds, Notify: h.notifyFollowers})
+	// Held requests are broadcast to all hosts at once, so a long watch suffices.
+	h.heldMirror, err = follow.New(follow.Options{RetryGroup: retryGroup, Store: h.store, Clock: h.clock, Log: h.log, Kind: quarantine.Kind, OnChange: h.applyHeldRequests, CoalesceDelay: holdsCoalesceDelay, Notify: h.notifyFollowers})
 	return err
 }
 
-// newerConfig reports whether a configuration has a higher version than another; one that can't be read
-// is never the newer.
+// newerConfig reports whether configuration a has a higher version than b. A configuration that
+// can't be decoded is never newer.
 func newerConfig(a, b store.Object) bool {
 	first, err := platform.DecodeConfig(a.Value)
 	if err != nil {
@@ -243,33 +246,35 @@
 	return err != nil || first.Version > second.Version
 }
 
-// changedHolds takes a new copy of the requests that are held.
-func (h *Host) changedHolds(c follow.Copy) { h.quarantine.ApplyCopy(c) }
+// applyHeldRequests passes a new copy of the held requests to the quarantine.
+func (h *Host) applyHeldRequests(c follow.Copy) { h.quarantine.ApplyCopy(c) }
 
-// notifyFollowers wakes the hosts that wait for news of this one.
+// notifyFollowers wakes the hosts that wait for changes from this host.
 func (h *Host) notifyFollowers() { h.fanout.WakeFollowers() }
 
-// tellAdvice tells all hosts what a runner asks of them.
-func (h *Host) tellAdvice(n backpressure.Notice) {
+// broadcastAdvice sends a runner's backpressure notice to all hosts.
+func (h *Host) broadcastAdvice(n backpressure.Notice) {
 	if err := advices.Publish(context.Background(), h.fanout, n); err != nil {
-		h.log.Error("what a runner asks not told", "instance", n.Instance, "what", string(n.Kind), "cause", err.Error())
+		h.log.Error("backpressure notice not broadcast", "instance", n.Instance, "what", string(n.Kind), "cause", err.Error())
 	}
 }
 
-// publish puts a new list of instances in force.
+// publish applies a new list of instances to the fleet, the connection pool and the backpressure
+// registry.
 func (h *Host) publish(instances []state.Instance) {
 	h.fleet.Update(instances)
 	h.pool.Retain(h.fleet.Accepts)
 	h.advice.UpdateListed(instances)
 }
 
+// buildPool creates the pool of connections to runners.
 func (h *Host) buildPool() error {
 	var err error
 	h.pool, err = runners.New(runners.Options{Codec: platform.Codec{}, ConnLimit: h.connLimit, MaxHeaderBytes: maxHeaderBytes, Heard: h.advice.Record})
 	return err
 }
 
-// connLimit is this host's share of a runner's connections.
+// connLimit returns this host's share of the connections that a runner of the service accepts.
 func (h *Host) connLimit(service string) int {
 	table := h.config.Table()
 	if table == nil {
@@ -282,13 +287,14 @@
 	return max(minConns, int(limitShare*float64(spec.MaxConns)/float64(h.members.Hosts())))
 }
 
+// buildGateway creates the server for callers and the dispatcher of their requests.
 func (h *Host) buildGateway() error {
-	budget, err := h.newRepeats()
+	budget, err := h.newRetryLimiter()
 	if err != nil {
 		return err
 	}
 	dispatcher, err := forward.New(forward.Options{
-		Upstream: h.pool, Placer: h.fleet, Gate: h.gate, Budget: budget, Clock: h.clock, Log: h.log, SplitTokens: h.o.SplitTokens,
+		Upstream: h.pool, Placer: h.fleet, Gate: h.gate, Budget: budget, Clock: h.clock, Log: h.log, SplitTokens: h.options.SplitTokens,
 		Observer: h.metrics, Outliers: h.outliers, Crashes: h.crashes, Quarantine: h.quarantine, Advice: h.advice,
 	})
 	if err != nil {
@@ -297,27 +303,28 @@
 	h.gateway, err = gateway.New(gateway.Options{
 		Codec: platform.Codec{}, Dispatcher: dispatcher, Keys: h.keys, Table: h.config.Table, Observer: h.metrics, Log: h.log,
 		MaxBodyBytes: maxBodyBytes, MaxHeaderBytes: maxHeaderBytes,
-		MaxConnections: max(h.s.Limits.Descriptors-reservedFDs, reservedFDs),
+		MaxConnections: max(h.settings.Limits.Descriptors-reservedFDs, reservedFDs),
 	})
 	return err
 }
 
+// buildManager creates the manager that sets the roles of engines.
 func (h *Host) buildManager() error {
 	var err error
 	h.manager, err = stages.New(stages.Options{
-		Engines: platform.Engines{Caller: h.pool, Timeout: dutyCallTime}, Lease: h.lessor, Shares: stages.PrefillShares{Store: h.store}, Clock: h.clock, Log: h.log, Host: h.s.Host,
+		Engines: platform.Engines{Caller: h.pool, Timeout: dutyCallTimeout}, Lease: h.lease, Shares: stages.PrefillShares{Store: h.store}, Clock: h.clock, Log: h.log, Host: h.settings.Host,
 		Services: h.engineServices, Instances: h.engines,
 		Resizing:            h.resizing,
 		Announce:            h.announce,
-		InitialPrefillShare: h.o.PrefillShare,
+		InitialPrefillShare: h.options.PrefillShare,
 	})
 	return err
 }
 
-// resizing reports whether the number of a service's engines is about to change.
+// resizing reports whether the number of engines of a service is about to change.
 func (h *Host) resizing(service string) bool { return h.scaler != nil && h.scaler.Resizing(service) }
 
-// announce tells all hosts, this one too, which engines are about to change their role.
+// announce announces to all hosts, including this one, which engines are about to change role.
 func (h *Host) announce(ctx context.Context, changes []stages.RoleChange) {
 	byRole := map[state.Role][]state.InstanceID{}
 	for _, c := range changes {
@@ -330,19 +337,21 @@
 	}
 }
 
-// lookEvery is how often this host looks whether the engines' lease is free. A few
-// hosts look often; the settings' seeds don't say which, as they are empty where no
-// role serves peers of the platform's own kind.
-func (h *Host) lookEvery() time.Duration {
-	if h.gate.IsAmongFirst(lookers) {
-		return lookOften
+// leasePollInterval returns the interval at which this host checks whether the lease of the
+// duties is free. A few hosts poll frequently. The seeds in the settings can't select them, since
+// they are empty if no role serves peers of the platform's own kind.
+func (h *Host) leasePollInterval() time.Duration {
+	if h.gate.IsAmongFirst(frequentPollers) {
+		return frequentPollInterval
 	}
-	return lookSeldom
+	return infrequentPollInterval
 }
 
+// engineServices returns the names of the services that engines serve; none while the list of
+// instances isn't up to date.
 func (h *Host) engineServices() []string {
 	table := h.config.Table()
-	if table == nil || h.listed.Lost() {
+	if table == nil || h.instanceMirror.Lost() {
 		return nil
 	}
 	var out []string
@@ -354,6 +363,7 @@
 	return out
 }
 
+// engines returns copies of the listed engines of a service.
 func (h *Host) engines(service string) []state.Instance {
 	var out []state.Instance
 	for _, r := range h.fleet.Runners(service) {
@@ -362,12 +372,12 @@
 	return out
 }
 
-// Reload takes changed settings. Seeds and shared limits change at once; addresses
-// and resources are the process's own and hold until its end.
+// Reload applies changed settings. Seeds change at once; addresses and resources of the process
+// stay as they were at its start.
 func (h *Host) Reload(s platform.Settings) {
-	h.members.reload(s.Seeds)
+	h.members.setSeeds(s.Seeds)
 	h.log.Info("settings reloaded", "seeds", s.Seeds)
 }
 
-// isReady reports whether the host knows routes and runners.
-func (h *Host) isReady() bool { return h.config.Table() != nil && h.listed.Revision() > 0 }
+// isReady reports whether the host has a configuration and a list of runners.
+func (h *Host) isReady() bool { return h.config.Table() != nil && h.instanceMirror.Revision() > 0 }
--- a/daemon/routed/host_test.go
+++ b/daemon/routed/host_test.go
@@ -18,6 +18,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
+// testOptions returns valid options for a host whose store doesn't exist.
 func testOptions(t *testing.T) Options {
 	t.Helper()
 	s, err := platform.DecodeSettings(platformtest.SettingsFile(platformtest.HostAddrs{
@@ -27,11 +28,12 @@
 		t.Fatal(err)
 	}
 	return Options{
-		Settings: s, Log: slog.New(slog.DiscardHandler), PrefillShare: 0.68, SplitTokens: 600, RunnerNeed: 1,
-		LinesDropped: func() uint64 { return 0 },
+		Settings: s, Log: slog.New(slog.DiscardHandler), PrefillShare: 0.68, SplitTokens: 600, RequiredRunnerShare: 1,
+		LogLinesDropped: func() uint64 { return 0 },
 	}
 }
 
+// newHost returns a host that isn't started.
 func newHost(t *testing.T) *Host {
 	t.Helper()
 	h, err := New(testOptions(t))
@@ -41,8 +43,8 @@
 	return h
 }
 
-// configure puts the test deployment's first configuration in force.
-func configure(t *testing.T, h *Host) {
+// applyConfig applies the first configuration of the test deployment.
+func applyConfig(t *testing.T, h *Host) {
 	t.Helper()
 	value, err := json.Marshal(platformtest.Config(1))
 	if err != nil {
@@ -51,7 +53,7 @@
 	h.config.Update(follow.Copy{Revision: 1, Objects: []store.Object{{Name: platform.ConfigName, Value: value}}})
 }
 
-func TestWrongOptionsNameTheRemedy(t *testing.T) {
+func TestInvalidOptionsNameRemedy(t *testing.T) {
 	for remedy, change := range map[string]func(*Options){
 		"pass both":                    func(o *Options) { o.Log = nil },
 		"share of prefill in the work": func(o *Options) { o.PrefillShare = 1 },
@@ -65,37 +67,37 @@
 	}
 }
 
-func TestHostIsReadyOnceItKnowsRoutesAndRunners(t *testing.T) {
+func TestHostIsReadyWithConfigAndRunnerList(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
 	is.True(!h.isReady())
-	configure(t, h)
+	applyConfig(t, h)
 	is.True(!h.isReady())
-	is.True(h.listed.Adopt(follow.Copy{Revision: 2}, "peer"))
+	is.True(h.instanceMirror.Adopt(follow.Copy{Revision: 2}, "peer"))
 	is.True(h.isReady())
 }
 
-func TestSharedLimitsAreDividedByTheHosts(t *testing.T) {
+func TestSharedLimitsAreDividedAmongHosts(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
-	is.Equal(h.members.Hosts(), assumedHosts)                  // as if the fleet were large, until the list is read
+	is.Equal(h.members.Hosts(), assumedHosts)                  // a large fleet is assumed until the list is read
 	is.Equal(h.connLimit(platformtest.ServicePlain), minConns) // no configuration yet
-	configure(t, h)
+	applyConfig(t, h)
 	var hosts []state.Peer
 	for i := range 10 {
 		hosts = append(hosts, state.Peer{Addr: fmt.Sprintf("127.0.0.%d:17660", i)})
 	}
 	h.members.listed.Store(&hosts)
-	is.Equal(h.connLimit(platformtest.ServicePlain), 24) // of 300, with a fifth left free
+	is.Equal(h.connLimit(platformtest.ServicePlain), 24) // 300 divided by 10 hosts, less the reserved fifth
 	is.Equal(h.connLimit("unknown"), minConns)
 	total := h.retrySlack() * float64(len(hosts))
-	is.True(total < h.s.Bounds.RetrySlack)
+	is.True(total < h.settings.Bounds.RetrySlack)
 }
 
-// A host counts as in touch with the store again 3 s after a cut. A watch that waits
-// through a cut is sent its changes again 0.2, 0.6, 1.4, 3.0 and 6.2 s after they were
-// lost, so that cuts longer than 3 s must be noticed by silence.
-func TestCutFromTheStoreIsNoticedInTime(t *testing.T) {
+// The bounds apply to a host again 3 s after a partition from the store. The kernel retransmits
+// the changes for a watch that waits during a partition 0.2, 0.6, 1.4, 3.0 and 6.2 s after they
+// were lost, so partitions longer than 3 s must be detected by keepalives.
+func TestStoreConnectionLossIsDetectedInTime(t *testing.T) {
 	is := is.New(t)
 	const secondLastRetransmission = 3 * time.Second
 	silence := storeKeepAlive * (1 + storeKeepAliveCount)
@@ -104,9 +106,9 @@
 	is.Equal(storeKeepAlive%time.Second, time.Duration(0)) // the kernel rounds up
 }
 
-// A store that is silent for some seconds may forget waiting watches without a sign: they
-// end by themselves before the bounds apply again, at any size of the bounds.
-func TestForgottenWatchEndsBeforeTheBoundsApply(t *testing.T) {
+// A store that doesn't answer for some seconds may drop waiting watches without closing their
+// connections: such watches must time out before the bounds apply again, whatever the bounds.
+func TestDroppedWatchEndsBeforeBoundsApply(t *testing.T) {
 	for name, b := range map[string]platform.Bounds{
 		"small":   {Contact: 3 * time.Second, Drain: 2 * time.Second, ConfigInForce: 2 * time.Second},
 		"grown":   {Contact: 4 * time.Second, Drain: 3 * time.Second, ConfigInForce: 3 * time.Second},
@@ -116,32 +118,32 @@
 		t.Run(name, func(t *testing.T) {
 			is := is.New(t)
 			h := newHost(t)
-			h.s.Bounds = b
-			is.True(h.boundWatch() >= leastWatch)
-			is.True(h.boundWatch()+storeTimeout+gatherInstances < b.Contact+min(b.Drain, b.ConfigInForce))
+			h.settings.Bounds = b
+			is.True(h.boundedWatchWait() >= minWatchWait)
+			is.True(h.boundedWatchWait()+storeTimeout+instancesCoalesceDelay < b.Contact+min(b.Drain, b.ConfigInForce))
 		})
 	}
 }
 
-func TestFewHostsLookForTheLeaseOften(t *testing.T) {
+func TestFewHostsPollLeaseFrequently(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
-	is.Equal(h.lookEvery(), lookSeldom) // the list of hosts isn't read yet
-	alone := []state.Peer{{Addr: h.members.addr(h.s.IP)}}
+	is.Equal(h.leasePollInterval(), infrequentPollInterval) // the list of hosts hasn't been read yet
+	alone := []state.Peer{{Addr: h.members.addr(h.settings.IP)}}
 	h.members.listed.Store(&alone)
-	is.Equal(h.lookEvery(), lookOften) // whether or not the settings name it as a seed
+	is.Equal(h.leasePollInterval(), frequentPollInterval) // whether or not the settings list it as a seed
 	many := slices.Clone(alone)
-	for i := range lookers {
+	for i := range frequentPollers {
 		many = append(many, state.Peer{Addr: fmt.Sprint("stronger-", i), Class: 1})
 	}
 	h.members.listed.Store(&many)
-	is.Equal(h.lookEvery(), lookSeldom)
+	is.Equal(h.leasePollInterval(), infrequentPollInterval)
 }
 
 func TestPeersAreTheSeedsUntilTheListIsRead(t *testing.T) {
 	is := is.New(t)
 	h := newHost(t)
-	is.Equal(h.members.Peers(), []string{"127.0.0.8:17660"}) // never itself
+	is.Equal(h.members.Peers(), []string{"127.0.0.8:17660"}) // without the host itself
 	h.Reload(platform.Settings{Seeds: []string{"127.0.0.7:1"}})
 	is.Equal(h.members.Peers(), []string{"127.0.0.7:17660"})
 	listed := []state.Peer{{Addr: "127.0.0.9:17660"}, {Addr: "127.0.0.5:17660"}}
@@ -149,11 +151,11 @@
 	is.Equal(h.members.Peers(), []string{"127.0.0.5:17660"})
 }
 
-func TestStrongerHostsAreOfAHigherClass(t *testing.T) {
+func TestCapacityClassGrowsWithResources(t *testing.T) {
 	is := is.New(t)
 	small := platform.Limits{Cores: 0.192, LinkBits: 10e6}
 	big := platform.Limits{Cores: 0.8, LinkBits: 200e6}
-	is.True(classOf(big) > classOf(small))
-	is.Equal(classOf(small), classOf(platform.Limits{Cores: 0.2, LinkBits: 12e6})) // small differences don't count
-	is.Equal(classOf(platform.Limits{}), 0)                                        // nothing is known
+	is.True(capacityClass(big) > capacityClass(small))
+	is.Equal(capacityClass(small), capacityClass(platform.Limits{Cores: 0.2, LinkBits: 12e6})) // small differences don't change the class
+	is.Equal(capacityClass(platform.Limits{}), 0)                                              // limits unknown
 }
--- a/daemon/routed/keys.go
+++ b/daemon/routed/keys.go
@@ -9,43 +9,46 @@
 	"github.com/thymerack/thymerack/coordination/auth"
 )
 
-// buildKeys makes what knows whose key a caller shows.
+// buildKeys creates the checker that maps a caller's key to its customer.
 func (h *Host) buildKeys() error {
 	var err error
 	h.keys, err = auth.New(auth.Options{
-		Clock: h.clock, Log: h.log, Table: h.config.Table, ProvenAt: h.configProven, Prove: h.askConfig, Observer: h.metrics,
-		Strict: h.s.Bounds.Revoke > 0, RevokeWithin: h.s.Bounds.Revoke, InForceWithin: cmp.Or(h.s.Bounds.ConfigInForce, defaultInForce),
+		Clock: h.clock, Log: h.log, Table: h.config.Table, ProvenAt: h.configProvenAt, Prove: h.proveConfig, Observer: h.metrics,
+		Strict: h.settings.Bounds.Revoke > 0, RevokeWithin: h.settings.Bounds.Revoke, InForceWithin: cmp.Or(h.settings.Bounds.ConfigInForce, defaultConfigBound),
 	})
 	return err
 }
 
-// errStoreLost says that the store isn't asked, since others ask it already.
-var errStoreLost = errors.New("the store is lost to this host and its relays, which ask it until it answers")
+// errStoreUnavailable is returned instead of calling an unavailable store: the hosts that follow
+// the store already poll it.
+var errStoreUnavailable = errors.New("the store is unavailable to this host and its relays, which poll it until it answers")
 
-// askConfig asks the store for a newer configuration, but for one that doesn't answer: whoever
-// follows it asks it again each second, and that each host does so too would cost a call each.
-func (h *Host) askConfig(ctx context.Context) error {
-	if h.configs.Lost() {
-		return errStoreLost
+// proveConfig checks with the store that the configuration is the newest. It returns
+// errStoreUnavailable if the store doesn't answer: the hosts that follow the store retry each
+// second, and a retry of every host would add one call per host.
+func (h *Host) proveConfig(ctx context.Context) error {
+	if h.configMirror.Lost() {
+		return errStoreUnavailable
 	}
-	return h.configs.Prove(ctx)
+	return h.configMirror.Prove(ctx)
 }
 
-// configProven is when the configuration in force was known to be the newest.
-func (h *Host) configProven() time.Time {
-	proven := h.configs.ProvenAt()
+// configProvenAt returns the last time at which the configuration in force was known to be the
+// newest, or the zero time if the newest one can't be decoded.
+func (h *Host) configProvenAt() time.Time {
+	proven := h.configMirror.ProvenAt()
 	if h.config.Unreadable() {
 		return time.Time{}
 	}
 	return proven
 }
 
-// provingWatch is how long a watch for configurations waits. Where revocations are strict the
-// age of the last answered question bounds which keys may be served: a fifth of that bound
-// leaves room for two relays in a row that are lost.
-func (h *Host) provingWatch() time.Duration {
-	if h.s.Bounds.Revoke <= 0 {
-		return h.boundWatch()
+// proofWatchWait returns how long a watch for configurations waits. If revocations are strict, keys
+// are accepted only while the last answered watch is younger than a bound: a fifth of that bound
+// tolerates the loss of two relays in a row.
+func (h *Host) proofWatchWait() time.Duration {
+	if h.settings.Bounds.Revoke <= 0 {
+		return h.boundedWatchWait()
 	}
-	return min(h.boundWatch(), h.s.Bounds.Revoke/5)
+	return min(h.boundedWatchWait(), h.settings.Bounds.Revoke/5)
 }
--- a/daemon/routed/listen.go
+++ b/daemon/routed/listen.go
@@ -10,11 +10,12 @@
 	"github.com/valyala/fasthttp"
 )
 
-// listeners are a host's open ports.
+// listeners holds the listeners of a host's ports; metrics is nil if they aren't served.
 type listeners struct {
 	callers, ready, peers, metrics net.Listener
 }
 
+// listen opens all ports of the host, or none if one of them fails.
 func (h *Host) listen() (*listeners, error) {
 	l := &listeners{}
 	ports := []struct {
@@ -22,16 +23,16 @@
 		addr string
 		use  string
 	}{
-		{&l.callers, h.s.CallerAddr, "callers"},
-		{&l.ready, h.s.ReadyAddr, "readiness checks"},
-		{&l.peers, net.JoinHostPort(h.s.IP, strconv.Itoa(h.s.PeerPort)), "peers"},
+		{&l.callers, h.settings.CallerAddr, "callers"},
+		{&l.ready, h.settings.ReadyAddr, "readiness checks"},
+		{&l.peers, net.JoinHostPort(h.settings.IP, strconv.Itoa(h.settings.PeerPort)), "peers"},
 	}
-	if h.o.MetricsPort > 0 {
+	if h.options.MetricsPort > 0 {
 		ports = append(ports, struct {
 			into *net.Listener
 			addr string
 			use  string
-		}{&l.metrics, net.JoinHostPort(h.s.IP, strconv.Itoa(h.o.MetricsPort)), "metrics"})
+		}{&l.metrics, net.JoinHostPort(h.settings.IP, strconv.Itoa(h.options.MetricsPort)), "metrics"})
 	}
 	for _, p := range ports {
 		ln, err := net.Listen("tcp4", p.addr)
@@ -52,8 +53,8 @@
 	}
 }
 
-// serve answers all ports, each in a goroutine that ends with its listener; that of
-// peers ends with serving.
+// serve serves all ports, each in a goroutine that ends when its listener is closed; that of
+// peers ends when the serving context is done.
 func (h *Host) serve(serving context.Context, l *listeners) {
 	run := func(use string, serve func() error) {
 		go func() {
@@ -70,7 +71,7 @@
 	}
 }
 
-// readiness answers the balancer's checks.
+// readiness answers the readiness checks of the load balancer: 200 if ready, 503 otherwise.
 type readiness struct {
 	server  *fasthttp.Server
 	leaving atomic.Bool
@@ -91,4 +92,4 @@
 	return r
 }
 
-func (r *readiness) leave() { r.leaving.Store(true) }
+func (r *readiness) setLeaving() { r.leaving.Store(true) }
--- a/daemon/routed/measures_test.go
+++ b/daemon/routed/metrics_test.go
@@ -13,11 +13,11 @@
 	"github.com/thymerack/thymerack/transport/measure"
 )
 
-// Long prompts and short questions of one service differ in their routes' kind and
-// rank, and have a histogram each.
-func TestAnswersAreMeasuredByClass(t *testing.T) {
+// Long prompts and short questions of one service use routes of different kind or priority, and
+// each class has its own histogram.
+func TestAnswerMetricsByClass(t *testing.T) {
 	is := is.New(t)
-	m := newMeasures()
+	m := newHostMetrics()
 	request := func(priority int) *forward.Request {
 		return &forward.Request{Service: "llm", Route: &state.Route{Kind: state.RouteStream, Priority: priority}}
 	}
@@ -27,7 +27,7 @@
 	m.Answered(urgent, 503, time.Millisecond)
 	m.Answered(question, 200, 3*time.Second)
 	m.PrefillDone("llm", 500*time.Millisecond, time.Second)
-	m.PrefillDone("llm", 0, time.Second) // nothing was predicted
+	m.PrefillDone("llm", 0, time.Second) // no prediction, not counted
 	var out strings.Builder
 	m.set.WritePrometheus(&out)
 	for _, line := range []string{
@@ -39,24 +39,24 @@
 		`thymerack_reading_ratio_sum{service="llm"} 2`,
 		`thymerack_reading_ratio_count{service="llm"} 1`,
 	} {
-		is.True(strings.Contains(out.String(), line+"\n")) // the class's measure
+		is.True(strings.Contains(out.String(), line+"\n")) // the metric of the class
 	}
 }
 
-// Each customer has a histogram of its own, up to a bound that holds for 1,700 of them.
-func TestAnswersAreMeasuredByCustomer(t *testing.T) {
+// Each customer has its own histogram up to a maximum number, tested with 1,700 customers.
+func TestAnswerMetricsByCustomer(t *testing.T) {
 	is := is.New(t)
-	m := newMeasures()
+	m := newHostMetrics()
 	route := &state.Route{Kind: state.RouteSafe}
 	for i := range 1700 {
 		r := &forward.Request{Service: "app", Route: route, Customer: &state.Customer{Name: fmt.Sprint("c", i)}}
 		m.Answered(r, 200, 10*time.Millisecond)
 		m.Answered(r, 200, 10*time.Millisecond)
 	}
-	m.Answered(&forward.Request{Service: "app", Route: route}, 200, time.Millisecond) // of a public route
+	m.Answered(&forward.Request{Service: "app", Route: route}, 200, time.Millisecond) // a public route has no customer
 	var out strings.Builder
 	m.set.WritePrometheus(&out)
 	is.True(strings.Contains(out.String(), `thymerack_customer_answer_seconds_count{customer="c0"} 2`+"\n"))
-	is.True(strings.Contains(out.String(), fmt.Sprintf("thymerack_customer_answer_seconds_count{customer=%q} %d\n", measure.OtherCustomer, 2*(1700-mostCustomers))))
-	is.Equal(strings.Count(out.String(), "thymerack_customer_answer_seconds_count"), mostCustomers+1)
+	is.True(strings.Contains(out.String(), fmt.Sprintf("thymerack_customer_answer_seconds_count{customer=%q} %d\n", measure.OtherCustomer, 2*(1700-maxCustomerHistograms))))
+	is.Equal(strings.Count(out.String(), "thymerack_customer_answer_seconds_count"), maxCustomerHistograms+1)
 }
--- a/daemon/routed/peers.go
+++ b/daemon/routed/peers.go
@@ -24,26 +24,26 @@
 	"github.com/thymerack/thymerack/transport/roles"
 )
 
-// buildPeers makes the calls between hosts. Hosts know each other by their entries
-// in the store; the settings have no key for them to share.
+// buildPeers creates the components for calls between hosts. Hosts identify each other by their
+// entries in the store; the settings provide no shared key.
 func (h *Host) buildPeers() error {
 	var err error
 	h.peers, err = peer.NewClient(peer.ClientOptions{
 		Self: h.id, MaxBodyBytes: relay.MaxBodyBytes, Log: h.log,
-		DialTimeout: peerDialTimeout, GreetTimeout: peerDialTimeout, SilenceTimeout: peerSilence,
+		DialTimeout: peerDialTimeout, GreetTimeout: peerDialTimeout, SilenceTimeout: peerSilenceTimeout,
 	})
 	if err != nil {
 		return err
 	}
 	h.peerServer, err = peer.NewServer(peer.ServerOptions{
-		Self: h.id, MaxBodyBytes: relay.MaxBodyBytes, Log: h.log, GreetTimeout: peerDialTimeout, SilenceTimeout: peerSilence,
+		Self: h.id, MaxBodyBytes: relay.MaxBodyBytes, Log: h.log, GreetTimeout: peerDialTimeout, SilenceTimeout: peerSilenceTimeout,
 	})
 	if err != nil {
 		return err
 	}
 	h.fanout, err = fanout.New(fanout.Options{
-		Self: h.members.self(), RunID: h.id.String(), Hosts: h.members.All, Peers: relay.Peers{Client: h.peers}, Clock: h.clock, Rand: newRand(), Log: h.log, FetchWait: h.relayWait(),
-		Copies: map[string]*follow.Mirror{platform.KindConfig: h.configs, platform.KindInstances: h.listed, kindHosts: h.members.copy, quarantine.Kind: h.held},
+		Self: h.members.self(), RunID: h.id.String(), Hosts: h.members.All, Peers: relay.Peers{Client: h.peers}, Clock: h.clock, Rand: newRand(), Log: h.log, FetchWait: h.relayFetchWait(),
+		Copies: map[string]*follow.Mirror{platform.KindConfig: h.configMirror, platform.KindInstances: h.instanceMirror, kindHosts: h.members.mirror, quarantine.Kind: h.heldMirror},
 	})
 	if err != nil {
 		return err
@@ -51,7 +51,7 @@
 	relay.Register(h.peerServer, h.fanout)
 	pingers := pings.Peers{Client: h.peers}
 	pings.Register(h.peerServer, pingers)
-	h.looker, err = liveness.New(liveness.Options{
+	h.monitor, err = liveness.New(liveness.Options{
 		Self: h.members.self(), Hosts: func() []liveness.Entry { return *h.members.entries.Load() },
 		Monitors: h.fanout.Monitors, LastContact: h.fanout.LastFetchFrom, Peers: pingers, Remove: h.members.remove, Clock: h.clock, Log: h.log,
 	})
@@ -61,35 +61,37 @@
 	return h.buildGate()
 }
 
-// relayWait is how long a question waits at a relay: a quarter of the shortest time in
+// relayFetchWait returns how long a fetch waits at a relay: a quarter of the shortest time within
 // which a change must be in force.
-func (h *Host) relayWait() time.Duration { return h.shortestBound() / 4 }
+func (h *Host) relayFetchWait() time.Duration { return h.shortestBound() / 4 }
 
+// newRand returns a randomly seeded generator.
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())) }
 
+// buildGate creates the gate that requests admission from the owners of engines.
 func (h *Host) buildGate() error {
-	book := occupancy.NewTracker(h.clock, h.log)
+	tracker := occupancy.NewTracker(h.clock, h.log)
 	roles.Subscribe(h.fanout, h.fleet.ExpectRole, h.log)
 	advices.Subscribe(h.fanout, h.advice.HandleNotice, h.log)
 	var err error
 	h.gate, err = occupancy.NewGate(occupancy.GateOptions{
-		Tracker: book, Peers: occupancies.Peers{Client: h.peers}, Self: h.members.addr(h.s.IP), Hosts: h.members.All,
+		Tracker: tracker, Peers: occupancies.Peers{Client: h.peers}, Self: h.members.addr(h.settings.IP), Hosts: h.members.All,
 		Clock: h.clock, Log: h.log,
 	})
 	if err != nil {
 		return err
 	}
-	occupancies.Register(h.peerServer, book, h.gate)
+	occupancies.Register(h.peerServer, tracker, h.gate)
 	return h.buildOutliers()
 }
 
-// buildOutliers has silent runners told to all hosts.
+// buildOutliers creates the detector of silent runners, whose verdicts are broadcast to all hosts.
 func (h *Host) buildOutliers() error {
 	ctx, cancel := context.WithCancel(context.Background())
-	h.ended = cancel
+	h.stopDetectors = cancel
 	var err error
 	h.outliers, err = outlier.New(ctx, outlier.Options{
-		Self: h.members.addr(h.s.IP), Owner: h.gate.Owner, Peers: outliers.Peers{Client: h.peers}, Clock: h.clock, Log: h.log,
+		Self: h.members.addr(h.settings.IP), Owner: h.gate.Owner, Peers: outliers.Peers{Client: h.peers}, Clock: h.clock, Log: h.log,
 		Siblings: h.fleet.ServiceSize,
 		Alive: func(ctx context.Context, id state.InstanceID) bool {
 			r := h.fleet.Runner(id)
@@ -97,7 +99,7 @@
 		},
 		Publish: func(v outlier.Verdict) {
 			if err := outliers.Publish(ctx, h.fanout, v); err != nil {
-				h.log.Error("silent runner not told", "instance", v.Instance, "cause", err.Error())
+				h.log.Error("verdict on silent runner not broadcast", "instance", v.Instance, "cause", err.Error())
 			}
 		},
 	})
@@ -105,18 +107,18 @@
 		return err
 	}
 	outliers.Register(h.peerServer, h.outliers.HandleReport)
-	outliers.Subscribe(h.fanout, h.judge, h.log)
+	outliers.Subscribe(h.fanout, h.applyVerdict, h.log)
 	return h.buildQuarantine(ctx)
 }
 
-// buildQuarantine keeps requests that crash runners from them, until ctx ends.
+// buildQuarantine creates the quarantine that blocks requests that crash runners, until ctx ends.
 func (h *Host) buildQuarantine(ctx context.Context) error {
 	var err error
 	h.quarantine, err = quarantine.New(quarantine.Options{
-		Host: h.s.Host, Table: quarantine.NewTable(h.clock), Store: h.store, FollowsStore: h.fanout.FollowsStore, Clock: h.clock, Log: h.log,
+		Host: h.settings.Host, Table: quarantine.NewTable(h.clock), Store: h.store, FollowsStore: h.fanout.FollowsStore, Clock: h.clock, Log: h.log,
 		Publish: func(n quarantine.Notice) {
 			if err := quarantines.Publish(ctx, h.fanout, n); err != nil {
-				h.log.Error("crashes not told", "crashes", len(n.Crashes), "held", len(n.Held), "cause", err.Error())
+				h.log.Error("crashes not broadcast", "crashes", len(n.Crashes), "held", len(n.Held), "cause", err.Error())
 			}
 		},
 	})
@@ -127,7 +129,7 @@
 	return h.buildCrashes(ctx)
 }
 
-// buildCrashes notes the runners that crash, until ctx ends.
+// buildCrashes creates the detector of crashed runners, which runs until ctx ends.
 func (h *Host) buildCrashes(ctx context.Context) error {
 	var err error
 	h.crashes, err = crash.New(ctx, crash.Options{
@@ -135,7 +137,7 @@
 		Listed:   func(i *state.Instance) bool { return h.fleet.Accepts(i.ID) },
 		Replaced: h.fleet.Replaced,
 		OnCrash: func(r crash.Report) {
-			h.metrics.crashed(r)
+			h.metrics.countCrash(r)
 			h.quarantine.ReportCrash(r.Instance.ID, h.clock.Now(), r.Suspects)
 		},
 		Clock: h.clock, Log: h.log,
@@ -143,8 +145,8 @@
 	return err
 }
 
-// judge takes the word of the hosts on a runner.
-func (h *Host) judge(v outlier.Verdict) {
+// applyVerdict applies the fleet's verdict on whether a runner is silent.
+func (h *Host) applyVerdict(v outlier.Verdict) {
 	if v.Silent {
 		h.fleet.ApplyReport(v.Instance, v.TTL)
 		return
--- /dev/null
+++ b/daemon/routed/retries.go
@@ -0,0 +1,29 @@
+package routed
+
+import "github.com/thymerack/thymerack/coordination/retry"
+
+// newRetryLimiter returns a limiter for this host's share of the retries that all hosts together
+// may send.
+func (h *Host) newRetryLimiter() (*retry.Limiter, error) {
+	share := limitShare * h.settings.Bounds.RetryRatio
+	steady, err := retry.NewBudget(retry.BudgetOptions{
+		Clock: h.clock, Share: func(string) float64 { return share }, DefaultShare: share,
+		Slack: h.retrySlack, SlackWindow: h.settings.Bounds.RetryWindow,
+	})
+	if err != nil {
+		return nil, err
+	}
+	window, err := retry.NewWindowBudget(retry.WindowOptions{
+		Clock: h.clock, Window: h.settings.Bounds.RetryWindow, Share: moveShare * share, Slack: func() float64 { return moveShare * h.retrySlack() },
+	})
+	if err != nil {
+		return nil, err
+	}
+	return retry.NewLimiter(steady, window), nil
+}
+
+// retrySlack returns this host's share of the retries per window that all hosts together may send
+// independently of their traffic.
+func (h *Host) retrySlack() float64 {
+	return limitShare * h.settings.Bounds.RetrySlack / float64(h.members.Hosts())
+}
--- a/daemon/routed/run.go
+++ b/daemon/routed/run.go
@@ -10,41 +10,42 @@
 	"github.com/thymerack/thymerack/transport/wallclock"
 )
 
-// Run serves until stop ends, then leaves: unready at once, every request
-// answered, ended before the grace is over.
+// Run serves until stop is done, then shuts down gracefully: the host is unready at once, answers
+// every request and returns before the grace period ends. It returns an error if a port can't be
+// opened.
 func (h *Host) Run(stop context.Context) error {
-	debug.SetMemoryLimit(int64(memoryShare * float64(h.s.Limits.MemoryBytes)))
+	debug.SetMemoryLimit(int64(memoryShare * float64(h.settings.Limits.MemoryBytes)))
 	listeners, err := h.listen()
 	if err != nil {
 		return err
 	}
-	h.log.Info("started", "callers", h.s.CallerAddr, "failure_domain", h.s.FailureDomain, "memory_bytes", h.s.Limits.MemoryBytes)
-	work, end := context.WithCancel(context.Background())
+	h.log.Info("started", "callers", h.settings.CallerAddr, "failure_domain", h.settings.FailureDomain, "memory_bytes", h.settings.Limits.MemoryBytes)
+	workCtx, endWork := context.WithCancel(context.Background())
 	var group conc.WaitGroup
 	group.Go(func() {
-		h.members.Join(work)
-		h.fanout.Run(work)
+		h.members.Join(workCtx)
+		h.fanout.Run(workCtx)
 	})
-	group.Go(func() { h.instances.Run(work) })
-	group.Go(func() { h.members.Run(work) })
-	group.Go(func() { h.looker.Run(work) })
-	group.Go(func() { h.quarantine.Run(work) })
-	group.Go(func() { wallclock.Watch(work) })
+	group.Go(func() { h.instances.Run(workCtx) })
+	group.Go(func() { h.members.Run(workCtx) })
+	group.Go(func() { h.monitor.Run(workCtx) })
+	group.Go(func() { h.quarantine.Run(workCtx) })
+	group.Go(func() { wallclock.Watch(workCtx) })
 	if h.pusher != nil {
-		group.Go(func() { h.pusher.Run(work) })
+		group.Go(func() { h.pusher.Run(workCtx) })
 	}
-	managing, resign := context.WithCancel(work)
+	dutiesCtx, endDuties := context.WithCancel(workCtx)
 	group.Go(func() {
-		if err := h.lessor.Run(managing, h.holdDuties); err != nil {
+		if err := h.lease.Run(dutiesCtx, h.runDuties); err != nil {
 			h.log.Error("duties ended", "cause", err.Error())
 		}
 	})
-	h.serve(work, listeners)
+	h.serve(workCtx, listeners)
 	<-stop.Done()
-	resign()
-	h.leave(work)
-	end()
-	h.ended()
+	endDuties()
+	h.drain(workCtx)
+	endWork()
+	h.stopDetectors()
 	h.peers.Close()
 	listeners.close()
 	group.Wait()
@@ -52,25 +53,25 @@
 	return nil
 }
 
-// leave goes on serving until the balancer has turned away and every request is
-// answered.
-func (h *Host) leave(work context.Context) {
-	h.log.Info("leaving", "grace", h.s.Bounds.Grace)
-	h.ready.leave()
+// drain keeps serving until the load balancer has stopped sending connections and every request
+// is answered, or until shortly before the end of the grace period.
+func (h *Host) drain(ctx context.Context) {
+	h.log.Info("leaving", "grace", h.settings.Bounds.Grace)
+	h.ready.setLeaving()
 	h.fanout.Leave()
 	began := h.clock.Now()
-	end := h.s.Bounds.Grace - graceMargin
-	h.gateway.Leave(gateway.Departure{TurnedAway: began.Add(turnedAway), End: began.Add(end)})
-	d := departure{
-		clock: h.clock, end: end, active: h.gateway.Active, closeUnused: h.gateway.CloseUnused,
-		last: func() { h.tellLast(work) },
+	end := h.settings.Bounds.Grace - graceMargin
+	h.gateway.Leave(gateway.Departure{TurnedAway: began.Add(balancerRemovalDelay), End: began.Add(end)})
+	d := drainer{
+		clock: h.clock, timeout: end, active: h.gateway.Active, closeUnused: h.gateway.CloseUnused,
+		flush: func() { h.flushUsage(ctx) },
 	}
 	waited := d.wait()
 	h.log.Info("left", "waited", waited, "open", h.gateway.Active())
 }
 
-// tellLast tells the others what this host has counted until its end.
-func (h *Host) tellLast(ctx context.Context) {
+// flushUsage pushes the final usage counts of this host to collectors.
+func (h *Host) flushUsage(ctx context.Context) {
 	if h.pusher == nil {
 		return
 	}
