--- a/coordination/order/acks.go
+++ b/coordination/order/acks.go
@@ -12,11 +12,11 @@
 // host and engine. Statements may come late, twice and out of order.
 type AckTable struct {
 	mu       sync.Mutex
-	acks     map[statementKey]Ack
-	releases map[statementKey]uint64
+	acks     map[ackKey]Ack
+	releases map[ackKey]uint64
 }
 
-type statementKey struct {
+type ackKey struct {
 	host   state.HostID
 	engine string
 }
@@ -25,15 +25,15 @@
 
 // NewAckTable returns an empty table.
 func NewAckTable() *AckTable {
-	return &AckTable{acks: map[statementKey]Ack{}, releases: map[statementKey]uint64{}}
+	return &AckTable{acks: map[ackKey]Ack{}, releases: map[ackKey]uint64{}}
 }
 
-// TakeAck takes over an acknowledgement. A zero is final for its fence: the host
+// AddAck takes over an acknowledgement. A zero is final for its fence: the host
 // gives the engine nothing more under it, so a higher count is an older one.
-func (t *AckTable) TakeAck(a Ack) {
+func (t *AckTable) AddAck(a Ack) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := statementKey{a.Host, a.Engine}
+	k := ackKey{a.Host, a.Engine}
 	known, ok := t.acks[k]
 	if ok && (a.Fence < known.Fence || a.Fence == known.Fence && known.InFlight == 0) {
 		return
@@ -41,16 +41,16 @@
 	t.acks[k] = a
 }
 
-// TakeRelease takes over a release.
-func (t *AckTable) TakeRelease(r Release) {
+// AddRelease takes over a release.
+func (t *AckTable) AddRelease(r Release) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := statementKey{r.Host, r.Engine}
+	k := ackKey{r.Host, r.Engine}
 	t.releases[k] = max(t.releases[k], r.Fence)
 }
 
-// Forget drops what a host has said, once it is gone for good.
-func (t *AckTable) Forget(host state.HostID) {
+// RemoveHost drops what a host has said, once it is gone for good.
+func (t *AckTable) RemoveHost(host state.HostID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for k := range t.acks {
@@ -70,7 +70,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range members {
-		a, ok := t.acks[statementKey{m, engine}]
+		a, ok := t.acks[ackKey{m, engine}]
 		if !ok || a.Fence != fence || a.InFlight != 0 {
 			return false
 		}
@@ -96,5 +96,5 @@
 func (t *AckTable) Released(host state.HostID, engine string, fence uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.releases[statementKey{host, engine}] >= fence
+	return t.releases[ackKey{host, engine}] >= fence
 }
--- a/coordination/order/desk.go
+++ b/coordination/order/desk.go
@@ -11,11 +11,11 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// deskAttempts bounds how often a wish is repeated on a newer version.
-const deskAttempts = 8
+// maxWriteAttempts bounds how often a wish is repeated on a newer version.
+const maxWriteAttempts = 8
 
-// DeskOptions are the parts of a Desk.
-type DeskOptions struct {
+// RequesterOptions are the parts of a Desk.
+type RequesterOptions struct {
 	Store store.Store
 	Clock state.Clock
 	// Rand marks the writes; the Desk alone uses it.
@@ -25,16 +25,16 @@
 	Recorder Recorder
 }
 
-// Desk takes the wishes of operators and of the rebalancer, on any host. Its
+// Requester takes the wishes of operators and of the rebalancer, on any host. Its
 // methods may be called concurrently. Besides the errors that they name, they
 // return the store's; after an unknown outcome read the order again.
-type Desk struct {
-	objects  *objects
+type Requester struct {
+	objects  *orderStore
 	recorder Recorder
 }
 
-// NewDesk validates the options.
-func NewDesk(o DeskOptions) (*Desk, error) {
+// NewRequester validates the options.
+func NewRequester(o RequesterOptions) (*Requester, error) {
 	switch {
 	case o.Store == nil:
 		return nil, &OptionError{"Store", "pass the platform's store"}
@@ -47,12 +47,12 @@
 	case o.Recorder == nil:
 		return nil, &OptionError{"Recorder", "pass a recorder of decisions"}
 	}
-	b := &objects{store: o.Store, clock: o.Clock, host: o.Host, rand: o.Rand}
-	return &Desk{objects: b, recorder: o.Recorder}, nil
+	b := &orderStore{store: o.Store, clock: o.Clock, host: o.Host, rand: o.Rand}
+	return &Requester{objects: b, recorder: o.Recorder}, nil
 }
 
 // Get reads the order of an engine; *NoOrderError if it has none.
-func (d *Desk) Get(ctx context.Context, engine string) (state.Order, error) {
+func (d *Requester) Get(ctx context.Context, engine string) (state.Order, error) {
 	cur, err := d.objects.read(ctx, engine)
 	if errors.Is(err, store.ErrNotFound) {
 		return state.Order{}, &NoOrderError{Engine: engine}
@@ -64,43 +64,43 @@
 // draining. Asking for what is being done, or is done, returns that order. A
 // change to something else that is under way gives a *BusyError; a target that
 // can't be ordered a *TargetError; another service's engine a *WrongServiceError.
-func (d *Desk) Request(ctx context.Context, engine, service string, target state.Target, by, reason string) (state.Order, error) {
+func (d *Requester) Request(ctx context.Context, engine, service string, target state.Target, by, reason string) (state.Order, error) {
 	target.Adapters = slices.Compact(slices.Sorted(slices.Values(target.Adapters)))
 	if err := checkTarget(engine, target); err != nil {
 		return state.Order{}, err
 	}
-	return d.change(ctx, engine, service, "requested", func(o *state.Order) (bool, error) {
+	return d.update(ctx, engine, service, "requested", func(o *state.Order) (bool, error) {
 		if o.Desired.Equal(target) {
 			return false, nil
 		}
 		if o.State == state.OrderDraining || o.State == state.OrderIssued {
-			return false, busy(*o)
+			return false, busyError(*o)
 		}
 		o.State = state.OrderDraining
 		o.Previous, o.Desired = o.Desired, target
 		o.Holder = d.objects.host
-		o.Reason = because(by, reason)
+		o.Reason = formatReason(by, reason)
 		return true, nil
 	})
 }
 
 // Drain keeps new work away from the engine until Undrain. A change under way
 // goes on.
-func (d *Desk) Drain(ctx context.Context, engine, service, by, reason string) (state.Order, error) {
+func (d *Requester) Drain(ctx context.Context, engine, service, by, reason string) (state.Order, error) {
 	return d.setDrained(ctx, engine, service, true, by, reason)
 }
 
 // Undrain gives the engine new work again once no change is under way.
-func (d *Desk) Undrain(ctx context.Context, engine, service, by, reason string) (state.Order, error) {
+func (d *Requester) Undrain(ctx context.Context, engine, service, by, reason string) (state.Order, error) {
 	return d.setDrained(ctx, engine, service, false, by, reason)
 }
 
-func (d *Desk) setDrained(ctx context.Context, engine, service string, drained bool, by, reason string) (state.Order, error) {
+func (d *Requester) setDrained(ctx context.Context, engine, service string, drained bool, by, reason string) (state.Order, error) {
 	chosen := "undrained"
 	if drained {
 		chosen = "drained"
 	}
-	return d.change(ctx, engine, service, chosen, func(o *state.Order) (bool, error) {
+	return d.update(ctx, engine, service, chosen, func(o *state.Order) (bool, error) {
 		if o.Drained == drained {
 			return false, nil
 		}
@@ -108,7 +108,7 @@
 		if o.State != state.OrderDraining && o.State != state.OrderIssued {
 			// The holder of a change under way stays: it alone may send.
 			o.Holder = d.objects.host
-			o.Reason = because(by, reason)
+			o.Reason = formatReason(by, reason)
 		}
 		return true, nil
 	})
@@ -116,14 +116,14 @@
 
 // CallOff ends a change that hasn't been issued; the engine takes work again as
 // what it was. Else it returns a *NotDrainingError or a *NoOrderError.
-func (d *Desk) CallOff(ctx context.Context, engine, by, reason string) (state.Order, error) {
-	return d.change(ctx, engine, "", "called off", func(o *state.Order) (bool, error) {
+func (d *Requester) CallOff(ctx context.Context, engine, by, reason string) (state.Order, error) {
+	return d.update(ctx, engine, "", "called off", func(o *state.Order) (bool, error) {
 		if o.State != state.OrderDraining {
 			return false, &NotDrainingError{Engine: engine, State: o.State}
 		}
 		callOff(o)
 		o.Holder = d.objects.host
-		o.Reason = because(by, reason)
+		o.Reason = formatReason(by, reason)
 		return true, nil
 	})
 }
@@ -134,11 +134,11 @@
 	o.Desired = o.Previous
 }
 
-// change applies edit to the present object until the write meets no other, and
+// update applies edit to the present object until the write meets no other, and
 // returns the object. An empty service takes the object's and creates none.
-func (d *Desk) change(ctx context.Context, engine, service, chosen string, edit func(*state.Order) (bool, error)) (state.Order, error) {
+func (d *Requester) update(ctx context.Context, engine, service, chosen string, edit func(*state.Order) (bool, error)) (state.Order, error) {
 	var err error
-	for range deskAttempts {
+	for range maxWriteAttempts {
 		var o state.Order
 		var wrote bool
 		o, wrote, err = d.attempt(ctx, engine, service, edit)
@@ -153,7 +153,7 @@
 	return state.Order{}, fmt.Errorf("engine %s: other hosts kept changing the order; try again: %w", engine, err)
 }
 
-func (d *Desk) attempt(ctx context.Context, engine, service string, edit func(*state.Order) (bool, error)) (state.Order, bool, error) {
+func (d *Requester) attempt(ctx context.Context, engine, service string, edit func(*state.Order) (bool, error)) (state.Order, bool, error) {
 	cur, err := d.objects.read(ctx, engine)
 	missing := errors.Is(err, store.ErrNotFound)
 	if err != nil && !missing {
@@ -173,7 +173,7 @@
 	if err != nil || !changed {
 		return cur.order, false, err
 	}
-	var done versioned
+	var done versionedOrder
 	if missing {
 		done, err = d.objects.create(ctx, next)
 	} else {
@@ -182,18 +182,18 @@
 	return done.order, err == nil, err
 }
 
-func (d *Desk) record(o state.Order, chosen string) {
+func (d *Requester) record(o state.Order, chosen string) {
 	d.recorder.Record(state.Decision{
 		At: o.ChangedAt, Host: d.objects.host.Name, Kind: state.DecisionOrder,
 		Subject: o.Engine, Chosen: chosen, Why: o.Reason,
 	})
 }
 
-func busy(o state.Order) error {
+func busyError(o state.Order) error {
 	return &BusyError{Engine: o.Engine, Holder: o.Holder, State: o.State, Desired: o.Desired, Reason: o.Reason}
 }
 
-func because(by, reason string) string {
+func formatReason(by, reason string) string {
 	return fmt.Sprintf("%s: %s", by, reason)
 }
 
--- a/coordination/order/desk_test.go
+++ b/coordination/order/desk_test.go
@@ -21,9 +21,9 @@
 
 func (d *decisions) Record(x state.Decision) { *d = append(*d, x) }
 
-func newTestDesk(p *storetest.Platform, name string) (*Desk, *decisions) {
+func newTestDesk(p *storetest.Platform, name string) (*Requester, *decisions) {
 	kept := &decisions{}
-	return must(NewDesk(DeskOptions{
+	return must(NewRequester(RequesterOptions{
 		Store: p.Client(name), Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(1, 1)),
 		Host: state.HostID{Name: name, Incarnation: "1"}, Recorder: kept,
 	})), kept
--- a/coordination/order/fleet_test.go
+++ b/coordination/order/fleet_test.go
@@ -48,7 +48,7 @@
 	id      state.HostID
 	keeper  *snapshot.Keeper
 	acks    *AckTable
-	desk    *Desk
+	desk    *Requester
 	planner *Planner
 	leave   func()
 }
@@ -87,9 +87,9 @@
 	h.keeper.SetListed(listed)
 	must(client.Put(ctx, store.KindMember, h.id.Name, store.Absent, must(json.Marshal(state.Member{ID: h.id}))))
 	watcher := must(NewWatcher(WatcherOptions{Store: client, Clock: clocktest.Bubble{}, Rand: random(1), Sink: h.keeper}))
-	h.desk = must(NewDesk(DeskOptions{Store: client, Clock: clocktest.Bubble{}, Rand: random(2), Host: h.id, Recorder: h}))
+	h.desk = must(NewRequester(RequesterOptions{Store: client, Clock: clocktest.Bubble{}, Rand: random(2), Host: h.id, Recorder: h}))
 	h.planner = must(NewPlanner(PlannerOptions{
-		Store: client, Clock: clocktest.Bubble{}, Rand: random(3), Host: h.id, Service: testService, Book: watcher,
+		Store: client, Clock: clocktest.Bubble{}, Rand: random(3), Host: h.id, Service: testService, Orders: watcher,
 		Acks: h.acks, Members: h, Upstreams: KeeperUpstreams{h.keeper}, Engines: h, Recorder: h,
 	}))
 	lessor := must(lease.New(lease.Options{Store: client, Clock: clocktest.Bubble{}, Rand: random(4), Name: testService, Holder: h.id}))
@@ -122,10 +122,10 @@
 		}
 		for _, to := range h.fleet.hosts {
 			for _, d := range h.keeper.Draining() {
-				to.acks.TakeAck(Ack{Host: h.id, Engine: d.Engine, Fence: d.Fence, InFlight: d.InFlight})
+				to.acks.AddAck(Ack{Host: h.id, Engine: d.Engine, Fence: d.Fence, InFlight: d.InFlight})
 			}
 			for _, r := range h.planner.Releases() {
-				to.acks.TakeRelease(r)
+				to.acks.AddRelease(r)
 			}
 		}
 	}
--- a/coordination/order/interfaces.go
+++ b/coordination/order/interfaces.go
@@ -56,8 +56,8 @@
 	Record(state.Decision)
 }
 
-// Book holds the order objects as last seen by a watch.
-type Book interface {
+// Lister holds the order objects as last seen by a watch.
+type Lister interface {
 	// Orders returns the known orders, sorted by engine.
 	Orders() []state.Order
 }
--- a/coordination/order/object.go
+++ b/coordination/order/object.go
@@ -13,14 +13,14 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// versioned is an order object as read or written.
-type versioned struct {
+// versionedOrder is an order object as read or written.
+type versionedOrder struct {
 	order   state.Order
 	version uint64
 }
 
-// objects reads and writes order objects on behalf of one host.
-type objects struct {
+// orderStore reads and writes order orderStore on behalf of one host.
+type orderStore struct {
 	store store.Store
 	clock state.Clock
 	host  state.HostID
@@ -32,7 +32,7 @@
 
 // nonce returns a mark that no other write carries: the host's incarnation is
 // unique, and the random part tells the writers of one host apart.
-func (b *objects) nonce() string {
+func (b *orderStore) nonce() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.writes++
@@ -51,22 +51,22 @@
 }
 
 // read returns store.ErrNotFound, a *ValueError or the store's error.
-func (b *objects) read(ctx context.Context, engine string) (versioned, error) {
+func (b *orderStore) read(ctx context.Context, engine string) (versionedOrder, error) {
 	obj, err := b.store.Get(ctx, store.KindOrder, engine)
 	if err != nil {
-		return versioned{}, err
+		return versionedOrder{}, err
 	}
 	o, err := decode(obj)
-	return versioned{order: o, version: obj.Version}, err
+	return versionedOrder{order: o, version: obj.Version}, err
 }
 
 // create writes the first object of an engine. Its fence is above the revision
 // that the platform had after the object was found missing, so it is above every
 // fence of an object of this name that was deleted (I1).
-func (b *objects) create(ctx context.Context, next state.Order) (versioned, error) {
+func (b *orderStore) create(ctx context.Context, next state.Order) (versionedOrder, error) {
 	_, revision, err := b.store.List(ctx, store.KindOrder)
 	if err != nil {
-		return versioned{}, err
+		return versionedOrder{}, err
 	}
 	next.Fence = revision + 1
 	return b.put(ctx, store.Absent, next)
@@ -75,46 +75,46 @@
 // write replaces cur by next with the next fence. The error is a
 // *TransitionError, a *store.ConflictError, or the store's; after an unknown
 // outcome that couldn't be read back the write may still have taken effect.
-func (b *objects) write(ctx context.Context, cur versioned, next state.Order) (versioned, error) {
+func (b *orderStore) write(ctx context.Context, cur versionedOrder, next state.Order) (versionedOrder, error) {
 	next.Fence = cur.order.Fence + 1
 	if err := checkTransition(cur.order, next, b.host); err != nil {
-		return versioned{}, err
+		return versionedOrder{}, err
 	}
 	return b.put(ctx, cur.version, next)
 }
 
-func (b *objects) put(ctx context.Context, version uint64, next state.Order) (versioned, error) {
+func (b *orderStore) put(ctx context.Context, version uint64, next state.Order) (versionedOrder, error) {
 	next.Nonce = b.nonce()
 	next.ChangedAt = b.clock.Now()
 	value, err := json.Marshal(next)
 	if err != nil {
-		return versioned{}, &ValueError{Engine: next.Engine, Cause: err}
+		return versionedOrder{}, &ValueError{Engine: next.Engine, Cause: err}
 	}
 	v, err := b.store.Put(ctx, store.KindOrder, next.Engine, version, value)
 	if store.IsUnknownOutcome(err) {
 		return b.readBack(ctx, next, version, err)
 	}
 	if err != nil {
-		return versioned{}, err
+		return versionedOrder{}, err
 	}
-	return versioned{order: next, version: v}, nil
+	return versionedOrder{order: next, version: v}, nil
 }
 
 // readBack finds out what became of a write whose answer was lost.
-func (b *objects) readBack(ctx context.Context, wrote state.Order, version uint64, cause error) (versioned, error) {
+func (b *orderStore) readBack(ctx context.Context, wrote state.Order, version uint64, cause error) (versionedOrder, error) {
 	found, err := b.read(ctx, wrote.Engine)
 	if err == nil && found.order.Nonce == wrote.Nonce {
 		return found, nil
 	}
 	if err != nil && !errors.Is(err, store.ErrNotFound) {
-		return versioned{}, cause
+		return versionedOrder{}, cause
 	}
 	if found.version == version {
 		// Not written so far; it may still arrive, and then fails or counts as
 		// this host's own.
-		return versioned{}, cause
+		return versionedOrder{}, cause
 	}
-	return versioned{}, &store.ConflictError{
+	return versionedOrder{}, &store.ConflictError{
 		Kind: store.KindOrder, Name: wrote.Engine, Expected: version, Actual: found.version,
 	}
 }
--- a/coordination/order/planner.go
+++ b/coordination/order/planner.go
@@ -13,13 +13,13 @@
 
 // The settings that a zero option takes.
 const (
-	DefaultPollEvery    = 500 * time.Millisecond
-	DefaultShowEvery    = 5 * time.Second
-	DefaultDrainTimeout = 30 * time.Second
-	DefaultGoneAfter    = state.MaxDeadline
-	DefaultLinger       = 30 * time.Second
-	DefaultResendEvery  = 5 * time.Second
-	DefaultStepTimeout  = 10 * time.Second
+	DefaultPollEvery        = 500 * time.Millisecond
+	DefaultShowEvery        = 5 * time.Second
+	DefaultDrainTimeout     = 30 * time.Second
+	DefaultGoneAfter        = state.MaxDeadline
+	DefaultMaxDeliveryDelay = 30 * time.Second
+	DefaultResendEvery      = 5 * time.Second
+	DefaultStepTimeout      = 10 * time.Second
 )
 
 // PlannerOptions are the parts and settings of a Planner.
@@ -31,7 +31,7 @@
 	// Host is this host; Service is the service whose engines are driven.
 	Host      state.HostID
 	Service   string
-	Book      Book
+	Orders    Lister
 	Acks      Acks
 	Members   Members
 	Upstreams Upstreams
@@ -54,10 +54,10 @@
 	// gone: at least the longest deadline of a request, and longer than any pause
 	// after which a host still sends something.
 	GoneAfter time.Duration
-	// Linger is how long an order whose outcome is unknown may take to arrive: the
+	// MaxDeliveryDelay is how long an order whose outcome is unknown may take to arrive: the
 	// transport's TCP_USER_TIMEOUT and the longest pause of an engine that shows
 	// its state again.
-	Linger time.Duration
+	MaxDeliveryDelay time.Duration
 	// ResendEvery is the time after which an order that has shown no effect is
 	// given again.
 	ResendEvery time.Duration
@@ -75,7 +75,7 @@
 		{o.Rand == nil, "Rand", "pass a seeded random source"},
 		{o.Host.Zero(), "Host", "pass this host's id"},
 		{o.Service == "", "Service", "name the service to plan for"},
-		{o.Book == nil, "Book", "pass the host's watcher"},
+		{o.Orders == nil, "Book", "pass the host's watcher"},
 		{o.Acks == nil, "Acks", "pass the table of acknowledgements"},
 		{o.Members == nil, "Members", "pass the membership"},
 		{o.Upstreams == nil, "Upstreams", "pass the host's view of upstreams"},
@@ -100,7 +100,7 @@
 		{"ShowEvery", &o.ShowEvery, DefaultShowEvery},
 		{"DrainTimeout", &o.DrainTimeout, DefaultDrainTimeout},
 		{"GoneAfter", &o.GoneAfter, DefaultGoneAfter},
-		{"Linger", &o.Linger, DefaultLinger},
+		{"Linger", &o.MaxDeliveryDelay, DefaultMaxDeliveryDelay},
 		{"ResendEvery", &o.ResendEvery, DefaultResendEvery},
 		{"StepTimeout", &o.StepTimeout, DefaultStepTimeout},
 	}
@@ -112,7 +112,7 @@
 			*d.value = d.standard
 		}
 	}
-	if o.GoneAfter < o.Linger {
+	if o.GoneAfter < o.MaxDeliveryDelay {
 		return &OptionError{"GoneAfter", "use at least Linger: a host that is gone must have no order on its way"}
 	}
 	return nil
@@ -123,22 +123,22 @@
 // Releases must go on being told after Run has returned.
 type Planner struct {
 	opts    PlannerOptions
-	objects *objects
+	objects *orderStore
 	sends   *sends
-	// weaken is set by tests only, to show that they find a missing mechanism.
-	weaken weakening
+	// mutation is set by tests only, to show that they find a missing mechanism.
+	mutation plannerMutation
 }
 
-// weakening takes mechanisms away.
-type weakening struct {
-	sendWithoutWrite bool // an order is sent although its write failed
-	ignoreAcks       bool // issued is written without acknowledgements
-	ignoreReleases   bool // settled is written while another holder may still send
-	ignoreLinger     bool // settled is written while an own order may still arrive
-	ignoreShownFence bool // settled is written before the engine has the fence
-	trustLostAnswer  bool // a write with unknown outcome counts as done
-	releaseWhileBusy bool // a release is told in the middle of a step
-	sendAfterFailure bool // an order is repeated although a write over it may still arrive
+// plannerMutation takes mechanisms away.
+type plannerMutation struct {
+	sendWithoutWrite    bool // an order is sent although its write failed
+	ignoreAcks          bool // issued is written without acknowledgements
+	ignoreReleases      bool // settled is written while another holder may still send
+	ignoreDeliveryDelay bool // settled is written while an own order may still arrive
+	ignoreShownFence    bool // settled is written before the engine has the fence
+	trustLostAnswer     bool // a write with unknown outcome counts as done
+	releaseWhileBusy    bool // a release is told in the middle of a step
+	sendAfterFailure    bool // an order is repeated although a write over it may still arrive
 }
 
 // NewPlanner validates the options.
@@ -149,7 +149,7 @@
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
 	}
-	b := &objects{store: o.Store, clock: o.Clock, host: o.Host, rand: o.Rand}
+	b := &orderStore{store: o.Store, clock: o.Clock, host: o.Host, rand: o.Rand}
 	return &Planner{opts: o, objects: b, sends: newSends()}, nil
 }
 
@@ -158,14 +158,14 @@
 func (p *Planner) Releases() []Release {
 	now := p.opts.Clock.Now()
 	var out []Release
-	for _, o := range p.opts.Book.Orders() {
+	for _, o := range p.opts.Orders.Orders() {
 		if o.Service != p.opts.Service || o.State != state.OrderIssued || o.Holder == p.opts.Host {
 			continue
 		}
 		if !slices.Contains(o.IssuedBy, p.opts.Host) {
 			continue
 		}
-		if p.sends.release(o.Engine, o.Fence, now) || p.weaken.releaseWhileBusy {
+		if p.sends.release(o.Engine, o.Fence, now) || p.mutation.releaseWhileBusy {
 			out = append(out, Release{Host: p.opts.Host, Engine: o.Engine, Fence: o.Fence})
 		}
 	}
--- a/coordination/order/proof_test.go
+++ b/coordination/order/proof_test.go
@@ -57,14 +57,14 @@
 		only   profile
 		within int
 	}{
-		{"no CAS before the order", weakness{planner: weakening{sendWithoutWrite: true}}, checking, 500},
-		{"lost answer taken for success", weakness{planner: weakening{trustLostAnswer: true}}, checking, 500},
-		{"no acknowledgement awaited", weakness{planner: weakening{ignoreAcks: true}}, profile{}, 100},
+		{"no CAS before the order", weakness{planner: plannerMutation{sendWithoutWrite: true}}, checking, 500},
+		{"lost answer taken for success", weakness{planner: plannerMutation{trustLostAnswer: true}}, checking, 500},
+		{"no acknowledgement awaited", weakness{planner: plannerMutation{ignoreAcks: true}}, profile{}, 100},
 		{"count after the snapshot", weakness{enterUnchecked: true}, profile{}, 100},
 		{"served before the list", weakness{serveBeforeList: true}, profile{}, 100},
-		{"no wait for releases", weakness{planner: weakening{ignoreReleases: true}}, ignoring, 200},
-		{"release told in mid-step", weakness{planner: weakening{releaseWhileBusy: true}}, ignoring, 200},
-		{"no wait for unanswered orders", weakness{planner: weakening{ignoreLinger: true}}, profile{engine: "ignores", start: lateStart}, 500},
+		{"no wait for releases", weakness{planner: plannerMutation{ignoreReleases: true}}, ignoring, 200},
+		{"release told in mid-step", weakness{planner: plannerMutation{releaseWhileBusy: true}}, ignoring, 200},
+		{"no wait for unanswered orders", weakness{planner: plannerMutation{ignoreDeliveryDelay: true}}, profile{engine: "ignores", start: lateStart}, 500},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			t.Parallel()
--- a/coordination/order/run.go
+++ b/coordination/order/run.go
@@ -10,14 +10,14 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// patience is the share of the time that a change has taken after which it is
+// changeAgeDivisor is the share of the time that a change has taken after which it is
 // looked at again.
-const patience = 20
+const changeAgeDivisor = 20
 
-// agenda is when each engine is to be looked at next.
-type agenda map[string]appointment
+// schedule is when each engine is to be looked at next.
+type schedule map[string]scheduleEntry
 
-type appointment struct {
+type scheduleEntry struct {
 	// fence is the order that was looked at, first seen at since.
 	fence uint64
 	since time.Time
@@ -25,17 +25,17 @@
 }
 
 // due reports whether o is to be looked at now, and makes the next appointment.
-func (a agenda) due(o state.Order, now time.Time, often, seldom time.Duration) bool {
+func (a schedule) due(o state.Order, now time.Time, minInterval, maxInterval time.Duration) bool {
 	e := a[o.Engine]
 	if e.fence != o.Fence {
-		e = appointment{fence: o.Fence, since: now}
+		e = scheduleEntry{fence: o.Fence, since: now}
 	}
 	if now.Before(e.next) {
 		return false
 	}
-	wait := seldom
+	wait := maxInterval
 	if changing(o) {
-		wait = min(seldom, max(often, now.Sub(e.since)/patience))
+		wait = min(maxInterval, max(minInterval, now.Sub(e.since)/changeAgeDivisor))
 	}
 	e.next = now.Add(wait)
 	a[o.Engine] = e
@@ -50,12 +50,12 @@
 // is meant as the work of a lease.Lessor.
 func (p *Planner) Run(ctx context.Context) error {
 	var g conc.WaitGroup
-	next := agenda{}
+	next := schedule{}
 	for ctx.Err() == nil {
 		now := p.opts.Clock.Now()
-		for _, o := range p.opts.Book.Orders() {
+		for _, o := range p.opts.Orders.Orders() {
 			if o.Service == p.opts.Service && next.due(o, now, p.opts.PollEvery, p.opts.ShowEvery) {
-				g.Go(func() { p.look(ctx, o) })
+				g.Go(func() { p.stepIfNeeded(ctx, o) })
 			}
 		}
 		_ = p.opts.Clock.Sleep(ctx, p.opts.PollEvery)
@@ -65,11 +65,11 @@
 	return nil
 }
 
-// look takes a step if o, as last seen by the watch, needs one.
-func (p *Planner) look(ctx context.Context, o state.Order) {
+// stepIfNeeded takes a step if o, as last seen by the watch, needs one.
+func (p *Planner) stepIfNeeded(ctx context.Context, o state.Order) {
 	ctx, cancel := context.WithTimeout(ctx, p.opts.StepTimeout)
 	defer cancel()
-	if !changing(o) && !p.strayed(ctx, o) {
+	if !changing(o) && !p.drifted(ctx, o) {
 		return
 	}
 	if err := p.Step(ctx, o.Engine); err != nil && ctx.Err() == nil {
@@ -77,9 +77,9 @@
 	}
 }
 
-// strayed reports whether an engine at rest shows something else than its order
+// drifted reports whether an engine at rest shows something else than its order
 // says. It spares the platform a read for each engine.
-func (p *Planner) strayed(ctx context.Context, o state.Order) bool {
+func (p *Planner) drifted(ctx context.Context, o state.Order) bool {
 	u, ok := p.opts.Upstreams.Upstream(o.Engine)
 	if !ok || o.Desired.Equal(state.Target{}) {
 		return false
@@ -95,7 +95,7 @@
 func (p *Planner) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.opts.StepTimeout)
 	defer cancel()
-	for _, o := range p.opts.Book.Orders() {
+	for _, o := range p.opts.Orders.Orders() {
 		if o.Service == p.opts.Service && changing(o) {
 			if err := p.HandOver(ctx, o.Engine); err != nil {
 				p.opts.Log.Debug("order not handed over", "engine", o.Engine, "error", err)
--- a/coordination/order/scripted_test.go
+++ b/coordination/order/scripted_test.go
@@ -42,7 +42,7 @@
 		found string
 	}{
 		{"whole", weakness{}, ""},
-		{"settled while another may send", weakness{planner: weakening{ignoreReleases: true}}, noAuthority},
+		{"settled while another may send", weakness{planner: plannerMutation{ignoreReleases: true}}, noAuthority},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			is := is.New(t)
@@ -76,7 +76,7 @@
 		found string
 	}{
 		{"whole", weakness{}, ""},
-		{"settled without the fence", weakness{planner: weakening{ignoreShownFence: true}}, noAuthority},
+		{"settled without the fence", weakness{planner: plannerMutation{ignoreShownFence: true}}, noAuthority},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			is := is.New(t)
@@ -118,8 +118,8 @@
 	}{
 		{true, weakness{}, ""},
 		{false, weakness{}, ""},
-		{true, weakness{planner: weakening{sendAfterFailure: true}}, noAuthority},
-		{false, weakness{planner: weakening{sendAfterFailure: true}}, noAuthority},
+		{true, weakness{planner: plannerMutation{sendAfterFailure: true}}, noAuthority},
+		{false, weakness{planner: plannerMutation{sendAfterFailure: true}}, noAuthority},
 	} {
 		is := is.New(t)
 		r, e, a, _ := scripted(t, m.checks, m.weak)
--- a/coordination/order/step.go
+++ b/coordination/order/step.go
@@ -66,9 +66,9 @@
 // write is the only way to move an object. One that fails may still take effect
 // later, over the same version, and settle or hand over the order: nothing more is
 // sent on the strength of that version (I5).
-func (p *Planner) write(ctx context.Context, cur versioned, next state.Order) (versioned, error) {
+func (p *Planner) write(ctx context.Context, cur versionedOrder, next state.Order) (versionedOrder, error) {
 	done, err := p.objects.write(ctx, cur, next)
-	if err != nil && !p.weaken.sendAfterFailure {
+	if err != nil && !p.mutation.sendAfterFailure {
 		p.sends.raise(cur.order.Engine, cur.order.Fence+1)
 	}
 	return done, err
@@ -77,7 +77,7 @@
 // keep orders an engine again that has settled and shows something else, for
 // example because it has crashed and started anew. It may be serving by now, so
 // it is drained first like for any change.
-func (p *Planner) keep(ctx context.Context, w *engineWork, cur versioned) error {
+func (p *Planner) keep(ctx context.Context, w *engineWork, cur versionedOrder) error {
 	o := cur.order
 	now := p.opts.Clock.Now()
 	if o.Desired.Equal(state.Target{}) || now.Before(w.reorderAfter) {
@@ -104,7 +104,7 @@
 }
 
 // drain issues the change once nothing is in flight, or calls it off.
-func (p *Planner) drain(ctx context.Context, w *engineWork, cur versioned) error {
+func (p *Planner) drain(ctx context.Context, w *engineWork, cur versionedOrder) error {
 	now := p.opts.Clock.Now()
 	if w.drainFence != cur.order.Fence {
 		w.drainFence, w.drainSince = cur.order.Fence, now
@@ -143,7 +143,7 @@
 	if err != nil {
 		return u, "", err
 	}
-	if !p.weaken.ignoreAcks && !p.opts.Acks.Complete(members, o.Engine, o.Fence) {
+	if !p.mutation.ignoreAcks && !p.opts.Acks.Complete(members, o.Engine, o.Fence) {
 		return u, p.missing(members, o), nil
 	}
 	shown, err := p.opts.Engines.Show(ctx, u)
@@ -188,7 +188,7 @@
 }
 
 // issue writes the order and only then sends it.
-func (p *Planner) issue(ctx context.Context, w *engineWork, cur versioned, u state.Upstream) error {
+func (p *Planner) issue(ctx context.Context, w *engineWork, cur versionedOrder, u state.Upstream) error {
 	next := cur.order
 	next.State = state.OrderIssued
 	next.Holder = p.opts.Host
@@ -197,11 +197,11 @@
 }
 
 // writeAndSend sends next if, and only if, its write is known to have succeeded.
-func (p *Planner) writeAndSend(ctx context.Context, w *engineWork, cur versioned, next state.Order, u state.Upstream, chosen, why string) error {
+func (p *Planner) writeAndSend(ctx context.Context, w *engineWork, cur versionedOrder, next state.Order, u state.Upstream, chosen, why string) error {
 	done, err := p.write(ctx, cur, next)
-	if p.weaken.sendWithoutWrite || p.weaken.trustLostAnswer && store.IsUnknownOutcome(err) {
+	if p.mutation.sendWithoutWrite || p.mutation.trustLostAnswer && store.IsUnknownOutcome(err) {
 		next.Fence = cur.order.Fence + 1
-		done, err = versioned{order: next}, nil
+		done, err = versionedOrder{order: next}, nil
 	}
 	if err != nil {
 		return err
@@ -217,7 +217,7 @@
 	refused := errors.Is(err, upstream.ErrStaleFence)
 	w.sent = sentOrder{fence: o.Fence, at: now, answered: err == nil || refused}
 	if !w.sent.answered && !upstream.NeverSent(err) {
-		p.sends.unanswered(o.Engine, now.Add(p.opts.Linger))
+		p.sends.unanswered(o.Engine, now.Add(p.opts.MaxDeliveryDelay))
 	}
 	if err != nil {
 		p.note(w, o, "not confirmed", fmt.Sprintf("the engine gave no usable answer (%v)", err))
@@ -228,7 +228,7 @@
 }
 
 // finish drives an issued order to settled, and never to anything else.
-func (p *Planner) finish(ctx context.Context, w *engineWork, cur versioned) error {
+func (p *Planner) finish(ctx context.Context, w *engineWork, cur versionedOrder) error {
 	o := cur.order
 	u, ok := p.opts.Upstreams.Upstream(o.Engine)
 	if !ok {
@@ -255,13 +255,13 @@
 
 // hasFence reports whether an engine that checks fences refuses all earlier orders.
 func (p *Planner) hasFence(u state.Upstream, shown upstream.Shown, o state.Order) bool {
-	return !u.ChecksFence || shown.Fence >= o.Fence || p.weaken.ignoreShownFence
+	return !u.ChecksFence || shown.Fence >= o.Fence || p.mutation.ignoreShownFence
 }
 
 // giveAgain repeats an order that has shown no effect. One that the engine
 // confirmed is written anew first, as an engine may know the old by its nonce; so
 // is one that a failed write of this host may still end.
-func (p *Planner) giveAgain(ctx context.Context, w *engineWork, cur versioned, u state.Upstream, reached bool) error {
+func (p *Planner) giveAgain(ctx context.Context, w *engineWork, cur versionedOrder, u state.Upstream, reached bool) error {
 	o := cur.order
 	if !p.sends.allowed(o.Engine, o.Fence) {
 		return p.reissue(ctx, w, cur, u, "ordered again", "an earlier write failed and may still take effect")
@@ -279,7 +279,7 @@
 }
 
 // reissue writes the same desired state in this host's name and sends it (I2).
-func (p *Planner) reissue(ctx context.Context, w *engineWork, cur versioned, u state.Upstream, chosen, why string) error {
+func (p *Planner) reissue(ctx context.Context, w *engineWork, cur versionedOrder, u state.Upstream, chosen, why string) error {
 	next := cur.order
 	next.Holder = p.opts.Host
 	if !slices.Contains(next.IssuedBy, p.opts.Host) {
@@ -289,7 +289,7 @@
 }
 
 // settle writes settled once no earlier order can have an effect (I4).
-func (p *Planner) settle(ctx context.Context, w *engineWork, cur versioned, u state.Upstream) error {
+func (p *Planner) settle(ctx context.Context, w *engineWork, cur versionedOrder, u state.Upstream) error {
 	if pin := p.pin(cur.order, u); pin != "" {
 		p.note(w, cur.order, "waiting", pin)
 		return nil
@@ -310,15 +310,15 @@
 		return ""
 	}
 	for _, h := range o.IssuedBy {
-		if h == p.opts.Host || p.weaken.ignoreReleases {
+		if h == p.opts.Host || p.mutation.ignoreReleases {
 			continue
 		}
 		if !p.opts.Acks.Released(h, o.Engine, o.Fence) && p.opts.Members.GoneFor(h) < p.opts.GoneAfter {
 			return fmt.Sprintf("the engine ignores fences, and %s may still send the order; it must answer or be gone for %s", h, p.opts.GoneAfter)
 		}
 	}
-	if !p.weaken.ignoreLinger && p.sends.lingering(o.Engine, p.opts.Clock.Now()) {
-		return fmt.Sprintf("the engine ignores fences, and an unanswered order may still arrive for %s", p.opts.Linger)
+	if !p.mutation.ignoreDeliveryDelay && p.sends.lingering(o.Engine, p.opts.Clock.Now()) {
+		return fmt.Sprintf("the engine ignores fences, and an unanswered order may still arrive for %s", p.opts.MaxDeliveryDelay)
 	}
 	return ""
 }
--- a/coordination/order/watcher.go
+++ b/coordination/order/watcher.go
@@ -51,7 +51,7 @@
 	orders map[string]state.Order
 }
 
-var _ Book = (*Watcher)(nil)
+var _ Lister = (*Watcher)(nil)
 
 // NewWatcher validates the options.
 func NewWatcher(o WatcherOptions) (*Watcher, error) {
--- a/coordination/order/world_test.go
+++ b/coordination/order/world_test.go
@@ -52,7 +52,7 @@
 
 // weakness is a mechanism taken away.
 type weakness struct {
-	planner         weakening
+	planner         plannerMutation
 	enterUnchecked  bool // a request is counted in without reading the view again
 	serveBeforeList bool // a host serves before it has listed the orders
 }
@@ -69,7 +69,7 @@
 	store     *gatedStore
 	keeper    *snapshot.Keeper
 	acks      *AckTable
-	desk      *Desk
+	desk      *Requester
 	watcher   *Watcher
 	planner   *Planner
 	lessor    *lease.Lessor
@@ -120,14 +120,14 @@
 	}
 	h.keeper.SetListed(listed)
 	h.watcher = must(NewWatcher(WatcherOptions{Store: h.store, Clock: clock, Rand: random(1), Sink: h.keeper}))
-	h.desk = must(NewDesk(DeskOptions{Store: h.store, Clock: clock, Rand: random(2), Host: h.id, Recorder: h}))
+	h.desk = must(NewRequester(RequesterOptions{Store: h.store, Clock: clock, Rand: random(2), Host: h.id, Recorder: h}))
 	h.planner = must(NewPlanner(PlannerOptions{
 		Store: h.store, Clock: clock, Rand: random(3), Host: h.id, Service: testService,
-		Book: h.watcher, Acks: h.acks, Members: h, Upstreams: KeeperUpstreams{h.keeper},
+		Orders: h.watcher, Acks: h.acks, Members: h, Upstreams: KeeperUpstreams{h.keeper},
 		Engines: &gatedEngines{h}, Recorder: h,
-		DrainTimeout: testDrain, GoneAfter: testGoneAfter, Linger: testLinger, ResendEvery: testResend,
+		DrainTimeout: testDrain, GoneAfter: testGoneAfter, MaxDeliveryDelay: testLinger, ResendEvery: testResend,
 	}))
-	h.planner.weaken = w.weak.planner
+	h.planner.mutation = w.weak.planner
 	h.lessor = must(lease.New(lease.Options{
 		Store: h.store, Clock: clock, Rand: random(4), Name: "planner." + testService, Holder: h.id, TTL: testTTL,
 	}))
@@ -205,10 +205,10 @@
 
 func (s statement) hear() {
 	for _, a := range s.acks {
-		s.to.acks.TakeAck(a)
+		s.to.acks.AddAck(a)
 	}
 	for _, r := range s.releases {
-		s.to.acks.TakeRelease(r)
+		s.to.acks.AddRelease(r)
 	}
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -88,7 +88,7 @@
 	policies  *policies
 	operators *operators.API
 	level     *slog.LevelVar
-	desk      *order.Desk
+	desk      *order.Requester
 	planners  *planners
 	roles     *roles
 	elsewhere *elsewhere.Finder
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -62,7 +62,7 @@
 		return err
 	}
 	d.add("orders", d.watcher.Run)
-	d.desk, err = order.NewDesk(order.DeskOptions{Store: d.store, Clock: d.clock, Rand: d.newRand(), Host: d.id, Recorder: d.book})
+	d.desk, err = order.NewRequester(order.RequesterOptions{Store: d.store, Clock: d.clock, Rand: d.newRand(), Host: d.id, Recorder: d.book})
 	if err != nil {
 		return err
 	}
@@ -203,10 +203,10 @@
 	o := p.d.settings.Orders
 	made, err := order.NewPlanner(order.PlannerOptions{
 		Store: p.d.store, Clock: p.d.clock, Rand: p.d.newRand(), Host: p.d.id, Service: service,
-		Book: p.d.watcher, Acks: p.acks, Members: &orderMembers{p.d}, Upstreams: &listedEngines{p.d},
+		Orders: p.d.watcher, Acks: p.acks, Members: &orderMembers{p.d}, Upstreams: &listedEngines{p.d},
 		Engines: p.d.upstream, Recorder: p.d.book, Log: p.d.log,
 		PollEvery: plannerPoll, ShowEvery: showEvery, DrainTimeout: o.DrainTimeout,
-		GoneAfter: max(o.GoneAfter, p.d.member.GoneBound()), Linger: o.SendTimeout + lingerMargin,
+		GoneAfter: max(o.GoneAfter, p.d.member.GoneBound()), MaxDeliveryDelay: o.SendTimeout + lingerMargin,
 		ResendEvery: resendEvery, StepTimeout: 2 * o.SendTimeout,
 	})
 	if err != nil {
@@ -302,7 +302,7 @@
 	defer stop()
 	r, err := peer.CallMsg[order.Release, order.Release](ctx, a.d.peers, m.PeerAddr, peerapi.KindRelease, order.Release{Engine: engine})
 	if err == nil && r.Host == host && r.Fence > 0 {
-		a.table.TakeRelease(r)
+		a.table.AddRelease(r)
 	}
 }
 
