--- a/coordination/order/desk_test.go
+++ b/coordination/order/desk_test.go
@@ -137,7 +137,7 @@
 		p.SetScript(nil)
 		_ = must(d.Drain(ctx, "e1", testService, "ana", "x"))
 		p.DropHistory()
-		time.Sleep(watchMaxPause)
+		time.Sleep(watchMaxBackoff)
 		is.True(!takesWork()) // by a new list after the gap
 
 		obj := must(p.Client("a").Get(ctx, store.KindOrder, "e1"))
--- a/coordination/order/planner.go
+++ b/coordination/order/planner.go
@@ -13,13 +13,13 @@
 
 // The settings that a zero option takes.
 const (
-	DefaultPollEvery        = 500 * time.Millisecond
-	DefaultShowEvery        = 5 * time.Second
-	DefaultDrainTimeout     = 30 * time.Second
-	DefaultGoneAfter        = state.MaxDeadline
-	DefaultMaxDeliveryDelay = 30 * time.Second
-	DefaultResendEvery      = 5 * time.Second
-	DefaultStepTimeout      = 10 * time.Second
+	DefaultPollInterval        = 500 * time.Millisecond
+	DefaultSettledPollInterval = 5 * time.Second
+	DefaultDrainTimeout        = 30 * time.Second
+	DefaultGoneAfter           = state.MaxDeadline
+	DefaultMaxDeliveryDelay    = 30 * time.Second
+	DefaultResendInterval      = 5 * time.Second
+	DefaultStepTimeout         = 10 * time.Second
 )
 
 // PlannerOptions are the parts and settings of a Planner.
@@ -40,13 +40,13 @@
 	// Log gets failed steps; nil means none.
 	Log *slog.Logger
 
-	// PollEvery is the time between two looks at a change under way; a change that
+	// PollInterval is the time between two looks at a change under way; a change that
 	// takes long is looked at less often, down to ShowEvery. Each look costs two
 	// platform calls.
-	PollEvery time.Duration
-	// ShowEvery is the time between two looks at an engine that has settled. They
+	PollInterval time.Duration
+	// SettledPollInterval is the time between two looks at an engine that has settled. They
 	// ask the engine and not the platform.
-	ShowEvery time.Duration
+	SettledPollInterval time.Duration
 	// DrainTimeout is how long a planner waits for the acknowledgements before it
 	// calls the change off.
 	DrainTimeout time.Duration
@@ -58,9 +58,9 @@
 	// transport's TCP_USER_TIMEOUT and the longest pause of an engine that shows
 	// its state again.
 	MaxDeliveryDelay time.Duration
-	// ResendEvery is the time after which an order that has shown no effect is
+	// ResendInterval is the time after which an order that has shown no effect is
 	// given again.
-	ResendEvery time.Duration
+	ResendInterval time.Duration
 	// StepTimeout bounds one step at one engine.
 	StepTimeout time.Duration
 }
@@ -96,12 +96,12 @@
 		value    *time.Duration
 		standard time.Duration
 	}{
-		{"PollEvery", &o.PollEvery, DefaultPollEvery},
-		{"ShowEvery", &o.ShowEvery, DefaultShowEvery},
+		{"PollEvery", &o.PollInterval, DefaultPollInterval},
+		{"ShowEvery", &o.SettledPollInterval, DefaultSettledPollInterval},
 		{"DrainTimeout", &o.DrainTimeout, DefaultDrainTimeout},
 		{"GoneAfter", &o.GoneAfter, DefaultGoneAfter},
 		{"Linger", &o.MaxDeliveryDelay, DefaultMaxDeliveryDelay},
-		{"ResendEvery", &o.ResendEvery, DefaultResendEvery},
+		{"ResendEvery", &o.ResendInterval, DefaultResendInterval},
 		{"StepTimeout", &o.StepTimeout, DefaultStepTimeout},
 	}
 	for _, d := range durations {
@@ -124,7 +124,7 @@
 type Planner struct {
 	opts    PlannerOptions
 	objects *orderStore
-	sends   *sends
+	sends   *sendTracker
 	// mutation is set by tests only, to show that they find a missing mechanism.
 	mutation plannerMutation
 }
@@ -137,7 +137,7 @@
 	ignoreDeliveryDelay bool // settled is written while an own order may still arrive
 	ignoreShownFence    bool // settled is written before the engine has the fence
 	trustLostAnswer     bool // a write with unknown outcome counts as done
-	releaseWhileBusy    bool // a release is told in the middle of a step
+	releaseInStep       bool // a release is told in the middle of a step
 	sendAfterFailure    bool // an order is repeated although a write over it may still arrive
 }
 
@@ -150,7 +150,7 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	b := &orderStore{store: o.Store, clock: o.Clock, host: o.Host, rand: o.Rand}
-	return &Planner{opts: o, objects: b, sends: newSends()}, nil
+	return &Planner{opts: o, objects: b, sends: newSendTracker()}, nil
 }
 
 // Releases returns what this host can promise about the orders that other hosts
@@ -165,7 +165,7 @@
 		if !slices.Contains(o.IssuedBy, p.opts.Host) {
 			continue
 		}
-		if p.sends.release(o.Engine, o.Fence, now) || p.mutation.releaseWhileBusy {
+		if p.sends.release(o.Engine, o.Fence, now) || p.mutation.releaseInStep {
 			out = append(out, Release{Host: p.opts.Host, Engine: o.Engine, Fence: o.Fence})
 		}
 	}
--- a/coordination/order/proof_test.go
+++ b/coordination/order/proof_test.go
@@ -63,7 +63,7 @@
 		{"count after the snapshot", weakness{enterUnchecked: true}, profile{}, 100},
 		{"served before the list", weakness{serveBeforeList: true}, profile{}, 100},
 		{"no wait for releases", weakness{planner: plannerMutation{ignoreReleases: true}}, ignoring, 200},
-		{"release told in mid-step", weakness{planner: plannerMutation{releaseWhileBusy: true}}, ignoring, 200},
+		{"release told in mid-step", weakness{planner: plannerMutation{releaseInStep: true}}, ignoring, 200},
 		{"no wait for unanswered orders", weakness{planner: plannerMutation{ignoreDeliveryDelay: true}}, profile{engine: "ignores", start: lateStart}, 500},
 	} {
 		t.Run(m.name, func(t *testing.T) {
--- a/coordination/order/run.go
+++ b/coordination/order/run.go
@@ -54,11 +54,11 @@
 	for ctx.Err() == nil {
 		now := p.opts.Clock.Now()
 		for _, o := range p.opts.Orders.Orders() {
-			if o.Service == p.opts.Service && next.due(o, now, p.opts.PollEvery, p.opts.ShowEvery) {
+			if o.Service == p.opts.Service && next.due(o, now, p.opts.PollInterval, p.opts.SettledPollInterval) {
 				g.Go(func() { p.stepIfNeeded(ctx, o) })
 			}
 		}
-		_ = p.opts.Clock.Sleep(ctx, p.opts.PollEvery)
+		_ = p.opts.Clock.Sleep(ctx, p.opts.PollInterval)
 	}
 	g.Wait()
 	p.handOver(ctx)
@@ -111,9 +111,9 @@
 	if w == nil {
 		return nil
 	}
-	defer p.sends.end(engine)
+	defer p.sends.endStep(engine)
 	cur, err := p.objects.read(ctx, engine)
-	if err != nil || cur.order.State != state.OrderIssued || p.sends.lingering(engine, p.opts.Clock.Now()) {
+	if err != nil || cur.order.State != state.OrderIssued || p.sends.mayStillArrive(engine, p.opts.Clock.Now()) {
 		return err
 	}
 	if !slices.Contains(cur.order.IssuedBy, p.opts.Host) {
@@ -128,7 +128,7 @@
 	if err != nil {
 		return err
 	}
-	p.sends.raise(engine, done.order.Fence)
+	p.sends.raiseMinFence(engine, done.order.Fence)
 	p.note(w, done.order, "handed over", "the planner leaves; another host finishes the order")
 	return nil
 }
--- a/coordination/order/sends.go
+++ b/coordination/order/sends.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-// sends remembers, for each engine, whether an order of this host may still
+// sendTracker remembers, for each engine, whether an order of this host may still
 // arrive. It outlives the lease: a planner that lost it must know what it sent.
-type sends struct {
+type sendTracker struct {
 	mu      sync.Mutex
-	engines map[string]*engineSends
+	engines map[string]*engineSendState
 }
 
-type engineSends struct {
-	// busy is true from before the object is read until after the order is sent.
-	busy bool
-	// floor is the lowest fence that this host may still send.
-	floor uint64
-	// lingerUntil is when an order whose outcome is unknown has arrived or never will.
-	lingerUntil time.Time
-	// work is the memory of the step that holds busy.
-	work engineWork
+type engineSendState struct {
+	// inStep is true from before the object is read until after the order is sent.
+	inStep bool
+	// minFence is the lowest fence that this host may still send.
+	minFence uint64
+	// mayArriveUntil is when an order whose outcome is unknown has arrived or never will.
+	mayArriveUntil time.Time
+	// step is the memory of the step that holds busy.
+	step stepState
 }
 
-func newSends() *sends { return &sends{engines: map[string]*engineSends{}} }
+func newSendTracker() *sendTracker { return &sendTracker{engines: map[string]*engineSendState{}} }
 
-func (s *sends) of(engine string) *engineSends {
+func (s *sendTracker) engineState(engine string) *engineSendState {
 	e := s.engines[engine]
 	if e == nil {
-		e = &engineSends{}
+		e = &engineSendState{}
 		s.engines[engine] = e
 	}
 	return e
@@ -36,63 +36,63 @@
 
 // begin claims the engine for one step, before anything is read. It returns nil
 // while another step holds it.
-func (s *sends) begin(engine string) *engineWork {
+func (s *sendTracker) begin(engine string) *stepState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.of(engine)
-	if e.busy {
+	e := s.engineState(engine)
+	if e.inStep {
 		return nil
 	}
-	e.busy = true
-	return &e.work
+	e.inStep = true
+	return &e.step
 }
 
-func (s *sends) end(engine string) {
+func (s *sendTracker) endStep(engine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.of(engine).busy = false
+	s.engineState(engine).inStep = false
 }
 
-// raise promises that no order below fence will be sent.
-func (s *sends) raise(engine string, fence uint64) {
+// raiseMinFence promises that no order below fence will be sent.
+func (s *sendTracker) raiseMinFence(engine string, fence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.of(engine)
-	e.floor = max(e.floor, fence)
+	e := s.engineState(engine)
+	e.minFence = max(e.minFence, fence)
 }
 
-// allowed reports whether the order with that fence may be sent once more.
-func (s *sends) allowed(engine string, fence uint64) bool {
+// maySend reports whether the order with that fence may be sent once more.
+func (s *sendTracker) maySend(engine string, fence uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return fence >= s.of(engine).floor
+	return fence >= s.engineState(engine).minFence
 }
 
-// unanswered notes that an order may still arrive until then.
-func (s *sends) unanswered(engine string, until time.Time) {
+// recordUnanswered notes that an order may still arrive until then.
+func (s *sendTracker) recordUnanswered(engine string, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if e := s.of(engine); until.After(e.lingerUntil) {
-		e.lingerUntil = until
+	if e := s.engineState(engine); until.After(e.mayArriveUntil) {
+		e.mayArriveUntil = until
 	}
 }
 
-// lingering reports whether an order of this host may still arrive.
-func (s *sends) lingering(engine string, now time.Time) bool {
+// mayStillArrive reports whether an order of this host may still arrive.
+func (s *sendTracker) mayStillArrive(engine string, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return now.Before(s.of(engine).lingerUntil)
+	return now.Before(s.engineState(engine).mayArriveUntil)
 }
 
 // release raises the floor to fence if no order is being sent or may still
 // arrive, and reports whether it did.
-func (s *sends) release(engine string, fence uint64, now time.Time) bool {
+func (s *sendTracker) release(engine string, fence uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e := s.of(engine)
-	if e.busy || now.Before(e.lingerUntil) {
+	e := s.engineState(engine)
+	if e.inStep || now.Before(e.mayArriveUntil) {
 		return false
 	}
-	e.floor = max(e.floor, fence)
+	e.minFence = max(e.minFence, fence)
 	return true
 }
--- a/coordination/order/step.go
+++ b/coordination/order/step.go
@@ -13,18 +13,18 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// engineWork is what a planner remembers of one engine between steps. It decides
+// stepState is what a planner remembers of one engine between steps. It decides
 // when to try something, never whether it is safe.
-type engineWork struct {
+type stepState struct {
 	// drainFence and drainSince are the draining order being waited for.
 	drainFence uint64
 	drainSince time.Time
 	// sent is the last order given.
 	sent sentOrder
-	// reorderAfter keeps a change that was called off from being tried at once.
-	reorderAfter time.Time
-	// noted is the last sentence recorded.
-	noted string
+	// correctAfter keeps a change that was called off from being tried at once.
+	correctAfter time.Time
+	// lastNote is the last sentence recorded.
+	lastNote string
 }
 
 // sentOrder is one order given to an engine.
@@ -41,7 +41,7 @@
 	if w == nil {
 		return nil
 	}
-	defer p.sends.end(engine)
+	defer p.sends.endStep(engine)
 	cur, err := p.objects.read(ctx, engine)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
@@ -52,14 +52,14 @@
 	if cur.order.Service != p.opts.Service {
 		return nil
 	}
-	p.sends.raise(engine, cur.order.Fence)
+	p.sends.raiseMinFence(engine, cur.order.Fence)
 	switch cur.order.State {
 	case state.OrderDraining:
 		return p.drain(ctx, w, cur)
 	case state.OrderIssued:
 		return p.finish(ctx, w, cur)
 	default:
-		return p.keep(ctx, w, cur)
+		return p.correctDrift(ctx, w, cur)
 	}
 }
 
@@ -69,18 +69,18 @@
 func (p *Planner) write(ctx context.Context, cur versionedOrder, next state.Order) (versionedOrder, error) {
 	done, err := p.objects.write(ctx, cur, next)
 	if err != nil && !p.mutation.sendAfterFailure {
-		p.sends.raise(cur.order.Engine, cur.order.Fence+1)
+		p.sends.raiseMinFence(cur.order.Engine, cur.order.Fence+1)
 	}
 	return done, err
 }
 
-// keep orders an engine again that has settled and shows something else, for
+// correctDrift orders an engine again that has settled and shows something else, for
 // example because it has crashed and started anew. It may be serving by now, so
 // it is drained first like for any change.
-func (p *Planner) keep(ctx context.Context, w *engineWork, cur versionedOrder) error {
+func (p *Planner) correctDrift(ctx context.Context, w *stepState, cur versionedOrder) error {
 	o := cur.order
 	now := p.opts.Clock.Now()
-	if o.Desired.Equal(state.Target{}) || now.Before(w.reorderAfter) {
+	if o.Desired.Equal(state.Target{}) || now.Before(w.correctAfter) {
 		return nil
 	}
 	u, ok := p.opts.Upstreams.Upstream(o.Engine)
@@ -104,7 +104,7 @@
 }
 
 // drain issues the change once nothing is in flight, or calls it off.
-func (p *Planner) drain(ctx context.Context, w *engineWork, cur versionedOrder) error {
+func (p *Planner) drain(ctx context.Context, w *stepState, cur versionedOrder) error {
 	now := p.opts.Clock.Now()
 	if w.drainFence != cur.order.Fence {
 		w.drainFence, w.drainSince = cur.order.Fence, now
@@ -126,7 +126,7 @@
 	next.Reason = fmt.Sprintf("called off after %s: %s", p.opts.DrainTimeout, obstacle)
 	done, err := p.write(ctx, cur, next)
 	if err == nil {
-		w.reorderAfter = now.Add(p.opts.DrainTimeout)
+		w.correctAfter = now.Add(p.opts.DrainTimeout)
 		p.note(w, done.order, "called off", next.Reason)
 	}
 	return err
@@ -139,12 +139,12 @@
 	if !ok {
 		return u, "the platform doesn't list the engine", nil
 	}
-	members, err := p.present(ctx)
+	members, err := p.presentMembers(ctx)
 	if err != nil {
 		return u, "", err
 	}
 	if !p.mutation.ignoreAcks && !p.opts.Acks.Complete(members, o.Engine, o.Fence) {
-		return u, p.missing(members, o), nil
+		return u, p.missingAcks(members, o), nil
 	}
 	shown, err := p.opts.Engines.Show(ctx, u)
 	if err != nil {
@@ -156,8 +156,8 @@
 	return u, "", nil
 }
 
-// present lists the members that aren't gone.
-func (p *Planner) present(ctx context.Context) ([]state.HostID, error) {
+// presentMembers lists the members that aren't gone.
+func (p *Planner) presentMembers(ctx context.Context) ([]state.HostID, error) {
 	list, err := p.opts.Members.List(ctx)
 	if err != nil {
 		return nil, err
@@ -171,7 +171,7 @@
 	return out, nil
 }
 
-func (p *Planner) missing(members []state.HostID, o state.Order) string {
+func (p *Planner) missingAcks(members []state.HostID, o state.Order) string {
 	acks := p.opts.Acks.Acknowledged(o.Engine, o.Fence)
 	var silent, busy []string
 	for _, m := range members {
@@ -188,7 +188,7 @@
 }
 
 // issue writes the order and only then sends it.
-func (p *Planner) issue(ctx context.Context, w *engineWork, cur versionedOrder, u state.Upstream) error {
+func (p *Planner) issue(ctx context.Context, w *stepState, cur versionedOrder, u state.Upstream) error {
 	next := cur.order
 	next.State = state.OrderIssued
 	next.Holder = p.opts.Host
@@ -197,7 +197,7 @@
 }
 
 // writeAndSend sends next if, and only if, its write is known to have succeeded.
-func (p *Planner) writeAndSend(ctx context.Context, w *engineWork, cur versionedOrder, next state.Order, u state.Upstream, chosen, why string) error {
+func (p *Planner) writeAndSend(ctx context.Context, w *stepState, cur versionedOrder, next state.Order, u state.Upstream, chosen, why string) error {
 	done, err := p.write(ctx, cur, next)
 	if p.mutation.sendWithoutWrite || p.mutation.trustLostAnswer && store.IsUnknownOutcome(err) {
 		next.Fence = cur.order.Fence + 1
@@ -211,13 +211,13 @@
 }
 
 // send gives the engine the order that this host wrote.
-func (p *Planner) send(ctx context.Context, w *engineWork, o state.Order, u state.Upstream) error {
+func (p *Planner) send(ctx context.Context, w *stepState, o state.Order, u state.Upstream) error {
 	err := p.opts.Engines.Send(ctx, u, o.Fence, o.Nonce, o.Desired)
 	now := p.opts.Clock.Now()
 	refused := errors.Is(err, upstream.ErrStaleFence)
 	w.sent = sentOrder{fence: o.Fence, at: now, answered: err == nil || refused}
 	if !w.sent.answered && !upstream.NeverSent(err) {
-		p.sends.unanswered(o.Engine, now.Add(p.opts.MaxDeliveryDelay))
+		p.sends.recordUnanswered(o.Engine, now.Add(p.opts.MaxDeliveryDelay))
 	}
 	if err != nil {
 		p.note(w, o, "not confirmed", fmt.Sprintf("the engine gave no usable answer (%v)", err))
@@ -228,7 +228,7 @@
 }
 
 // finish drives an issued order to settled, and never to anything else.
-func (p *Planner) finish(ctx context.Context, w *engineWork, cur versionedOrder) error {
+func (p *Planner) finish(ctx context.Context, w *stepState, cur versionedOrder) error {
 	o := cur.order
 	u, ok := p.opts.Upstreams.Upstream(o.Engine)
 	if !ok {
@@ -247,29 +247,29 @@
 		return nil
 	}
 	reached := shown.Target.Equal(o.Desired)
-	if reached && p.hasFence(u, shown, o) {
+	if reached && p.refusesEarlierOrders(u, shown, o) {
 		return p.settle(ctx, w, cur, u)
 	}
-	return p.giveAgain(ctx, w, cur, u, reached)
+	return p.resend(ctx, w, cur, u, reached)
 }
 
-// hasFence reports whether an engine that checks fences refuses all earlier orders.
-func (p *Planner) hasFence(u state.Upstream, shown upstream.Shown, o state.Order) bool {
+// refusesEarlierOrders reports whether an engine that checks fences refuses all earlier orders.
+func (p *Planner) refusesEarlierOrders(u state.Upstream, shown upstream.Shown, o state.Order) bool {
 	return !u.ChecksFence || shown.Fence >= o.Fence || p.mutation.ignoreShownFence
 }
 
-// giveAgain repeats an order that has shown no effect. One that the engine
+// resend repeats an order that has shown no effect. One that the engine
 // confirmed is written anew first, as an engine may know the old by its nonce; so
 // is one that a failed write of this host may still end.
-func (p *Planner) giveAgain(ctx context.Context, w *engineWork, cur versionedOrder, u state.Upstream, reached bool) error {
+func (p *Planner) resend(ctx context.Context, w *stepState, cur versionedOrder, u state.Upstream, reached bool) error {
 	o := cur.order
-	if !p.sends.allowed(o.Engine, o.Fence) {
+	if !p.sends.maySend(o.Engine, o.Fence) {
 		return p.reissue(ctx, w, cur, u, "ordered again", "an earlier write failed and may still take effect")
 	}
 	if w.sent.fence != o.Fence {
 		return p.send(ctx, w, o, u)
 	}
-	if p.opts.Clock.Now().Sub(w.sent.at) < p.opts.ResendEvery {
+	if p.opts.Clock.Now().Sub(w.sent.at) < p.opts.ResendInterval {
 		return nil
 	}
 	if !w.sent.answered || reached {
@@ -279,7 +279,7 @@
 }
 
 // reissue writes the same desired state in this host's name and sends it (I2).
-func (p *Planner) reissue(ctx context.Context, w *engineWork, cur versionedOrder, u state.Upstream, chosen, why string) error {
+func (p *Planner) reissue(ctx context.Context, w *stepState, cur versionedOrder, u state.Upstream, chosen, why string) error {
 	next := cur.order
 	next.Holder = p.opts.Host
 	if !slices.Contains(next.IssuedBy, p.opts.Host) {
@@ -289,8 +289,8 @@
 }
 
 // settle writes settled once no earlier order can have an effect (I4).
-func (p *Planner) settle(ctx context.Context, w *engineWork, cur versionedOrder, u state.Upstream) error {
-	if pin := p.pin(cur.order, u); pin != "" {
+func (p *Planner) settle(ctx context.Context, w *stepState, cur versionedOrder, u state.Upstream) error {
+	if pin := p.settleObstacle(cur.order, u); pin != "" {
 		p.note(w, cur.order, "waiting", pin)
 		return nil
 	}
@@ -304,8 +304,8 @@
 	return err
 }
 
-// pin says why an engine that ignores fences may still get an earlier order.
-func (p *Planner) pin(o state.Order, u state.Upstream) string {
+// settleObstacle says why an engine that ignores fences may still get an earlier order.
+func (p *Planner) settleObstacle(o state.Order, u state.Upstream) string {
 	if u.ChecksFence {
 		return ""
 	}
@@ -317,19 +317,19 @@
 			return fmt.Sprintf("the engine ignores fences, and %s may still send the order; it must answer or be gone for %s", h, p.opts.GoneAfter)
 		}
 	}
-	if !p.mutation.ignoreDeliveryDelay && p.sends.lingering(o.Engine, p.opts.Clock.Now()) {
+	if !p.mutation.ignoreDeliveryDelay && p.sends.mayStillArrive(o.Engine, p.opts.Clock.Now()) {
 		return fmt.Sprintf("the engine ignores fences, and an unanswered order may still arrive for %s", p.opts.MaxDeliveryDelay)
 	}
 	return ""
 }
 
 // note records a step once.
-func (p *Planner) note(w *engineWork, o state.Order, chosen, why string) {
-	sentence := fmt.Sprintf("%s %s %s", o.State, chosen, why)
-	if chosen == "waiting" && w.noted == sentence {
+func (p *Planner) note(w *stepState, o state.Order, chosen, why string) {
+	text := fmt.Sprintf("%s %s %s", o.State, chosen, why)
+	if chosen == "waiting" && w.lastNote == text {
 		return
 	}
-	w.noted = sentence
+	w.lastNote = text
 	p.opts.Recorder.Record(state.Decision{
 		At: p.opts.Clock.Now(), Host: p.opts.Host.Name, Kind: state.DecisionOrder,
 		Subject: o.Engine, Chosen: chosen, Why: why,
--- a/coordination/order/watcher.go
+++ b/coordination/order/watcher.go
@@ -17,10 +17,10 @@
 
 // The pauses between calls of a platform that gives no answer.
 const (
-	watchFirstPause = 200 * time.Millisecond
-	watchMaxPause   = 5 * time.Second
-	// watchSpread is the share of a pause that is drawn at random.
-	watchSpread = 0.5
+	watchMinBackoff = 200 * time.Millisecond
+	watchMaxBackoff = 5 * time.Second
+	// watchJitter is the share of a pause that is drawn at random.
+	watchJitter = 0.5
 )
 
 // WatcherOptions are the parts of a Watcher.
@@ -43,9 +43,9 @@
 // not get new work because its record was lost. The next object of that name has
 // a higher fence and replaces it.
 type Watcher struct {
-	opts  WatcherOptions
-	ready chan struct{}
-	pause *backoff.ExponentialBackOff
+	opts    WatcherOptions
+	ready   chan struct{}
+	backoff *backoff.ExponentialBackOff
 
 	mu     sync.Mutex
 	orders map[string]state.Order
@@ -69,11 +69,11 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	b := backoff.NewExponentialBackOff()
-	b.InitialInterval = watchFirstPause
-	b.MaxInterval = watchMaxPause
+	b.InitialInterval = watchMinBackoff
+	b.MaxInterval = watchMaxBackoff
 	b.RandomizationFactor = 0 // the spread comes from the passed source
 	return &Watcher{
-		opts: o, pause: b, ready: make(chan struct{}), orders: map[string]state.Order{},
+		opts: o, backoff: b, ready: make(chan struct{}), orders: map[string]state.Order{},
 	}, nil
 }
 
@@ -97,7 +97,7 @@
 	for ctx.Err() == nil {
 		revision, err := w.list(ctx)
 		if err != nil {
-			w.rest(ctx, err)
+			w.backOff(ctx, err)
 			continue
 		}
 		w.follow(ctx, revision)
@@ -110,10 +110,10 @@
 	for ctx.Err() == nil {
 		batch, err := w.opts.Store.Watch(ctx, store.KindOrder, revision)
 		if err != nil {
-			w.rest(ctx, err)
+			w.backOff(ctx, err)
 			continue
 		}
-		w.pause.Reset()
+		w.backoff.Reset()
 		if batch.Gap {
 			return
 		}
@@ -128,13 +128,13 @@
 	if err != nil {
 		return 0, err
 	}
-	w.pause.Reset()
+	w.backoff.Reset()
 	listed := map[string]bool{}
 	for _, obj := range objects {
 		listed[obj.Name] = true
 		w.set(obj)
 	}
-	w.keepOnly(listed)
+	w.removeUnlisted(listed)
 	select {
 	case <-w.ready:
 	default:
@@ -146,7 +146,7 @@
 func (w *Watcher) apply(events []store.Event) {
 	for _, e := range events {
 		if e.Deleted {
-			w.forget(e.Object.Name)
+			w.remove(e.Object.Name)
 			continue
 		}
 		w.set(e.Object)
@@ -169,25 +169,25 @@
 	}
 }
 
-func (w *Watcher) forget(engine string) {
+func (w *Watcher) remove(engine string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.orders, engine)
 }
 
-func (w *Watcher) keepOnly(listed map[string]bool) {
+func (w *Watcher) removeUnlisted(listed map[string]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	maps.DeleteFunc(w.orders, func(name string, _ state.Order) bool { return !listed[name] })
 }
 
-// rest pauses after a failed call.
-func (w *Watcher) rest(ctx context.Context, cause error) {
+// backOff pauses after a failed call.
+func (w *Watcher) backOff(ctx context.Context, cause error) {
 	if ctx.Err() != nil {
 		return
 	}
-	whole := w.pause.NextBackOff()
-	d := whole - time.Duration(watchSpread*w.opts.Rand.Float64()*float64(whole))
+	whole := w.backoff.NextBackOff()
+	d := whole - time.Duration(watchJitter*w.opts.Rand.Float64()*float64(whole))
 	w.opts.Log.Warn("orders can't be watched", "error", cause, "retry_in", d)
 	_ = w.opts.Clock.Sleep(ctx, d)
 }
--- a/coordination/order/world_test.go
+++ b/coordination/order/world_test.go
@@ -125,7 +125,7 @@
 		Store: h.store, Clock: clock, Rand: random(3), Host: h.id, Service: testService,
 		Orders: h.watcher, Acks: h.acks, Members: h, Upstreams: KeeperUpstreams{h.keeper},
 		Engines: &gatedEngines{h}, Recorder: h,
-		DrainTimeout: testDrain, GoneAfter: testGoneAfter, MaxDeliveryDelay: testLinger, ResendEvery: testResend,
+		DrainTimeout: testDrain, GoneAfter: testGoneAfter, MaxDeliveryDelay: testLinger, ResendInterval: testResend,
 	}))
 	h.planner.mutation = w.weak.planner
 	h.lessor = must(lease.New(lease.Options{
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -205,9 +205,9 @@
 		Store: p.d.store, Clock: p.d.clock, Rand: p.d.newRand(), Host: p.d.id, Service: service,
 		Orders: p.d.watcher, Acks: p.acks, Members: &orderMembers{p.d}, Upstreams: &listedEngines{p.d},
 		Engines: p.d.upstream, Recorder: p.d.book, Log: p.d.log,
-		PollEvery: plannerPoll, ShowEvery: showEvery, DrainTimeout: o.DrainTimeout,
+		PollInterval: plannerPoll, SettledPollInterval: showEvery, DrainTimeout: o.DrainTimeout,
 		GoneAfter: max(o.GoneAfter, p.d.member.GoneBound()), MaxDeliveryDelay: o.SendTimeout + lingerMargin,
-		ResendEvery: resendEvery, StepTimeout: 2 * o.SendTimeout,
+		ResendInterval: resendEvery, StepTimeout: 2 * o.SendTimeout,
 	})
 	if err != nil {
 		return nil, err
