--- a/coordination/order/acks.go
+++ b/coordination/order/acks.go
@@ -8,14 +8,16 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// AckTable is an Acks that keeps the statements with the highest fence of each
-// host and engine. Statements may come late, twice and out of order.
+// AckTable implements Acks. For each host and engine it stores the acknowledgement
+// and the release with the highest fence. They may arrive late, twice and out of
+// order. It is safe for concurrent use.
 type AckTable struct {
 	mu       sync.Mutex
 	acks     map[ackKey]Ack
 	releases map[ackKey]uint64
 }
 
+// ackKey identifies the acknowledgement and the release of one host for one engine.
 type ackKey struct {
 	host   state.HostID
 	engine string
@@ -28,8 +30,9 @@
 	return &AckTable{acks: map[ackKey]Ack{}, releases: map[ackKey]uint64{}}
 }
 
-// AddAck takes over an acknowledgement. A zero is final for its fence: the host
-// gives the engine nothing more under it, so a higher count is an older one.
+// AddAck stores an acknowledgement unless the stored one is newer. Zero requests
+// in flight is final for a fence: the host sends the engine no more requests under
+// it, so a higher count with the same fence is an older acknowledgement.
 func (t *AckTable) AddAck(a Ack) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -41,7 +44,7 @@
 	t.acks[k] = a
 }
 
-// AddRelease takes over a release.
+// AddRelease stores a release unless the stored one has a higher fence.
 func (t *AckTable) AddRelease(r Release) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -49,7 +52,8 @@
 	t.releases[k] = max(t.releases[k], r.Fence)
 }
 
-// RemoveHost drops what a host has said, once it is gone for good.
+// RemoveHost deletes the acknowledgements and releases of a host that has left for
+// good.
 func (t *AckTable) RemoveHost(host state.HostID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/coordination/order/actions_test.go
+++ b/coordination/order/actions_test.go
@@ -8,12 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// calls are the points at which a planner's step is left paused.
-var calls = []string{"send", "send", "send", "put order", "put order", "after put order", "after send", "show", "list member", "get order"}
+// pauseCalls are the calls at which a step of a planner is left paused. Repeated ones
+// are drawn more often.
+var pauseCalls = []string{"send", "send", "send", "put order", "put order", "after put order", "after send", "show", "list member", "get order"}
 
 var faults = []fault{arrivesLate, refused, answerLost, noFault, noFault}
 
-// action is something that hosts do, or that happens to them.
+// action is a random event of a run, drawn in proportion to its weight.
 type action struct {
 	name   string
 	weight int
@@ -22,26 +23,26 @@
 
 func (r *fuzzRun) actions() []action {
 	return []action{
-		{"drive", 7, func(t *rapid.T) { r.drive(r.pickPlanner(t)) }},
-		{"spread", 8, func(*rapid.T) { r.spread() }},
+		{"drive", 7, func(t *rapid.T) { r.runPlanner(r.pickPlanner(t)) }},
+		{"spread", 8, func(*rapid.T) { r.exchangeAll() }},
 		{"step, paused", 7, func(t *rapid.T) { r.stepTo(t) }},
 		{"step, faulty", 7, func(t *rapid.T) {
 			p := r.stepTo(t)
-			if p.at == "" {
+			if p.pausedAt == "" {
 				return
 			}
 			p.resume(rapid.SampledFrom(faults).Draw(t, "fault"))
 			p.runTo("")
 		}},
-		{"ask", 8, r.deskWorks},
+		{"ask", 8, r.operatorActs},
 		{"request", 4, r.requestWhole},
 		{"finish", 7, r.requestEnds},
 		{"engine ready", 6, r.engineIsReady},
 		{"resume", 7, r.processResumes},
-		{"advance", 3, r.timePasses},
-		{"tell", 2, func(t *rapid.T) { r.pickHost(t).tell() }},
-		{"hear", 3, r.mailArrives},
-		{"watch", 2, r.watches},
+		{"advance", 3, r.advanceTime},
+		{"tell", 2, func(t *rapid.T) { r.pickHost(t).sendStatement() }},
+		{"hear", 3, r.deliverStatement},
+		{"watch", 2, r.resumeWatcher},
 		{"choose", 2, r.requestChosen},
 		{"enter", 2, r.requestEnters},
 		{"arrive", 2, r.requestArrives},
@@ -50,7 +51,7 @@
 		{"hang", 1, func(t *rapid.T) { r.pickEngine(t).hung = true }},
 		{"late order", 2, r.lateOrderArrives},
 		{"late write", 2, r.lateWriteArrives},
-		{"lease", 1, func(t *rapid.T) { r.leaseTried(r.pickHost(t)) }},
+		{"lease", 1, func(t *rapid.T) { r.tryLease(r.pickHost(t)) }},
 		{"list", 1, r.listChanges},
 		{"kill", 1, r.hostDies},
 		{"hand over", 1, r.plannerLeaves},
@@ -59,11 +60,11 @@
 	}
 }
 
-func (r *fuzzRun) watches(t *rapid.T) {
+func (r *fuzzRun) resumeWatcher(t *rapid.T) {
 	r.pickHost(t).processes[0].resume(rapid.SampledFrom(faults).Draw(t, "fault"))
 }
 
-// pickHost draws a host that is alive, or ends the action.
+// pickHost draws a host that is alive; without one the action isn't applicable.
 func (r *fuzzRun) pickHost(t *rapid.T) *host {
 	var alive []*host
 	for _, h := range r.hosts {
@@ -72,12 +73,13 @@
 		}
 	}
 	if len(alive) == 0 {
-		panic(impossible{})
+		panic(notApplicable{})
 	}
 	return alive[rapid.IntRange(0, len(alive)-1).Draw(t, "host")]
 }
 
-// pickPlanner draws a host whose planner may step.
+// pickPlanner draws a host whose planner is to step: the holder of the lease if leases
+// are obeyed and one is held.
 func (r *fuzzRun) pickPlanner(t *rapid.T) *host {
 	for _, h := range r.hosts {
 		if r.leasesObeyed && h.alive && h.lessor.Held() {
@@ -91,14 +93,14 @@
 	return r.engines[rapid.IntRange(0, len(r.engines)-1).Draw(t, "engine")]
 }
 
-func (r *fuzzRun) timePasses(t *rapid.T) {
+func (r *fuzzRun) advanceTime(t *rapid.T) {
 	steps := []time.Duration{testResend, 2 * testResend, testTTL, testLinger, testTTL, testResend, testDrain, testGoneAfter}
 	r.advance(rapid.SampledFrom(steps).Draw(t, "time"))
 }
 
-// deskWorks lets an operator at any host ask for something, and may leave the
-// host paused in the middle.
-func (r *fuzzRun) deskWorks(t *rapid.T) {
+// operatorActs makes an operator's request at a random host, which may be left paused
+// before its write.
+func (r *fuzzRun) operatorActs(t *rapid.T) {
 	h, e := r.pickHost(t), r.pickEngine(t)
 	target := rapid.SampledFrom(targets).Draw(t, "target")
 	wish := rapid.SampledFrom([]string{"change", "change", "change", "change", "change", "call off", "drain", "undrain"}).Draw(t, "wish")
@@ -118,31 +120,33 @@
 	p.runTo(rapid.SampledFrom([]string{"", "", "put order"}).Draw(t, "pause"))
 }
 
+// mayPlan reports whether the planner of h may step.
 func (r *fuzzRun) mayPlan(h *host) bool { return !r.leasesObeyed || h.lessor.Held() }
 
-// stepTo lets a host's planner take a step up to a call, where it stays paused.
+// stepTo starts a step of a host's planner and leaves it paused at a random call.
 func (r *fuzzRun) stepTo(t *rapid.T) *process {
 	h, e := r.pickPlanner(t), r.pickEngine(t)
 	if !r.mayPlan(h) {
-		panic(impossible{})
+		panic(notApplicable{})
 	}
 	p := r.planStep(h, e)
-	p.runTo(rapid.SampledFrom(calls).Draw(t, "call"))
+	p.runTo(rapid.SampledFrom(pauseCalls).Draw(t, "call"))
 	return p
 }
 
+// planStep starts a step of the planner of h for e and pauses it at its first call.
 func (r *fuzzRun) planStep(h *host, e *fakeEngine) *process {
 	return h.spawn(func(ctx context.Context) { _ = h.planner.Step(ctx, e.name) })
 }
 
-// plannerLeaves lets a planner hand an order over, as at the end of its lease.
+// plannerLeaves makes a planner hand an order over, as at the end of its lease.
 func (r *fuzzRun) plannerLeaves(t *rapid.T) {
 	h, e := r.pickHost(t), r.pickEngine(t)
 	p := h.spawn(func(ctx context.Context) { _ = h.planner.HandOver(ctx, e.name) })
 	p.runTo(rapid.SampledFrom([]string{"", "put order", "after put order"}).Draw(t, "call"))
 }
 
-// processResumes lets one paused process go on by a call, or to its end.
+// processResumes resumes one paused process for one call, or to its end.
 func (r *fuzzRun) processResumes(t *rapid.T) {
 	var paused []*process
 	for _, h := range r.hosts {
@@ -151,10 +155,10 @@
 		}
 	}
 	if len(paused) == 0 {
-		panic(impossible{})
+		panic(notApplicable{})
 	}
 	p := paused[rapid.IntRange(0, len(paused)-1).Draw(t, "process")]
-	if p.at != "" {
+	if p.pausedAt != "" {
 		p.resume(rapid.SampledFrom(faults).Draw(t, "fault"))
 	}
 	if rapid.Bool().Draw(t, "to the end") {
@@ -162,7 +166,8 @@
 	}
 }
 
-func (r *fuzzRun) leaseTried(h *host) {
+// tryLease renews the lease of h, or tries to acquire it.
+func (r *fuzzRun) tryLease(h *host) {
 	h.spawn(func(ctx context.Context) {
 		if h.lessor.Held() {
 			_ = h.lessor.Renew(ctx)
@@ -172,24 +177,25 @@
 	}).runTo("")
 }
 
-// spread lets every host learn, say and hear everything.
-func (r *fuzzRun) spread() {
+// exchangeAll advances all watchers and delivers the statements of all hosts.
+func (r *fuzzRun) exchangeAll() {
 	for _, h := range r.hosts {
-		h.pump()
+		h.pumpWatcher()
 		if h.alive {
-			h.tell()
+			h.sendStatement()
 		}
 	}
-	for _, s := range r.mail {
-		s.hear()
+	for _, s := range r.inTransit {
+		s.deliver()
 	}
-	r.mail = nil
+	r.inTransit = nil
 }
 
-// drive lets one planner work on what all hosts have said.
-func (r *fuzzRun) drive(planner *host) {
-	r.spread()
-	r.leaseTried(planner)
+// runPlanner exchanges all statements and then runs one step of planner for each
+// engine.
+func (r *fuzzRun) runPlanner(planner *host) {
+	r.exchangeAll()
+	r.tryLease(planner)
 	if !r.mayPlan(planner) {
 		return
 	}
@@ -198,6 +204,7 @@
 	}
 }
 
+// requestChosen chooses an engine for a new request of a random host.
 func (r *fuzzRun) requestChosen(t *rapid.T) {
 	h, e := r.pickHost(t), r.pickEngine(t)
 	if runner := h.keeper.View().Runner(e.name); h.serves() && runner.TakesWork() {
@@ -205,11 +212,11 @@
 	}
 }
 
-// requestEnters goes on with a request whose engine was chosen some time ago.
+// requestEnters counts a request as in flight whose engine was chosen earlier.
 func (r *fuzzRun) requestEnters(t *rapid.T) {
 	h := r.pickHost(t)
 	if len(h.chosen) == 0 {
-		panic(impossible{})
+		panic(notApplicable{})
 	}
 	runner := h.chosen[0]
 	h.chosen = h.chosen[1:]
@@ -219,7 +226,8 @@
 	}
 }
 
-// pickRequest returns the oldest request that has, or hasn't, reached its engine.
+// pickRequest returns the oldest request that has reached its engine, or with arrived
+// false the oldest that hasn't.
 func (r *fuzzRun) pickRequest(t *rapid.T, arrived bool) *request {
 	var found *request
 	for _, h := range r.hosts {
@@ -230,7 +238,7 @@
 		}
 	}
 	if found == nil {
-		panic(impossible{})
+		panic(notApplicable{})
 	}
 	return found
 }
@@ -238,14 +246,15 @@
 func (r *fuzzRun) requestArrives(t *rapid.T) { r.pickRequest(t, false).arrive() }
 func (r *fuzzRun) requestEnds(t *rapid.T)    { r.pickRequest(t, true).end() }
 
+// requestWhole chooses an engine for a request and lets the oldest request arrive.
 func (r *fuzzRun) requestWhole(t *rapid.T) {
 	r.requestChosen(t)
 	r.requestEnters(t)
 	r.requestArrives(t)
 }
 
-// engineIsReady ends a change, and a pause: the engine first reads what waits in
-// its sockets.
+// engineIsReady ends a change and a hang of an engine, and delivers the late orders
+// that are due, since they wait in the engine's sockets.
 func (r *fuzzRun) engineIsReady(t *rapid.T) {
 	e := r.pickEngine(t)
 	e.changing, e.hung = false, false
@@ -254,34 +263,36 @@
 			i++
 			continue
 		}
-		e.deliver(i)
+		e.deliverLate(i)
 	}
 }
 
-func (r *fuzzRun) mailArrives(t *rapid.T) {
-	if len(r.mail) == 0 {
-		panic(impossible{})
+// deliverStatement delivers, duplicates or loses a statement in transit.
+func (r *fuzzRun) deliverStatement(t *rapid.T) {
+	if len(r.inTransit) == 0 {
+		panic(notApplicable{})
 	}
-	i := rapid.IntRange(0, len(r.mail)-1).Draw(t, "statement")
+	i := rapid.IntRange(0, len(r.inTransit)-1).Draw(t, "statement")
 	switch rapid.SampledFrom([]string{"hear", "hear twice", "lose"}).Draw(t, "mail") {
 	case "hear":
-		r.mail[i].hear()
+		r.inTransit[i].deliver()
 	case "hear twice":
-		r.mail[i].hear()
+		r.inTransit[i].deliver()
 		return
 	}
-	r.mail = append(r.mail[:i], r.mail[i+1:]...)
+	r.inTransit = append(r.inTransit[:i], r.inTransit[i+1:]...)
 }
 
-// pauseHolder leaves the first host paused while it gives an order.
+// pauseHolder leaves the first host paused while it sends an order; for lateStart an
+// earlier copy of the order is on its way.
 func (r *fuzzRun) pauseHolder(t *rapid.T, s start) {
 	h, e := r.hosts[0], r.engines[0]
 	target := rapid.SampledFrom(targets[1:]).Draw(t, "target")
-	r.leaseTried(h)
+	r.tryLease(h)
 	h.spawn(func(ctx context.Context) {
 		_, _ = h.desk.Request(ctx, e.name, testService, target, "operator", "a wish")
 	}).runTo("")
-	r.spread()
+	r.exchangeAll()
 	p := r.planStep(h, e)
 	p.runTo("send")
 	if s == lateStart {
@@ -292,7 +303,7 @@
 	}
 }
 
-// replaceDead keeps two hosts alive.
+// replaceDead starts hosts until two are alive.
 func (r *fuzzRun) replaceDead() {
 	alive := 0
 	for _, h := range r.hosts {
@@ -305,16 +316,16 @@
 	}
 }
 
-// hostDies kills a host.
+// hostDies terminates a host, and mostly advances the clock until it counts as gone.
 func (r *fuzzRun) hostDies(t *rapid.T) {
 	h := r.pickHost(t)
-	h.die()
+	h.terminate()
 	if rapid.SampledFrom([]bool{true, true, false}).Draw(t, "gone for long") {
 		r.advance(testGoneAfter)
 	}
 }
 
-// listChanges makes the platform's list drop a host that lives, or list it again.
+// listChanges removes a running host from the platform's list, or lists it again.
 func (r *fuzzRun) listChanges(t *rapid.T) {
 	h := r.pickHost(t)
 	if h.goneSince.IsZero() {
@@ -327,14 +338,14 @@
 func (r *fuzzRun) lateOrderArrives(t *rapid.T) {
 	e := r.pickEngine(t)
 	if len(e.late) == 0 || e.hung {
-		panic(impossible{})
+		panic(notApplicable{})
 	}
-	e.deliver(rapid.IntRange(0, len(e.late)-1).Draw(t, "order"))
+	e.deliverLate(rapid.IntRange(0, len(e.late)-1).Draw(t, "order"))
 }
 
 func (r *fuzzRun) lateWriteArrives(t *rapid.T) {
 	if len(r.late) == 0 {
-		panic(impossible{})
+		panic(notApplicable{})
 	}
 	r.late[0]()
 	r.late = r.late[1:]
--- a/coordination/order/desk.go
+++ b/coordination/order/desk.go
@@ -11,29 +11,31 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// maxWriteAttempts bounds how often a wish is repeated on a newer version.
+// maxWriteAttempts is how often a change is tried when other hosts keep writing the
+// same object.
 const maxWriteAttempts = 8
 
-// RequesterOptions are the parts of a Desk.
+// RequesterOptions are the dependencies of a Requester; all are required.
 type RequesterOptions struct {
 	Store store.Store
 	Clock state.Clock
-	// Rand marks the writes; the Desk alone uses it.
+	// Rand generates the nonces of writes. It must not be shared with other users.
 	Rand *rand.Rand
 	// Host is this host.
 	Host     state.HostID
 	Recorder Recorder
 }
 
-// Requester takes the wishes of operators and of the rebalancer, on any host. Its
-// methods may be called concurrently. Besides the errors that they name, they
-// return the store's; after an unknown outcome read the order again.
+// Requester writes the changes that operators and the rebalancer request into the
+// order objects. It works on any host, and its methods may be called concurrently.
+// Besides the errors that they name, the methods return the store's errors; if one
+// has an unknown outcome, the caller must read the order again.
 type Requester struct {
 	objects  *orderStore
 	recorder Recorder
 }
 
-// NewRequester validates the options.
+// NewRequester validates the options and returns an *OptionError if one is missing.
 func NewRequester(o RequesterOptions) (*Requester, error) {
 	switch {
 	case o.Store == nil:
@@ -51,7 +53,7 @@
 	return &Requester{objects: b, recorder: o.Recorder}, nil
 }
 
-// Get reads the order of an engine; *NoOrderError if it has none.
+// Get reads the order of an engine. It returns a *NoOrderError if there is none.
 func (d *Requester) Get(ctx context.Context, engine string) (state.Order, error) {
 	cur, err := d.objects.read(ctx, engine)
 	if errors.Is(err, store.ErrNotFound) {
@@ -60,10 +62,11 @@
 	return cur.order, err
 }
 
-// Request asks for the engine to become target, and returns the order in state
-// draining. Asking for what is being done, or is done, returns that order. A
-// change to something else that is under way gives a *BusyError; a target that
-// can't be ordered a *TargetError; another service's engine a *WrongServiceError.
+// Request starts a change of the engine to target and returns the order in state
+// draining. If target is already the desired state, reached or not, it returns the
+// present order unchanged. It returns a *BusyError while a change to another target
+// is under way, a *TargetError if the target is invalid, and a *WrongServiceError
+// if the engine belongs to another service.
 func (d *Requester) Request(ctx context.Context, engine, service string, target state.Target, by, reason string) (state.Order, error) {
 	target.Adapters = slices.Compact(slices.Sorted(slices.Values(target.Adapters)))
 	if err := checkTarget(engine, target); err != nil {
@@ -84,13 +87,13 @@
 	})
 }
 
-// Drain keeps new work away from the engine until Undrain. A change under way
-// goes on.
+// Drain stops new requests to the engine until Undrain. A change under way
+// continues.
 func (d *Requester) Drain(ctx context.Context, engine, service, by, reason string) (state.Order, error) {
 	return d.setDrained(ctx, engine, service, true, by, reason)
 }
 
-// Undrain gives the engine new work again once no change is under way.
+// Undrain allows new requests to the engine again, once no change is under way.
 func (d *Requester) Undrain(ctx context.Context, engine, service, by, reason string) (state.Order, error) {
 	return d.setDrained(ctx, engine, service, false, by, reason)
 }
@@ -106,7 +109,8 @@
 		}
 		o.Drained = drained
 		if o.State != state.OrderDraining && o.State != state.OrderIssued {
-			// The holder of a change under way stays: it alone may send.
+			// A change under way keeps its holder, the only host that may send the
+			// order.
 			o.Holder = d.objects.host
 			o.Reason = formatReason(by, reason)
 		}
@@ -114,8 +118,9 @@
 	})
 }
 
-// CallOff ends a change that hasn't been issued; the engine takes work again as
-// what it was. Else it returns a *NotDrainingError or a *NoOrderError.
+// CallOff cancels a change that hasn't been issued: the engine keeps its previous
+// state and takes new requests again. It returns a *NotDrainingError if there is no
+// such change, and a *NoOrderError if the engine has no order.
 func (d *Requester) CallOff(ctx context.Context, engine, by, reason string) (state.Order, error) {
 	return d.update(ctx, engine, "", "called off", func(o *state.Order) (bool, error) {
 		if o.State != state.OrderDraining {
@@ -128,20 +133,23 @@
 	})
 }
 
-// callOff turns a draining order back to what it was before.
+// callOff restores the desired state that a draining order had before the change.
 func callOff(o *state.Order) {
 	o.State = state.OrderIdle
 	o.Desired = o.Previous
 }
 
-// update applies edit to the present object until the write meets no other, and
-// returns the object. An empty service takes the object's and creates none.
+// update reads the engine's object, applies edit and writes the result; it repeats
+// this when another host has written the object in between. edit reports whether it
+// changed the order. update returns the order as it is then stored, and records the
+// decision chosen if it wrote. With an empty service it accepts the object of any
+// service, and creates none.
 func (d *Requester) update(ctx context.Context, engine, service, chosen string, edit func(*state.Order) (bool, error)) (state.Order, error) {
 	var err error
 	for range maxWriteAttempts {
 		var o state.Order
 		var wrote bool
-		o, wrote, err = d.attempt(ctx, engine, service, edit)
+		o, wrote, err = d.tryUpdate(ctx, engine, service, edit)
 		if store.IsConflict(err) {
 			continue
 		}
@@ -153,7 +161,8 @@
 	return state.Order{}, fmt.Errorf("engine %s: other hosts kept changing the order; try again: %w", engine, err)
 }
 
-func (d *Requester) attempt(ctx context.Context, engine, service string, edit func(*state.Order) (bool, error)) (state.Order, bool, error) {
+// tryUpdate makes one try of update; the second result reports whether it wrote.
+func (d *Requester) tryUpdate(ctx context.Context, engine, service string, edit func(*state.Order) (bool, error)) (state.Order, bool, error) {
 	cur, err := d.objects.read(ctx, engine)
 	missing := errors.Is(err, store.ErrNotFound)
 	if err != nil && !missing {
@@ -197,6 +206,7 @@
 	return fmt.Sprintf("%s: %s", by, reason)
 }
 
+// checkTarget returns a *TargetError if t has no valid role or no model.
 func checkTarget(engine string, t state.Target) error {
 	if !t.Role.Valid() {
 		return &TargetError{engine, fmt.Sprintf("%q is no role", t.Role), `use "mixed", "prefill" or "decode"`}
--- a/coordination/order/desk_test.go
+++ b/coordination/order/desk_test.go
@@ -17,29 +17,32 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-type decisions []state.Decision
+// decisionLog is a Recorder that keeps all decisions.
+type decisionLog []state.Decision
 
-func (d *decisions) Record(x state.Decision) { *d = append(*d, x) }
+func (d *decisionLog) Record(x state.Decision) { *d = append(*d, x) }
 
-func newTestDesk(p *storetest.Platform, name string) (*Requester, *decisions) {
-	kept := &decisions{}
+func newTestRequester(p *storetest.Platform, name string) (*Requester, *decisionLog) {
+	kept := &decisionLog{}
 	return must(NewRequester(RequesterOptions{
 		Store: p.Client(name), Clock: clocktest.Bubble{}, Rand: rand.New(rand.NewPCG(1, 1)),
 		Host: state.HostID{Name: name, Incarnation: "1"}, Recorder: kept,
 	})), kept
 }
 
-func TestDeskRefusesRacingChange(t *testing.T) {
+// Two hosts request different changes of one engine: the second is refused until the
+// first is called off, and repeating the first has no effect.
+func TestRequesterRefusesConcurrentChange(t *testing.T) {
 	is := is.New(t)
 	ctx, p := t.Context(), storetest.NewPlatform(0)
-	a, kept := newTestDesk(p, "a")
-	b, _ := newTestDesk(p, "b")
+	a, kept := newTestRequester(p, "a")
+	b, _ := newTestRequester(p, "b")
 	first, err := a.Request(ctx, "e1", testService, targets[1], "ana", "more prompts")
 	is.NoErr(err)
 	is.True(!first.TakesWork())
 	again, err := b.Request(ctx, "e1", testService, targets[1], "bo", "more prompts")
 	is.NoErr(err)
-	is.Equal(again.Fence, first.Fence) // the same wish is no second change
+	is.Equal(again.Fence, first.Fence) // the same target is no second change
 	_, err = b.Request(ctx, "e1", testService, targets[2], "bo", "more output")
 	var busy *BusyError
 	is.True(errors.As(err, &busy))
@@ -58,9 +61,9 @@
 	is.Equal(len(*kept), 1)
 }
 
-func TestDeskDrainsWithoutChange(t *testing.T) {
+func TestRequesterDrainsWithoutChange(t *testing.T) {
 	is := is.New(t)
-	d, _ := newTestDesk(storetest.NewPlatform(0), "a")
+	d, _ := newTestRequester(storetest.NewPlatform(0), "a")
 	o, err := d.Drain(t.Context(), "e1", testService, "ana", "maintenance")
 	is.NoErr(err)
 	is.True(!o.TakesWork())
@@ -69,11 +72,12 @@
 	is.True(o.TakesWork())
 }
 
-// The platform loses the answer of a write that took effect.
-func TestDeskKnowsItsOwnWrite(t *testing.T) {
+// The platform loses the answer of a write that took effect. The Requester must
+// recognize its own write and return success.
+func TestRequesterRecognizesOwnWriteAfterLostAnswer(t *testing.T) {
 	is := is.New(t)
 	p := storetest.NewPlatform(0)
-	d, _ := newTestDesk(p, "a")
+	d, _ := newTestRequester(p, "a")
 	p.SetScript(func(c storetest.Call) storetest.Fault {
 		if c.Op == "put" {
 			return storetest.LoseAnswer
@@ -85,11 +89,12 @@
 	is.Equal(o.State, state.OrderDraining)
 }
 
-// I1 holds over a deletion: an old order's fence stays below a new object's.
+// I1 holds across a deletion: the fence of the new object is above that of the deleted
+// one.
 func TestFenceGrowsOverDeletion(t *testing.T) {
 	is := is.New(t)
 	ctx, p := t.Context(), storetest.NewPlatform(0)
-	d, _ := newTestDesk(p, "a")
+	d, _ := newTestRequester(p, "a")
 	var old state.Order
 	for range 5 {
 		_ = must(d.Drain(ctx, "e1", testService, "ana", "x"))
@@ -101,12 +106,14 @@
 	is.True(again.Fence > old.Fence)
 }
 
-func TestWatcherFollowsThroughFaults(t *testing.T) {
+// A Watcher that can't list or watch retries with growing pauses, lists the orders
+// again after a gap, and keeps a deleted order with its Sink.
+func TestWatcherRecoversFromOutageAndGap(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		is := is.New(t)
 		ctx, cancel := context.WithCancel(t.Context())
 		p := storetest.NewPlatform(20 * time.Second)
-		d, _ := newTestDesk(p, "a")
+		d, _ := newTestRequester(p, "a")
 		keeper := snapshot.NewKeeper()
 		keeper.SetListed([]state.Listed{{Name: "e1", Kind: state.ListedEngine, State: state.ListedLive, Service: testService}})
 		takesWork := func() bool { return keeper.View().Runner("e1").TakesWork() }
@@ -119,17 +126,17 @@
 		time.Sleep(time.Minute)
 		select {
 		case <-w.Ready():
-			t.Fatal("ready without a list")
+			t.Fatal("Ready is closed before the orders were listed")
 		default:
 		}
-		is.True(p.Calls() < 40) // an outage is met by growing pauses
+		is.True(p.Calls() < 40) // retries back off during an outage
 		p.SetScript(nil)
 		<-w.Ready()
 		is.True(!takesWork())
 
 		_ = must(d.Undrain(ctx, "e1", testService, "ana", "x"))
 		synctest.Wait()
-		is.True(takesWork()) // by the watch, at once
+		is.True(takesWork()) // the watch delivers it without delay
 
 		p.SetScript(down)
 		p.DropHistory()
@@ -138,16 +145,16 @@
 		_ = must(d.Drain(ctx, "e1", testService, "ana", "x"))
 		p.DropHistory()
 		time.Sleep(watchMaxBackoff)
-		is.True(!takesWork()) // by a new list after the gap
+		is.True(!takesWork()) // the orders are listed again after the gap
 
 		obj := must(p.Client("a").Get(ctx, store.KindOrder, "e1"))
 		is.NoErr(p.Client("a").Delete(ctx, store.KindOrder, "e1", obj.Version))
 		synctest.Wait()
 		is.Equal(len(w.Orders()), 0)
-		is.True(!takesWork()) // a lost record gives the engine no work
+		is.True(!takesWork()) // the engine gets no requests because its object was lost
 		before := p.Calls()
 		time.Sleep(10 * time.Minute)
-		is.True(p.Calls()-before <= 31) // one waiting call, whatever there is
+		is.True(p.Calls()-before <= 31) // one pending watch call at a time
 		cancel()
 		synctest.Wait()
 	})
--- a/coordination/order/engine_test.go
+++ b/coordination/order/engine_test.go
@@ -10,66 +10,69 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// The ways in which an engine can see that the orders went wrong.
+// The violations of invariants that a simulation reports.
 const (
-	conflicting = "conflicting orders"
-	answerCut   = "an answer was cut by a planned change"
-	noAuthority = "an order without authority had an effect"
-	stuck       = "a change didn't come to its end after all faults had"
+	conflictingOrders = "conflicting orders"
+	answerCut         = "an answer was cut by a planned change"
+	noAuthority       = "an order without authority had an effect"
+	unfinishedChange  = "a change didn't finish after all faults ended"
 )
 
-// given is one order as it reaches an engine.
-type given struct {
+// receivedOrder is an order as an engine receives it.
+type receivedOrder struct {
 	fence  uint64
 	target state.Target
 }
 
+// lateOrder is an order that is still on its way to an engine, at most until then.
 type lateOrder struct {
-	given
+	receivedOrder
 	until time.Time
 }
 
-// fakeEngine does what it is told, or checks the fence first. It knows of the
-// hosts only what it receives, and reports what must never happen.
+// fakeEngine accepts all orders, or, if checksFence is set, only those with a fence not
+// below the highest so far. It reports violations of the invariants.
 type fakeEngine struct {
-	world  *world
-	name   string
-	checks bool
-	// hidesWork makes it show no work, so that only acknowledgements protect it.
-	hidesWork bool
-	hung      bool
-	changing  bool
-	target    state.Target
-	highest   uint64
-	// obeyed are the orders that it took, since its first start.
-	obeyed  []given
-	running map[*request]bool
-	late    []lateOrder
+	world       *simulation
+	name        string
+	checksFence bool
+	// hidesInFlight makes the engine show no requests in flight, so that only the
+	// acknowledgements protect them.
+	hidesInFlight bool
+	hung          bool
+	changing      bool
+	target        state.Target
+	highestFence  uint64
+	// accepted are all accepted orders; restarts don't clear them.
+	accepted []receivedOrder
+	running  map[*request]bool
+	late     []lateOrder
 }
 
 func (e *fakeEngine) shown() upstream.Shown {
-	s := upstream.Shown{Target: e.target, Fence: e.highest, Changing: e.changing, At: e.world.now}
-	if !e.checks {
+	s := upstream.Shown{Target: e.target, Fence: e.highestFence, Changing: e.changing, At: e.world.now}
+	if !e.checksFence {
 		s.Fence = 0
 	}
-	if !e.hidesWork {
+	if !e.hidesInFlight {
 		s.InFlight = len(e.running)
 	}
 	return s
 }
 
-func (e *fakeEngine) receive(g given) error {
-	if e.checks && g.fence < e.highest {
+// receive checks the invariants and applies an order, unless its fence is stale.
+func (e *fakeEngine) receive(g receivedOrder) error {
+	if e.checksFence && g.fence < e.highestFence {
 		e.world.stats["order refused by fence"]++
 		return upstream.ErrStaleFence
 	}
-	e.highest = max(e.highest, g.fence)
-	for _, o := range e.obeyed {
+	e.highestFence = max(e.highestFence, g.fence)
+	for _, o := range e.accepted {
 		if o.fence > g.fence && !o.target.Equal(g.target) {
-			e.world.report(conflicting, fmt.Sprintf("%s took %v@%d after %v@%d", e.name, g.target.Role, g.fence, o.target.Role, o.fence))
+			e.world.report(conflictingOrders, fmt.Sprintf("%s took %v@%d after %v@%d", e.name, g.target.Role, g.fence, o.target.Role, o.fence))
 		}
 	}
-	e.obeyed = append(e.obeyed, g)
+	e.accepted = append(e.accepted, g)
 	if e.target.Equal(g.target) {
 		return nil
 	}
@@ -82,35 +85,35 @@
 	}
 	e.target = g.target
 	e.changing = true
-	e.endAll()
+	e.endRequests()
 	return nil
 }
 
-func (e *fakeEngine) endAll() {
+func (e *fakeEngine) endRequests() {
 	for r := range e.running {
 		r.end()
 	}
 }
 
-// crash starts the engine anew. Only the fence of an engine that checks it stays.
+// crash restarts the engine. An engine that checks fences keeps its highest fence.
 func (e *fakeEngine) crash() {
-	e.endAll()
+	e.endRequests()
 	e.late = nil
 	e.changing, e.hung = false, false
 	e.target = targets[0]
-	if !e.checks {
-		e.highest = 0
+	if !e.checksFence {
+		e.highestFence = 0
 	}
 }
 
-// deliver hands the engine a late order.
-func (e *fakeEngine) deliver(i int) {
-	g := e.late[i].given
+// deliverLate makes the engine receive its late order i.
+func (e *fakeEngine) deliverLate(i int) {
+	g := e.late[i].receivedOrder
 	e.late = append(e.late[:i], e.late[i+1:]...)
 	_ = e.receive(g)
 }
 
-// request is one request from the choice of an engine to its end.
+// request is a request that was counted as in flight at an engine.
 type request struct {
 	id     int
 	host   *host
@@ -119,10 +122,10 @@
 	until  time.Time
 }
 
-// arrive is when the engine sees the request.
+// arrive makes the request reach its engine.
 func (r *request) arrive() {
 	if r.engine.changing {
-		r.engine.world.report(answerCut, fmt.Sprintf("a request reached %s in the middle of a change", r.engine.name))
+		r.engine.world.report(answerCut, fmt.Sprintf("a request reached %s during a change", r.engine.name))
 	}
 	r.engine.running[r] = true
 }
@@ -133,7 +136,8 @@
 	r.ticket.Done()
 }
 
-func (w *world) orderOf(engine string) (state.Order, error) {
+// orderOf reads an engine's order from the platform, without faults.
+func (w *simulation) orderOf(engine string) (state.Order, error) {
 	w.platform.SetScript(nil)
 	obj, err := w.platform.Client("oracle").Get(context.Background(), store.KindOrder, engine)
 	if err != nil {
--- a/coordination/order/errors.go
+++ b/coordination/order/errors.go
@@ -6,7 +6,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// OptionError says which option is missing or wrong.
+// OptionError reports an option that is missing or invalid, and the remedy.
 type OptionError struct{ Option, Remedy string }
 
 // Error implements error.
@@ -14,13 +14,13 @@
 	return fmt.Sprintf("order: option %s is missing or wrong; %s", e.Option, e.Remedy)
 }
 
-// BusyError says that another change of the engine is under way.
+// BusyError reports that another change of the engine is under way.
 type BusyError struct {
 	Engine string
-	// Holder is the host that moved the order last.
+	// Holder is the host that last wrote the change under way.
 	Holder state.HostID
 	State  state.OrderState
-	// Desired is what the engine is being changed to.
+	// Desired is the target of the change under way.
 	Desired state.Target
 	// Reason is the reason of the change under way.
 	Reason string
@@ -36,7 +36,8 @@
 		e.Engine, describe(e.Desired), e.Holder, e.State, e.Reason, remedy)
 }
 
-// NotDrainingError says that there is no change that could be called off.
+// NotDrainingError reports that no change is in state draining, the only state in
+// which it can be called off.
 type NotDrainingError struct {
 	Engine string
 	State  state.OrderState
@@ -50,7 +51,8 @@
 	return fmt.Sprintf("no change of engine %s is under way (%s); there is nothing to call off", e.Engine, e.State)
 }
 
-// WrongServiceError says that the engine belongs to another service.
+// WrongServiceError reports that the engine belongs to Service and not to Asked,
+// the service that was named in the request.
 type WrongServiceError struct{ Engine, Service, Asked string }
 
 // Error implements error.
@@ -58,7 +60,7 @@
 	return fmt.Sprintf("engine %s belongs to service %s, not %s; name that service", e.Engine, e.Service, e.Asked)
 }
 
-// TargetError says that the wished state can't be ordered.
+// TargetError reports that the requested target is invalid.
 type TargetError struct{ Engine, Problem, Remedy string }
 
 // Error implements error.
@@ -66,7 +68,7 @@
 	return fmt.Sprintf("engine %s: %s; %s", e.Engine, e.Problem, e.Remedy)
 }
 
-// NoOrderError says that the engine has no order object yet.
+// NoOrderError reports that the engine has no order object.
 type NoOrderError struct{ Engine string }
 
 // Error implements error.
@@ -74,7 +76,7 @@
 	return fmt.Sprintf("engine %s has no order; request a change or a drain first", e.Engine)
 }
 
-// ValueError says that an order object can't be read.
+// ValueError reports that the value of an order object can't be decoded or encoded.
 type ValueError struct {
 	Engine string
 	Cause  error
@@ -88,7 +90,7 @@
 // Unwrap returns the cause.
 func (e *ValueError) Unwrap() error { return e.Cause }
 
-// TransitionError says that a write would break an invariant of the order object.
+// TransitionError reports that a write would break an invariant of the order object.
 type TransitionError struct {
 	Engine   string
 	From, To state.OrderState
@@ -100,7 +102,7 @@
 	return fmt.Sprintf("order of engine %s can't go from %s to %s: %s; read the object again", e.Engine, e.From, e.To, e.Problem)
 }
 
-// describe names a target in a few words.
+// describe formats a target for messages, for example "decode of m with [a]".
 func describe(t state.Target) string {
 	if len(t.Adapters) == 0 {
 		return fmt.Sprintf("%s of %s", t.Role, t.Model)
--- a/coordination/order/fleet_test.go
+++ b/coordination/order/fleet_test.go
@@ -24,25 +24,27 @@
 )
 
 const (
-	fleetChange = 3 * time.Second        // what a change takes at the engine
-	fleetDigest = 500 * time.Millisecond // how often hosts tell each other
-	fleetLag    = 5 * time.Second        // how late the platform's list is
+	fleetChangeTime     = 3 * time.Second        // how long an engine takes for a change
+	fleetDigestInterval = 500 * time.Millisecond // how often hosts exchange acknowledgements and releases
+	fleetListDelay      = 5 * time.Second        // how long after its isolation a host leaves the platform's list
 )
 
-// fleet is a few whole hosts with all their loops, in virtual time.
+// fleet is a few hosts with all their loops and one engine, in virtual time.
 type fleet struct {
 	platform *storetest.Platform
 
-	mu       sync.Mutex
-	cut      map[string]time.Time // host -> since when it reaches nothing
-	shown    upstream.Shown
-	readyAt  time.Time
-	hosts    []*fleetHost
-	recorded []state.Decision
-	// onRecord, if set, is called with each decision before it is kept.
+	mu            sync.Mutex
+	isolatedSince map[string]time.Time // by host name; zero if the host isn't isolated
+	shown         upstream.Shown
+	readyAt       time.Time
+	hosts         []*fleetHost
+	recorded      []state.Decision
+	// onRecord, if set, is called with each decision before it is stored.
 	onRecord func(h *fleetHost, d state.Decision)
 }
 
+// fleetHost is one host of a fleet. It implements Members, Recorder and the transport
+// to engines.
 type fleetHost struct {
 	fleet   *fleet
 	id      state.HostID
@@ -54,10 +56,10 @@
 }
 
 func startFleet(ctx context.Context, hosts int, checks bool) *fleet {
-	f := &fleet{platform: storetest.NewPlatform(20 * time.Second), cut: map[string]time.Time{}}
+	f := &fleet{platform: storetest.NewPlatform(20 * time.Second), isolatedSince: map[string]time.Time{}}
 	f.shown.Target = targets[0]
 	f.platform.SetScript(func(c storetest.Call) storetest.Fault {
-		if f.isCut(c.Caller) {
+		if f.isIsolated(c.Caller) {
 			return storetest.Refuse
 		}
 		return storetest.None
@@ -66,7 +68,7 @@
 		f.hosts = append(f.hosts, f.startHost(ctx, i, checks))
 	}
 	for _, h := range f.hosts {
-		go h.tellAll(ctx)
+		go h.exchangeDigests(ctx)
 	}
 	return f
 }
@@ -98,26 +100,28 @@
 	return h
 }
 
-func (f *fleet) isCut(host string) bool {
+func (f *fleet) isIsolated(host string) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return !f.cut[host].IsZero()
+	return !f.isolatedSince[host].IsZero()
 }
 
-// sever cuts a host off from everything, or heals it.
-func (f *fleet) sever(host string, off bool) {
+// setIsolated cuts a host off from the platform, the engine and the other hosts, or
+// connects it again.
+func (f *fleet) setIsolated(host string, off bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.cut[host] = time.Time{}
+	f.isolatedSince[host] = time.Time{}
 	if off {
-		f.cut[host] = time.Now()
+		f.isolatedSince[host] = time.Now()
 	}
 }
 
-// tellAll is the hosts' exchange of digests.
-func (h *fleetHost) tellAll(ctx context.Context) {
-	for clocktest.Bubble.Sleep(clocktest.Bubble{}, ctx, fleetDigest) == nil {
-		if h.fleet.isCut(h.id.Name) {
+// exchangeDigests sends the host's acknowledgements and releases to all hosts at each
+// interval.
+func (h *fleetHost) exchangeDigests(ctx context.Context) {
+	for clocktest.Bubble.Sleep(clocktest.Bubble{}, ctx, fleetDigestInterval) == nil {
+		if h.fleet.isIsolated(h.id.Name) {
 			continue
 		}
 		for _, to := range h.fleet.hosts {
@@ -154,14 +158,14 @@
 func (h *fleetHost) GoneFor(id state.HostID) time.Duration {
 	h.fleet.mu.Lock()
 	defer h.fleet.mu.Unlock()
-	if since := h.fleet.cut[id.Name]; !since.IsZero() {
-		return max(0, time.Since(since)-fleetLag)
+	if since := h.fleet.isolatedSince[id.Name]; !since.IsZero() {
+		return max(0, time.Since(since)-fleetListDelay)
 	}
 	return 0
 }
 
 func (h *fleetHost) Send(_ context.Context, u state.Upstream, fence uint64, _ string, t state.Target) error {
-	if h.fleet.isCut(h.id.Name) {
+	if h.fleet.isIsolated(h.id.Name) {
 		return &upstream.SendError{Upstream: u.Name, Cause: errTest}
 	}
 	h.fleet.mu.Lock()
@@ -173,13 +177,13 @@
 	s.Fence = max(s.Fence, fence)
 	if !s.Target.Equal(t) {
 		s.Target = t
-		h.fleet.readyAt = time.Now().Add(fleetChange)
+		h.fleet.readyAt = time.Now().Add(fleetChangeTime)
 	}
 	return nil
 }
 
 func (h *fleetHost) Show(_ context.Context, u state.Upstream) (upstream.Shown, error) {
-	if h.fleet.isCut(h.id.Name) {
+	if h.fleet.isIsolated(h.id.Name) {
 		return upstream.Shown{}, &upstream.SendError{Upstream: u.Name, Cause: errTest}
 	}
 	h.fleet.mu.Lock()
@@ -193,19 +197,21 @@
 	return must(decode(must(f.platform.Client("oracle").Get(context.Background(), store.KindOrder, "engine"))))
 }
 
-// until waits in virtual time and returns how long it took.
-func (f *fleet) until(t *testing.T, limit time.Duration, what func(state.Order) bool) time.Duration {
+// until waits for condition in virtual time and returns how long it took; it fails the
+// test after limit.
+func (f *fleet) until(t *testing.T, limit time.Duration, condition func(state.Order) bool) time.Duration {
 	t.Helper()
 	began := time.Now()
-	for !what(f.order()) {
+	for !condition(f.order()) {
 		if time.Since(began) > limit {
-			t.Fatalf("not within %s: %+v", limit, f.order())
+			t.Fatalf("the condition didn't hold within %s: %+v", limit, f.order())
 		}
 		time.Sleep(250 * time.Millisecond)
 	}
 	return time.Since(began)
 }
 
+// count returns the number of decisions recorded with chosen.
 func (f *fleet) count(chosen string) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -222,11 +228,12 @@
 
 func finished(o state.Order) bool { return settled(o) || o.State == state.OrderIdle }
 
-// A planner that dies or leaves between issuing and settling is replaced. Where
-// the engine ignores fences, a successor must wait until the dead is gone.
-func TestPlannerIsTakenOver(t *testing.T) {
+// A planner is isolated or stops between issued and settled: a successor must finish
+// the order. If the engine ignores fences, the successor must wait until an isolated
+// host counts as gone; a planner that stops hands its order over.
+func TestSuccessorFinishesOrderOfLostPlanner(t *testing.T) {
 	t.Parallel()
-	const lapse = 3 * lease.DefaultTTL
+	const maxTakeover = 3 * lease.DefaultTTL
 	for _, m := range []struct {
 		name   string
 		checks bool
@@ -234,9 +241,9 @@
 		runs   int
 		bound  time.Duration
 	}{
-		{"killed, the engine checks fences", true, false, 5, lapse},
-		{"killed, the engine ignores fences", false, false, 1, lapse + DefaultGoneAfter + fleetLag},
-		{"leaves, the engine ignores fences", false, true, 5, lapse},
+		{"isolated, the engine checks fences", true, false, 5, maxTakeover},
+		{"isolated, the engine ignores fences", false, false, 1, maxTakeover + DefaultGoneAfter + fleetListDelay},
+		{"stops, the engine ignores fences", false, true, 5, maxTakeover},
 	} {
 		var took []time.Duration
 		for run := range m.runs {
@@ -250,7 +257,7 @@
 				if m.leaves {
 					f.hosts[slices.IndexFunc(f.hosts, func(h *fleetHost) bool { return h.id.Name == holder })].leave()
 				} else {
-					f.sever(holder, true)
+					f.setIsolated(holder, true)
 				}
 				took = append(took, f.until(t, m.bound, settled))
 				cancel()
@@ -263,11 +270,11 @@
 	}
 }
 
-// A planner that leaves right after it wrote an order, before its own watch shows
-// it the write, must hand the order over like any other.
-func TestPlannerThatLeavesWhileItIssuesHandsOver(t *testing.T) {
+// A planner that stops right after it wrote issued, before its own watch has delivered
+// the write, must hand the order over like any other.
+func TestPlannerStoppedAfterIssueHandsOver(t *testing.T) {
 	t.Parallel()
-	const lapse = 3 * lease.DefaultTTL
+	const maxTakeover = 3 * lease.DefaultTTL
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		f := startFleet(ctx, 4, false)
@@ -280,13 +287,14 @@
 		time.Sleep(3 * time.Second)
 		_ = must(f.hosts[0].desk.Request(ctx, "engine", testService, targets[1], "operator", "test"))
 		f.until(t, time.Minute, func(o state.Order) bool { return o.State == state.OrderIssued })
-		f.until(t, lapse, settled)
+		f.until(t, maxTakeover, settled)
 		cancel()
 		synctest.Wait()
 	})
 }
 
-// The platform is asked no more often when there are more engines.
+// The number of platform calls of an idle planner doesn't grow with the number of
+// engines.
 func TestIdlePlannerCallsDontGrowWithEngines(t *testing.T) {
 	t.Parallel()
 	var calls []int
@@ -310,8 +318,8 @@
 	is.New(t).True(calls[1] <= calls[0]+2)
 }
 
-// A member that doesn't acknowledge in time costs the change, not an answer; the
-// engine stays what it was and takes work again.
+// If a member doesn't acknowledge in time, the change is called off and no answer is
+// cut off; the engine keeps its state and takes requests again.
 func TestChangeWithoutAcknowledgementIsCalledOff(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -327,21 +335,21 @@
 			if r.IntN(5) == 0 {
 				silent++
 				off = time.Duration(r.IntN(60)) * time.Second
-				f.sever(quiet, true)
+				f.setIsolated(quiet, true)
 			}
-			heal := time.AfterFunc(off, func() { f.sever(quiet, false) })
+			heal := time.AfterFunc(off, func() { f.setIsolated(quiet, false) })
 			target := targets[1]
 			if i > 0 && f.order().Desired.Equal(target) {
 				target = targets[2]
 			}
 			_ = must(f.hosts[0].desk.Request(ctx, "engine", testService, target, "operator", "test"))
 			f.until(t, 3*time.Minute, finished)
-			is.Equal(f.order().State == state.OrderSettled, f.order().Desired.Equal(target)) // else called off
+			is.Equal(f.order().State == state.OrderSettled, f.order().Desired.Equal(target)) // otherwise the change was called off
 			heal.Stop()
-			f.sever(quiet, false)
+			f.setIsolated(quiet, false)
 			time.Sleep(10 * time.Second)
 		}
-		t.Logf("%d changes, %d with a member cut off for up to 60s: %d settled, %d called off after %s",
+		t.Logf("%d changes, %d with a member isolated for up to 60s: %d settled, %d called off after %s",
 			changes, silent, f.count("settled"), f.count("called off"), DefaultDrainTimeout)
 		is.Equal(f.count("settled")+f.count("called off"), changes)
 		is.True(f.count("called off") <= silent)
--- a/coordination/order/fuzz_test.go
+++ b/coordination/order/fuzz_test.go
@@ -12,52 +12,54 @@
 
 // fuzzRun is one run of random actions.
 type fuzzRun struct {
-	*world
-	// leasesObeyed makes planners step only while they believe to hold the lease.
+	*simulation
+	// leasesObeyed restricts steps to planners whose host believes it holds the lease.
 	leasesObeyed bool
 	entered      int
 }
 
-// start is the situation that a run begins in.
+// start is the initial situation of a run.
 type start int
 
 const (
 	anyStart    start = iota
-	freshStart        // nothing has been asked
-	pausedStart       // the first planner is paused while it gives an order
-	lateStart         // and an earlier copy of the order is still on its way
+	freshStart        // no change has been requested
+	pausedStart       // the first planner is paused while it sends an order
+	lateStart         // as pausedStart, and an earlier copy of the order is still on its way
 )
 
-// profile narrows the runs down; the zero profile allows all.
+// profile restricts the runs to an engine and a start; the zero profile allows all.
 type profile struct {
 	engine string
 	start  start
 }
 
-// fuzz runs random actions and faults on a new world, then ends all faults and
-// sees whether every change comes to its end. It returns the world with what it found.
-func fuzz(t *rapid.T, weak weakness, only profile) *world {
-	checking := &fakeEngine{name: "checks", checks: true}
+// fuzz runs random actions and faults on a new simulation, then ends all faults and
+// checks that every change finishes. It returns the simulation with the first
+// violation.
+func fuzz(t *rapid.T, mutation mutation, restriction profile) *simulation {
+	checking := &fakeEngine{name: "checks", checksFence: true}
 	ignoring := &fakeEngine{name: "ignores"}
 	fleets := [][]*fakeEngine{{ignoring}, {checking}, {checking, ignoring}}
 	fleets = slices.DeleteFunc(fleets, func(f []*fakeEngine) bool {
-		return only.engine != "" && (len(f) > 1 || f[0].name != only.engine)
+		return restriction.engine != "" && (len(f) > 1 || f[0].name != restriction.engine)
 	})
 	fleet := rapid.SampledFrom(fleets).Draw(t, "engines")
 	for _, e := range fleet {
-		e.hidesWork = rapid.Bool().Draw(t, "hides its work")
+		e.hidesInFlight = rapid.Bool().Draw(t, "hides its work")
 	}
-	w := newWorld(rapid.IntRange(2, 4).Draw(t, "hosts"), fleet, weak)
+	w := newWorld(rapid.IntRange(2, 4).Draw(t, "hosts"), fleet, mutation)
 	defer w.close()
-	r := &fuzzRun{world: w, leasesObeyed: rapid.Bool().Draw(t, "leases obeyed")}
-	if only.start == anyStart {
-		only.start = rapid.SampledFrom([]start{freshStart, pausedStart, lateStart}).Draw(t, "start")
+	r := &fuzzRun{simulation: w, leasesObeyed: rapid.Bool().Draw(t, "leases obeyed")}
+	if restriction.start == anyStart {
+		restriction.start = rapid.SampledFrom([]start{freshStart, pausedStart, lateStart}).Draw(t, "start")
 	}
-	if only.start != freshStart {
-		r.pauseHolder(t, only.start)
+	if restriction.start != freshStart {
+		r.pauseHolder(t, restriction.start)
 	}
 	actions := r.actions()
-	// Half of the runs prefer some actions and lack others, so that rare ones meet.
+	// Half of the runs prefer some actions and omit others, so that rare actions occur
+	// together.
 	factors := rapid.SampledFrom([][]int{{1}, {1, 4, 0, 10}}).Draw(t, "preferences")
 	weighted := []string{actions[0].name}
 	for _, a := range actions {
@@ -68,40 +70,41 @@
 	next := rapid.IntRange(0, len(weighted)-1)
 	turn := 0
 	t.Repeat(map[string]func(*rapid.T){"act": func(t *rapid.T) {
-		// The generator prefers small numbers; the turn spreads them.
+		// The generator prefers small numbers; the turn spreads them evenly.
 		turn += len(weighted)/3 + 1
 		name := weighted[(next.Draw(t, "action")+turn)%len(weighted)]
-		if w.found != "" {
+		if w.violation != "" {
 			return
 		}
 		w.stats["action: "+name]++
 		i := slices.IndexFunc(actions, func(a action) bool { return a.name == name })
-		try(t, actions[i].do)
+		perform(t, actions[i].do)
 		r.replaceDead()
 		if w.downFor--; w.downFor == 0 {
 			w.down = false
 		}
 	}})
-	if w.found == "" {
-		r.heal()
+	if w.violation == "" {
+		r.recoverAll()
 	}
 	return w
 }
 
-// impossible ends an action for which there is nothing at hand.
-type impossible struct{}
+// notApplicable is the panic value of an action that has nothing to act on.
+type notApplicable struct{}
 
-func try(t *rapid.T, do func(*rapid.T)) {
+// perform runs an action and ignores it if it isn't applicable.
+func perform(t *rapid.T, do func(*rapid.T)) {
 	defer func() {
-		if p := recover(); p != nil && p != (impossible{}) {
+		if p := recover(); p != nil && p != (notApplicable{}) {
 			panic(p)
 		}
 	}()
 	do(t)
 }
 
-// heal ends all faults and lets the changes finish.
-func (r *fuzzRun) heal() {
+// recoverAll ends all faults and reports a violation if a change doesn't finish.
+func (r *fuzzRun) recoverAll() {
 	r.down = false
 	r.leasesObeyed = false
 	r.start("host-last")
@@ -115,15 +118,17 @@
 	}
 	last := r.hosts[len(r.hosts)-1]
 	for range 60 {
-		r.healRound(last)
+		r.recoverRound(last)
 		if r.unfinished() == "" {
 			return
 		}
 	}
-	r.report(stuck, r.unfinished())
+	r.report(unfinishedChange, r.unfinished())
 }
 
-func (r *fuzzRun) healRound(planner *host) {
+// recoverRound ends changes and requests at all engines, runs the planner and lets
+// the drain timeout elapse.
+func (r *fuzzRun) recoverRound(planner *host) {
 	for _, e := range r.engines {
 		e.changing, e.hung = false, false
 	}
@@ -132,11 +137,11 @@
 			q.end()
 		}
 	}
-	r.drive(planner)
+	r.runPlanner(planner)
 	r.advance(testDrain)
 }
 
-// unfinished says which change hasn't come to its end.
+// unfinished describes a change that hasn't finished; empty if there is none.
 func (r *fuzzRun) unfinished() string {
 	for _, e := range r.engines {
 		o, err := r.orderOf(e.name)
--- a/coordination/order/object.go
+++ b/coordination/order/object.go
@@ -13,13 +13,14 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// versionedOrder is an order object as read or written.
+// versionedOrder is an order with the version of its object in the store.
 type versionedOrder struct {
 	order   state.Order
 	version uint64
 }
 
-// orderStore reads and writes order orderStore on behalf of one host.
+// orderStore reads and writes order objects on behalf of one host. It is safe for
+// concurrent use.
 type orderStore struct {
 	store store.Store
 	clock state.Clock
@@ -30,8 +31,8 @@
 	writes uint64
 }
 
-// nonce returns a mark that no other write carries: the host's incarnation is
-// unique, and the random part tells the writers of one host apart.
+// nonce returns an identifier that no other write has. The host's incarnation is
+// unique, and the random part distinguishes the orderStores of one host.
 func (b *orderStore) nonce() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,6 +40,7 @@
 	return fmt.Sprintf("%s/%x/%d", b.host, b.rand.Uint64(), b.writes)
 }
 
+// decode decodes an order object; the error is a *ValueError.
 func decode(obj store.Object) (state.Order, error) {
 	var o state.Order
 	if err := json.Unmarshal(obj.Value, &o); err != nil {
@@ -50,7 +52,8 @@
 	return o, nil
 }
 
-// read returns store.ErrNotFound, a *ValueError or the store's error.
+// read reads the order of an engine. The error is store.ErrNotFound, a *ValueError
+// or another error of the store.
 func (b *orderStore) read(ctx context.Context, engine string) (versionedOrder, error) {
 	obj, err := b.store.Get(ctx, store.KindOrder, engine)
 	if err != nil {
@@ -60,9 +63,9 @@
 	return versionedOrder{order: o, version: obj.Version}, err
 }
 
-// create writes the first object of an engine. Its fence is above the revision
-// that the platform had after the object was found missing, so it is above every
-// fence of an object of this name that was deleted (I1).
+// create writes the first object of an engine. Its fence is above the platform's
+// revision after the object was found missing, and thus above the fence of every
+// deleted object of this name (I1).
 func (b *orderStore) create(ctx context.Context, next state.Order) (versionedOrder, error) {
 	_, revision, err := b.store.List(ctx, store.KindOrder)
 	if err != nil {
@@ -72,9 +75,9 @@
 	return b.put(ctx, store.Absent, next)
 }
 
-// write replaces cur by next with the next fence. The error is a
-// *TransitionError, a *store.ConflictError, or the store's; after an unknown
-// outcome that couldn't be read back the write may still have taken effect.
+// write replaces cur by next, with the fence increased by one. The error is a
+// *TransitionError, a *store.ConflictError or another error of the store. If the
+// error has an unknown outcome, the write may have taken effect or may do so later.
 func (b *orderStore) write(ctx context.Context, cur versionedOrder, next state.Order) (versionedOrder, error) {
 	next.Fence = cur.order.Fence + 1
 	if err := checkTransition(cur.order, next, b.host); err != nil {
@@ -83,6 +86,7 @@
 	return b.put(ctx, cur.version, next)
 }
 
+// put writes next, with a new nonce and time, if the object has the given version.
 func (b *orderStore) put(ctx context.Context, version uint64, next state.Order) (versionedOrder, error) {
 	next.Nonce = b.nonce()
 	next.ChangedAt = b.clock.Now()
@@ -100,7 +104,9 @@
 	return versionedOrder{order: next, version: v}, nil
 }
 
-// readBack finds out what became of a write whose answer was lost.
+// readBack reads the object after a write with an unknown outcome. It returns the
+// object if the write took effect, a *store.ConflictError if another write replaced
+// the version, and cause if the outcome is still unknown.
 func (b *orderStore) readBack(ctx context.Context, wrote state.Order, version uint64, cause error) (versionedOrder, error) {
 	found, err := b.read(ctx, wrote.Engine)
 	if err == nil && found.order.Nonce == wrote.Nonce {
@@ -110,8 +116,8 @@
 		return versionedOrder{}, cause
 	}
 	if found.version == version {
-		// Not written so far; it may still arrive, and then fails or counts as
-		// this host's own.
+		// The write hasn't taken effect so far but may still arrive. It then fails,
+		// or is recognized as this host's own.
 		return versionedOrder{}, cause
 	}
 	return versionedOrder{}, &store.ConflictError{
@@ -119,7 +125,7 @@
 	}
 }
 
-// checkTransition refuses a write that would break I1 or I2.
+// checkTransition returns a *TransitionError for a write that would break I1 or I2.
 func checkTransition(from, to state.Order, writer state.HostID) error {
 	fail := func(problem string) error {
 		return &TransitionError{Engine: from.Engine, From: from.State, To: to.State, Problem: problem}
--- a/coordination/order/planner.go
+++ b/coordination/order/planner.go
@@ -11,7 +11,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// The settings that a zero option takes.
+// Defaults of the durations in PlannerOptions.
 const (
 	DefaultPollInterval        = 500 * time.Millisecond
 	DefaultSettledPollInterval = 5 * time.Second
@@ -22,13 +22,14 @@
 	DefaultStepTimeout         = 10 * time.Second
 )
 
-// PlannerOptions are the parts and settings of a Planner.
+// PlannerOptions are the dependencies and settings of a Planner. A duration of zero
+// stands for its default; the dependencies are required, except Log.
 type PlannerOptions struct {
 	Store store.Store
 	Clock state.Clock
-	// Rand marks the writes; the Planner alone uses it.
+	// Rand generates the nonces of writes. It must not be shared with other users.
 	Rand *rand.Rand
-	// Host is this host; Service is the service whose engines are driven.
+	// Host is this host; Service is the service whose engines the Planner changes.
 	Host      state.HostID
 	Service   string
 	Orders    Lister
@@ -37,34 +38,35 @@
 	Upstreams Upstreams
 	Engines   upstream.Orders
 	Recorder  Recorder
-	// Log gets failed steps; nil means none.
+	// Log receives failed steps; nil disables logging.
 	Log *slog.Logger
 
-	// PollInterval is the time between two looks at a change under way; a change that
-	// takes long is looked at less often, down to ShowEvery. Each look costs two
+	// PollInterval is the time between two steps of a change under way. It grows up
+	// to SettledPollInterval for a change that takes long, since each step costs two
 	// platform calls.
 	PollInterval time.Duration
-	// SettledPollInterval is the time between two looks at an engine that has settled. They
-	// ask the engine and not the platform.
+	// SettledPollInterval is the time between two checks of an engine without a
+	// change under way. The checks call the engine and not the platform.
 	SettledPollInterval time.Duration
-	// DrainTimeout is how long a planner waits for the acknowledgements before it
-	// calls the change off.
+	// DrainTimeout is how long a planner waits until it may issue a draining order,
+	// before it calls the change off.
 	DrainTimeout time.Duration
-	// GoneAfter is how long a host must be off the platform's list to count as
-	// gone: at least the longest deadline of a request, and longer than any pause
-	// after which a host still sends something.
+	// GoneAfter is how long a host must be missing from the platform's list to count
+	// as gone. It must be at least the longest deadline of a request, and longer than
+	// any pause of a process after which the host still sends something.
 	GoneAfter time.Duration
-	// MaxDeliveryDelay is how long an order whose outcome is unknown may take to arrive: the
-	// transport's TCP_USER_TIMEOUT and the longest pause of an engine that shows
-	// its state again.
+	// MaxDeliveryDelay is how long an order whose outcome is unknown may take to
+	// arrive: the transport's TCP_USER_TIMEOUT plus the longest pause of an engine
+	// after which it answers again.
 	MaxDeliveryDelay time.Duration
-	// ResendInterval is the time after which an order that has shown no effect is
-	// given again.
+	// ResendInterval is the time after which an order is sent again if the engine
+	// doesn't show its effect.
 	ResendInterval time.Duration
-	// StepTimeout bounds one step at one engine.
+	// StepTimeout bounds one step for one engine.
 	StepTimeout time.Duration
 }
 
+// validate returns an *OptionError if a dependency is missing or a duration invalid.
 func (o *PlannerOptions) validate() error {
 	parts := []struct {
 		missing        bool
@@ -75,7 +77,7 @@
 		{o.Rand == nil, "Rand", "pass a seeded random source"},
 		{o.Host.Zero(), "Host", "pass this host's id"},
 		{o.Service == "", "Service", "name the service to plan for"},
-		{o.Orders == nil, "Book", "pass the host's watcher"},
+		{o.Orders == nil, "Orders", "pass the host's watcher"},
 		{o.Acks == nil, "Acks", "pass the table of acknowledgements"},
 		{o.Members == nil, "Members", "pass the membership"},
 		{o.Upstreams == nil, "Upstreams", "pass the host's view of upstreams"},
@@ -90,18 +92,19 @@
 	return o.setDurations()
 }
 
+// setDurations replaces zero durations by their defaults and checks the others.
 func (o *PlannerOptions) setDurations() error {
 	durations := []struct {
 		name     string
 		value    *time.Duration
 		standard time.Duration
 	}{
-		{"PollEvery", &o.PollInterval, DefaultPollInterval},
-		{"ShowEvery", &o.SettledPollInterval, DefaultSettledPollInterval},
+		{"PollInterval", &o.PollInterval, DefaultPollInterval},
+		{"SettledPollInterval", &o.SettledPollInterval, DefaultSettledPollInterval},
 		{"DrainTimeout", &o.DrainTimeout, DefaultDrainTimeout},
 		{"GoneAfter", &o.GoneAfter, DefaultGoneAfter},
-		{"Linger", &o.MaxDeliveryDelay, DefaultMaxDeliveryDelay},
-		{"ResendEvery", &o.ResendInterval, DefaultResendInterval},
+		{"MaxDeliveryDelay", &o.MaxDeliveryDelay, DefaultMaxDeliveryDelay},
+		{"ResendInterval", &o.ResendInterval, DefaultResendInterval},
 		{"StepTimeout", &o.StepTimeout, DefaultStepTimeout},
 	}
 	for _, d := range durations {
@@ -113,35 +116,38 @@
 		}
 	}
 	if o.GoneAfter < o.MaxDeliveryDelay {
-		return &OptionError{"GoneAfter", "use at least Linger: a host that is gone must have no order on its way"}
+		return &OptionError{"GoneAfter", "use at least MaxDeliveryDelay: no order of a host that is gone may still arrive"}
 	}
 	return nil
 }
 
-// Planner drives the order objects of one service. Any number of hosts may run
-// one at the same time; the lease only keeps them from doing the work twice.
-// Releases must go on being told after Run has returned.
+// Planner moves the order objects of one service from draining to settled. Any
+// number of hosts may run one at the same time; the lease only avoids duplicate
+// work. The result of Releases must still be sent to the other hosts after Run has
+// returned, since a successor may wait for it.
 type Planner struct {
 	opts    PlannerOptions
 	objects *orderStore
 	sends   *sendTracker
-	// mutation is set by tests only, to show that they find a missing mechanism.
+	// mutation is set only by tests.
 	mutation plannerMutation
 }
 
-// plannerMutation takes mechanisms away.
+// plannerMutation disables safety mechanisms of a Planner. Only tests set its fields,
+// to show that they detect the missing mechanism.
 type plannerMutation struct {
-	sendWithoutWrite    bool // an order is sent although its write failed
-	ignoreAcks          bool // issued is written without acknowledgements
-	ignoreReleases      bool // settled is written while another holder may still send
-	ignoreDeliveryDelay bool // settled is written while an own order may still arrive
-	ignoreShownFence    bool // settled is written before the engine has the fence
-	trustLostAnswer     bool // a write with unknown outcome counts as done
-	releaseInStep       bool // a release is told in the middle of a step
-	sendAfterFailure    bool // an order is repeated although a write over it may still arrive
+	sendWithoutWrite    bool // sends an order although its write failed
+	ignoreAcks          bool // writes issued without acknowledgements
+	ignoreReleases      bool // writes settled while another host may still send an order
+	ignoreDeliveryDelay bool // writes settled while an order of this host may still arrive
+	ignoreShownFence    bool // writes settled before the engine has the fence
+	trustLostAnswer     bool // treats a write with unknown outcome as successful
+	releaseInStep       bool // returns a release in the middle of a step
+	sendAfterFailure    bool // sends an order again although a failed write may still replace it
 }
 
-// NewPlanner validates the options.
+// NewPlanner validates the options and returns an *OptionError if one is missing or
+// invalid.
 func NewPlanner(o PlannerOptions) (*Planner, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -153,8 +159,8 @@
 	return &Planner{opts: o, objects: b, sends: newSendTracker()}, nil
 }
 
-// Releases returns what this host can promise about the orders that other hosts
-// have taken over from it. They travel with the acknowledgements.
+// Releases returns the releases of this host for orders that it may have sent and
+// that other hosts have taken over. They are sent together with the acknowledgements.
 func (p *Planner) Releases() []Release {
 	now := p.opts.Clock.Now()
 	var out []Release
--- a/coordination/order/process_test.go
+++ b/coordination/order/process_test.go
@@ -12,7 +12,7 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// fault is what happens to the call that a paused process makes next.
+// fault is the fault of the next call of a paused process.
 type fault int
 
 const (
@@ -22,24 +22,24 @@
 	arrivesLate       // the call fails and has its effect at some later time
 )
 
-// process is one thread of a host, run as a coroutine: it stops before each call
-// that leaves the host, and after each write, until it is resumed.
+// process is one thread of a host, run as a coroutine. It pauses before each call
+// that leaves the host, and after each write and each sent order, until it is resumed.
 type process struct {
 	host  *host
 	yield func(string) bool
 	next  func() (string, bool)
 	stop  func()
-	// at is the call that it is paused at; empty once it is over.
-	at    string
-	fault fault
-	ctx   context.Context
-	kill  context.CancelFunc
+	// pausedAt is the call at which the process is paused; empty once it has ended.
+	pausedAt string
+	fault    fault
+	ctx      context.Context
+	cancel   context.CancelFunc
 }
 
-// spawn starts a process, which runs to its first call.
+// spawn starts a process and runs it to its first call.
 func (h *host) spawn(body func(context.Context)) *process {
 	p := &process{host: h}
-	p.ctx, p.kill = context.WithCancel(context.Background())
+	p.ctx, p.cancel = context.WithCancel(context.Background())
 	p.next, p.stop = iter.Pull(iter.Seq[string](func(yield func(string) bool) {
 		p.yield = yield
 		body(p.ctx)
@@ -49,15 +49,15 @@
 	return p
 }
 
-// resume lets the pending call happen with f and runs on to the next one.
+// resume makes the pending call with the fault f and runs on to the next call.
 func (p *process) resume(f fault) {
 	w := p.host.world
 	before := w.running
 	w.running = p
 	p.fault = f
-	p.at, _ = p.next()
+	p.pausedAt, _ = p.next()
 	w.running = before
-	if p.at != "" {
+	if p.pausedAt != "" {
 		return
 	}
 	for i, q := range p.host.processes {
@@ -68,15 +68,15 @@
 	}
 }
 
-// runTo resumes without faults until the process is paused at the call or over.
+// runTo resumes without faults until the process is paused at the call or has ended.
 func (p *process) runTo(call string) {
-	for p.at != "" && p.at != call {
+	for p.pausedAt != "" && p.pausedAt != call {
 		p.resume(noFault)
 	}
 }
 
-// pass pauses the running process before a call and returns the call's fault.
-func (w *world) pass(call string) (fault, error) {
+// pauseAt pauses the running process before a call and returns the call's fault.
+func (w *simulation) pauseAt(call string) (fault, error) {
 	p := w.running
 	if p == nil {
 		return noFault, nil
@@ -90,16 +90,19 @@
 	return f, nil
 }
 
-// gatedStore is the platform as one host's processes see it.
+// gatedStore is the store of one host's processes. Each call pauses the process and
+// may get a fault.
 type gatedStore struct {
-	world *world
+	world *simulation
 	inner store.Store
 }
 
-var errTest = errors.New("a fault of the test")
+var errTest = errors.New("injected fault")
 
-func (s *gatedStore) pass(call, kind string) (storetest.Fault, error) {
-	f, err := s.world.pass(call + " " + kind)
+// storageFault pauses before a call and translates its fault into one of storetest;
+// -1 stands for arrivesLate.
+func (s *gatedStore) storageFault(call, kind string) (storetest.Fault, error) {
+	f, err := s.world.pauseAt(call + " " + kind)
 	if err != nil {
 		return storetest.None, err
 	}
@@ -117,35 +120,35 @@
 	return storetest.None, nil
 }
 
-// with makes the platform apply f to the call that follows.
-func (s *gatedStore) with(f storetest.Fault) {
+// setFault makes the platform apply f to the next call.
+func (s *gatedStore) setFault(f storetest.Fault) {
 	s.world.platform.SetScript(func(storetest.Call) storetest.Fault { return f })
 }
 
 func (s *gatedStore) Get(ctx context.Context, kind, name string) (store.Object, error) {
-	f, err := s.pass("get", kind)
+	f, err := s.storageFault("get", kind)
 	if err != nil {
 		return store.Object{}, err
 	}
-	s.with(max(f, 0))
+	s.setFault(max(f, 0))
 	return s.inner.Get(ctx, kind, name)
 }
 
 func (s *gatedStore) Put(ctx context.Context, kind, name string, version uint64, value []byte) (uint64, error) {
-	f, err := s.pass("put", kind)
+	f, err := s.storageFault("put", kind)
 	if err != nil {
 		return 0, err
 	}
 	if f == -1 {
 		s.world.late = append(s.world.late, func() {
-			s.with(storetest.None)
+			s.setFault(storetest.None)
 			_, _ = s.inner.Put(context.Background(), kind, name, version, value)
 		})
 		return 0, &store.UnavailableError{UnknownOutcome: true, Cause: errTest}
 	}
-	s.with(f)
+	s.setFault(f)
 	v, err := s.inner.Put(ctx, kind, name, version, value)
-	if _, err := s.world.pass("after put " + kind); err != nil {
+	if _, err := s.world.pauseAt("after put " + kind); err != nil {
 		return 0, err
 	}
 	return v, err
@@ -156,42 +159,43 @@
 }
 
 func (s *gatedStore) List(ctx context.Context, kind string) ([]store.Object, uint64, error) {
-	f, err := s.pass("list", kind)
+	f, err := s.storageFault("list", kind)
 	if err != nil {
 		return nil, 0, err
 	}
-	s.with(max(f, 0))
+	s.setFault(max(f, 0))
 	return s.inner.List(ctx, kind)
 }
 
 func (s *gatedStore) Watch(ctx context.Context, kind string, after uint64) (store.Batch, error) {
-	f, err := s.pass("watch", kind)
+	f, err := s.storageFault("watch", kind)
 	if err != nil {
 		return store.Batch{}, err
 	}
-	s.with(max(f, 0))
+	s.setFault(max(f, 0))
 	return s.inner.Watch(ctx, kind, after)
 }
 
-// gatedEngines is the transport to engines as one host's processes see it.
+// gatedEngines is the transport to engines of one host's processes. Each call pauses
+// the process and may get a fault.
 type gatedEngines struct{ host *host }
 
 func (g *gatedEngines) Send(_ context.Context, u state.Upstream, fence uint64, nonce string, t state.Target) error {
 	w, e := g.host.world, g.host.world.engine(u.Name)
-	f, err := w.pass("send")
+	f, err := w.pauseAt("send")
 	if err != nil {
 		return err
 	}
 	if f != noFault {
 		w.stats["fault on send"]++
 	}
-	given := given{fence: fence, target: t}
+	given := receivedOrder{fence: fence, target: t}
 	switch {
 	case f == refused:
 		err = &upstream.SendError{Upstream: u.Name, Cause: errTest}
 	case f == arrivesLate || e.hung:
-		// A copy without a process behind it is bounded by Linger.
-		e.late = append(e.late, lateOrder{given: given, until: w.now.Add(testLinger)})
+		// An order that no process waits for arrives within MaxDeliveryDelay.
+		e.late = append(e.late, lateOrder{receivedOrder: given, until: w.now.Add(testLinger)})
 		err = &upstream.SendError{Upstream: u.Name, MaybeSent: true, Cause: errTest}
 	default:
 		err = e.receive(given)
@@ -199,7 +203,7 @@
 			err = &upstream.SendError{Upstream: u.Name, MaybeSent: true, Cause: errTest}
 		}
 	}
-	if _, killed := w.pass("after send"); killed != nil {
+	if _, killed := w.pauseAt("after send"); killed != nil {
 		return killed
 	}
 	return err
@@ -207,7 +211,7 @@
 
 func (g *gatedEngines) Show(_ context.Context, u state.Upstream) (upstream.Shown, error) {
 	w, e := g.host.world, g.host.world.engine(u.Name)
-	f, err := w.pass("show")
+	f, err := w.pauseAt("show")
 	if err != nil {
 		return upstream.Shown{}, err
 	}
@@ -217,12 +221,12 @@
 	return e.shown(), nil
 }
 
-// manualClock is the world's time; a sleep is one more pause.
-type manualClock struct{ world *world }
+// manualClock is the clock of the simulation; a sleep pauses the process.
+type manualClock struct{ world *simulation }
 
 func (c manualClock) Now() time.Time { return c.world.now }
 
 func (c manualClock) Sleep(ctx context.Context, _ time.Duration) error {
-	_, err := c.world.pass("sleep")
+	_, err := c.world.pauseAt("sleep")
 	return err
 }
--- a/coordination/order/run.go
+++ b/coordination/order/run.go
@@ -10,21 +10,23 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// changeAgeDivisor is the share of the time that a change has taken after which it is
-// looked at again.
+// changeAgeDivisor sets the interval between two steps of a change: the time that
+// the change has taken so far, divided by it.
 const changeAgeDivisor = 20
 
-// schedule is when each engine is to be looked at next.
+// schedule holds, for each engine, when it is due for its next check.
 type schedule map[string]scheduleEntry
 
+// scheduleEntry is the schedule of one engine.
 type scheduleEntry struct {
-	// fence is the order that was looked at, first seen at since.
+	// fence is the fence of the order last checked, and since the time at which this
+	// fence was first seen.
 	fence uint64
 	since time.Time
 	next  time.Time
 }
 
-// due reports whether o is to be looked at now, and makes the next appointment.
+// due reports whether o must be checked now, and if so schedules the next check.
 func (a schedule) due(o state.Order, now time.Time, minInterval, maxInterval time.Duration) bool {
 	e := a[o.Engine]
 	if e.fence != o.Fence {
@@ -42,12 +44,13 @@
 	return true
 }
 
+// changing reports whether a change of the engine is under way.
 func changing(o state.Order) bool {
 	return o.State == state.OrderDraining || o.State == state.OrderIssued
 }
 
-// Run drives the engines of the service until ctx ends, and returns nil then. It
-// is meant as the work of a lease.Lessor.
+// Run performs the changes of the service's engines until ctx ends, hands its orders
+// over and returns nil. It is meant to be run by a lease.Lessor.
 func (p *Planner) Run(ctx context.Context) error {
 	var g conc.WaitGroup
 	next := schedule{}
@@ -65,7 +68,7 @@
 	return nil
 }
 
-// stepIfNeeded takes a step if o, as last seen by the watch, needs one.
+// stepIfNeeded calls Step if o, as last received by the watch, needs it.
 func (p *Planner) stepIfNeeded(ctx context.Context, o state.Order) {
 	ctx, cancel := context.WithTimeout(ctx, p.opts.StepTimeout)
 	defer cancel()
@@ -77,8 +80,9 @@
 	}
 }
 
-// drifted reports whether an engine at rest shows something else than its order
-// says. It spares the platform a read for each engine.
+// drifted reports whether an engine without a change under way shows another state
+// than the desired one. Checking this first saves a read from the platform for each
+// engine without drift.
 func (p *Planner) drifted(ctx context.Context, o state.Order) bool {
 	u, ok := p.opts.Upstreams.Upstream(o.Engine)
 	if !ok || o.Desired.Equal(state.Target{}) {
@@ -88,10 +92,10 @@
 	return err == nil && !shown.Changing && !shown.Target.Equal(o.Desired)
 }
 
-// handOver tells successors through the objects that this host sends nothing any
-// more, so that they needn't wait until it is gone. It is tried once. The watch lags
-// behind this host's own writes, so draining orders are read as well: this host may
-// have issued one a moment ago.
+// handOver removes this host from its issued orders, so that a successor needn't wait
+// until the host is gone. It makes one attempt for each order. The watch lags behind
+// this host's own writes, so draining orders are included: this host may just have
+// issued one.
 func (p *Planner) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.opts.StepTimeout)
 	defer cancel()
@@ -104,10 +108,11 @@
 	}
 }
 
-// HandOver takes this host out of an issued order, if none that it sent can still
-// arrive; the order is left for a successor to finish.
+// HandOver removes this host from the holder and issuers of an issued order, unless
+// an order that it sent may still arrive or a step is in progress. A successor then
+// finishes the order.
 func (p *Planner) HandOver(ctx context.Context, engine string) error {
-	w := p.sends.begin(engine)
+	w := p.sends.beginStep(engine)
 	if w == nil {
 		return nil
 	}
@@ -129,6 +134,6 @@
 		return err
 	}
 	p.sends.raiseMinFence(engine, done.order.Fence)
-	p.note(w, done.order, "handed over", "the planner leaves; another host finishes the order")
+	p.record(w, done.order, "handed over", "the planner leaves; another host finishes the order")
 	return nil
 }
--- a/coordination/order/scripted_test.go
+++ b/coordination/order/scripted_test.go
@@ -7,81 +7,84 @@
 	"github.com/matryer/is"
 )
 
-// scripted is a world of two hosts and one engine, driven by hand.
-func scripted(t *testing.T, checks bool, weak weakness) (*fuzzRun, *fakeEngine, *host, *host) {
-	e := &fakeEngine{name: "engine", checks: checks, hidesWork: true}
-	w := newWorld(2, []*fakeEngine{e}, weak)
+// newScripted returns a simulation of two hosts and one engine whose calls the test
+// orders itself.
+func newScripted(t *testing.T, checks bool, mutation mutation) (*fuzzRun, *fakeEngine, *host, *host) {
+	e := &fakeEngine{name: "engine", checksFence: checks, hidesInFlight: true}
+	w := newWorld(2, []*fakeEngine{e}, mutation)
 	t.Cleanup(w.close)
-	return &fuzzRun{world: w}, e, w.hosts[0], w.hosts[1]
+	return &fuzzRun{simulation: w}, e, w.hosts[0], w.hosts[1]
 }
 
-func (r *fuzzRun) ask(h *host, e *fakeEngine, target int) {
+// requestChange requests a change at h and lets all hosts learn of it.
+func (r *fuzzRun) requestChange(h *host, e *fakeEngine, target int) {
 	h.spawn(func(ctx context.Context) {
 		_, _ = h.desk.Request(ctx, e.name, testService, targets[target], "operator", "a wish")
 	}).runTo("")
-	r.spread()
+	r.exchangeAll()
 }
 
-// finishBy lets one planner bring the change to its end.
-func (r *fuzzRun) finishBy(h *host, e *fakeEngine) {
+// finishChange runs the planner of h until the change has settled, without faults.
+func (r *fuzzRun) finishChange(h *host, e *fakeEngine) {
 	for range 6 {
-		r.drive(h)
+		r.runPlanner(h)
 		e.changing = false
 		r.advance(testResend)
 	}
 }
 
-// An engine that ignores fences settles, serves, crashes and starts as something
-// else; only then does the first holder, paused since its write, give its order.
-// Were the order settled before that holder has let go, the order would cut the
-// answers of the new start, or contradict a later order.
-func TestOrderOfPausedHolderFindsNoWork(t *testing.T) {
+// An engine that ignores fences reaches the desired state, crashes and restarts in
+// another state. Only then does the first holder, paused since its write, send its
+// order. If the order were settled before that holder has released it, the late order
+// would cut off answers of the restarted engine or contradict a later order.
+func TestOrderOfPausedHolderCutsNoAnswer(t *testing.T) {
 	for _, m := range []struct {
-		name  string
-		weak  weakness
-		found string
+		name      string
+		mutation  mutation
+		violation string
 	}{
-		{"whole", weakness{}, ""},
-		{"settled while another may send", weakness{planner: plannerMutation{ignoreReleases: true}}, noAuthority},
+		{"whole", mutation{}, ""},
+		{"settled while another host may send", mutation{planner: plannerMutation{ignoreReleases: true}}, noAuthority},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			is := is.New(t)
-			r, e, a, b := scripted(t, false, m.weak)
-			r.ask(a, e, 1)
+			r, e, a, b := newScripted(t, false, m.mutation)
+			r.requestChange(a, e, 1)
 			paused := r.planStep(a, e)
 			paused.runTo("send")
-			r.finishBy(b, e)
-			is.True(e.target.Equal(targets[1])) // the successor has finished the order
+			r.finishChange(b, e)
+			is.True(e.target.Equal(targets[1])) // the successor's order has taken effect
 			e.crash()
 			if runner := a.keeper.View().Runner(e.name); runner.TakesWork() {
 				e.running[&request{host: a, engine: e, ticket: a.enter(runner)}] = true
 			}
 			paused.runTo("")
-			is.Equal(r.found, m.found)
-			r.finishBy(b, e)
+			is.Equal(r.violation, m.violation)
+			r.finishChange(b, e)
 			o, err := r.orderOf(e.name)
 			is.NoErr(err)
-			is.True(o.TakesWork()) // it is taken into service once the holder has let go
+			is.True(o.TakesWork()) // it takes requests again once the first holder has released the order
 		})
 	}
 }
 
-// An engine that checks fences shows the desired state because of the first
-// holder's order. The successor must still bring its own fence there, or the
-// first holder's second order, with the old fence, would be obeyed later.
+// An engine that checks fences shows the desired state because of the first holder's
+// order. The successor must still send its order with a higher fence before it
+// settles. Otherwise the engine would later accept the order that the first holder
+// sends again with the old fence.
 func TestSettledEngineHasTheFence(t *testing.T) {
 	for _, m := range []struct {
-		name  string
-		weak  weakness
-		found string
+		name      string
+		mutation  mutation
+		violation string
 	}{
-		{"whole", weakness{}, ""},
-		{"settled without the fence", weakness{planner: plannerMutation{ignoreShownFence: true}}, noAuthority},
+		{"whole", mutation{}, ""},
+		{"settled without the fence", mutation{planner: plannerMutation{ignoreShownFence: true}}, noAuthority},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			is := is.New(t)
-			r, e, a, b := scripted(t, true, m.weak)
-			r.ask(a, e, 1)
+			r, e, a, b := newScripted(t, true, m.mutation)
+			r.requestChange(a, e, 1)
 			first := r.planStep(a, e)
 			first.runTo("send")
 			first.resume(arrivesLate)
@@ -89,41 +92,41 @@
 			r.advance(testResend)
 			second := r.planStep(a, e)
 			second.runTo("send")
-			e.deliver(0)
+			e.deliverLate(0)
 			e.changing = false
 			takeover := r.planStep(b, e)
 			takeover.runTo("send")
 			takeover.resume(refused)
 			takeover.runTo("")
-			r.finishBy(b, e)
+			r.finishChange(b, e)
 			o, err := r.orderOf(e.name)
 			is.NoErr(err)
 			is.True(o.TakesWork()) // settled
 			e.crash()
 			second.runTo("")
-			is.Equal(r.found, m.found)
+			is.Equal(r.violation, m.violation)
 		})
 	}
 }
 
 // The write of settled fails and is still on its way when the engine crashes. The
-// holder gives the order again and is paused; now the write arrives, and the
-// engine gets work. An order must not be given on the strength of a read that an
-// own failed write may still overtake.
-func TestLateSettleFindsNoOrderOnItsWay(t *testing.T) {
+// holder is about to send the order again and is paused; now the write takes effect,
+// and the engine gets requests. A holder must not send an order again after a read of
+// a version that its own failed write may still replace.
+func TestNoResendWhileFailedSettleMayArrive(t *testing.T) {
 	for _, m := range []struct {
-		checks bool
-		weak   weakness
-		found  string
+		checks    bool
+		mutation  mutation
+		violation string
 	}{
-		{true, weakness{}, ""},
-		{false, weakness{}, ""},
-		{true, weakness{planner: plannerMutation{sendAfterFailure: true}}, noAuthority},
-		{false, weakness{planner: plannerMutation{sendAfterFailure: true}}, noAuthority},
+		{true, mutation{}, ""},
+		{false, mutation{}, ""},
+		{true, mutation{planner: plannerMutation{sendAfterFailure: true}}, noAuthority},
+		{false, mutation{planner: plannerMutation{sendAfterFailure: true}}, noAuthority},
 	} {
 		is := is.New(t)
-		r, e, a, _ := scripted(t, m.checks, m.weak)
-		r.ask(a, e, 1)
+		r, e, a, _ := newScripted(t, m.checks, m.mutation)
+		r.requestChange(a, e, 1)
 		first := r.planStep(a, e)
 		first.runTo("send")
 		first.resume(answerLost)
@@ -138,11 +141,11 @@
 		again := r.planStep(a, e)
 		again.runTo("send")
 		r.late[0]()
-		r.spread()
+		r.exchangeAll()
 		if runner := a.keeper.View().Runner(e.name); runner.TakesWork() {
 			e.running[&request{host: a, engine: e, ticket: a.enter(runner)}] = true
 		}
 		again.runTo("")
-		is.Equal(r.found, m.found)
+		is.Equal(r.violation, m.violation)
 	}
 }
--- a/coordination/order/sends.go
+++ b/coordination/order/sends.go
@@ -5,26 +5,30 @@
 	"time"
 )
 
-// sendTracker remembers, for each engine, whether an order of this host may still
-// arrive. It outlives the lease: a planner that lost it must know what it sent.
+// sendTracker tracks, for each engine, which orders this host may still send and
+// whether one that it sent may still arrive. It outlives the lease, because a planner
+// that has lost the lease must still know which orders it sent.
 type sendTracker struct {
 	mu      sync.Mutex
 	engines map[string]*engineSendState
 }
 
+// engineSendState is the state of a sendTracker for one engine.
 type engineSendState struct {
 	// inStep is true from before the object is read until after the order is sent.
 	inStep bool
 	// minFence is the lowest fence that this host may still send.
 	minFence uint64
-	// mayArriveUntil is when an order whose outcome is unknown has arrived or never will.
+	// mayArriveUntil is the time from which no order whose outcome is unknown can
+	// still arrive.
 	mayArriveUntil time.Time
-	// step is the memory of the step that holds busy.
+	// step is the state that steps keep; only the step that set inStep uses it.
 	step stepState
 }
 
 func newSendTracker() *sendTracker { return &sendTracker{engines: map[string]*engineSendState{}} }
 
+// engineState returns the state of an engine, created if necessary. s.mu must be held.
 func (s *sendTracker) engineState(engine string) *engineSendState {
 	e := s.engines[engine]
 	if e == nil {
@@ -34,9 +38,9 @@
 	return e
 }
 
-// begin claims the engine for one step, before anything is read. It returns nil
-// while another step holds it.
-func (s *sendTracker) begin(engine string) *stepState {
+// beginStep reserves the engine for one step, before its object is read. It returns
+// nil while another step is in progress.
+func (s *sendTracker) beginStep(engine string) *stepState {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e := s.engineState(engine)
@@ -47,13 +51,14 @@
 	return &e.step
 }
 
+// endStep ends the reservation of beginStep.
 func (s *sendTracker) endStep(engine string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.engineState(engine).inStep = false
 }
 
-// raiseMinFence promises that no order below fence will be sent.
+// raiseMinFence forbids sending orders with a fence below fence.
 func (s *sendTracker) raiseMinFence(engine string, fence uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,14 +66,15 @@
 	e.minFence = max(e.minFence, fence)
 }
 
-// maySend reports whether the order with that fence may be sent once more.
+// maySend reports whether an order with this fence may still be sent.
 func (s *sendTracker) maySend(engine string, fence uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return fence >= s.engineState(engine).minFence
 }
 
-// recordUnanswered notes that an order may still arrive until then.
+// recordUnanswered records that an order sent without an answer may arrive until
+// the given time.
 func (s *sendTracker) recordUnanswered(engine string, until time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +90,8 @@
 	return now.Before(s.engineState(engine).mayArriveUntil)
 }
 
-// release raises the floor to fence if no order is being sent or may still
-// arrive, and reports whether it did.
+// release forbids sending orders with a fence below fence, unless a step is in
+// progress or an order may still arrive. It reports whether it did.
 func (s *sendTracker) release(engine string, fence uint64, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/coordination/order/step.go
+++ b/coordination/order/step.go
@@ -13,31 +13,35 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// stepState is what a planner remembers of one engine between steps. It decides
-// when to try something, never whether it is safe.
+// stepState is the state that a planner keeps for one engine between steps. It
+// decides only when an action is tried, never whether it is safe.
 type stepState struct {
-	// drainFence and drainSince are the draining order being waited for.
+	// drainFence is the fence of the draining order last seen, and drainSince the
+	// time at which it was first seen.
 	drainFence uint64
 	drainSince time.Time
-	// sent is the last order given.
+	// sent is the last order sent.
 	sent sentOrder
-	// correctAfter keeps a change that was called off from being tried at once.
+	// correctAfter is the time before which drift isn't corrected, so that a change
+	// that was called off isn't repeated at once.
 	correctAfter time.Time
-	// lastNote is the last sentence recorded.
-	lastNote string
+	// lastRecorded is the text of the last decision recorded.
+	lastRecorded string
 }
 
-// sentOrder is one order given to an engine.
+// sentOrder describes an order sent to an engine. answered reports whether the engine
+// confirmed the order or refused it for its fence; if not, the outcome is unknown or
+// the order wasn't sent.
 type sentOrder struct {
 	fence    uint64
 	at       time.Time
 	answered bool
 }
 
-// Step reads the engine's order once and does the next thing that it allows. It
-// returns nil when there is nothing to do or something must be waited for.
+// Step reads the engine's order once and performs the next transition or send that
+// it allows. It returns nil if there is nothing to do, or if the order has to wait.
 func (p *Planner) Step(ctx context.Context, engine string) error {
-	w := p.sends.begin(engine)
+	w := p.sends.beginStep(engine)
 	if w == nil {
 		return nil
 	}
@@ -63,9 +67,9 @@
 	}
 }
 
-// write is the only way to move an object. One that fails may still take effect
-// later, over the same version, and settle or hand over the order: nothing more is
-// sent on the strength of that version (I5).
+// write replaces cur by next; the planner makes all its writes here. A failed write
+// may still take effect later, replacing the same version, and settle or hand over
+// the order. So no order with the fence of cur is sent after a failure (I5).
 func (p *Planner) write(ctx context.Context, cur versionedOrder, next state.Order) (versionedOrder, error) {
 	done, err := p.objects.write(ctx, cur, next)
 	if err != nil && !p.mutation.sendAfterFailure {
@@ -74,9 +78,9 @@
 	return done, err
 }
 
-// correctDrift orders an engine again that has settled and shows something else, for
-// example because it has crashed and started anew. It may be serving by now, so
-// it is drained first like for any change.
+// correctDrift starts a change back to the desired state when an engine without a
+// change under way shows another state, for example after a crash and restart. The
+// engine may be serving requests, so it is drained first as for any change.
 func (p *Planner) correctDrift(ctx context.Context, w *stepState, cur versionedOrder) error {
 	o := cur.order
 	now := p.opts.Clock.Now()
@@ -98,12 +102,13 @@
 	next.Reason = fmt.Sprintf("the engine shows %s instead of %s", describe(shown.Target), describe(o.Desired))
 	done, err := p.write(ctx, cur, next)
 	if err == nil {
-		p.note(w, done.order, "draining", next.Reason)
+		p.record(w, done.order, "draining", next.Reason)
 	}
 	return err
 }
 
-// drain issues the change once nothing is in flight, or calls it off.
+// drain issues a draining order once nothing is in flight, and calls the change off
+// after DrainTimeout.
 func (p *Planner) drain(ctx context.Context, w *stepState, cur versionedOrder) error {
 	now := p.opts.Clock.Now()
 	if w.drainFence != cur.order.Fence {
@@ -117,7 +122,7 @@
 		return p.issue(ctx, w, cur, u)
 	}
 	if now.Sub(w.drainSince) < p.opts.DrainTimeout {
-		p.note(w, cur.order, "waiting", obstacle)
+		p.record(w, cur.order, "waiting", obstacle)
 		return nil
 	}
 	next := cur.order
@@ -127,13 +132,14 @@
 	done, err := p.write(ctx, cur, next)
 	if err == nil {
 		w.correctAfter = now.Add(p.opts.DrainTimeout)
-		p.note(w, done.order, "called off", next.Reason)
+		p.record(w, done.order, "called off", next.Reason)
 	}
 	return err
 }
 
-// obstacle says what a draining order still waits for; empty if nothing. The
-// members are listed here, after draining was read (I3).
+// obstacle returns the engine and the reason why its draining order can't be issued
+// yet; the reason is empty if it can. It lists the members, which must happen after
+// draining was read (I3).
 func (p *Planner) obstacle(ctx context.Context, o state.Order) (state.Upstream, string, error) {
 	u, ok := p.opts.Upstreams.Upstream(o.Engine)
 	if !ok {
@@ -156,7 +162,7 @@
 	return u, "", nil
 }
 
-// presentMembers lists the members that aren't gone.
+// presentMembers lists the members that haven't been gone for GoneAfter.
 func (p *Planner) presentMembers(ctx context.Context) ([]state.HostID, error) {
 	list, err := p.opts.Members.List(ctx)
 	if err != nil {
@@ -171,6 +177,8 @@
 	return out, nil
 }
 
+// missingAcks describes which members haven't acknowledged the order, and which
+// still have requests in flight.
 func (p *Planner) missingAcks(members []state.HostID, o state.Order) string {
 	acks := p.opts.Acks.Acknowledged(o.Engine, o.Fence)
 	var silent, busy []string
@@ -187,7 +195,7 @@
 		strings.Join(silent, " "), strings.Join(busy, " "))
 }
 
-// issue writes the order and only then sends it.
+// issue writes issued and then sends the order.
 func (p *Planner) issue(ctx context.Context, w *stepState, cur versionedOrder, u state.Upstream) error {
 	next := cur.order
 	next.State = state.OrderIssued
@@ -196,7 +204,8 @@
 	return p.writeAndSend(ctx, w, cur, next, u, "issued", "every member has acknowledged that nothing is in flight")
 }
 
-// writeAndSend sends next if, and only if, its write is known to have succeeded.
+// writeAndSend writes next, and sends it only if the write is known to have
+// succeeded.
 func (p *Planner) writeAndSend(ctx context.Context, w *stepState, cur versionedOrder, next state.Order, u state.Upstream, chosen, why string) error {
 	done, err := p.write(ctx, cur, next)
 	if p.mutation.sendWithoutWrite || p.mutation.trustLostAnswer && store.IsUnknownOutcome(err) {
@@ -206,11 +215,12 @@
 	if err != nil {
 		return err
 	}
-	p.note(w, done.order, chosen, why)
+	p.record(w, done.order, chosen, why)
 	return p.send(ctx, w, done.order, u)
 }
 
-// send gives the engine the order that this host wrote.
+// send sends the engine an order that this host wrote, and records whether it may
+// still arrive.
 func (p *Planner) send(ctx context.Context, w *stepState, o state.Order, u state.Upstream) error {
 	err := p.opts.Engines.Send(ctx, u, o.Fence, o.Nonce, o.Desired)
 	now := p.opts.Clock.Now()
@@ -220,19 +230,20 @@
 		p.sends.recordUnanswered(o.Engine, now.Add(p.opts.MaxDeliveryDelay))
 	}
 	if err != nil {
-		p.note(w, o, "not confirmed", fmt.Sprintf("the engine gave no usable answer (%v)", err))
+		p.record(w, o, "not confirmed", fmt.Sprintf("the engine gave no usable answer (%v)", err))
 		return err
 	}
-	p.note(w, o, "sent", fmt.Sprintf("the engine took the order to be %s", describe(o.Desired)))
+	p.record(w, o, "sent", fmt.Sprintf("the engine took the order to be %s", describe(o.Desired)))
 	return nil
 }
 
-// finish drives an issued order to settled, and never to anything else.
+// finish brings an issued order to settled, never to another state: it takes the
+// order over from another holder, sends it again, or settles it.
 func (p *Planner) finish(ctx context.Context, w *stepState, cur versionedOrder) error {
 	o := cur.order
 	u, ok := p.opts.Upstreams.Upstream(o.Engine)
 	if !ok {
-		p.note(w, o, "waiting", "the platform doesn't list the engine")
+		p.record(w, o, "waiting", "the platform doesn't list the engine")
 		return nil
 	}
 	if o.Holder != p.opts.Host {
@@ -240,27 +251,31 @@
 	}
 	shown, err := p.opts.Engines.Show(ctx, u)
 	if err != nil {
-		p.note(w, o, "waiting", fmt.Sprintf("the engine doesn't answer (%v)", err))
+		p.record(w, o, "waiting", fmt.Sprintf("the engine doesn't answer (%v)", err))
 		return nil
 	}
 	if shown.Changing {
 		return nil
 	}
 	reached := shown.Target.Equal(o.Desired)
-	if reached && p.refusesEarlierOrders(u, shown, o) {
+	if reached && p.fenceReached(u, shown, o) {
 		return p.settle(ctx, w, cur, u)
 	}
 	return p.resend(ctx, w, cur, u, reached)
 }
 
-// refusesEarlierOrders reports whether an engine that checks fences refuses all earlier orders.
-func (p *Planner) refusesEarlierOrders(u state.Upstream, shown upstream.Shown, o state.Order) bool {
+// fenceReached reports whether the engine has the fence of the order, and so refuses
+// all earlier ones. It is true for an engine that ignores fences; settle checks by
+// other means that no earlier order can reach that engine.
+func (p *Planner) fenceReached(u state.Upstream, shown upstream.Shown, o state.Order) bool {
 	return !u.ChecksFence || shown.Fence >= o.Fence || p.mutation.ignoreShownFence
 }
 
-// resend repeats an order that has shown no effect. One that the engine
-// confirmed is written anew first, as an engine may know the old by its nonce; so
-// is one that a failed write of this host may still end.
+// resend sends an issued order of this host whose effect the engine doesn't show: at
+// once if this planner hasn't sent it yet, otherwise after ResendInterval. It first
+// writes the order again, with a new fence and nonce, in two cases: if the engine
+// confirmed the order, since it may ignore a nonce that it has already seen, and if a
+// failed write of this host may still end the order (I5).
 func (p *Planner) resend(ctx context.Context, w *stepState, cur versionedOrder, u state.Upstream, reached bool) error {
 	o := cur.order
 	if !p.sends.maySend(o.Engine, o.Fence) {
@@ -278,7 +293,8 @@
 	return p.reissue(ctx, w, cur, u, "ordered again", "the engine confirmed the order and shows something else")
 }
 
-// reissue writes the same desired state in this host's name and sends it (I2).
+// reissue writes the order again with this host as holder and with the same desired
+// state (I2), and sends it.
 func (p *Planner) reissue(ctx context.Context, w *stepState, cur versionedOrder, u state.Upstream, chosen, why string) error {
 	next := cur.order
 	next.Holder = p.opts.Host
@@ -288,10 +304,10 @@
 	return p.writeAndSend(ctx, w, cur, next, u, chosen, why)
 }
 
-// settle writes settled once no earlier order can have an effect (I4).
+// settle writes settled if no earlier order can have an effect (I4).
 func (p *Planner) settle(ctx context.Context, w *stepState, cur versionedOrder, u state.Upstream) error {
 	if pin := p.settleObstacle(cur.order, u); pin != "" {
-		p.note(w, cur.order, "waiting", pin)
+		p.record(w, cur.order, "waiting", pin)
 		return nil
 	}
 	next := cur.order
@@ -299,12 +315,14 @@
 	next.IssuedBy = nil
 	done, err := p.write(ctx, cur, next)
 	if err == nil {
-		p.note(w, done.order, "settled", fmt.Sprintf("the engine shows %s", describe(next.Desired)))
+		p.record(w, done.order, "settled", fmt.Sprintf("the engine shows %s", describe(next.Desired)))
 	}
 	return err
 }
 
-// settleObstacle says why an engine that ignores fences may still get an earlier order.
+// settleObstacle returns the reason why an engine that ignores fences may still
+// receive an earlier order; it is empty if none can arrive, and for an engine that
+// checks fences.
 func (p *Planner) settleObstacle(o state.Order, u state.Upstream) string {
 	if u.ChecksFence {
 		return ""
@@ -323,13 +341,14 @@
 	return ""
 }
 
-// note records a step once.
-func (p *Planner) note(w *stepState, o state.Order, chosen, why string) {
+// record records a decision about an order. A repeated "waiting" with the same reason
+// is recorded only once.
+func (p *Planner) record(w *stepState, o state.Order, chosen, why string) {
 	text := fmt.Sprintf("%s %s %s", o.State, chosen, why)
-	if chosen == "waiting" && w.lastNote == text {
+	if chosen == "waiting" && w.lastRecorded == text {
 		return
 	}
-	w.lastNote = text
+	w.lastRecorded = text
 	p.opts.Recorder.Record(state.Decision{
 		At: p.opts.Clock.Now(), Host: p.opts.Host.Name, Kind: state.DecisionOrder,
 		Subject: o.Engine, Chosen: chosen, Why: why,
--- a/coordination/order/watcher.go
+++ b/coordination/order/watcher.go
@@ -15,33 +15,33 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// The pauses between calls of a platform that gives no answer.
+// The backoff between calls while the platform is unavailable.
 const (
 	watchMinBackoff = 200 * time.Millisecond
 	watchMaxBackoff = 5 * time.Second
-	// watchJitter is the share of a pause that is drawn at random.
+	// watchJitter is the largest random fraction by which a pause is shortened.
 	watchJitter = 0.5
 )
 
-// WatcherOptions are the parts of a Watcher.
+// WatcherOptions are the dependencies of a Watcher; all but Log are required.
 type WatcherOptions struct {
 	Store store.Store
 	Clock state.Clock
-	// Rand spreads the calls after an outage; the Watcher alone uses it.
+	// Rand generates the jitter of retries. It must not be shared with other users.
 	Rand *rand.Rand
-	// Sink is the host's keeper.
+	// Sink receives each order object that is read; it is the host's snapshot.Keeper.
 	Sink Sink
-	// Log gets malformed objects and outages; nil means none.
+	// Log receives malformed objects and outages; nil disables logging.
 	Log *slog.Logger
 }
 
-// Watcher brings the order objects to a host, with one waiting call at the
-// platform whatever the number of engines. It is the host's Book.
+// Watcher passes the order objects to the host's Sink, and implements Lister. It has
+// one pending call at the platform, whatever the number of engines.
 //
-// A deleted object leaves the book, so that no planner here goes on with it, but
-// stays with the sink as last seen: an engine whose order may have been sent must
-// not get new work because its record was lost. The next object of that name has
-// a higher fence and replaces it.
+// A deleted object is removed from Orders, so that no planner of this host continues
+// with it, but the Sink keeps it as last received: an engine whose order may have been
+// sent must not get new requests because its object was lost. The next object of the
+// same name has a higher fence and replaces it.
 type Watcher struct {
 	opts    WatcherOptions
 	ready   chan struct{}
@@ -53,7 +53,7 @@
 
 var _ Lister = (*Watcher)(nil)
 
-// NewWatcher validates the options.
+// NewWatcher validates the options and returns an *OptionError if one is missing.
 func NewWatcher(o WatcherOptions) (*Watcher, error) {
 	switch {
 	case o.Store == nil:
@@ -71,17 +71,18 @@
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = watchMinBackoff
 	b.MaxInterval = watchMaxBackoff
-	b.RandomizationFactor = 0 // the spread comes from the passed source
+	b.RandomizationFactor = 0 // the jitter comes from Rand
 	return &Watcher{
 		opts: o, backoff: b, ready: make(chan struct{}), orders: map[string]state.Order{},
 	}, nil
 }
 
-// Ready is closed once all orders have been listed. A host that has registered
-// must wait for it before it gives engines work, unless a peer sponsors it.
+// Ready returns a channel that is closed once all orders have been listed. A host
+// must register, and then wait for it before it sends requests to engines, unless a
+// peer sponsors it.
 func (w *Watcher) Ready() <-chan struct{} { return w.ready }
 
-// Orders implements Book.
+// Orders implements Lister.
 func (w *Watcher) Orders() []state.Order {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -92,7 +93,8 @@
 	return out
 }
 
-// Run lists and then watches until ctx ends, and returns nil then.
+// Run lists the orders and then watches them until ctx ends; it always returns nil.
+// It lists them again when the platform no longer has the missed events.
 func (w *Watcher) Run(ctx context.Context) error {
 	for ctx.Err() == nil {
 		revision, err := w.list(ctx)
@@ -105,7 +107,7 @@
 	return nil
 }
 
-// follow watches from revision until a gap or the end of ctx.
+// follow applies the events after revision until the history has a gap or ctx ends.
 func (w *Watcher) follow(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
 		batch, err := w.opts.Store.Watch(ctx, store.KindOrder, revision)
@@ -122,7 +124,8 @@
 	}
 }
 
-// list takes over all objects, closes Ready and returns the list's revision.
+// list applies all objects, closes the channel of Ready and returns the revision of
+// the list.
 func (w *Watcher) list(ctx context.Context) (uint64, error) {
 	objects, revision, err := w.opts.Store.List(ctx, store.KindOrder)
 	if err != nil {
@@ -143,6 +146,7 @@
 	return revision, nil
 }
 
+// apply applies the events of a watch.
 func (w *Watcher) apply(events []store.Event) {
 	for _, e := range events {
 		if e.Deleted {
@@ -153,8 +157,8 @@
 	}
 }
 
-// set gives the sink the object first: a planner here must not know a change
-// that the keeper doesn't.
+// set applies one object. The sink gets it before Orders returns it: a planner of
+// this host must not see a change that the keeper doesn't have.
 func (w *Watcher) set(obj store.Object) {
 	o, err := decode(obj)
 	if err != nil {
@@ -169,19 +173,21 @@
 	}
 }
 
+// remove removes a deleted order from Orders; the sink keeps it.
 func (w *Watcher) remove(engine string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	delete(w.orders, engine)
 }
 
+// removeUnlisted removes the orders that are missing from a list; the sink keeps them.
 func (w *Watcher) removeUnlisted(listed map[string]bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	maps.DeleteFunc(w.orders, func(name string, _ state.Order) bool { return !listed[name] })
 }
 
-// backOff pauses after a failed call.
+// backOff logs a failed call and sleeps before the next one.
 func (w *Watcher) backOff(ctx context.Context, cause error) {
 	if ctx.Err() != nil {
 		return
--- a/coordination/order/world_test.go
+++ b/coordination/order/world_test.go
@@ -23,15 +23,16 @@
 	testTTL       = 9 * time.Second
 )
 
-// targets are what engines may be ordered to be; the first is what they start as.
+// targets are the states that orders may ask for; engines start with the first.
 var targets = []state.Target{
 	{Role: state.RoleMixed, Model: "m"},
 	{Role: state.RolePrefill, Model: "m"},
 	{Role: state.RoleDecode, Model: "m"},
 }
 
-// world is a platform, engines and hosts under a time that only the test moves.
-type world struct {
+// simulation is a platform, engines and hosts with a clock that only the test
+// advances.
+type simulation struct {
 	now      time.Time
 	platform *storetest.Platform
 	down     bool
@@ -39,32 +40,34 @@
 	engines  []*fakeEngine
 	hosts    []*host
 	running  *process
-	// late are writes that are still on their way to the platform.
+	// late are failed writes that are still on their way to the platform.
 	late []func()
-	// mail are statements on their way between hosts.
-	mail  []statement
-	weak  weakness
-	stats map[string]int
-	// found is the first thing that must never happen.
-	found, detail string
-	incarnations  int
+	// inTransit are statements on their way between hosts.
+	inTransit []statement
+	mutation  mutation
+	stats     map[string]int
+	// violation is the first invariant that was found broken, detail how.
+	violation, detail string
+	incarnations      int
 }
 
-// weakness is a mechanism taken away.
-type weakness struct {
+// mutation disables safety mechanisms, to show that the tests detect their absence.
+type mutation struct {
 	planner         plannerMutation
-	enterUnchecked  bool // a request is counted in without reading the view again
+	enterUnchecked  bool // counts a request as in flight without checking the view again
 	serveBeforeList bool // a host serves before it has listed the orders
 }
 
+// statement is a message with the acknowledgements and releases of one host.
 type statement struct {
 	to       *host
 	acks     []Ack
 	releases []Release
 }
 
+// host is a simulated host with its parts.
 type host struct {
-	world     *world
+	world     *simulation
 	id        state.HostID
 	store     *gatedStore
 	keeper    *snapshot.Keeper
@@ -77,13 +80,13 @@
 	requests  map[*request]bool
 	chosen    []*snapshot.Runner
 	alive     bool
-	goneSince time.Time // zero while the platform lists it
+	goneSince time.Time // zero while the platform lists the host
 }
 
-func newWorld(hosts int, engines []*fakeEngine, weak weakness) *world {
-	w := &world{
+func newWorld(hosts int, engines []*fakeEngine, mutation mutation) *simulation {
+	w := &simulation{
 		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), platform: storetest.NewPlatform(0),
-		engines: engines, weak: weak, stats: map[string]int{},
+		engines: engines, mutation: mutation, stats: map[string]int{},
 	}
 	for _, e := range engines {
 		e.world, e.target, e.running = w, targets[0], map[*request]bool{}
@@ -92,7 +95,7 @@
 		w.start(fmt.Sprintf("host-%d", i))
 	}
 	for _, h := range w.hosts {
-		h.pump()
+		h.pumpWatcher()
 	}
 	return w
 }
@@ -104,8 +107,8 @@
 	return v
 }
 
-// start brings up a host: it registers, then lists the orders, then serves.
-func (w *world) start(name string) *host {
+// start starts a host, which registers, then lists the orders, then serves.
+func (w *simulation) start(name string) *host {
 	w.incarnations++
 	h := &host{
 		world: w, id: state.HostID{Name: name, Incarnation: fmt.Sprint(w.incarnations)},
@@ -116,7 +119,7 @@
 	random := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(w.incarnations), n)) }
 	var listed []state.Listed
 	for _, e := range w.engines {
-		listed = append(listed, state.Listed{Name: e.name, Kind: state.ListedEngine, State: state.ListedLive, Service: testService, ChecksFence: e.checks})
+		listed = append(listed, state.Listed{Name: e.name, Kind: state.ListedEngine, State: state.ListedLive, Service: testService, ChecksFence: e.checksFence})
 	}
 	h.keeper.SetListed(listed)
 	h.watcher = must(NewWatcher(WatcherOptions{Store: h.store, Clock: clock, Rand: random(1), Sink: h.keeper}))
@@ -127,7 +130,7 @@
 		Engines: &gatedEngines{h}, Recorder: h,
 		DrainTimeout: testDrain, GoneAfter: testGoneAfter, MaxDeliveryDelay: testLinger, ResendInterval: testResend,
 	}))
-	h.planner.mutation = w.weak.planner
+	h.planner.mutation = w.mutation.planner
 	h.lessor = must(lease.New(lease.Options{
 		Store: h.store, Clock: clock, Rand: random(4), Name: "planner." + testService, Holder: h.id, TTL: testTTL,
 	}))
@@ -147,9 +150,9 @@
 	return err == nil || store.IsConflict(err)
 }
 
-// serves reports whether the host may give engines work.
+// serves reports whether the host may send requests to engines.
 func (h *host) serves() bool {
-	if h.world.weak.serveBeforeList {
+	if h.world.mutation.serveBeforeList {
 		return h.alive
 	}
 	select {
@@ -160,8 +163,8 @@
 	}
 }
 
-// pump lets the host's first process, its watcher, make a few calls.
-func (h *host) pump() {
+// pumpWatcher lets the host's watcher, its first process, make two calls.
+func (h *host) pumpWatcher() {
 	for range 2 {
 		if len(h.processes) > 0 {
 			h.processes[0].resume(noFault)
@@ -169,10 +172,11 @@
 	}
 }
 
-// enter counts a request in at a runner that was chosen earlier.
+// enter counts a request as in flight at a runner that was chosen earlier. It returns
+// nil if the runner takes no requests any more.
 func (h *host) enter(r *snapshot.Runner) interface{ Done() } {
 	one := snapshot.Work{Requests: 1}
-	if h.world.weak.enterUnchecked {
+	if h.world.mutation.enterUnchecked {
 		r.InFlight.Add(one)
 		return uncheckedTicket{r.InFlight}
 	}
@@ -182,12 +186,14 @@
 	return nil
 }
 
+// uncheckedTicket ends a request that was counted without a check of the view.
 type uncheckedTicket struct{ track *snapshot.InFlightCounter }
 
 func (t uncheckedTicket) Done() { t.track.Add(snapshot.Work{Requests: -1}) }
 
-// tell sends what the host has to say to every host; itself hears it at once.
-func (h *host) tell() {
+// sendStatement sends the host's acknowledgements and releases to every host; its own
+// copy is delivered at once.
+func (h *host) sendStatement() {
 	var s statement
 	for _, d := range h.keeper.Draining() {
 		s.acks = append(s.acks, Ack{Host: h.id, Engine: d.Engine, Fence: d.Fence, InFlight: d.InFlight})
@@ -196,14 +202,15 @@
 	for _, to := range h.world.hosts {
 		s.to = to
 		if to == h {
-			s.hear()
+			s.deliver()
 		} else {
-			h.world.mail = append(h.world.mail, s)
+			h.world.inTransit = append(h.world.inTransit, s)
 		}
 	}
 }
 
-func (s statement) hear() {
+// deliver adds the statement to the receiver's AckTable.
+func (s statement) deliver() {
 	for _, a := range s.acks {
 		s.to.acks.AddAck(a)
 	}
@@ -212,14 +219,14 @@
 	}
 }
 
-// die ends everything that the host does.
-func (h *host) die() {
+// terminate ends all processes and requests of the host.
+func (h *host) terminate() {
 	h.alive = false
 	if h.goneSince.IsZero() {
 		h.goneSince = h.world.now
 	}
 	for _, p := range h.processes {
-		p.kill()
+		p.cancel()
 		p.stop()
 	}
 	h.processes = nil
@@ -229,18 +236,18 @@
 	h.requests = nil
 }
 
-func (w *world) close() {
+func (w *simulation) close() {
 	for _, h := range w.hosts {
 		if h.alive {
-			h.die()
+			h.terminate()
 		}
 	}
 }
 
-// advance moves the time. A host that the list has been without for GoneAfter
-// does nothing any more; a late order arrives within Linger; a request ends
-// within its deadline.
-func (w *world) advance(d time.Duration) {
+// advance advances the clock by d and enforces the bounds that the planner relies on:
+// a late order arrives within MaxDeliveryDelay, a request ends within its deadline,
+// and a host that has been missing from the list for GoneAfter is terminated.
+func (w *simulation) advance(d time.Duration) {
 	next := w.now.Add(d)
 	for _, e := range w.engines {
 		for i := 0; i < len(e.late); {
@@ -248,7 +255,7 @@
 				i++
 				continue
 			}
-			e.deliver(i)
+			e.deliverLate(i)
 		}
 	}
 	for _, h := range w.hosts {
@@ -258,19 +265,20 @@
 			}
 		}
 		if h.alive && !h.goneSince.IsZero() && next.Sub(h.goneSince) >= testGoneAfter {
-			h.die()
+			h.terminate()
 		}
 	}
 	w.now = next
 }
 
-func (w *world) report(what, detail string) {
-	if w.found == "" {
-		w.found, w.detail = what, detail
+// report records a violation if it is the first.
+func (w *simulation) report(what, detail string) {
+	if w.violation == "" {
+		w.violation, w.detail = what, detail
 	}
 }
 
-func (w *world) engine(name string) *fakeEngine {
+func (w *simulation) engine(name string) *fakeEngine {
 	for _, e := range w.engines {
 		if e.name == name {
 			return e
