--- a/coordination/order/desk.go
+++ b/coordination/order/desk.go
@@ -31,7 +31,7 @@
 // Besides the errors that they name, the methods return the store's errors; if one
 // has an unknown outcome, the caller must read the order again.
 type Requester struct {
-	objects  *orderStore
+	store    *orderStore
 	recorder Recorder
 }
 
@@ -50,12 +50,12 @@
 		return nil, &OptionError{"Recorder", "pass a recorder of decisions"}
 	}
 	b := &orderStore{store: o.Store, clock: o.Clock, host: o.Host, rand: o.Rand}
-	return &Requester{objects: b, recorder: o.Recorder}, nil
+	return &Requester{store: b, recorder: o.Recorder}, nil
 }
 
 // Get reads the order of an engine. It returns a *NoOrderError if there is none.
 func (d *Requester) Get(ctx context.Context, engine string) (state.Order, error) {
-	cur, err := d.objects.read(ctx, engine)
+	cur, err := d.store.read(ctx, engine)
 	if errors.Is(err, store.ErrNotFound) {
 		return state.Order{}, &NoOrderError{Engine: engine}
 	}
@@ -81,7 +81,7 @@
 		}
 		o.State = state.OrderDraining
 		o.Previous, o.Desired = o.Desired, target
-		o.Holder = d.objects.host
+		o.Holder = d.store.host
 		o.Reason = formatReason(by, reason)
 		return true, nil
 	})
@@ -111,7 +111,7 @@
 		if o.State != state.OrderDraining && o.State != state.OrderIssued {
 			// A change under way keeps its holder, the only host that may send the
 			// order.
-			o.Holder = d.objects.host
+			o.Holder = d.store.host
 			o.Reason = formatReason(by, reason)
 		}
 		return true, nil
@@ -127,7 +127,7 @@
 			return false, &NotDrainingError{Engine: engine, State: o.State}
 		}
 		callOff(o)
-		o.Holder = d.objects.host
+		o.Holder = d.store.host
 		o.Reason = formatReason(by, reason)
 		return true, nil
 	})
@@ -163,7 +163,7 @@
 
 // tryUpdate makes one try of update; the second result reports whether it wrote.
 func (d *Requester) tryUpdate(ctx context.Context, engine, service string, edit func(*state.Order) (bool, error)) (state.Order, bool, error) {
-	cur, err := d.objects.read(ctx, engine)
+	cur, err := d.store.read(ctx, engine)
 	missing := errors.Is(err, store.ErrNotFound)
 	if err != nil && !missing {
 		return state.Order{}, false, err
@@ -184,16 +184,16 @@
 	}
 	var done versionedOrder
 	if missing {
-		done, err = d.objects.create(ctx, next)
+		done, err = d.store.create(ctx, next)
 	} else {
-		done, err = d.objects.write(ctx, cur, next)
+		done, err = d.store.write(ctx, cur, next)
 	}
 	return done.order, err == nil, err
 }
 
 func (d *Requester) record(o state.Order, chosen string) {
 	d.recorder.Record(state.Decision{
-		At: o.ChangedAt, Host: d.objects.host.Name, Kind: state.DecisionOrder,
+		At: o.ChangedAt, Host: d.store.host.Name, Kind: state.DecisionOrder,
 		Subject: o.Engine, Chosen: chosen, Why: o.Reason,
 	})
 }
--- a/coordination/order/engine_test.go
+++ b/coordination/order/engine_test.go
@@ -33,7 +33,7 @@
 // fakeEngine accepts all orders, or, if checksFence is set, only those with a fence not
 // below the highest so far. It reports violations of the invariants.
 type fakeEngine struct {
-	world       *simulation
+	sim         *simulation
 	name        string
 	checksFence bool
 	// hidesInFlight makes the engine show no requests in flight, so that only the
@@ -50,7 +50,7 @@
 }
 
 func (e *fakeEngine) shown() upstream.Shown {
-	s := upstream.Shown{Target: e.target, Fence: e.highestFence, Changing: e.changing, At: e.world.now}
+	s := upstream.Shown{Target: e.target, Fence: e.highestFence, Changing: e.changing, At: e.sim.now}
 	if !e.checksFence {
 		s.Fence = 0
 	}
@@ -63,25 +63,25 @@
 // receive checks the invariants and applies an order, unless its fence is stale.
 func (e *fakeEngine) receive(g receivedOrder) error {
 	if e.checksFence && g.fence < e.highestFence {
-		e.world.stats["order refused by fence"]++
+		e.sim.stats["order refused by fence"]++
 		return upstream.ErrStaleFence
 	}
 	e.highestFence = max(e.highestFence, g.fence)
 	for _, o := range e.accepted {
 		if o.fence > g.fence && !o.target.Equal(g.target) {
-			e.world.report(conflictingOrders, fmt.Sprintf("%s took %v@%d after %v@%d", e.name, g.target.Role, g.fence, o.target.Role, o.fence))
+			e.sim.report(conflictingOrders, fmt.Sprintf("%s took %v@%d after %v@%d", e.name, g.target.Role, g.fence, o.target.Role, o.fence))
 		}
 	}
 	e.accepted = append(e.accepted, g)
 	if e.target.Equal(g.target) {
 		return nil
 	}
-	e.world.stats["engine changed"]++
-	if o, err := e.world.orderOf(e.name); err != nil || o.State != state.OrderIssued || !o.Desired.Equal(g.target) {
-		e.world.report(noAuthority, fmt.Sprintf("%s changed to %v@%d while the order is %s %v@%d", e.name, g.target.Role, g.fence, o.State, o.Desired.Role, o.Fence))
+	e.sim.stats["engine changed"]++
+	if o, err := e.sim.orderOf(e.name); err != nil || o.State != state.OrderIssued || !o.Desired.Equal(g.target) {
+		e.sim.report(noAuthority, fmt.Sprintf("%s changed to %v@%d while the order is %s %v@%d", e.name, g.target.Role, g.fence, o.State, o.Desired.Role, o.Fence))
 	}
 	if len(e.running) > 0 {
-		e.world.report(answerCut, fmt.Sprintf("%s changed to %v@%d with %d requests running", e.name, g.target.Role, g.fence, len(e.running)))
+		e.sim.report(answerCut, fmt.Sprintf("%s changed to %v@%d with %d requests running", e.name, g.target.Role, g.fence, len(e.running)))
 	}
 	e.target = g.target
 	e.changing = true
@@ -125,7 +125,7 @@
 // arrive makes the request reach its engine.
 func (r *request) arrive() {
 	if r.engine.changing {
-		r.engine.world.report(answerCut, fmt.Sprintf("a request reached %s during a change", r.engine.name))
+		r.engine.sim.report(answerCut, fmt.Sprintf("a request reached %s during a change", r.engine.name))
 	}
 	r.engine.running[r] = true
 }
--- a/coordination/order/planner.go
+++ b/coordination/order/planner.go
@@ -126,9 +126,9 @@
 // work. The result of Releases must still be sent to the other hosts after Run has
 // returned, since a successor may wait for it.
 type Planner struct {
-	opts    PlannerOptions
-	objects *orderStore
-	sends   *sendTracker
+	opts  PlannerOptions
+	store *orderStore
+	sends *sendTracker
 	// mutation is set only by tests.
 	mutation plannerMutation
 }
@@ -156,7 +156,7 @@
 		o.Log = slog.New(slog.DiscardHandler)
 	}
 	b := &orderStore{store: o.Store, clock: o.Clock, host: o.Host, rand: o.Rand}
-	return &Planner{opts: o, objects: b, sends: newSendTracker()}, nil
+	return &Planner{opts: o, store: b, sends: newSendTracker()}, nil
 }
 
 // Releases returns the releases of this host for orders that it may have sent and
--- a/coordination/order/process_test.go
+++ b/coordination/order/process_test.go
@@ -51,7 +51,7 @@
 
 // resume makes the pending call with the fault f and runs on to the next call.
 func (p *process) resume(f fault) {
-	w := p.host.world
+	w := p.host.sim
 	before := w.running
 	w.running = p
 	p.fault = f
@@ -93,7 +93,7 @@
 // gatedStore is the store of one host's processes. Each call pauses the process and
 // may get a fault.
 type gatedStore struct {
-	world *simulation
+	sim   *simulation
 	inner store.Store
 }
 
@@ -102,15 +102,15 @@
 // storageFault pauses before a call and translates its fault into one of storetest;
 // -1 stands for arrivesLate.
 func (s *gatedStore) storageFault(call, kind string) (storetest.Fault, error) {
-	f, err := s.world.pauseAt(call + " " + kind)
+	f, err := s.sim.pauseAt(call + " " + kind)
 	if err != nil {
 		return storetest.None, err
 	}
 	if f != noFault {
-		s.world.stats["fault on "+call]++
+		s.sim.stats["fault on "+call]++
 	}
 	switch {
-	case s.world.down || f == refused:
+	case s.sim.down || f == refused:
 		return storetest.Refuse, nil
 	case f == answerLost:
 		return storetest.LoseAnswer, nil
@@ -122,7 +122,7 @@
 
 // setFault makes the platform apply f to the next call.
 func (s *gatedStore) setFault(f storetest.Fault) {
-	s.world.platform.SetScript(func(storetest.Call) storetest.Fault { return f })
+	s.sim.platform.SetScript(func(storetest.Call) storetest.Fault { return f })
 }
 
 func (s *gatedStore) Get(ctx context.Context, kind, name string) (store.Object, error) {
@@ -140,7 +140,7 @@
 		return 0, err
 	}
 	if f == -1 {
-		s.world.late = append(s.world.late, func() {
+		s.sim.late = append(s.sim.late, func() {
 			s.setFault(storetest.None)
 			_, _ = s.inner.Put(context.Background(), kind, name, version, value)
 		})
@@ -148,7 +148,7 @@
 	}
 	s.setFault(f)
 	v, err := s.inner.Put(ctx, kind, name, version, value)
-	if _, err := s.world.pauseAt("after put " + kind); err != nil {
+	if _, err := s.sim.pauseAt("after put " + kind); err != nil {
 		return 0, err
 	}
 	return v, err
@@ -181,7 +181,7 @@
 type gatedEngines struct{ host *host }
 
 func (g *gatedEngines) Send(_ context.Context, u state.Upstream, fence uint64, nonce string, t state.Target) error {
-	w, e := g.host.world, g.host.world.engine(u.Name)
+	w, e := g.host.sim, g.host.sim.engine(u.Name)
 	f, err := w.pauseAt("send")
 	if err != nil {
 		return err
@@ -210,7 +210,7 @@
 }
 
 func (g *gatedEngines) Show(_ context.Context, u state.Upstream) (upstream.Shown, error) {
-	w, e := g.host.world, g.host.world.engine(u.Name)
+	w, e := g.host.sim, g.host.sim.engine(u.Name)
 	f, err := w.pauseAt("show")
 	if err != nil {
 		return upstream.Shown{}, err
@@ -222,11 +222,11 @@
 }
 
 // manualClock is the clock of the simulation; a sleep pauses the process.
-type manualClock struct{ world *simulation }
+type manualClock struct{ sim *simulation }
 
-func (c manualClock) Now() time.Time { return c.world.now }
+func (c manualClock) Now() time.Time { return c.sim.now }
 
 func (c manualClock) Sleep(ctx context.Context, _ time.Duration) error {
-	_, err := c.world.pauseAt("sleep")
+	_, err := c.sim.pauseAt("sleep")
 	return err
 }
--- a/coordination/order/run.go
+++ b/coordination/order/run.go
@@ -117,7 +117,7 @@
 		return nil
 	}
 	defer p.sends.endStep(engine)
-	cur, err := p.objects.read(ctx, engine)
+	cur, err := p.store.read(ctx, engine)
 	if err != nil || cur.order.State != state.OrderIssued || p.sends.mayStillArrive(engine, p.opts.Clock.Now()) {
 		return err
 	}
--- a/coordination/order/step.go
+++ b/coordination/order/step.go
@@ -46,7 +46,7 @@
 		return nil
 	}
 	defer p.sends.endStep(engine)
-	cur, err := p.objects.read(ctx, engine)
+	cur, err := p.store.read(ctx, engine)
 	if errors.Is(err, store.ErrNotFound) {
 		return nil
 	}
@@ -71,7 +71,7 @@
 // may still take effect later, replacing the same version, and settle or hand over
 // the order. So no order with the fence of cur is sent after a failure (I5).
 func (p *Planner) write(ctx context.Context, cur versionedOrder, next state.Order) (versionedOrder, error) {
-	done, err := p.objects.write(ctx, cur, next)
+	done, err := p.store.write(ctx, cur, next)
 	if err != nil && !p.mutation.sendAfterFailure {
 		p.sends.raiseMinFence(cur.order.Engine, cur.order.Fence+1)
 	}
@@ -306,8 +306,8 @@
 
 // settle writes settled if no earlier order can have an effect (I4).
 func (p *Planner) settle(ctx context.Context, w *stepState, cur versionedOrder, u state.Upstream) error {
-	if pin := p.settleObstacle(cur.order, u); pin != "" {
-		p.record(w, cur.order, "waiting", pin)
+	if obstacle := p.settleObstacle(cur.order, u); obstacle != "" {
+		p.record(w, cur.order, "waiting", obstacle)
 		return nil
 	}
 	next := cur.order
--- a/coordination/order/world_test.go
+++ b/coordination/order/world_test.go
@@ -67,7 +67,7 @@
 
 // host is a simulated host with its parts.
 type host struct {
-	world     *simulation
+	sim       *simulation
 	id        state.HostID
 	store     *gatedStore
 	keeper    *snapshot.Keeper
@@ -89,7 +89,7 @@
 		engines: engines, mutation: mutation, stats: map[string]int{},
 	}
 	for _, e := range engines {
-		e.world, e.target, e.running = w, targets[0], map[*request]bool{}
+		e.sim, e.target, e.running = w, targets[0], map[*request]bool{}
 	}
 	for i := range hosts {
 		w.start(fmt.Sprintf("host-%d", i))
@@ -111,10 +111,10 @@
 func (w *simulation) start(name string) *host {
 	w.incarnations++
 	h := &host{
-		world: w, id: state.HostID{Name: name, Incarnation: fmt.Sprint(w.incarnations)},
+		sim: w, id: state.HostID{Name: name, Incarnation: fmt.Sprint(w.incarnations)},
 		keeper: snapshot.NewKeeper(), acks: NewAckTable(), requests: map[*request]bool{}, alive: true,
 	}
-	h.store = &gatedStore{world: w, inner: w.platform.Client(h.id.String())}
+	h.store = &gatedStore{sim: w, inner: w.platform.Client(h.id.String())}
 	clock := manualClock{w}
 	random := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(w.incarnations), n)) }
 	var listed []state.Listed
@@ -152,7 +152,7 @@
 
 // serves reports whether the host may send requests to engines.
 func (h *host) serves() bool {
-	if h.world.mutation.serveBeforeList {
+	if h.sim.mutation.serveBeforeList {
 		return h.alive
 	}
 	select {
@@ -176,7 +176,7 @@
 // nil if the runner takes no requests any more.
 func (h *host) enter(r *snapshot.Runner) interface{ Done() } {
 	one := snapshot.Work{Requests: 1}
-	if h.world.mutation.enterUnchecked {
+	if h.sim.mutation.enterUnchecked {
 		r.InFlight.Add(one)
 		return uncheckedTicket{r.InFlight}
 	}
@@ -199,12 +199,12 @@
 		s.acks = append(s.acks, Ack{Host: h.id, Engine: d.Engine, Fence: d.Fence, InFlight: d.InFlight})
 	}
 	s.releases = h.planner.Releases()
-	for _, to := range h.world.hosts {
+	for _, to := range h.sim.hosts {
 		s.to = to
 		if to == h {
 			s.deliver()
 		} else {
-			h.world.inTransit = append(h.world.inTransit, s)
+			h.sim.inTransit = append(h.sim.inTransit, s)
 		}
 	}
 }
@@ -223,7 +223,7 @@
 func (h *host) terminate() {
 	h.alive = false
 	if h.goneSince.IsZero() {
-		h.goneSince = h.world.now
+		h.goneSince = h.sim.now
 	}
 	for _, p := range h.processes {
 		p.cancel()
@@ -288,7 +288,7 @@
 }
 
 // Record implements Recorder.
-func (h *host) Record(d state.Decision) { h.world.stats["decision: "+d.Chosen]++ }
+func (h *host) Record(d state.Decision) { h.sim.stats["decision: "+d.Chosen]++ }
 
 // List implements Members.
 func (h *host) List(ctx context.Context) ([]state.Member, error) {
@@ -306,9 +306,9 @@
 
 // GoneFor implements Members.
 func (h *host) GoneFor(id state.HostID) time.Duration {
-	for _, o := range h.world.hosts {
+	for _, o := range h.sim.hosts {
 		if o.id == id && !o.goneSince.IsZero() {
-			return h.world.now.Sub(o.goneSince)
+			return h.sim.now.Sub(o.goneSince)
 		}
 	}
 	return 0
