--- a/coordination/order/actions_test.go
+++ b/coordination/order/actions_test.go
@@ -23,8 +23,8 @@
 
 func (r *fuzzRun) actions() []action {
 	return []action{
-		{"drive", 7, func(t *rapid.T) { r.runPlanner(r.pickPlanner(t)) }},
-		{"spread", 8, func(*rapid.T) { r.exchangeAll() }},
+		{"run planner", 7, func(t *rapid.T) { r.runPlanner(r.pickPlanner(t)) }},
+		{"exchange all", 8, func(*rapid.T) { r.exchangeAll() }},
 		{"step, paused", 7, func(t *rapid.T) { r.stepTo(t) }},
 		{"step, faulty", 7, func(t *rapid.T) {
 			p := r.stepTo(t)
@@ -34,18 +34,18 @@
 			p.resume(rapid.SampledFrom(faults).Draw(t, "fault"))
 			p.runTo("")
 		}},
-		{"ask", 8, r.operatorActs},
-		{"request", 4, r.requestWhole},
-		{"finish", 7, r.requestEnds},
+		{"operator", 8, r.operatorActs},
+		{"whole request", 4, r.requestWhole},
+		{"request ends", 7, r.requestEnds},
 		{"engine ready", 6, r.engineIsReady},
 		{"resume", 7, r.processResumes},
 		{"advance", 3, r.advanceTime},
-		{"tell", 2, func(t *rapid.T) { r.pickHost(t).sendStatement() }},
-		{"hear", 3, r.deliverStatement},
+		{"send statement", 2, func(t *rapid.T) { r.pickHost(t).sendStatement() }},
+		{"deliver statement", 3, r.deliverStatement},
 		{"watch", 2, r.resumeWatcher},
-		{"choose", 2, r.requestChosen},
-		{"enter", 2, r.requestEnters},
-		{"arrive", 2, r.requestArrives},
+		{"request chosen", 2, r.requestChosen},
+		{"request enters", 2, r.requestEnters},
+		{"request arrives", 2, r.requestArrives},
 		{"step", 2, func(t *rapid.T) { r.stepTo(t).runTo("") }},
 		{"crash", 2, func(t *rapid.T) { r.pickEngine(t).crash() }},
 		{"hang", 1, func(t *rapid.T) { r.pickEngine(t).hung = true }},
@@ -103,18 +103,18 @@
 func (r *fuzzRun) operatorActs(t *rapid.T) {
 	h, e := r.pickHost(t), r.pickEngine(t)
 	target := rapid.SampledFrom(targets).Draw(t, "target")
-	wish := rapid.SampledFrom([]string{"change", "change", "change", "change", "change", "call off", "drain", "undrain"}).Draw(t, "wish")
+	operation := rapid.SampledFrom([]string{"change", "change", "change", "change", "change", "call off", "drain", "undrain"}).Draw(t, "operation")
 	p := h.spawn(func(ctx context.Context) {
-		switch wish {
+		switch operation {
 		case "change":
-			_, err := h.desk.Request(ctx, e.name, testService, target, "operator", "a wish")
-			r.stats[fmt.Sprintf("asked: %T", err)]++
+			_, err := h.requester.Request(ctx, e.name, testService, target, "operator", "test")
+			r.stats[fmt.Sprintf("request: %T", err)]++
 		case "call off":
-			_, _ = h.desk.CallOff(ctx, e.name, "operator", "a wish")
+			_, _ = h.requester.CallOff(ctx, e.name, "operator", "test")
 		case "drain":
-			_, _ = h.desk.Drain(ctx, e.name, testService, "operator", "a wish")
+			_, _ = h.requester.Drain(ctx, e.name, testService, "operator", "test")
 		case "undrain":
-			_, _ = h.desk.Undrain(ctx, e.name, testService, "operator", "a wish")
+			_, _ = h.requester.Undrain(ctx, e.name, testService, "operator", "test")
 		}
 	})
 	p.runTo(rapid.SampledFrom([]string{"", "", "put order"}).Draw(t, "pause"))
@@ -273,10 +273,10 @@
 		panic(notApplicable{})
 	}
 	i := rapid.IntRange(0, len(r.inTransit)-1).Draw(t, "statement")
-	switch rapid.SampledFrom([]string{"hear", "hear twice", "lose"}).Draw(t, "mail") {
-	case "hear":
+	switch rapid.SampledFrom([]string{"deliver", "deliver twice", "lose"}).Draw(t, "delivery") {
+	case "deliver":
 		r.inTransit[i].deliver()
-	case "hear twice":
+	case "deliver twice":
 		r.inTransit[i].deliver()
 		return
 	}
@@ -290,7 +290,7 @@
 	target := rapid.SampledFrom(targets[1:]).Draw(t, "target")
 	r.tryLease(h)
 	h.spawn(func(ctx context.Context) {
-		_, _ = h.desk.Request(ctx, e.name, testService, target, "operator", "a wish")
+		_, _ = h.requester.Request(ctx, e.name, testService, target, "operator", "test")
 	}).runTo("")
 	r.exchangeAll()
 	p := r.planStep(h, e)
--- a/coordination/order/engine_test.go
+++ b/coordination/order/engine_test.go
@@ -12,10 +12,10 @@
 
 // The violations of invariants that a simulation reports.
 const (
-	conflictingOrders = "conflicting orders"
-	answerCut         = "an answer was cut by a planned change"
-	noAuthority       = "an order without authority had an effect"
-	unfinishedChange  = "a change didn't finish after all faults ended"
+	conflictingOrders     = "conflicting orders"
+	answerCutOff          = "an answer was cut by a planned change"
+	orderWithoutAuthority = "an order without authority had an effect"
+	unfinishedChange      = "a change didn't finish after all faults ended"
 )
 
 // receivedOrder is an order as an engine receives it.
@@ -78,10 +78,10 @@
 	}
 	e.sim.stats["engine changed"]++
 	if o, err := e.sim.orderOf(e.name); err != nil || o.State != state.OrderIssued || !o.Desired.Equal(g.target) {
-		e.sim.report(noAuthority, fmt.Sprintf("%s changed to %v@%d while the order is %s %v@%d", e.name, g.target.Role, g.fence, o.State, o.Desired.Role, o.Fence))
+		e.sim.report(orderWithoutAuthority, fmt.Sprintf("%s changed to %v@%d while the order is %s %v@%d", e.name, g.target.Role, g.fence, o.State, o.Desired.Role, o.Fence))
 	}
 	if len(e.running) > 0 {
-		e.sim.report(answerCut, fmt.Sprintf("%s changed to %v@%d with %d requests running", e.name, g.target.Role, g.fence, len(e.running)))
+		e.sim.report(answerCutOff, fmt.Sprintf("%s changed to %v@%d with %d requests running", e.name, g.target.Role, g.fence, len(e.running)))
 	}
 	e.target = g.target
 	e.changing = true
@@ -125,7 +125,7 @@
 // arrive makes the request reach its engine.
 func (r *request) arrive() {
 	if r.engine.changing {
-		r.engine.sim.report(answerCut, fmt.Sprintf("a request reached %s during a change", r.engine.name))
+		r.engine.sim.report(answerCutOff, fmt.Sprintf("a request reached %s during a change", r.engine.name))
 	}
 	r.engine.running[r] = true
 }
--- a/coordination/order/fleet_test.go
+++ b/coordination/order/fleet_test.go
@@ -46,13 +46,13 @@
 // fleetHost is one host of a fleet. It implements Members, Recorder and the transport
 // to engines.
 type fleetHost struct {
-	fleet   *fleet
-	id      state.HostID
-	keeper  *snapshot.Keeper
-	acks    *AckTable
-	desk    *Requester
-	planner *Planner
-	leave   func()
+	fleet     *fleet
+	id        state.HostID
+	keeper    *snapshot.Keeper
+	acks      *AckTable
+	requester *Requester
+	planner   *Planner
+	leave     func()
 }
 
 func startFleet(ctx context.Context, hosts int, checks bool) *fleet {
@@ -89,7 +89,7 @@
 	h.keeper.SetListed(listed)
 	must(client.Put(ctx, store.KindMember, h.id.Name, store.Absent, must(json.Marshal(state.Member{ID: h.id}))))
 	watcher := must(NewWatcher(WatcherOptions{Store: client, Clock: clocktest.Bubble{}, Rand: random(1), Sink: h.keeper}))
-	h.desk = must(NewRequester(RequesterOptions{Store: client, Clock: clocktest.Bubble{}, Rand: random(2), Host: h.id, Recorder: h}))
+	h.requester = must(NewRequester(RequesterOptions{Store: client, Clock: clocktest.Bubble{}, Rand: random(2), Host: h.id, Recorder: h}))
 	h.planner = must(NewPlanner(PlannerOptions{
 		Store: client, Clock: clocktest.Bubble{}, Rand: random(3), Host: h.id, Service: testService, Orders: watcher,
 		Acks: h.acks, Members: h, Upstreams: KeeperUpstreams{h.keeper}, Engines: h, Recorder: h,
@@ -108,11 +108,11 @@
 
 // setIsolated cuts a host off from the platform, the engine and the other hosts, or
 // connects it again.
-func (f *fleet) setIsolated(host string, off bool) {
+func (f *fleet) setIsolated(host string, isolated bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.isolatedSince[host] = time.Time{}
-	if off {
+	if isolated {
 		f.isolatedSince[host] = time.Now()
 	}
 }
@@ -251,7 +251,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				f := startFleet(ctx, 4, m.checks)
 				time.Sleep(time.Duration(3000+617*run) * time.Millisecond)
-				_ = must(f.hosts[0].desk.Request(ctx, "engine", testService, targets[1], "operator", "test"))
+				_ = must(f.hosts[0].requester.Request(ctx, "engine", testService, targets[1], "operator", "test"))
 				f.until(t, time.Minute, func(o state.Order) bool { return o.State == state.OrderIssued })
 				holder := f.order().Holder.Name
 				if m.leaves {
@@ -285,7 +285,7 @@
 			}
 		}
 		time.Sleep(3 * time.Second)
-		_ = must(f.hosts[0].desk.Request(ctx, "engine", testService, targets[1], "operator", "test"))
+		_ = must(f.hosts[0].requester.Request(ctx, "engine", testService, targets[1], "operator", "test"))
 		f.until(t, time.Minute, func(o state.Order) bool { return o.State == state.OrderIssued })
 		f.until(t, maxTakeover, settled)
 		cancel()
@@ -328,31 +328,31 @@
 		f := startFleet(ctx, 5, true)
 		r := rand.New(rand.NewPCG(1, 1))
 		const changes = 30
-		silent := 0
+		isolations := 0
 		for i := range changes {
-			quiet := f.hosts[1+r.IntN(4)].id.Name
+			member := f.hosts[1+r.IntN(4)].id.Name
 			off := time.Duration(0)
 			if r.IntN(5) == 0 {
-				silent++
+				isolations++
 				off = time.Duration(r.IntN(60)) * time.Second
-				f.setIsolated(quiet, true)
+				f.setIsolated(member, true)
 			}
-			heal := time.AfterFunc(off, func() { f.setIsolated(quiet, false) })
+			reconnect := time.AfterFunc(off, func() { f.setIsolated(member, false) })
 			target := targets[1]
 			if i > 0 && f.order().Desired.Equal(target) {
 				target = targets[2]
 			}
-			_ = must(f.hosts[0].desk.Request(ctx, "engine", testService, target, "operator", "test"))
+			_ = must(f.hosts[0].requester.Request(ctx, "engine", testService, target, "operator", "test"))
 			f.until(t, 3*time.Minute, finished)
 			is.Equal(f.order().State == state.OrderSettled, f.order().Desired.Equal(target)) // otherwise the change was called off
-			heal.Stop()
-			f.setIsolated(quiet, false)
+			reconnect.Stop()
+			f.setIsolated(member, false)
 			time.Sleep(10 * time.Second)
 		}
 		t.Logf("%d changes, %d with a member isolated for up to 60s: %d settled, %d called off after %s",
-			changes, silent, f.count("settled"), f.count("called off"), DefaultDrainTimeout)
+			changes, isolations, f.count("settled"), f.count("called off"), DefaultDrainTimeout)
 		is.Equal(f.count("settled")+f.count("called off"), changes)
-		is.True(f.count("called off") <= silent)
+		is.True(f.count("called off") <= isolations)
 		cancel()
 		synctest.Wait()
 	})
--- a/coordination/order/scripted_test.go
+++ b/coordination/order/scripted_test.go
@@ -19,7 +19,7 @@
 // requestChange requests a change at h and lets all hosts learn of it.
 func (r *fuzzRun) requestChange(h *host, e *fakeEngine, target int) {
 	h.spawn(func(ctx context.Context) {
-		_, _ = h.desk.Request(ctx, e.name, testService, targets[target], "operator", "a wish")
+		_, _ = h.requester.Request(ctx, e.name, testService, targets[target], "operator", "test")
 	}).runTo("")
 	r.exchangeAll()
 }
@@ -43,8 +43,8 @@
 		mutation  mutation
 		violation string
 	}{
-		{"whole", mutation{}, ""},
-		{"settled while another host may send", mutation{planner: plannerMutation{ignoreReleases: true}}, noAuthority},
+		{"no mutation", mutation{}, ""},
+		{"settled while another host may send", mutation{planner: plannerMutation{ignoreReleases: true}}, orderWithoutAuthority},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			is := is.New(t)
@@ -78,8 +78,8 @@
 		mutation  mutation
 		violation string
 	}{
-		{"whole", mutation{}, ""},
-		{"settled without the fence", mutation{planner: plannerMutation{ignoreShownFence: true}}, noAuthority},
+		{"no mutation", mutation{}, ""},
+		{"settled without the fence", mutation{planner: plannerMutation{ignoreShownFence: true}}, orderWithoutAuthority},
 	} {
 		t.Run(m.name, func(t *testing.T) {
 			is := is.New(t)
@@ -121,8 +121,8 @@
 	}{
 		{true, mutation{}, ""},
 		{false, mutation{}, ""},
-		{true, mutation{planner: plannerMutation{sendAfterFailure: true}}, noAuthority},
-		{false, mutation{planner: plannerMutation{sendAfterFailure: true}}, noAuthority},
+		{true, mutation{planner: plannerMutation{sendAfterFailure: true}}, orderWithoutAuthority},
+		{false, mutation{planner: plannerMutation{sendAfterFailure: true}}, orderWithoutAuthority},
 	} {
 		is := is.New(t)
 		r, e, a, _ := newScripted(t, m.checks, m.mutation)
@@ -138,14 +138,14 @@
 		settling.resume(arrivesLate)
 		settling.runTo("")
 		e.crash()
-		again := r.planStep(a, e)
-		again.runTo("send")
+		resending := r.planStep(a, e)
+		resending.runTo("send")
 		r.late[0]()
 		r.exchangeAll()
 		if runner := a.keeper.View().Runner(e.name); runner.TakesWork() {
 			e.running[&request{host: a, engine: e, ticket: a.enter(runner)}] = true
 		}
-		again.runTo("")
+		resending.runTo("")
 		is.Equal(r.violation, m.violation)
 	}
 }
--- a/coordination/order/world_test.go
+++ b/coordination/order/world_test.go
@@ -72,7 +72,7 @@
 	store     *gatedStore
 	keeper    *snapshot.Keeper
 	acks      *AckTable
-	desk      *Requester
+	requester *Requester
 	watcher   *Watcher
 	planner   *Planner
 	lessor    *lease.Lessor
@@ -123,7 +123,7 @@
 	}
 	h.keeper.SetListed(listed)
 	h.watcher = must(NewWatcher(WatcherOptions{Store: h.store, Clock: clock, Rand: random(1), Sink: h.keeper}))
-	h.desk = must(NewRequester(RequesterOptions{Store: h.store, Clock: clock, Rand: random(2), Host: h.id, Recorder: h}))
+	h.requester = must(NewRequester(RequesterOptions{Store: h.store, Clock: clock, Rand: random(2), Host: h.id, Recorder: h}))
 	h.planner = must(NewPlanner(PlannerOptions{
 		Store: h.store, Clock: clock, Rand: random(3), Host: h.id, Service: testService,
 		Orders: h.watcher, Acks: h.acks, Members: h, Upstreams: KeeperUpstreams{h.keeper},
@@ -272,9 +272,9 @@
 }
 
 // report records a violation if it is the first.
-func (w *simulation) report(what, detail string) {
+func (w *simulation) report(violation, detail string) {
 	if w.violation == "" {
-		w.violation, w.detail = what, detail
+		w.violation, w.detail = violation, detail
 	}
 }
 
