--- a/coordination/order/fuzz_test.go
+++ b/coordination/order/fuzz_test.go
@@ -37,7 +37,7 @@
 // fuzz runs random actions and faults on a new simulation, then ends all faults and
 // checks that every change finishes. It returns the simulation with the first
 // violation.
-func fuzz(t *rapid.T, mutation mutation, restriction profile) *simulation {
+func fuzz(t *rapid.T, mut mutation, restriction profile) *simulation {
 	checking := &fakeEngine{name: "checks", checksFence: true}
 	ignoring := &fakeEngine{name: "ignores"}
 	fleets := [][]*fakeEngine{{ignoring}, {checking}, {checking, ignoring}}
@@ -48,7 +48,7 @@
 	for _, e := range fleet {
 		e.hidesInFlight = rapid.Bool().Draw(t, "hides its work")
 	}
-	w := newWorld(rapid.IntRange(2, 4).Draw(t, "hosts"), fleet, mutation)
+	w := newSimulation(rapid.IntRange(2, 4).Draw(t, "hosts"), fleet, mut)
 	defer w.close()
 	r := &fuzzRun{simulation: w, leasesObeyed: rapid.Bool().Draw(t, "leases obeyed")}
 	if restriction.start == anyStart {
--- a/coordination/order/scripted_test.go
+++ b/coordination/order/scripted_test.go
@@ -9,9 +9,9 @@
 
 // newScripted returns a simulation of two hosts and one engine whose calls the test
 // orders itself.
-func newScripted(t *testing.T, checks bool, mutation mutation) (*fuzzRun, *fakeEngine, *host, *host) {
+func newScripted(t *testing.T, checks bool, mut mutation) (*fuzzRun, *fakeEngine, *host, *host) {
 	e := &fakeEngine{name: "engine", checksFence: checks, hidesInFlight: true}
-	w := newWorld(2, []*fakeEngine{e}, mutation)
+	w := newSimulation(2, []*fakeEngine{e}, mut)
 	t.Cleanup(w.close)
 	return &fuzzRun{simulation: w}, e, w.hosts[0], w.hosts[1]
 }
--- a/coordination/order/simulation_test.go
+++ b/coordination/order/simulation_test.go
@@ -83,10 +83,10 @@
 	goneSince time.Time // zero while the platform lists the host
 }
 
-func newWorld(hosts int, engines []*fakeEngine, mutation mutation) *simulation {
+func newSimulation(hosts int, engines []*fakeEngine, mut mutation) *simulation {
 	w := &simulation{
 		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), platform: storetest.NewPlatform(0),
-		engines: engines, mutation: mutation, stats: map[string]int{},
+		engines: engines, mutation: mut, stats: map[string]int{},
 	}
 	for _, e := range engines {
 		e.sim, e.target, e.running = w, targets[0], map[*request]bool{}
