--- a/coordination/order/actions_test.go
+++ b/coordination/order/actions_test.go
@@ -94,7 +94,7 @@
 }
 
 func (r *fuzzRun) advanceTime(t *rapid.T) {
-	steps := []time.Duration{testResend, 2 * testResend, testTTL, testLinger, testTTL, testResend, testDrain, testGoneAfter}
+	steps := []time.Duration{testResendInterval, 2 * testResendInterval, testLeaseTTL, testMaxDeliveryDelay, testLeaseTTL, testResendInterval, testDrainTimeout, testGoneAfter}
 	r.advance(rapid.SampledFrom(steps).Draw(t, "time"))
 }
 
@@ -222,7 +222,7 @@
 	h.chosen = h.chosen[1:]
 	if ticket := h.enter(runner); ticket != nil {
 		r.entered++
-		h.requests[&request{id: r.entered, host: h, engine: r.engine(runner.Name), ticket: ticket, until: r.now.Add(testGoneAfter)}] = true
+		h.requests[&request{id: r.entered, host: h, engine: r.engine(runner.Name), ticket: ticket, deadline: r.now.Add(testGoneAfter)}] = true
 	}
 }
 
@@ -259,7 +259,7 @@
 	e := r.pickEngine(t)
 	e.changing, e.hung = false, false
 	for i := 0; i < len(e.late); {
-		if e.late[i].until.After(r.now) {
+		if e.late[i].arrivesBy.After(r.now) {
 			i++
 			continue
 		}
@@ -298,7 +298,7 @@
 	if s == lateStart {
 		p.resume(arrivesLate)
 		p.runTo("")
-		r.advance(testResend)
+		r.advance(testResendInterval)
 		r.planStep(h, e).runTo("send")
 	}
 }
--- a/coordination/order/engine_test.go
+++ b/coordination/order/engine_test.go
@@ -24,10 +24,10 @@
 	target state.Target
 }
 
-// lateOrder is an order that is still on its way to an engine, at most until then.
+// lateOrder is an order that is still on its way to an engine.
 type lateOrder struct {
 	receivedOrder
-	until time.Time
+	arrivesBy time.Time
 }
 
 // fakeEngine accepts all orders, or, if checksFence is set, only those with a fence not
@@ -115,11 +115,11 @@
 
 // request is a request that was counted as in flight at an engine.
 type request struct {
-	id     int
-	host   *host
-	engine *fakeEngine
-	ticket interface{ Done() }
-	until  time.Time
+	id       int
+	host     *host
+	engine   *fakeEngine
+	ticket   interface{ Done() }
+	deadline time.Time
 }
 
 // arrive makes the request reach its engine.
--- a/coordination/order/fleet_test.go
+++ b/coordination/order/fleet_test.go
@@ -331,13 +331,13 @@
 		isolations := 0
 		for i := range changes {
 			member := f.hosts[1+r.IntN(4)].id.Name
-			off := time.Duration(0)
+			isolatedFor := time.Duration(0)
 			if r.IntN(5) == 0 {
 				isolations++
-				off = time.Duration(r.IntN(60)) * time.Second
+				isolatedFor = time.Duration(r.IntN(60)) * time.Second
 				f.setIsolated(member, true)
 			}
-			reconnect := time.AfterFunc(off, func() { f.setIsolated(member, false) })
+			reconnect := time.AfterFunc(isolatedFor, func() { f.setIsolated(member, false) })
 			target := targets[1]
 			if i > 0 && f.order().Desired.Equal(target) {
 				target = targets[2]
--- a/coordination/order/fuzz_test.go
+++ b/coordination/order/fuzz_test.go
@@ -138,7 +138,7 @@
 		}
 	}
 	r.runPlanner(planner)
-	r.advance(testDrain)
+	r.advance(testDrainTimeout)
 }
 
 // unfinished describes a change that hasn't finished; empty if there is none.
--- a/coordination/order/process_test.go
+++ b/coordination/order/process_test.go
@@ -195,7 +195,7 @@
 		err = &upstream.SendError{Upstream: u.Name, Cause: errTest}
 	case f == arrivesLate || e.hung:
 		// An order that no process waits for arrives within MaxDeliveryDelay.
-		e.late = append(e.late, lateOrder{receivedOrder: given, until: w.now.Add(testLinger)})
+		e.late = append(e.late, lateOrder{receivedOrder: given, arrivesBy: w.now.Add(testMaxDeliveryDelay)})
 		err = &upstream.SendError{Upstream: u.Name, MaybeSent: true, Cause: errTest}
 	default:
 		err = e.receive(given)
--- a/coordination/order/requester.go
+++ b/coordination/order/requester.go
@@ -98,6 +98,7 @@
 	return d.setDrained(ctx, engine, service, false, by, reason)
 }
 
+// setDrained implements Drain and Undrain.
 func (d *Requester) setDrained(ctx context.Context, engine, service string, drained bool, by, reason string) (state.Order, error) {
 	chosen := "undrained"
 	if drained {
--- a/coordination/order/scripted_test.go
+++ b/coordination/order/scripted_test.go
@@ -29,7 +29,7 @@
 	for range 6 {
 		r.runPlanner(h)
 		e.changing = false
-		r.advance(testResend)
+		r.advance(testResendInterval)
 	}
 }
 
@@ -89,7 +89,7 @@
 			first.runTo("send")
 			first.resume(arrivesLate)
 			first.runTo("")
-			r.advance(testResend)
+			r.advance(testResendInterval)
 			second := r.planStep(a, e)
 			second.runTo("send")
 			e.deliverLate(0)
@@ -132,7 +132,7 @@
 		first.resume(answerLost)
 		first.runTo("")
 		e.changing = false
-		r.advance(testLinger)
+		r.advance(testMaxDeliveryDelay)
 		settling := r.planStep(a, e)
 		settling.runTo("put order")
 		settling.resume(arrivesLate)
--- a/coordination/order/simulation_test.go
+++ b/coordination/order/simulation_test.go
@@ -15,12 +15,12 @@
 )
 
 const (
-	testService   = "roster-llm"
-	testGoneAfter = 10 * time.Minute
-	testLinger    = 20 * time.Second
-	testDrain     = 30 * time.Second
-	testResend    = time.Second
-	testTTL       = 9 * time.Second
+	testService          = "roster-llm"
+	testGoneAfter        = 10 * time.Minute
+	testMaxDeliveryDelay = 20 * time.Second
+	testDrainTimeout     = 30 * time.Second
+	testResendInterval   = time.Second
+	testLeaseTTL         = 9 * time.Second
 )
 
 // targets are the states that orders may ask for; engines start with the first.
@@ -83,6 +83,7 @@
 	goneSince time.Time // zero while the platform lists the host
 }
 
+// newSimulation returns a simulation with the given number of started hosts.
 func newSimulation(hosts int, engines []*fakeEngine, mut mutation) *simulation {
 	w := &simulation{
 		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), platform: storetest.NewPlatform(0),
@@ -128,11 +129,11 @@
 		Store: h.store, Clock: clock, Rand: random(3), Host: h.id, Service: testService,
 		Orders: h.watcher, Acks: h.acks, Members: h, Upstreams: KeeperUpstreams{h.keeper},
 		Engines: &gatedEngines{h}, Recorder: h,
-		DrainTimeout: testDrain, GoneAfter: testGoneAfter, MaxDeliveryDelay: testLinger, ResendInterval: testResend,
+		DrainTimeout: testDrainTimeout, GoneAfter: testGoneAfter, MaxDeliveryDelay: testMaxDeliveryDelay, ResendInterval: testResendInterval,
 	}))
 	h.planner.mutation = w.mutation.planner
 	h.lessor = must(lease.New(lease.Options{
-		Store: h.store, Clock: clock, Rand: random(4), Name: "planner." + testService, Holder: h.id, TTL: testTTL,
+		Store: h.store, Clock: clock, Rand: random(4), Name: "planner." + testService, Holder: h.id, TTL: testLeaseTTL,
 	}))
 	w.hosts = append(w.hosts, h)
 	h.spawn(func(ctx context.Context) {
@@ -236,6 +237,7 @@
 	h.requests = nil
 }
 
+// close terminates all hosts.
 func (w *simulation) close() {
 	for _, h := range w.hosts {
 		if h.alive {
@@ -251,7 +253,7 @@
 	next := w.now.Add(d)
 	for _, e := range w.engines {
 		for i := 0; i < len(e.late); {
-			if e.late[i].until.After(next) || e.hung {
+			if e.late[i].arrivesBy.After(next) || e.hung {
 				i++
 				continue
 			}
@@ -260,7 +262,7 @@
 	}
 	for _, h := range w.hosts {
 		for r := range h.requests {
-			if !r.until.After(next) {
+			if !r.deadline.After(next) {
 				r.end()
 			}
 		}
--- a/coordination/order/step.go
+++ b/coordination/order/step.go
@@ -34,7 +34,7 @@
 // the order wasn't sent.
 type sentOrder struct {
 	fence    uint64
-	at       time.Time
+	sentAt   time.Time
 	answered bool
 }
 
@@ -225,7 +225,7 @@
 	err := p.opts.Engines.Send(ctx, u, o.Fence, o.Nonce, o.Desired)
 	now := p.opts.Clock.Now()
 	refused := errors.Is(err, upstream.ErrStaleFence)
-	w.sent = sentOrder{fence: o.Fence, at: now, answered: err == nil || refused}
+	w.sent = sentOrder{fence: o.Fence, sentAt: now, answered: err == nil || refused}
 	if !w.sent.answered && !upstream.NeverSent(err) {
 		p.sends.recordUnanswered(o.Engine, now.Add(p.opts.MaxDeliveryDelay))
 	}
@@ -284,7 +284,7 @@
 	if w.sent.fence != o.Fence {
 		return p.send(ctx, w, o, u)
 	}
-	if p.opts.Clock.Now().Sub(w.sent.at) < p.opts.ResendInterval {
+	if p.opts.Clock.Now().Sub(w.sent.sentAt) < p.opts.ResendInterval {
 		return nil
 	}
 	if !w.sent.answered || reached {
