--- a/coordination/order/acks.go
+++ b/coordination/order/acks.go
@@ -8,15 +8,17 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// AckTable is an Acks that keeps the statements with the highest fence of each
-// host and engine. Statements may come late, twice and out of order.
+// AckTable implements Acks. For each host and engine it stores the acknowledgement
+// and the release with the highest fence. They may arrive late, twice and out of
+// order. It is safe for concurrent use.
 type AckTable struct {
 	mu       sync.Mutex
-	acks     map[statementKey]Ack
-	releases map[statementKey]uint64
+	acks     map[ackKey]Ack
+	releases map[ackKey]uint64
 }
 
-type statementKey struct {
+// ackKey identifies the acknowledgement and the release of one host for one engine.
+type ackKey struct {
 	host   state.HostID
 	engine string
 }
@@ -25,15 +27,16 @@
 
 // NewAckTable returns an empty table.
 func NewAckTable() *AckTable {
-	return &AckTable{acks: map[statementKey]Ack{}, releases: map[statementKey]uint64{}}
+	return &AckTable{acks: map[ackKey]Ack{}, releases: map[ackKey]uint64{}}
 }
 
-// TakeAck takes over an acknowledgement. A zero is final for its fence: the host
-// gives the engine nothing more under it, so a higher count is an older one.
-func (t *AckTable) TakeAck(a Ack) {
+// AddAck stores an acknowledgement unless the stored one is newer. Zero requests
+// in flight is final for a fence: the host sends the engine no more requests under
+// it, so a higher count with the same fence is an older acknowledgement.
+func (t *AckTable) AddAck(a Ack) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := statementKey{a.Host, a.Engine}
+	k := ackKey{a.Host, a.Engine}
 	known, ok := t.acks[k]
 	if ok && (a.Fence < known.Fence || a.Fence == known.Fence && known.InFlight == 0) {
 		return
@@ -41,16 +44,17 @@
 	t.acks[k] = a
 }
 
-// TakeRelease takes over a release.
-func (t *AckTable) TakeRelease(r Release) {
+// AddRelease stores a release unless the stored one has a higher fence.
+func (t *AckTable) AddRelease(r Release) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := statementKey{r.Host, r.Engine}
+	k := ackKey{r.Host, r.Engine}
 	t.releases[k] = max(t.releases[k], r.Fence)
 }
 
-// Forget drops what a host has said, once it is gone for good.
-func (t *AckTable) Forget(host state.HostID) {
+// RemoveHost deletes the acknowledgements and releases of a host that has left for
+// good.
+func (t *AckTable) RemoveHost(host state.HostID) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for k := range t.acks {
@@ -70,7 +74,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, m := range members {
-		a, ok := t.acks[statementKey{m, engine}]
+		a, ok := t.acks[ackKey{m, engine}]
 		if !ok || a.Fence != fence || a.InFlight != 0 {
 			return false
 		}
@@ -96,5 +100,5 @@
 func (t *AckTable) Released(host state.HostID, engine string, fence uint64) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.releases[statementKey{host, engine}] >= fence
+	return t.releases[ackKey{host, engine}] >= fence
 }
--- a/coordination/order/run.go
+++ b/coordination/order/run.go
@@ -10,66 +10,69 @@
 	"github.com/thymerack/thymerack/state"
 )
 
-// patience is the share of the time that a change has taken after which it is
-// looked at again.
-const patience = 20
+// changeAgeDivisor sets the interval between two steps of a change: the time that
+// the change has taken so far, divided by it.
+const changeAgeDivisor = 20
 
-// agenda is when each engine is to be looked at next.
-type agenda map[string]appointment
+// schedule holds, for each engine, when it is due for its next check.
+type schedule map[string]scheduleEntry
 
-type appointment struct {
-	// fence is the order that was looked at, first seen at since.
+// scheduleEntry is the schedule of one engine.
+type scheduleEntry struct {
+	// fence is the fence of the order last checked, and since the time at which this
+	// fence was first seen.
 	fence uint64
 	since time.Time
 	next  time.Time
 }
 
-// due reports whether o is to be looked at now, and makes the next appointment.
-func (a agenda) due(o state.Order, now time.Time, often, seldom time.Duration) bool {
+// due reports whether o must be checked now, and if so schedules the next check.
+func (a schedule) due(o state.Order, now time.Time, minInterval, maxInterval time.Duration) bool {
 	e := a[o.Engine]
 	if e.fence != o.Fence {
-		e = appointment{fence: o.Fence, since: now}
+		e = scheduleEntry{fence: o.Fence, since: now}
 	}
 	if now.Before(e.next) {
 		return false
 	}
-	wait := seldom
+	wait := maxInterval
 	if changing(o) {
-		wait = min(seldom, max(often, now.Sub(e.since)/patience))
+		wait = min(maxInterval, max(minInterval, now.Sub(e.since)/changeAgeDivisor))
 	}
 	e.next = now.Add(wait)
 	a[o.Engine] = e
 	return true
 }
 
+// changing reports whether a change of the engine is under way.
 func changing(o state.Order) bool {
 	return o.State == state.OrderDraining || o.State == state.OrderIssued
 }
 
-// Run drives the engines of the service until ctx ends, and returns nil then. It
-// is meant as the work of a lease.Lease.
+// Run performs the changes of the service's engines until ctx ends, hands its orders
+// over and returns nil. It is meant to be run by a lease.Lease.
 func (p *Planner) Run(ctx context.Context) error {
 	var g conc.WaitGroup
-	next := agenda{}
+	next := schedule{}
 	for ctx.Err() == nil {
 		now := p.opts.Clock.Now()
-		for _, o := range p.opts.Book.Orders() {
-			if o.Service == p.opts.Service && next.due(o, now, p.opts.PollEvery, p.opts.ShowEvery) {
-				g.Go(func() { p.look(ctx, o) })
+		for _, o := range p.opts.Orders.Orders() {
+			if o.Service == p.opts.Service && next.due(o, now, p.opts.PollInterval, p.opts.SettledPollInterval) {
+				g.Go(func() { p.stepIfNeeded(ctx, o) })
 			}
 		}
-		_ = p.opts.Clock.Sleep(ctx, p.opts.PollEvery)
+		_ = p.opts.Clock.Sleep(ctx, p.opts.PollInterval)
 	}
 	g.Wait()
 	p.handOver(ctx)
 	return nil
 }
 
-// look takes a step if o, as last seen by the watch, needs one.
-func (p *Planner) look(ctx context.Context, o state.Order) {
+// stepIfNeeded calls Step if o, as last received by the watch, needs it.
+func (p *Planner) stepIfNeeded(ctx context.Context, o state.Order) {
 	ctx, cancel := context.WithTimeout(ctx, p.opts.StepTimeout)
 	defer cancel()
-	if !changing(o) && !p.strayed(ctx, o) {
+	if !changing(o) && !p.drifted(ctx, o) {
 		return
 	}
 	if err := p.Step(ctx, o.Engine); err != nil && ctx.Err() == nil {
@@ -77,9 +80,10 @@
 	}
 }
 
-// strayed reports whether an engine at rest shows something else than its order
-// says. It spares the platform a read for each engine.
-func (p *Planner) strayed(ctx context.Context, o state.Order) bool {
+// drifted reports whether an engine without a change under way shows another state
+// than the desired one. Checking this first saves a read from the platform for each
+// engine without drift.
+func (p *Planner) drifted(ctx context.Context, o state.Order) bool {
 	u, ok := p.opts.Upstreams.Upstream(o.Engine)
 	if !ok || o.Desired.Equal(state.Target{}) {
 		return false
@@ -88,14 +92,14 @@
 	return err == nil && !shown.Changing && !shown.Target.Equal(o.Desired)
 }
 
-// handOver tells successors through the objects that this host sends nothing any
-// more, so that they needn't wait until it is gone. It is tried once. The watch lags
-// behind this host's own writes, so draining orders are read as well: this host may
-// have issued one a moment ago.
+// handOver removes this host from its issued orders, so that a successor needn't wait
+// until the host is gone. It makes one attempt for each order. The watch lags behind
+// this host's own writes, so draining orders are included: this host may just have
+// issued one.
 func (p *Planner) handOver(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), p.opts.StepTimeout)
 	defer cancel()
-	for _, o := range p.opts.Book.Orders() {
+	for _, o := range p.opts.Orders.Orders() {
 		if o.Service == p.opts.Service && changing(o) {
 			if err := p.HandOver(ctx, o.Engine); err != nil {
 				p.opts.Log.Debug("order not handed over", "engine", o.Engine, "error", err)
@@ -104,16 +108,17 @@
 	}
 }
 
-// HandOver takes this host out of an issued order, if none that it sent can still
-// arrive; the order is left for a successor to finish.
+// HandOver removes this host from the holder and issuers of an issued order, unless
+// an order that it sent may still arrive or a step is in progress. A successor then
+// finishes the order.
 func (p *Planner) HandOver(ctx context.Context, engine string) error {
-	w := p.sends.begin(engine)
+	w := p.sends.beginStep(engine)
 	if w == nil {
 		return nil
 	}
-	defer p.sends.end(engine)
-	cur, err := p.objects.read(ctx, engine)
-	if err != nil || cur.order.State != state.OrderIssued || p.sends.lingering(engine, p.opts.Clock.Now()) {
+	defer p.sends.endStep(engine)
+	cur, err := p.store.read(ctx, engine)
+	if err != nil || cur.order.State != state.OrderIssued || p.sends.mayStillArrive(engine, p.opts.Clock.Now()) {
 		return err
 	}
 	if !slices.Contains(cur.order.IssuedBy, p.opts.Host) {
@@ -128,7 +133,7 @@
 	if err != nil {
 		return err
 	}
-	p.sends.raise(engine, done.order.Fence)
-	p.note(w, done.order, "handed over", "the planner leaves; another host finishes the order")
+	p.sends.raiseMinFence(engine, done.order.Fence)
+	p.record(w, done.order, "handed over", "the planner leaves; another host finishes the order")
 	return nil
 }
--- a/coordination/order/world_test.go
+++ b/coordination/order/simulation_test.go
@@ -15,23 +15,24 @@
 )
 
 const (
-	testService   = "roster-llm"
-	testGoneAfter = 10 * time.Minute
-	testLinger    = 20 * time.Second
-	testDrain     = 30 * time.Second
-	testResend    = time.Second
-	testTTL       = 9 * time.Second
+	testService          = "roster-llm"
+	testGoneAfter        = 10 * time.Minute
+	testMaxDeliveryDelay = 20 * time.Second
+	testDrainTimeout     = 30 * time.Second
+	testResendInterval   = time.Second
+	testLeaseTTL         = 9 * time.Second
 )
 
-// targets are what engines may be ordered to be; the first is what they start as.
+// targets are the states that orders may ask for; engines start with the first.
 var targets = []state.Target{
 	{Role: state.RoleMixed, Model: "m"},
 	{Role: state.RolePrefill, Model: "m"},
 	{Role: state.RoleDecode, Model: "m"},
 }
 
-// world is a platform, engines and hosts under a time that only the test moves.
-type world struct {
+// simulation is a platform, engines and hosts with a clock that only the test
+// advances.
+type simulation struct {
 	now      time.Time
 	platform *storetest.Platform
 	down     bool
@@ -39,37 +40,39 @@
 	engines  []*fakeEngine
 	hosts    []*host
 	running  *process
-	// late are writes that are still on their way to the platform.
+	// late are failed writes that are still on their way to the platform.
 	late []func()
-	// mail are statements on their way between hosts.
-	mail  []statement
-	weak  weakness
-	stats map[string]int
-	// found is the first thing that must never happen.
-	found, detail string
-	incarnations  int
+	// inTransit are statements on their way between hosts.
+	inTransit []statement
+	mutation  mutation
+	stats     map[string]int
+	// violation is the first invariant that was found broken, detail how.
+	violation, detail string
+	incarnations      int
 }
 
-// weakness is a mechanism taken away.
-type weakness struct {
-	planner         weakening
-	enterUnchecked  bool // a request is counted in without reading the view again
+// mutation disables safety mechanisms, to show that the tests detect their absence.
+type mutation struct {
+	planner         plannerMutation
+	enterUnchecked  bool // counts a request as in flight without checking the view again
 	serveBeforeList bool // a host serves before it has listed the orders
 }
 
+// statement is a message with the acknowledgements and releases of one host.
 type statement struct {
 	to       *host
 	acks     []Ack
 	releases []Release
 }
 
+// host is a simulated host with its parts.
 type host struct {
-	world     *world
+	sim       *simulation
 	id        state.HostID
 	store     *gatedStore
 	keeper    *snapshot.Keeper
 	acks      *AckTable
-	desk      *Desk
+	requester *Requester
 	watcher   *Watcher
 	planner   *Planner
 	lessor    *lease.Lease
@@ -77,22 +80,23 @@
 	requests  map[*request]bool
 	chosen    []*snapshot.Runner
 	alive     bool
-	goneSince time.Time // zero while the platform lists it
+	goneSince time.Time // zero while the platform lists the host
 }
 
-func newWorld(hosts int, engines []*fakeEngine, weak weakness) *world {
-	w := &world{
+// newSimulation returns a simulation with the given number of started hosts.
+func newSimulation(hosts int, engines []*fakeEngine, mut mutation) *simulation {
+	w := &simulation{
 		now: time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC), platform: storetest.NewPlatform(0),
-		engines: engines, weak: weak, stats: map[string]int{},
+		engines: engines, mutation: mut, stats: map[string]int{},
 	}
 	for _, e := range engines {
-		e.world, e.target, e.running = w, targets[0], map[*request]bool{}
+		e.sim, e.target, e.running = w, targets[0], map[*request]bool{}
 	}
 	for i := range hosts {
 		w.start(fmt.Sprintf("host-%d", i))
 	}
 	for _, h := range w.hosts {
-		h.pump()
+		h.pumpWatcher()
 	}
 	return w
 }
@@ -104,32 +108,32 @@
 	return v
 }
 
-// start brings up a host: it registers, then lists the orders, then serves.
-func (w *world) start(name string) *host {
+// start starts a host, which registers, then lists the orders, then serves.
+func (w *simulation) start(name string) *host {
 	w.incarnations++
 	h := &host{
-		world: w, id: state.HostID{Name: name, Incarnation: fmt.Sprint(w.incarnations)},
+		sim: w, id: state.HostID{Name: name, Incarnation: fmt.Sprint(w.incarnations)},
 		keeper: snapshot.NewKeeper(), acks: NewAckTable(), requests: map[*request]bool{}, alive: true,
 	}
-	h.store = &gatedStore{world: w, inner: w.platform.Client(h.id.String())}
+	h.store = &gatedStore{sim: w, inner: w.platform.Client(h.id.String())}
 	clock := manualClock{w}
 	random := func(n uint64) *rand.Rand { return rand.New(rand.NewPCG(uint64(w.incarnations), n)) }
 	var listed []state.Listed
 	for _, e := range w.engines {
-		listed = append(listed, state.Listed{Name: e.name, Kind: state.ListedEngine, State: state.ListedLive, Service: testService, ChecksFence: e.checks})
+		listed = append(listed, state.Listed{Name: e.name, Kind: state.ListedEngine, State: state.ListedLive, Service: testService, ChecksFence: e.checksFence})
 	}
 	h.keeper.SetListed(listed)
 	h.watcher = must(NewWatcher(WatcherOptions{Store: h.store, Clock: clock, Rand: random(1), Sink: h.keeper}))
-	h.desk = must(NewDesk(DeskOptions{Store: h.store, Clock: clock, Rand: random(2), Host: h.id, Recorder: h}))
+	h.requester = must(NewRequester(RequesterOptions{Store: h.store, Clock: clock, Rand: random(2), Host: h.id, Recorder: h}))
 	h.planner = must(NewPlanner(PlannerOptions{
 		Store: h.store, Clock: clock, Rand: random(3), Host: h.id, Service: testService,
-		Book: h.watcher, Acks: h.acks, Members: h, Upstreams: KeeperUpstreams{h.keeper},
+		Orders: h.watcher, Acks: h.acks, Members: h, Upstreams: KeeperUpstreams{h.keeper},
 		Engines: &gatedEngines{h}, Recorder: h,
-		DrainTimeout: testDrain, GoneAfter: testGoneAfter, Linger: testLinger, ResendEvery: testResend,
+		DrainTimeout: testDrainTimeout, GoneAfter: testGoneAfter, MaxDeliveryDelay: testMaxDeliveryDelay, ResendInterval: testResendInterval,
 	}))
-	h.planner.weaken = w.weak.planner
+	h.planner.mutation = w.mutation.planner
 	h.lessor = must(lease.New(lease.Options{
-		Store: h.store, Clock: clock, Rand: random(4), Name: "planner." + testService, Holder: h.id, TTL: testTTL,
+		Store: h.store, Clock: clock, Rand: random(4), Name: "planner." + testService, Holder: h.id, TTL: testLeaseTTL,
 	}))
 	w.hosts = append(w.hosts, h)
 	h.spawn(func(ctx context.Context) {
@@ -147,9 +151,9 @@
 	return err == nil || store.IsConflict(err)
 }
 
-// serves reports whether the host may give engines work.
+// serves reports whether the host may send requests to engines.
 func (h *host) serves() bool {
-	if h.world.weak.serveBeforeList {
+	if h.sim.mutation.serveBeforeList {
 		return h.alive
 	}
 	select {
@@ -160,8 +164,8 @@
 	}
 }
 
-// pump lets the host's first process, its watcher, make a few calls.
-func (h *host) pump() {
+// pumpWatcher lets the host's watcher, its first process, make two calls.
+func (h *host) pumpWatcher() {
 	for range 2 {
 		if len(h.processes) > 0 {
 			h.processes[0].resume(noFault)
@@ -169,10 +173,11 @@
 	}
 }
 
-// enter counts a request in at a runner that was chosen earlier.
+// enter counts a request as in flight at a runner that was chosen earlier. It returns
+// nil if the runner takes no requests any more.
 func (h *host) enter(r *snapshot.Runner) interface{ Done() } {
 	one := snapshot.Work{Requests: 1}
-	if h.world.weak.enterUnchecked {
+	if h.sim.mutation.enterUnchecked {
 		r.InFlight.Add(one)
 		return uncheckedTicket{r.InFlight}
 	}
@@ -182,44 +187,47 @@
 	return nil
 }
 
+// uncheckedTicket ends a request that was counted without a check of the view.
 type uncheckedTicket struct{ track *snapshot.InFlightCounter }
 
 func (t uncheckedTicket) Done() { t.track.Add(snapshot.Work{Requests: -1}) }
 
-// tell sends what the host has to say to every host; itself hears it at once.
-func (h *host) tell() {
+// sendStatement sends the host's acknowledgements and releases to every host; its own
+// copy is delivered at once.
+func (h *host) sendStatement() {
 	var s statement
 	for _, d := range h.keeper.Draining() {
 		s.acks = append(s.acks, Ack{Host: h.id, Engine: d.Engine, Fence: d.Fence, InFlight: d.InFlight})
 	}
 	s.releases = h.planner.Releases()
-	for _, to := range h.world.hosts {
+	for _, to := range h.sim.hosts {
 		s.to = to
 		if to == h {
-			s.hear()
+			s.deliver()
 		} else {
-			h.world.mail = append(h.world.mail, s)
+			h.sim.inTransit = append(h.sim.inTransit, s)
 		}
 	}
 }
 
-func (s statement) hear() {
+// deliver adds the statement to the receiver's AckTable.
+func (s statement) deliver() {
 	for _, a := range s.acks {
-		s.to.acks.TakeAck(a)
+		s.to.acks.AddAck(a)
 	}
 	for _, r := range s.releases {
-		s.to.acks.TakeRelease(r)
+		s.to.acks.AddRelease(r)
 	}
 }
 
-// die ends everything that the host does.
-func (h *host) die() {
+// terminate ends all processes and requests of the host.
+func (h *host) terminate() {
 	h.alive = false
 	if h.goneSince.IsZero() {
-		h.goneSince = h.world.now
+		h.goneSince = h.sim.now
 	}
 	for _, p := range h.processes {
-		p.kill()
+		p.cancel()
 		p.stop()
 	}
 	h.processes = nil
@@ -229,48 +237,50 @@
 	h.requests = nil
 }
 
-func (w *world) close() {
+// close terminates all hosts.
+func (w *simulation) close() {
 	for _, h := range w.hosts {
 		if h.alive {
-			h.die()
+			h.terminate()
 		}
 	}
 }
 
-// advance moves the time. A host that the list has been without for GoneAfter
-// does nothing any more; a late order arrives within Linger; a request ends
-// within its deadline.
-func (w *world) advance(d time.Duration) {
+// advance advances the clock by d and enforces the bounds that the planner relies on:
+// a late order arrives within MaxDeliveryDelay, a request ends within its deadline,
+// and a host that has been missing from the list for GoneAfter is terminated.
+func (w *simulation) advance(d time.Duration) {
 	next := w.now.Add(d)
 	for _, e := range w.engines {
 		for i := 0; i < len(e.late); {
-			if e.late[i].until.After(next) || e.hung {
+			if e.late[i].arrivesBy.After(next) || e.hung {
 				i++
 				continue
 			}
-			e.deliver(i)
+			e.deliverLate(i)
 		}
 	}
 	for _, h := range w.hosts {
 		for r := range h.requests {
-			if !r.until.After(next) {
+			if !r.deadline.After(next) {
 				r.end()
 			}
 		}
 		if h.alive && !h.goneSince.IsZero() && next.Sub(h.goneSince) >= testGoneAfter {
-			h.die()
+			h.terminate()
 		}
 	}
 	w.now = next
 }
 
-func (w *world) report(what, detail string) {
-	if w.found == "" {
-		w.found, w.detail = what, detail
+// report records a violation if it is the first.
+func (w *simulation) report(violation, detail string) {
+	if w.violation == "" {
+		w.violation, w.detail = violation, detail
 	}
 }
 
-func (w *world) engine(name string) *fakeEngine {
+func (w *simulation) engine(name string) *fakeEngine {
 	for _, e := range w.engines {
 		if e.name == name {
 			return e
@@ -280,7 +290,7 @@
 }
 
 // Record implements Recorder.
-func (h *host) Record(d state.Decision) { h.world.stats["decision: "+d.Chosen]++ }
+func (h *host) Record(d state.Decision) { h.sim.stats["decision: "+d.Chosen]++ }
 
 // List implements Members.
 func (h *host) List(ctx context.Context) ([]state.Member, error) {
@@ -298,9 +308,9 @@
 
 // GoneFor implements Members.
 func (h *host) GoneFor(id state.HostID) time.Duration {
-	for _, o := range h.world.hosts {
+	for _, o := range h.sim.hosts {
 		if o.id == id && !o.goneSince.IsZero() {
-			return h.world.now.Sub(o.goneSince)
+			return h.sim.now.Sub(o.goneSince)
 		}
 	}
 	return 0
