--- a/coordination/fanout/node.go
+++ b/coordination/fanout/node.go
@@ -79,10 +79,10 @@
 	// Run only.
 	nextStoreProbe time.Time
 	// peekIndex, modulo the number of hosts, is the index in cachedPlanHosts of the peer that was
-	// peeked at last.
+	// peeked at last. Used by Run only.
+	peekIndex int
 	// restoreChecked is set once a peer has reported whether the store was restored recently, or
 	// no peer could. Used by Run only.
-	peekIndex      int
 	restoreChecked bool
 	// checkedRevision is the highest revision of the copies at the last check for a restoration
 	// of the store. Used by Run only.
--- a/coordination/forward/candidate.go
+++ b/coordination/forward/candidate.go
@@ -172,9 +172,9 @@
 // prefillAsk returns the request for a prefill place at an engine. wait is the longest queue
 // wait that is accepted, and limit the time left until prefillTarget.
 func (d *Dispatcher) prefillAsk(r *Request, at *placement.Runner, w backlog.Prompt, wait, limit time.Duration) occupancy.Request {
-	reading := &occupancy.Prefill{Service: r.Service, Prompt: w, MaxWait: wait, MaxFinish: limit}
+	prefill := &occupancy.Prefill{Service: r.Service, Prompt: w, MaxWait: wait, MaxFinish: limit}
 	if r.Engine != nil {
-		reading.MemoryTokens = r.Engine.KVTokens
+		prefill.MemoryTokens = r.Engine.KVTokens
 	}
-	return occupancy.Request{Engine: at.Instance.ID, Prefill: reading, TTL: d.timeLeft(r)}
+	return occupancy.Request{Engine: at.Instance.ID, Prefill: prefill, TTL: d.timeLeft(r)}
 }
